--- a/packages/anvilarch-bench/src/experiments/logCost.ts
+++ b/packages/anvilarch-bench/src/experiments/logCost.ts
@@ -1,6 +1,6 @@
 /** What logs cost: lines, bytes and processor time of a request on the platform, by what is written of it. */
 import { PassThrough } from 'node:stream'
-import { createBoundedLog, createRequestTrail, createServingMetrics, type EventFields, type EventLog } from 'anvilarch-serving'
+import { createBoundedLog, createRequestLog, createServingMetrics, type EventFields, type EventLog } from 'anvilarch-serving'
 import { createLogger, SILENT_LOGGER } from 'anvilarch-utils'
 import type { Experiment, RunContext, Variant, VariantRun } from '../harness/types'
 import { barsByFigure } from '../plots/resultPlots'
@@ -82,15 +82,15 @@
 function playRequest (log: EventLog, detail: Detail, requestId: string, percentile: number): void {
   const failed = percentile < FAILED_PERCENT
   const refused = !failed && percentile < FAILED_PERCENT + REFUSED_PERCENT
-  const trail = createRequestTrail(log)
-  if (detail === 'everything') trail.reveal()
+  const requestLog = createRequestLog(log)
+  if (detail === 'everything') requestLog.flush()
   const notes = detail === 'by_outcome' || detail === 'everything'
   if (notes && !refused) {
-    trail.note('endpoint chosen', { requestId, endpoint: 'i-25e40e7ffa', online: 5, batchRunning: 2, slots: 8, suspected: false, candidateCount: 6, loadAgeMs: 1, remainingMs: 4983, afterMs: 2 })
-    trail.note('answer begun', { requestId, endpoint: 'i-25e40e7ffa', status: 200, afterMs: 31 })
+    requestLog.note('endpoint chosen', { requestId, endpoint: 'i-25e40e7ffa', online: 5, batchRunning: 2, slots: 8, suspected: false, candidateCount: 6, loadAgeMs: 1, remainingMs: 4983, afterMs: 2 })
+    requestLog.note('answer begun', { requestId, endpoint: 'i-25e40e7ffa', status: 200, afterMs: 31 })
   }
   if (notes && failed) {
-    trail.reveal()
+    requestLog.flush()
     log.info('attempt failed', { requestId, endpoint: 'i-25e40e7ffa', failure: 'may_have_run', reason: 'UND_ERR_SOCKET', lastEventId: 12, remainingMs: 4732 })
   }
   if (notes && refused) log.info('request refused', { requestId, reason: 'wait_too_long', waitMs: 340, objectiveMs: 300, remainingMs: 4483, candidateCount: 6, knownCount: 6, suspectedCount: 0, leastOnline: 9, slots: 8 })
--- a/packages/anvilarch-serving/src/accounts/refuseCaller.ts
+++ b/packages/anvilarch-serving/src/accounts/refuseCaller.ts
@@ -1,6 +1,6 @@
 /** Answers callers that are not let in. */
-import type { OwnAnswer } from '../requests/clientAnswer'
-import { unauthorizedAnswer } from '../requests/clientAnswer'
+import type { GatewayResponse } from '../requests/clientResponse'
+import { unauthorizedResponse } from '../requests/clientResponse'
 import type { CallerVerdict } from './callerCheck'
 import type { Caller } from './types'
 
@@ -17,12 +17,12 @@
  * @param credentialScheme - by which keys are shown
  * @returns the answer. Only a key that no version knows is refused for good: a caller does not come back after that.
  */
-export function refusalAnswer (refusal: CallerRefusal, credentialScheme: string): OwnAnswer {
+export function refusalAnswer (refusal: CallerRefusal, credentialScheme: string): GatewayResponse {
   return REFUSALS[refusal](credentialScheme)
 }
 
-const REFUSALS: Record<CallerRefusal, (credentialScheme: string) => OwnAnswer> = {
-  unknown: unauthorizedAnswer,
+const REFUSALS: Record<CallerRefusal, (credentialScheme: string) => GatewayResponse> = {
+  unknown: unauthorizedResponse,
   unconfirmed: () => ({
     status: NOT_RUN_STATUS,
     code: 'key_not_confirmed',
--- a/packages/anvilarch-serving/src/crashes/__tests__/suspectTable.test.ts
+++ b/packages/anvilarch-serving/src/crashes/__tests__/suspectTable.test.ts
@@ -1,5 +1,5 @@
 import { createFakeClock, type FakeClock } from 'anvilarch-utils'
-import { createSuspectTable, EVIDENCE_MS, MAX_SUSPECTS, type SuspectTable } from '../suspectTable'
+import { createSuspectTable, CRASH_CORRELATION_MS, MAX_SUSPECTS, type SuspectTable } from '../suspectTable'
 
 let clock: FakeClock
 let table: SuspectTable
@@ -10,7 +10,7 @@
 })
 
 function crash (fingerprint: string, startId: string): void {
-  table.onBroken(fingerprint, startId)
+  table.onConnectionLost(fingerprint, startId)
   clock.advance(200)
   table.onEndpointLost(startId)
 }
@@ -27,15 +27,15 @@
 
   it('leaves those alone that were lost beside it once', () => {
     for (const startId of ['e1@1', 'e2@1', 'e1@2']) {
-      table.onBroken(`harmless at ${startId}`, startId)
+      table.onConnectionLost(`harmless at ${startId}`, startId)
       crash('poison', startId)
     }
     expect(table.records().filter(record => table.isQuarantined(record.fingerprint)).map(record => record.fingerprint)).toEqual(['poison'])
   })
 
   it('takes a broken connection alone for no crash, however often it breaks', () => {
-    for (let index = 0; index < 10; index++) table.onBroken('unlucky', `e${index}`)
-    clock.advance(EVIDENCE_MS + 1)
+    for (let index = 0; index < 10; index++) table.onConnectionLost('unlucky', `e${index}`)
+    clock.advance(CRASH_CORRELATION_MS + 1)
     for (let index = 0; index < 10; index++) table.onEndpointLost(`e${index}`)
     expect(table.isEmpty()).toBe(true)
   })
@@ -43,7 +43,7 @@
   it('counts a break that is noticed after the loss of the endpoint', () => {
     table.onEndpointLost('e1')
     clock.advance(100)
-    expect(table.onBroken('late', 'e1')).toHaveLength(1)
+    expect(table.onConnectionLost('late', 'e1')).toHaveLength(1)
   })
 
   it('counts one start once', () => {
@@ -53,12 +53,12 @@
 
   it('adds what other gateways have seen', () => {
     crash('poison', 'e1@1')
-    table.learn({ fingerprint: 'poison', crashedStarts: ['e2@1', 'e3@1'], lastCrashAtMs: 5 })
+    table.merge({ fingerprint: 'poison', crashedStarts: ['e2@1', 'e3@1'], lastCrashAtMs: 5 })
     expect(table.isQuarantined('poison')).toBe(true)
   })
 
   it('keeps a bounded number of records', () => {
-    for (let index = 0; index <= MAX_SUSPECTS; index++) table.learn({ fingerprint: `f${index}`, crashedStarts: ['e'], lastCrashAtMs: 1 })
+    for (let index = 0; index <= MAX_SUSPECTS; index++) table.merge({ fingerprint: `f${index}`, crashedStarts: ['e'], lastCrashAtMs: 1 })
     expect(table.records()).toHaveLength(MAX_SUSPECTS)
     expect(table.records()[0].fingerprint).toBe('f1')
   })
--- a/packages/anvilarch-serving/src/crashes/crashWatch.ts
+++ b/packages/anvilarch-serving/src/crashes/crashMonitor.ts
@@ -1,14 +1,14 @@
 /** What the requests of a gateway tell of crashes, and which of them may still be sent. */
-import type { RepeatedRequest } from './fingerprint'
+import type { RequestIdentity } from './fingerprint'
 import { fingerprintOf } from './fingerprint'
 import type { SuspectRecord, SuspectTable } from './suspectTable'
 
 /** Watches requests and endpoints for crashes. */
-export interface CrashWatch {
+export interface CrashMonitor {
   /** @returns whether the request may be sent to an endpoint; false once it has been in the crashes of three */
-  mayRun: (request: RepeatedRequest) => boolean
+  mayRun: (request: RequestIdentity) => boolean
   /** The connection broke while the request was in progress. */
-  onBroken: (request: RepeatedRequest, startId: string) => void
+  onConnectionLost: (request: RequestIdentity, startId: string) => void
   /** The endpoint has crashed, as far as can be told. */
   onEndpointLost: (startId: string) => void
 }
@@ -18,14 +18,14 @@
  * @param publish - tells other gateways
  * @returns the watch
  */
-export function createCrashWatch (suspects: SuspectTable, publish: (records: readonly SuspectRecord[]) => void): CrashWatch {
+export function createCrashMonitor (suspects: SuspectTable, publish: (records: readonly SuspectRecord[]) => void): CrashMonitor {
   const tell = (records: readonly SuspectRecord[]): void => {
     if (records.length > 0) publish(records)
   }
   return {
     // Nearly always there is no suspect, and no request needs to be hashed.
     mayRun: request => suspects.isEmpty() || !suspects.isQuarantined(fingerprintOf(request)),
-    onBroken: (request, startId) => tell(suspects.onBroken(fingerprintOf(request), startId)),
+    onConnectionLost: (request, startId) => tell(suspects.onConnectionLost(fingerprintOf(request), startId)),
     onEndpointLost: startId => tell(suspects.onEndpointLost(startId))
   }
 }
--- a/packages/anvilarch-serving/src/crashes/fingerprint.ts
+++ b/packages/anvilarch-serving/src/crashes/fingerprint.ts
@@ -2,7 +2,7 @@
 import { createHash } from 'node:crypto'
 
 /** What a request is recognized by: a caller that sends it again changes its id, but not these. */
-export interface RepeatedRequest {
+export interface RequestIdentity {
   method: string
   host: string
   path: string
@@ -13,7 +13,7 @@
  * @param request - as the client sent it
  * @returns the same text for each attempt of the same request
  */
-export function fingerprintOf (request: RepeatedRequest): string {
+export function fingerprintOf (request: RequestIdentity): string {
   return createHash('sha1')
     .update(`${request.method} ${request.host} ${request.path}\n`)
     .update(request.body)
--- a/packages/anvilarch-serving/src/crashes/shareSuspects.ts
+++ b/packages/anvilarch-serving/src/crashes/shareSuspects.ts
@@ -3,7 +3,7 @@
 import type { RowKey, StoredRow } from '../store/types'
 import type { RoleContext } from '../roles/types'
 import type { TableListener } from '../store/tableFollower'
-import { SUSPICION_MS, type SuspectRecord, type SuspectTable } from './suspectTable'
+import { SUSPECT_RETENTION_MS, type SuspectRecord, type SuspectTable } from './suspectTable'
 
 /** Rows of requests that were in progress at crashes. */
 export const SUSPECT_TABLE = 'suspects'
@@ -34,7 +34,7 @@
   const takeRow = (row: StoredRow): void => {
     versions.set(row.key, row.version)
     const record = decodeSuspect(row)
-    if (record !== undefined) suspects.learn(record)
+    if (record !== undefined) suspects.merge(record)
   }
 
   const write = async (records: readonly SuspectRecord[]): Promise<void> => {
@@ -51,7 +51,7 @@
       }
       if (outcome.outcome !== 'conflict') break
       outcome.rows.forEach(takeRow)
-      pending = pending.map(record => suspects.learn(record))
+      pending = pending.map(record => suspects.merge(record))
     }
     log.warn('suspects not shared', { recordCount: pending.length })
   }
@@ -67,7 +67,7 @@
         if (change.change === 'put') takeRow(change.row)
         else {
           versions.delete(change.key.key)
-          suspects.forget(change.key.key)
+          suspects.remove(change.key.key)
         }
       }
     },
@@ -101,6 +101,6 @@
 async function removeOld (store: RoleContext['store'], rows: readonly StoredRow[]): Promise<void> {
   const nowMs = store.storeNowMs()
   if (nowMs === undefined) return
-  const old = rows.filter(row => nowMs - (decodeSuspect(row)?.lastCrashAtMs ?? 0) > SUSPICION_MS).slice(0, ROWS_PER_COMMIT)
+  const old = rows.filter(row => nowMs - (decodeSuspect(row)?.lastCrashAtMs ?? 0) > SUSPECT_RETENTION_MS).slice(0, ROWS_PER_COMMIT)
   if (old.length > 0) await store.commit({ conditions: [], puts: [], removes: old.map(row => suspectKey(row.key)) })
 }
--- a/packages/anvilarch-serving/src/crashes/suspectTable.ts
+++ b/packages/anvilarch-serving/src/crashes/suspectTable.ts
@@ -19,12 +19,12 @@
 /** Requests that were in progress at crashes. */
 export interface SuspectTable {
   /** The connection to an endpoint broke while the request was in progress there. Not a crash yet: connections break for other reasons. */
-  onBroken: (fingerprint: string, startId: string) => SuspectRecord[]
+  onConnectionLost: (fingerprint: string, startId: string) => SuspectRecord[]
   /** The endpoint refuses connections, has been replaced or is no longer reached by its agent. @returns records that are new by this */
   onEndpointLost: (startId: string) => SuspectRecord[]
   /** Takes what another gateway has seen. @returns the record with what is known here */
-  learn: (record: SuspectRecord) => SuspectRecord
-  forget: (fingerprint: string) => void
+  merge: (record: SuspectRecord) => SuspectRecord
+  remove: (fingerprint: string) => void
   /** @returns whether the request may not be sent to any endpoint */
   isQuarantined: (fingerprint: string) => boolean
   /** @returns whether no request is under suspicion, so that nothing needs to be looked up */
@@ -36,13 +36,13 @@
  * Crashes after which a request is not run again. Two may be chance: where a fifth of the endpoints is lost at once, one retry
  * in five meets a second crash.
  */
-export const CRASHES_TO_QUARANTINE = 3
+export const QUARANTINE_CRASH_COUNT = 3
 
 /** A break and the loss of the endpoint belong together within this time: a restart is listed after at most a heartbeat of 1.2 s. */
-export const EVIDENCE_MS = 2500
+export const CRASH_CORRELATION_MS = 2500
 
 /** A request is forgotten this long after the last crash that it was in. */
-export const SUSPICION_MS = 600_000
+export const SUSPECT_RETENTION_MS = 600_000
 
 /** Records kept at most; the oldest goes first, so that a flood of crashes cannot fill the memory. */
 export const MAX_SUSPECTS = 2000
@@ -64,18 +64,18 @@
 
   const forgetOldEvidence = (nowMs: number): void => {
     for (const [startId, evidence] of brokenAt) {
-      const fresh = evidence.filter(entry => nowMs - entry.brokenAtMs <= EVIDENCE_MS)
+      const fresh = evidence.filter(entry => nowMs - entry.brokenAtMs <= CRASH_CORRELATION_MS)
       if (fresh.length === 0) brokenAt.delete(startId)
       else brokenAt.set(startId, fresh)
     }
-    for (const [startId, atMs] of lostAtMs) if (nowMs - atMs > EVIDENCE_MS) lostAtMs.delete(startId)
+    for (const [startId, atMs] of lostAtMs) if (nowMs - atMs > CRASH_CORRELATION_MS) lostAtMs.delete(startId)
   }
 
   const learn = (record: SuspectRecord): SuspectRecord => {
     const known = records.get(record.fingerprint)
     const merged: SuspectRecord = {
       fingerprint: record.fingerprint,
-      crashedStarts: [...new Set([...known?.crashedStarts ?? [], ...record.crashedStarts])].slice(0, CRASHES_TO_QUARANTINE),
+      crashedStarts: [...new Set([...known?.crashedStarts ?? [], ...record.crashedStarts])].slice(0, QUARANTINE_CRASH_COUNT),
       lastCrashAtMs: Math.max(known?.lastCrashAtMs ?? 0, record.lastCrashAtMs)
     }
     records.delete(record.fingerprint)
@@ -91,7 +91,7 @@
   }
 
   return {
-    onBroken: (fingerprint, startId) => {
+    onConnectionLost: (fingerprint, startId) => {
       const nowMs = clock.nowMs()
       forgetOldEvidence(nowMs)
       if (lostAtMs.has(startId)) return confirm(fingerprint, startId)
@@ -106,9 +106,9 @@
       brokenAt.delete(startId)
       return evidence.flatMap(entry => confirm(entry.fingerprint, startId))
     },
-    learn,
-    forget: fingerprint => { records.delete(fingerprint) },
-    isQuarantined: fingerprint => (records.get(fingerprint)?.crashedStarts.length ?? 0) >= CRASHES_TO_QUARANTINE,
+    merge: learn,
+    remove: fingerprint => { records.delete(fingerprint) },
+    isQuarantined: fingerprint => (records.get(fingerprint)?.crashedStarts.length ?? 0) >= QUARANTINE_CRASH_COUNT,
     isEmpty: () => records.size === 0,
     records: () => [...records.values()]
   }
--- a/packages/anvilarch-serving/src/jobs/jobCalls.ts
+++ b/packages/anvilarch-serving/src/jobs/jobCalls.ts
@@ -4,7 +4,7 @@
 import findMyWay from 'find-my-way'
 import { accountNameOf, type Caller } from '../accounts/types'
 import type { RequestMetadata, Route } from '../model/types'
-import { type ClosingNotice, sendJson, sendOwnAnswer } from '../requests/clientAnswer'
+import { type DrainState, sendJson, sendGatewayResponse } from '../requests/clientResponse'
 import type { JobWire } from '../roles/types'
 import type { ServingMetrics } from '../telemetry/metrics'
 import { acceptJob, type Submission } from './acceptJob'
@@ -19,7 +19,7 @@
   metrics: ServingMetrics
   results: ResultReader
   wire: JobWire
-  notice: ClosingNotice
+  notice: DrainState
 }
 
 /** A submission that has been read. */
@@ -109,7 +109,7 @@
   const { response, metadata, route } = call
   const items = parts.wire.decodeSubmission(call.body)
   if (!Array.isArray(items)) {
-    sendOwnAnswer(response, { status: 400, code: 'bad_job', message: items.problem }, parts.notice)
+    sendGatewayResponse(response, { status: 400, code: 'bad_job', message: items.problem }, parts.notice)
     return
   }
   const submission: Submission = {
@@ -128,13 +128,13 @@
       sendJson(response, 202, {}, parts.notice)
       return
     case 'over_limit':
-      sendOwnAnswer(response, { status: 429, code: 'over_limit', message: 'too many tokens wait on this route', retryAfterMs: OVER_LIMIT_RETRY_AFTER_MS }, parts.notice)
+      sendGatewayResponse(response, { status: 429, code: 'over_limit', message: 'too many tokens wait on this route', retryAfterMs: OVER_LIMIT_RETRY_AFTER_MS }, parts.notice)
       return
     case 'refused':
-      sendOwnAnswer(response, { status: 503, code: 'store_unavailable', message: 'the job could not be stored and will not run', retryAfterMs: RETRY_AFTER_MS }, parts.notice)
+      sendGatewayResponse(response, { status: 503, code: 'store_unavailable', message: 'the job could not be stored and will not run', retryAfterMs: RETRY_AFTER_MS }, parts.notice)
       return
     case 'unknown':
-      sendOwnAnswer(response, { status: 504, code: 'outcome_unknown', message: 'the store has not said whether the job is stored' }, parts.notice)
+      sendGatewayResponse(response, { status: 504, code: 'outcome_unknown', message: 'the store has not said whether the job is stored' }, parts.notice)
   }
 }
 
@@ -219,7 +219,7 @@
     return
   }
   parts.metrics.jobCalls.inc({ call: 'item', outcome: 'answered' })
-  if (parts.notice.isLeaving()) response.setHeader('Connection', 'close')
+  if (parts.notice.isDraining()) response.setHeader('Connection', 'close')
   response.writeHead(200, { 'Content-Type': 'application/octet-stream', 'Content-Length': body.length })
   response.end(body)
 }
@@ -245,10 +245,10 @@
 
 function notFound (parts: JobCallParts, response: ServerResponse, call: string): void {
   parts.metrics.jobCalls.inc({ call, outcome: 'not_found' })
-  sendOwnAnswer(response, { status: 404, code: 'no_such_job', message: 'no such job or item' }, parts.notice)
+  sendGatewayResponse(response, { status: 404, code: 'no_such_job', message: 'no such job or item' }, parts.notice)
 }
 
 function unavailable (parts: JobCallParts, response: ServerResponse, call: string): void {
   parts.metrics.jobCalls.inc({ call, outcome: 'unavailable' })
-  sendOwnAnswer(response, { status: 503, code: 'store_unavailable', message: 'the store does not answer', retryAfterMs: RETRY_AFTER_MS }, parts.notice)
+  sendGatewayResponse(response, { status: 503, code: 'store_unavailable', message: 'the store does not answer', retryAfterMs: RETRY_AFTER_MS }, parts.notice)
 }
--- a/packages/anvilarch-serving/src/requests/__fixtures__/forwardHarness.ts
+++ b/packages/anvilarch-serving/src/requests/__fixtures__/forwardHarness.ts
@@ -252,11 +252,11 @@
       credentialScheme: 'Key',
       decodeRequest: () => { throw new Error('the head is decoded already') },
       encodeSend: (_headers, terms) => ['deadline', String(terms.deadlineMs), 'go-on-after', String(terms.lastEventId ?? '')],
-      decodeAnswer: headers => ({ requestId: headers.get('request-id'), signed: headers.has('signature'), notRun: headers.has('not-run') })
+      decodeResponse: headers => ({ requestId: headers.get('request-id'), signed: headers.has('signature'), notRun: headers.has('not-run') })
     },
-    notice: { isLeaving: () => false },
+    drainState: { isDraining: () => false },
     holdTimes: createHoldTimes(),
-    crashes: { mayRun: () => !isQuarantined, onBroken: () => {}, onEndpointLost: () => {} },
+    crashes: { mayRun: () => !isQuarantined, onConnectionLost: () => {}, onEndpointLost: () => {} },
     limits: {
       ask: async () => options.granted === false
         ? { granted: false, retryAfterMs: 100, granter: 'home' }
@@ -264,8 +264,8 @@
     },
     isStillAllowed: () => hasKey,
     traffic: createTrafficTally(),
-    lines: createLineBudget(clock, 20),
-    draw: () => 0.5
+    logRateLimiter: createLineBudget(clock, 20),
+    random: () => 0.5
   }, {
     request: { method: 'GET', url: '/', headers: {}, rawHeaders: [] } as unknown as IncomingMessage,
     response: response as unknown as ServerResponse,
--- a/packages/anvilarch-serving/src/requests/__tests__/overload.test.ts
+++ b/packages/anvilarch-serving/src/requests/__tests__/overload.test.ts
@@ -6,7 +6,7 @@
 
 function input (online: number, change: Partial<OverloadInput> = {}): OverloadInput {
   const load: EndpointLoad = { online, batchRunning: 0, ownInProgress: 0, suspected: false, ageMs: 0 }
-  return { candidates: ENDPOINTS, loadOf: () => load, holdMs: 700, latencyObjectiveMs: 300, remainingMs: 5000, fullTimeMs: 5000, ranksBehind: 0, draw: () => 0, ...change }
+  return { candidates: ENDPOINTS, loadOf: () => load, holdMs: 700, latencyObjectiveMs: 300, remainingMs: 5000, routeTimeoutMs: 5000, priorityRank: 0, random: () => 0, ...change }
 }
 
 describe('checkOverload', () => {
@@ -25,7 +25,7 @@
   // Guards against urgent accounts that wait behind less urgent ones at endpoints that are full.
   it('refuses the less urgent accounts first as the queue grows', () => {
     const refusedFrom = (ranksBehind: number): number => {
-      for (let online = 0; online < 40; online++) if (checkOverload(input(online, { ranksBehind, holdMs: 100 })).refused) return online
+      for (let online = 0; online < 40; online++) if (checkOverload(input(online, { priorityRank: ranksBehind, holdMs: 100 })).refused) return online
       return Infinity
     }
     const [urgent, less, least] = [0, 1, 2].map(refusedFrom)
--- a/packages/anvilarch-serving/src/requests/__tests__/requestEnd.test.ts
+++ b/packages/anvilarch-serving/src/requests/__tests__/requestCompletion.test.ts
@@ -4,13 +4,13 @@
 import { createServingMetrics } from '../../telemetry/metrics'
 import { createTrafficTally } from '../../telemetry/trafficTally'
 import type { ClientRequest, ForwardParts, RequestState } from '../forwardTypes'
-import { createRequestEnd, type RequestEnd } from '../requestEnd'
+import { createRequestCompletion, type RequestCompletion } from '../requestCompletion'
 
 let ended: boolean
 let destroyed: boolean
 
 /** @returns the end of a stream whose head the client has */
-function endOfBegunStream (): RequestEnd {
+function endOfBegunStream (): RequestCompletion {
   ended = false
   destroyed = false
   const clock = createFakeClock()
@@ -20,18 +20,18 @@
     end: () => { ended = true },
     destroy: () => { destroyed = true }
   }
-  const parts = { clock, log: SILENT_LOGGER, metrics: createServingMetrics(), traffic: createTrafficTally(), lines: createLineBudget(clock, 20), notice: { isLeaving: () => false } }
+  const parts = { clock, log: SILENT_LOGGER, metrics: createServingMetrics(), traffic: createTrafficTally(), logRateLimiter: createLineBudget(clock, 20), drainState: { isDraining: () => false } }
   const client = { response: response as unknown as ServerResponse, route: { kind: 'stream' }, metadata: {}, caller: { caller: 'unchecked' }, arrivedAtMs: 0 }
-  const state = { answerBegun: true, longestGapMs: 0, trail: { note: () => {}, reveal: () => {} } }
-  return createRequestEnd(parts as unknown as ForwardParts, client as unknown as ClientRequest, state as unknown as RequestState, () => {})
+  const state = { responseStarted: true, longestGapMs: 0, requestLog: { note: () => {}, flush: () => {} } }
+  return createRequestCompletion(parts as unknown as ForwardParts, client as unknown as ClientRequest, state as unknown as RequestState, () => {})
 }
 
 describe('the end of an answer whose head the client has', () => {
   // Guards against this: an answer looks complete before its last event, or is left open.
-  it.each<[string, (end: RequestEnd) => void]>([
-    ['an answer of the gateway', end => end.answer({ status: 503, code: 'no_endpoint', message: '' })],
-    ['a whole answer of an endpoint', end => end.answerWhole('e1', { status: 200, rawHeaders: [], body: Buffer.alloc(0) })],
-    ['a break', end => end.breakOff('timeout')]
+  it.each<[string, (end: RequestCompletion) => void]>([
+    ['an answer of the gateway', end => end.respond({ status: 503, code: 'no_endpoint', message: '' })],
+    ['a whole answer of an endpoint', end => end.respondFromEndpoint('e1', { status: 200, rawHeaders: [], body: Buffer.alloc(0) })],
+    ['a break', end => end.abortConnection('timeout')]
   ])('is a cut when it is to be ended by %s', (_name, act) => {
     act(endOfBegunStream())
     expect({ ended, destroyed }).toEqual({ ended: false, destroyed: true })
@@ -40,7 +40,7 @@
   it('is complete after the last event, whatever comes after that', () => {
     const end = endOfBegunStream()
     end.completeEvents('e1')
-    end.breakOff('timeout')
+    end.abortConnection('timeout')
     expect({ ended, destroyed }).toEqual({ ended: true, destroyed: false })
   })
 })
--- a/packages/anvilarch-serving/src/requests/__tests__/requestHistories.test.ts
+++ b/packages/anvilarch-serving/src/requests/__tests__/requestHistories.test.ts
@@ -6,7 +6,7 @@
  */
 import fc from 'fast-check'
 import { forwardOnFakeClock, type ForwardHarness } from '../__fixtures__/forwardHarness'
-import { MIN_REMAINING_MS } from '../attemptDecision'
+import { MIN_REMAINING_MS } from '../retryDecision'
 import { type Ending, type EndingKind, eventData, type Run, runScript } from '../__fixtures__/scriptedEndpoint'
 
 type Step =
--- a/packages/anvilarch-serving/src/requests/__tests__/attemptDecision.test.ts
+++ b/packages/anvilarch-serving/src/requests/__tests__/retryDecision.test.ts
@@ -1,5 +1,5 @@
 import fc from 'fast-check'
-import { type AttemptFailure, isRepeatable, MIN_REMAINING_MS, nextStep, silenceLimitMs } from '../attemptDecision'
+import { type AttemptFailure, isRetryable, MIN_REMAINING_MS, nextStep, silenceTimeoutMs } from '../retryDecision'
 
 const ROUTE = fc.record({
   kind: fc.constantFrom('idempotent' as const, 'once' as const, 'stream' as const),
@@ -9,7 +9,7 @@
 
 const HISTORY = fc.array(fc.record({
   failure: fc.constantFrom<AttemptFailure>('not_run', 'may_have_run'),
-  answerBegun: fc.boolean(),
+  responseStarted: fc.boolean(),
   hasUntriedEndpoint: fc.boolean(),
   remainingMs: fc.integer({ min: -10, max: 3000 })
 }), { minLength: 1, maxLength: 8 })
@@ -24,10 +24,10 @@
       let begun = false
       for (const attempt of history) {
         if (attempt.failure === 'may_have_run') mayHaveRun++
-        begun = begun || (attempt.answerBegun && attempt.failure === 'may_have_run')
-        const step = nextStep(route, attempt.failure, { ...attempt, answerBegun: begun, attemptsThatMayHaveRun: mayHaveRun })
+        begun = begun || (attempt.responseStarted && attempt.failure === 'may_have_run')
+        const step = nextStep(route, attempt.failure, { ...attempt, responseStarted: begun, attemptsThatMayHaveRun: mayHaveRun })
         if (step === 'send_again') {
-          expect(mayHaveRun === 0 || isRepeatable(route)).toBe(true)
+          expect(mayHaveRun === 0 || isRetryable(route)).toBe(true)
           expect(mayHaveRun).toBeLessThan(route.maxAttempts)
           expect(attempt.remainingMs).toBeGreaterThan(MIN_REMAINING_MS)
           continue
@@ -40,15 +40,15 @@
   })
 
   it('goes elsewhere after a refusal also when the request may run once', () => {
-    const progress = { attemptsThatMayHaveRun: 0, answerBegun: false, hasUntriedEndpoint: true, remainingMs: 1000 }
+    const progress = { attemptsThatMayHaveRun: 0, responseStarted: false, hasUntriedEndpoint: true, remainingMs: 1000 }
     expect(nextStep({ kind: 'once', resumable: false, maxAttempts: 1 }, 'not_run', progress)).toBe('send_again')
   })
 })
 
-describe('silenceLimitMs', () => {
+describe('silenceTimeoutMs', () => {
   it('leaves a resumed stream time within the pause that counts as on time', () => {
     const route = { kind: 'stream' as const, latencyObjectiveMs: 300, gapObjectiveMs: 400 }
-    expect(silenceLimitMs(route, true)).toBeLessThan(400)
-    expect(silenceLimitMs(route, false)).toBeGreaterThan(300)
+    expect(silenceTimeoutMs(route, true)).toBeLessThan(400)
+    expect(silenceTimeoutMs(route, false)).toBeGreaterThan(300)
   })
 })
--- a/packages/anvilarch-serving/src/requests/attemptTrail.ts
+++ b/packages/anvilarch-serving/src/requests/attemptLog.ts
@@ -1,11 +1,11 @@
 /** What the log tells of the attempts of one request. */
 import type { Endpoint } from '../model/types'
-import type { AttemptFailure } from './attemptDecision'
+import type { AttemptFailure } from './retryDecision'
 import type { ClientRequest, ForwardParts, RequestState } from './forwardTypes'
-import { elapsedMs } from './requestTrail'
+import { elapsedMs } from './requestLog'
 
 /** Lines about attempts. Those about a request that goes well are kept back. */
-export interface AttemptTrail {
+export interface AttemptLog {
   chosen: (endpoint: Endpoint) => void
   begun: (endpoint: Endpoint, status: number) => void
   failed: (endpoint: Endpoint, failure: AttemptFailure, reason: string) => void
@@ -18,14 +18,14 @@
  * @param state - how far it has come
  * @returns lines about its attempts
  */
-export function createAttemptTrail (parts: ForwardParts, client: ClientRequest, state: RequestState): AttemptTrail {
+export function createAttemptLog (parts: ForwardParts, client: ClientRequest, state: RequestState): AttemptLog {
   const { clock } = parts
   const { requestId } = client.metadata
   const remainingMs = (): number => Math.round(state.deadlineAtMs - clock.nowMs())
   return {
     chosen: endpoint => {
       const load = parts.loads.loadOf(endpoint.startId)
-      state.trail.note('endpoint chosen', {
+      state.requestLog.note('endpoint chosen', {
         requestId,
         endpoint: endpoint.startId,
         online: load.online,
@@ -39,14 +39,14 @@
       })
     },
     begun: (endpoint, status) => {
-      state.trail.note('answer begun', { requestId, endpoint: endpoint.startId, status, afterMs: elapsedMs(clock, client.arrivedAtMs) })
+      state.requestLog.note('answer begun', { requestId, endpoint: endpoint.startId, status, afterMs: elapsedMs(clock, client.arrivedAtMs) })
     },
     failed: (endpoint, failure, reason) => {
-      state.trail.reveal()
+      state.requestLog.flush()
       parts.log.info('attempt failed', { requestId, endpoint: endpoint.startId, failure, reason, lastEventId: state.lastEventId, remainingMs: remainingMs() })
     },
     ownPause: (endpoint, lateMs) => {
-      state.trail.note('own pause noticed', { requestId, endpoint: endpoint.startId, lateMs: Math.round(lateMs) })
+      state.requestLog.note('own pause noticed', { requestId, endpoint: endpoint.startId, lateMs: Math.round(lateMs) })
     }
   }
 }
--- a/packages/anvilarch-serving/src/requests/forwardRequest.ts
+++ b/packages/anvilarch-serving/src/requests/forwardRequest.ts
@@ -2,17 +2,17 @@
 import type { Permit } from '../accounts/limits/rateLimits'
 import { accountNameOf } from '../accounts/types'
 import { chooseService } from '../routing/matchRoute'
-import type { OwnAnswer } from './clientAnswer'
-import { type ClientRequest, type ForwardParts, repeatedRequestOf, type RequestState } from './forwardTypes'
+import type { GatewayResponse } from './clientResponse'
+import { type ClientRequest, type ForwardParts, requestIdentityOf, type RequestState } from './forwardTypes'
 import { checkOverload, type Overload, type Refusal } from './overload'
-import { createRequestEnd, type RequestEnd } from './requestEnd'
-import { createRequestTrail } from './requestTrail'
+import { createRequestCompletion, type RequestCompletion } from './requestCompletion'
+import { createRequestLog } from './requestLog'
 import { createAttempts } from './sendAttempts'
 
 /** When a caller whose request has crashed endpoints may ask again; what crashes them is mended by hand, if at all. */
 const QUARANTINED_RETRY_AFTER_MS = 60_000
 
-const QUARANTINED_ANSWER: OwnAnswer = {
+const QUARANTINED_ANSWER: GatewayResponse = {
   status: 503,
   code: 'quarantined',
   message: 'endpoints crash when they run this request; it is not run again',
@@ -30,7 +30,7 @@
   parts.traffic.onArrival()
   const state = createRequestState(parts, client)
   let permit: Permit | undefined
-  const end = createRequestEnd(parts, client, state, () => {
+  const end = createRequestCompletion(parts, client, state, () => {
     expiry.cancel()
     if (permit?.granted === true && !mayHaveRun(state)) permit.giveBack()
   })
@@ -46,8 +46,8 @@
     end.clientLeft()
   })
 
-  if (!parts.crashes.mayRun(repeatedRequestOf(client))) {
-    end.answer(QUARANTINED_ANSWER)
+  if (!parts.crashes.mayRun(requestIdentityOf(client))) {
+    end.respond(QUARANTINED_ANSWER)
     return
   }
   Promise.all([parts.limits.ask(client.caller), attempts.prepare()])
@@ -67,25 +67,25 @@
     })
     .catch(error => {
       parts.log.error('request handling failed', { reason: (error as Error).message })
-      end.breakOff('internal_error')
+      end.abortConnection('internal_error')
     })
 }
 
 function mayHaveRun (state: RequestState): boolean {
-  return state.offers > state.refusedOffers
+  return state.sendCount > state.refusedSendCount
 }
 
-function turnAway (parts: ForwardParts, client: ClientRequest, end: RequestEnd, denial: Exclude<Permit, { granted: true }>): void {
+function turnAway (parts: ForwardParts, client: ClientRequest, end: RequestCompletion, denial: Exclude<Permit, { granted: true }>): void {
   parts.log.info('request over the limit of its account', {
     requestId: client.metadata.requestId,
     account: accountNameOf(client.caller),
     granter: denial.granter,
     retryAfterMs: denial.retryAfterMs
   })
-  end.answer({ status: 429, code: 'over_rate', message: 'the account sends more requests than its limit allows', retryAfterMs: denial.retryAfterMs })
+  end.respond({ status: 429, code: 'over_rate', message: 'the account sends more requests than its limit allows', retryAfterMs: denial.retryAfterMs })
 }
 
-function refuse (parts: ForwardParts, client: ClientRequest, state: RequestState, end: RequestEnd, overload: Refusal): void {
+function refuse (parts: ForwardParts, client: ClientRequest, state: RequestState, end: RequestCompletion, overload: Refusal): void {
   const known = state.service === undefined ? [] : parts.placement.known(state.service)
   const loads = known.map(parts.placement.loadOf)
   parts.log.info('request refused', {
@@ -100,27 +100,27 @@
     leastOnline: Math.min(...loads.map(load => load.online)),
     slots: known[0]?.slots ?? 0
   })
-  end.answer({ status: 503, code: 'overloaded', message: 'all endpoints are full', retryAfterMs: overload.retryAfterMs })
+  end.respond({ status: 503, code: 'overloaded', message: 'all endpoints are full', retryAfterMs: overload.retryAfterMs })
 }
 
 function createRequestState (parts: ForwardParts, { route, metadata, arrivedAtMs }: ClientRequest): RequestState {
   const limitMs = Math.min(metadata.deadlineMs ?? Infinity, route.timeoutMs)
   return {
-    service: chooseService(route.targets, parts.draw()),
-    limitMs,
+    service: chooseService(route.targets, parts.random()),
+    timeoutMs: limitMs,
     deadlineAtMs: arrivedAtMs + limitMs,
-    trail: createRequestTrail(parts.log),
+    requestLog: createRequestLog(parts.log),
     tried: new Set(),
     attemptsThatMayHaveRun: 0,
-    offers: 0,
-    refusedOffers: 0,
+    sendCount: 0,
+    refusedSendCount: 0,
     lastEventId: metadata.lastEventId,
-    answerBegun: false,
+    responseStarted: false,
     firstEventAtMs: undefined,
     eventCount: 0,
     firstEventId: undefined,
     longestGapMs: 0,
-    failedAnswer: undefined
+    failedResponse: undefined
   }
 }
 
@@ -132,8 +132,8 @@
     holdMs: parts.holdTimes.holdMs(state.service),
     latencyObjectiveMs: route.latencyObjectiveMs,
     remainingMs: state.deadlineAtMs - parts.clock.nowMs(),
-    fullTimeMs: route.timeoutMs,
-    ranksBehind: caller.caller === 'account' ? caller.account.ranksBehind : 0,
-    draw: parts.draw
+    routeTimeoutMs: route.timeoutMs,
+    priorityRank: caller.caller === 'account' ? caller.account.ranksBehind : 0,
+    random: parts.random
   })
 }
--- a/packages/anvilarch-serving/src/requests/forwardTypes.ts
+++ b/packages/anvilarch-serving/src/requests/forwardTypes.ts
@@ -3,8 +3,8 @@
 import type { Clock } from 'anvilarch-utils'
 import type { RateLimits } from '../accounts/limits/rateLimits'
 import type { Caller } from '../accounts/types'
-import type { CrashWatch } from '../crashes/crashWatch'
-import type { RepeatedRequest } from '../crashes/fingerprint'
+import type { CrashMonitor } from '../crashes/crashMonitor'
+import type { RequestIdentity } from '../crashes/fingerprint'
 import type { ConnectionPools } from '../endpoints/connectionPools'
 import type { LoadTable } from '../endpoints/loadTable'
 import type { Placement, PlacementTerms } from '../endpoints/placement'
@@ -13,10 +13,10 @@
 import type { LineBudget } from '../telemetry/lineBudget'
 import type { TrafficTally } from '../telemetry/trafficTally'
 import type { ServingMetrics } from '../telemetry/metrics'
-import type { ClosingNotice } from './clientAnswer'
+import type { DrainState } from './clientResponse'
 import type { HoldTimes } from './holdTimes'
-import type { RequestTrail } from './requestTrail'
-import type { AttemptAnswer } from './runAttempt'
+import type { RequestLog } from './requestLog'
+import type { EndpointResponse } from './runAttempt'
 import type { RequestWire } from './types'
 import type { EventLog } from '../telemetry/events'
 
@@ -30,16 +30,16 @@
   use: UseNotices
   pools: ConnectionPools
   wire: RequestWire
-  notice: ClosingNotice
+  drainState: DrainState
   holdTimes: HoldTimes
-  crashes: CrashWatch
+  crashes: CrashMonitor
   limits: Pick<RateLimits, 'ask'>
   /** @returns whether something new may still be started for a caller */
   isStillAllowed: (caller: Caller) => boolean
   traffic: TrafficTally
   /** Bounds the lines about requests that went well. */
-  lines: LineBudget
-  draw: () => number
+  logRateLimiter: LineBudget
+  random: () => number
 }
 
 /** A client request that has been read. */
@@ -56,7 +56,7 @@
 }
 
 /** @returns what the request is recognized by when its caller sends it again */
-export function repeatedRequestOf ({ request, body }: ClientRequest): RepeatedRequest {
+export function requestIdentityOf ({ request, body }: ClientRequest): RequestIdentity {
   return { method: request.method ?? '', host: request.headers.host ?? '', path: request.url ?? '', body }
 }
 
@@ -74,20 +74,20 @@
 export interface RequestState {
   /** Service that the request goes to; undefined when its route has none. */
   readonly service: string | undefined
-  readonly limitMs: number
+  readonly timeoutMs: number
   readonly deadlineAtMs: number
-  readonly trail: RequestTrail
+  readonly requestLog: RequestLog
   /** Starts of endpoints that the request has been offered to. */
   readonly tried: Set<string>
   attemptsThatMayHaveRun: number
   /** Sends in all, refused ones included. */
-  offers: number
+  sendCount: number
   /** Those of them that have certainly not run. */
-  refusedOffers: number
+  refusedSendCount: number
   /** Last event that the client has. */
   lastEventId: number | undefined
   /** Whether the head of the answer has gone to the client. */
-  answerBegun: boolean
+  responseStarted: boolean
   firstEventAtMs: number | undefined
   /** Events with an id that were handed on, and the id of the first of them. */
   eventCount: number
@@ -95,11 +95,11 @@
   /** Longest time between two events so far. */
   longestGapMs: number
   /** An endpoint's own failure; the client gets it if no other endpoint does better. */
-  failedAnswer: FailedAnswer | undefined
+  failedResponse: FailedResponse | undefined
 }
 
 /** A failure that an endpoint has answered itself. */
-export interface FailedAnswer {
+export interface FailedResponse {
   endpointId: string
-  whole: AttemptAnswer
+  whole: EndpointResponse
 }
--- a/packages/anvilarch-serving/src/requests/overload.ts
+++ b/packages/anvilarch-serving/src/requests/overload.ts
@@ -18,10 +18,10 @@
   /** Time that the client still waits. */
   remainingMs: number
   /** Longest time that clients of the route wait from their first attempt on. */
-  fullTimeMs: number
+  routeTimeoutMs: number
   /** How many steps of priority lie between the caller and the most urgent callers. */
-  ranksBehind: number
-  draw: () => number
+  priorityRank: number
+  random: () => number
 }
 
 /** `wait_too_long`: the objective would be missed. `no_time`: even the deadline would. */
@@ -58,14 +58,14 @@
   if (input.holdMs === undefined || input.candidates.length === 0) return { refused: false }
   const waitMs = shortestWaitMs(input, input.holdMs)
   if (waitMs > input.remainingMs) return refusal('no_time', waitMs, input)
-  const fresh = input.remainingMs > FRESH_SHARE * input.fullTimeMs
-  if (fresh && waitMs > QUEUE_SHARE * RANK_SHARE ** input.ranksBehind * input.latencyObjectiveMs) return refusal('wait_too_long', waitMs, input)
+  const fresh = input.remainingMs > FRESH_SHARE * input.routeTimeoutMs
+  if (fresh && waitMs > QUEUE_SHARE * RANK_SHARE ** input.priorityRank * input.latencyObjectiveMs) return refusal('wait_too_long', waitMs, input)
   return { refused: false }
 }
 
 function refusal (reason: 'wait_too_long' | 'no_time', waitMs: number, input: OverloadInput): Overload {
   const longestMs = input.remainingMs * RETRY_AFTER_SHARE
-  return { refused: true, reason, waitMs, retryAfterMs: Math.floor(longestMs * (1 - RETRY_SPREAD * input.draw())) }
+  return { refused: true, reason, waitMs, retryAfterMs: Math.floor(longestMs * (1 - RETRY_SPREAD * input.random())) }
 }
 
 /** Requests that wait at an endpoint get a slot one after another, each after the hold time divided by the slots. */
--- a/packages/anvilarch-serving/src/requests/readBody.ts
+++ b/packages/anvilarch-serving/src/requests/readBody.ts
@@ -3,14 +3,14 @@
 import type { Clock } from 'anvilarch-utils'
 
 /** How the reading ended. */
-export type BodyRead =
+export type BodyReadResult =
   | { outcome: 'read', body: Buffer }
   | { outcome: 'too_large' }
   | { outcome: 'too_slow' }
   | { outcome: 'broken_off' }
 
 /** Bounds of a body. */
-export interface BodyBounds {
+export interface BodyLimits {
   maxBytes: number
   /** The whole body is to be here in this time; a client that sends no more would keep its connection for ever. */
   timeoutMs: number
@@ -22,16 +22,16 @@
  * @param clock - local clock
  * @returns the body, or why there is none
  */
-export function readBody (request: IncomingMessage, bounds: BodyBounds, clock: Clock): Promise<BodyRead> {
+export function readBody (request: IncomingMessage, bounds: BodyLimits, clock: Clock): Promise<BodyReadResult> {
   return new Promise(resolve => {
     const chunks: Buffer[] = []
     let bytes = 0
     const patience = clock.after(bounds.timeoutMs, () => stop({ outcome: 'too_slow' }))
-    const end = (read: BodyRead): void => {
+    const end = (read: BodyReadResult): void => {
       patience.cancel()
       resolve(read)
     }
-    const stop = (read: BodyRead): void => {
+    const stop = (read: BodyReadResult): void => {
       request.pause()
       end(read)
     }
--- a/packages/anvilarch-serving/src/requests/requestEnd.ts
+++ b/packages/anvilarch-serving/src/requests/requestCompletion.ts
@@ -1,12 +1,12 @@
 /** Ends one client request, once: its answer, its metrics and its line in the log. */
 import { cutAnswer } from 'anvilarch-utils'
 import { accountNameOf } from '../accounts/types'
-import { type ClosingNotice, type OwnAnswer, sendOwnAnswer } from './clientAnswer'
+import { type DrainState, type GatewayResponse, sendGatewayResponse } from './clientResponse'
 import type { ClientRequest, ForwardParts, RequestState } from './forwardTypes'
 import type { AnswerEnd } from '../telemetry/events'
 import type { TrafficEnd } from '../telemetry/trafficTally'
-import { elapsedMs } from './requestTrail'
-import type { AttemptAnswer } from './runAttempt'
+import { elapsedMs } from './requestLog'
+import type { EndpointResponse } from './runAttempt'
 
 /** Fields of the line about the end of a request. */
 type EndFields = Record<string, string | number | boolean | undefined> & { answerEnd?: AnswerEnd }
@@ -15,16 +15,16 @@
  * The end of one request. Whatever comes after the first end is ignored. An answer whose head the client has ends as complete only
  * by `completeEvents`; every other end closes its connection.
  */
-export interface RequestEnd {
+export interface RequestCompletion {
   hasEnded: () => boolean
   /** Answers from this process, or with the failure that an endpoint has answered before. */
-  answer: (own: OwnAnswer) => void
+  respond: (own: GatewayResponse) => void
   /** Hands on what an endpoint has answered as a whole. */
-  answerWhole: (endpointId: string, whole: AttemptAnswer) => void
+  respondFromEndpoint: (endpointId: string, whole: EndpointResponse) => void
   /** All events of the answer have been handed on. */
   completeEvents: (endpointId: string) => void
   /** Closes the connection, so that the answer cannot look complete. */
-  breakOff: (reason: string) => void
+  abortConnection: (reason: string) => void
   clientLeft: () => void
 }
 
@@ -49,8 +49,8 @@
  * @param onEnd - called once, before anything is answered
  * @returns the ways in which the request ends
  */
-export function createRequestEnd (parts: ForwardParts, client: ClientRequest, state: RequestState, onEnd: () => void): RequestEnd {
-  const { clock, log, metrics, notice } = parts
+export function createRequestCompletion (parts: ForwardParts, client: ClientRequest, state: RequestState, onEnd: () => void): RequestCompletion {
+  const { clock, log, metrics, drainState } = parts
   const { response, route, metadata } = client
   let ended = false
 
@@ -63,9 +63,9 @@
       outcome,
       configurationVersion: client.configurationVersion,
       attempts: state.attemptsThatMayHaveRun,
-      offers: state.offers,
+      offers: state.sendCount,
       lastEventId: state.lastEventId,
-      ...state.answerBegun ? { eventCount: state.eventCount, firstEventId: state.firstEventId } : {},
+      ...state.responseStarted ? { eventCount: state.eventCount, firstEventId: state.firstEventId } : {},
       firstEventMs: state.firstEventAtMs === undefined ? undefined : Math.round(state.firstEventAtMs - client.arrivedAtMs),
       elapsedMs: elapsedMs(clock, client.arrivedAtMs),
       ...fields
@@ -84,7 +84,7 @@
   }
 
   /** @returns how the client sees the end of its answer; undefined while it has no head */
-  const seenAs = (answerEnd: AnswerEnd): AnswerEnd | undefined => state.answerBegun ? answerEnd : undefined
+  const seenAs = (answerEnd: AnswerEnd): AnswerEnd | undefined => state.responseStarted ? answerEnd : undefined
 
   /** @returns whether this is the first end */
   const end = (outcome: string, fields: EndFields = {}): boolean => {
@@ -98,8 +98,8 @@
     const result = trafficEnd(outcome)
     parts.traffic.onEnd(result)
     const wentWell = result === 'answered'
-    if (!wentWell) state.trail.reveal()
-    if (wentWell && !parts.lines.take()) metrics.logLinesLeftOut.inc()
+    if (!wentWell) state.requestLog.flush()
+    if (wentWell && !parts.logRateLimiter.take()) metrics.logLinesLeftOut.inc()
     else logEnd(outcome, result === 'late' ? { ...fields, late: true } : fields)
     return true
   }
@@ -110,34 +110,34 @@
 
   return {
     hasEnded: () => ended,
-    answer: own => {
-      const failed = state.failedAnswer
-      if (state.answerBegun) breakOff(own.code)
+    respond: own => {
+      const failed = state.failedResponse
+      if (state.responseStarted) breakOff(own.code)
       else if (failed !== undefined) {
         // An endpoint has answered, if only with a failure: that is what the client gets, not one of our own.
-        if (end('endpoint_status', { endpoint: failed.endpointId, status: failed.whole.status })) sendWhole(client, failed.whole, notice)
+        if (end('endpoint_status', { endpoint: failed.endpointId, status: failed.whole.status })) sendWhole(client, failed.whole, drainState)
       } else if (end(own.code, { status: own.status })) {
         if (REFUSED_STATUSES.has(own.status)) metrics.refusals.inc({ kind: route.kind, reason: own.code })
-        sendOwnAnswer(response, own, notice)
+        sendGatewayResponse(response, own, drainState)
       }
     },
-    answerWhole: (endpointId, whole) => {
+    respondFromEndpoint: (endpointId, whole) => {
       const outcome = whole.status < FIRST_ERROR_STATUS ? 'answered' : 'endpoint_status'
-      if (state.answerBegun) breakOff('whole_answer')
-      else if (end(outcome, { endpoint: endpointId, status: whole.status })) sendWhole(client, whole, notice)
+      if (state.responseStarted) breakOff('whole_answer')
+      else if (end(outcome, { endpoint: endpointId, status: whole.status })) sendWhole(client, whole, drainState)
     },
     completeEvents: endpointId => {
       if (end('answered', { endpoint: endpointId, status: EVENTS_STATUS, answerEnd: 'complete' })) response.end()
     },
-    breakOff,
+    abortConnection: breakOff,
     clientLeft: () => {
       end('client_left', { answerEnd: seenAs('left') })
     }
   }
 }
 
-function sendWhole ({ request, response }: ClientRequest, whole: AttemptAnswer, notice: ClosingNotice): void {
-  if (notice.isLeaving()) response.setHeader('Connection', 'close')
+function sendWhole ({ request, response }: ClientRequest, whole: EndpointResponse, drainState: DrainState): void {
+  if (drainState.isDraining()) response.setHeader('Connection', 'close')
   const headers = [...whole.rawHeaders]
   if (request.method !== 'HEAD' && whole.status !== 204 && whole.status !== 304) headers.push('Content-Length', String(whole.body.length))
   response.writeHead(whole.status, headers)
--- a/packages/anvilarch-serving/src/requests/requestTrail.ts
+++ b/packages/anvilarch-serving/src/requests/requestLog.ts
@@ -6,15 +6,15 @@
 export type TrailEvent = 'endpoint chosen' | 'answer begun' | 'own pause noticed'
 
 /** The decisions about one request. */
-export interface RequestTrail {
+export interface RequestLog {
   /** Keeps an event; one of a request that has gone wrong is written at once. */
   note: <Name extends TrailEvent>(name: Name, fields: EventFields[Name]) => void
   /** The request has gone wrong: writes what has been kept, and everything from now on. */
-  reveal: () => void
+  flush: () => void
 }
 
 /** More than the sends that one request may have; an older event gives way to a newer one. */
-export const MAX_KEPT_EVENTS = 16
+export const MAX_BUFFERED_EVENTS = 16
 
 /**
  * Nearly all requests go well and have one line. Of the others, an engineer wants each decision with what it was based on.
@@ -22,7 +22,7 @@
  * @param log - where the events go
  * @returns a trail without events
  */
-export function createRequestTrail (log: EventLog): RequestTrail {
+export function createRequestLog (log: EventLog): RequestLog {
   const kept: Array<() => void> = []
   let revealed = false
   return {
@@ -32,10 +32,10 @@
         write()
         return
       }
-      if (kept.length === MAX_KEPT_EVENTS) kept.shift()
+      if (kept.length === MAX_BUFFERED_EVENTS) kept.shift()
       kept.push(write)
     },
-    reveal: () => {
+    flush: () => {
       revealed = true
       for (const write of kept.splice(0)) write()
     }
--- a/packages/anvilarch-serving/src/requests/attemptDecision.ts
+++ b/packages/anvilarch-serving/src/requests/retryDecision.ts
@@ -15,7 +15,7 @@
   /** Attempts that may have run, the last one included. */
   attemptsThatMayHaveRun: number
   /** Whether the head of the answer has gone to the client. */
-  answerBegun: boolean
+  responseStarted: boolean
   /** Whether an endpoint is left that has not been tried. */
   hasUntriedEndpoint: boolean
   remainingMs: number
@@ -40,15 +40,15 @@
   const mayHaveRun = progress.attemptsThatMayHaveRun > 0
   const timeLeft = progress.remainingMs > MIN_REMAINING_MS
   const budgetLeft = progress.attemptsThatMayHaveRun < route.maxAttempts
-  const repeatable = !mayHaveRun || isRepeatable(route)
+  const repeatable = !mayHaveRun || isRetryable(route)
   if (timeLeft && repeatable && budgetLeft && progress.hasUntriedEndpoint) return 'send_again'
-  if (progress.answerBegun) return 'break_off'
+  if (progress.responseStarted) return 'break_off'
   if (!mayHaveRun) return 'refuse'
   return timeLeft ? 'fail' : 'time_out'
 }
 
 /** @returns whether a request of this route may run more than once */
-export function isRepeatable (route: Pick<Route, 'kind' | 'resumable'>): boolean {
+export function isRetryable (route: Pick<Route, 'kind' | 'resumable'>): boolean {
   return route.kind === 'idempotent' || (route.kind === 'stream' && route.resumable)
 }
 
@@ -66,11 +66,11 @@
 
 /**
  * @param route - kind and objectives
- * @param answerBegun - whether events have come already
+ * @param responseStarted - whether events have come already
  * @returns how long an endpoint may be silent before the request goes elsewhere, if it may
  */
-export function silenceLimitMs (route: Pick<Route, 'kind' | 'latencyObjectiveMs' | 'gapObjectiveMs'>, answerBegun: boolean): number {
+export function silenceTimeoutMs (route: Pick<Route, 'kind' | 'latencyObjectiveMs' | 'gapObjectiveMs'>, responseStarted: boolean): number {
   if (route.kind !== 'stream') return Math.max(MIN_SILENCE_MS, LOOKUP_SILENCE_FACTOR * route.latencyObjectiveMs)
-  if (!answerBegun) return Math.max(MIN_SILENCE_MS, FIRST_EVENT_SILENCE_FACTOR * route.latencyObjectiveMs)
+  if (!responseStarted) return Math.max(MIN_SILENCE_MS, FIRST_EVENT_SILENCE_FACTOR * route.latencyObjectiveMs)
   return Math.max(MIN_SILENCE_MS, GAP_SHARE * route.gapObjectiveMs)
 }
--- a/packages/anvilarch-serving/src/requests/runAttempt.ts
+++ b/packages/anvilarch-serving/src/requests/runAttempt.ts
@@ -2,13 +2,13 @@
 import { isFramed } from 'anvilarch-utils'
 import type { Pool } from '../endpoints/httpPool'
 import { type Exchange, type ExchangeRequest, startExchange } from '../endpoints/exchange'
-import type { AttemptFailure } from './attemptDecision'
+import type { AttemptFailure } from './retryDecision'
 import { createEventSplitter, type EventBlock, holdsNoEvent } from './eventBlocks'
 import { forwardedHeaders } from './headers'
-import type { AnswerMetadata, RequestWire } from './types'
+import type { ResponseMetadata, RequestWire } from './types'
 
 /** A whole answer that is not handed on in events. */
-export interface AttemptAnswer {
+export interface EndpointResponse {
   status: number
   rawHeaders: string[]
   body: Buffer
@@ -30,7 +30,7 @@
   onEvent: (bytes: Buffer, id: number | undefined, data: string) => void
   /** The answer was a stream of events, and is whole. */
   onEventsEnd: () => void
-  onAnswer: (answer: AttemptAnswer) => void
+  onAnswer: (answer: EndpointResponse) => void
   onFailure: (failure: AttemptFailure, reason: string) => void
 }
 
@@ -67,7 +67,7 @@
  * @param reason - of a failed attempt
  * @returns whether it says nothing against the endpoint; one that has been replaced refuses every request
  */
-export function isPassingRefusal (reason: string): boolean {
+export function isTransientRefusal (reason: string): boolean {
   return PASSING_REASONS.has(reason)
 }
 
@@ -85,7 +85,7 @@
 }
 
 /** @returns why the endpoint has not run the request; undefined when it does not say so */
-function refusalOf (status: number, answer: AnswerMetadata): RefusalReason | undefined {
+function refusalOf (status: number, answer: ResponseMetadata): RefusalReason | undefined {
   if (status !== OTHER_INCARNATION_STATUS && !answer.notRun) return undefined
   return REFUSALS.get(status)
 }
@@ -102,7 +102,7 @@
  * @returns the attempt
  */
 export function startAttempt (options: AttemptOptions): Attempt {
-  let head: { status: number, rawHeaders: string[], answer: AnswerMetadata, events: boolean } | undefined
+  let head: { status: number, rawHeaders: string[], answer: ResponseMetadata, events: boolean } | undefined
   let lastEventId = options.afterEventId
   /** Whether the receiver has an event; one that goes on after the last has none left to get. */
   let hasEvent = (options.afterEventId ?? 0) > 0
@@ -126,7 +126,7 @@
   }
 
   const onHead = (status: number, headers: Map<string, string>, rawHeaders: string[]): void => {
-    const answer = options.wire.decodeAnswer(headers)
+    const answer = options.wire.decodeResponse(headers)
     // A late answer to an earlier request may stand where this one's is expected; handing it on would give a caller another's answer.
     if (answer.requestId !== undefined && answer.requestId !== options.requestId) {
       fail('may_have_run', 'answer_of_another_request')
--- a/packages/anvilarch-serving/src/requests/sendAttempts.ts
+++ b/packages/anvilarch-serving/src/requests/sendAttempts.ts
@@ -2,12 +2,12 @@
 import { createSilenceWatch, type SilenceWatch } from 'anvilarch-utils'
 import { callerTerms } from '../accounts/types'
 import type { Endpoint } from '../model/types'
-import { createAttemptTrail } from './attemptTrail'
-import { type AttemptFailure, isRepeatable, type NextStep, nextStep, silenceLimitMs } from './attemptDecision'
-import { type ClientRequest, type ForwardParts, placementTerms, repeatedRequestOf, type RequestState } from './forwardTypes'
-import type { RequestEnd } from './requestEnd'
-import { unauthorizedAnswer } from './clientAnswer'
-import { type Attempt, type AttemptAnswer, isBrokenConnection, isConnectionRefused, isPassingRefusal, startAttempt } from './runAttempt'
+import { createAttemptLog } from './attemptLog'
+import { type AttemptFailure, isRetryable, type NextStep, nextStep, silenceTimeoutMs } from './retryDecision'
+import { type ClientRequest, type ForwardParts, placementTerms, requestIdentityOf, type RequestState } from './forwardTypes'
+import type { RequestCompletion } from './requestCompletion'
+import { unauthorizedResponse } from './clientResponse'
+import { type Attempt, type EndpointResponse, isBrokenConnection, isConnectionRefused, isTransientRefusal, startAttempt } from './runAttempt'
 
 /** The attempts of one request. */
 export interface Attempts {
@@ -46,9 +46,9 @@
  * @param end - ends the request
  * @returns the attempts, none sent yet
  */
-export function createAttempts (parts: ForwardParts, client: ClientRequest, state: RequestState, end: RequestEnd): Attempts {
+export function createAttempts (parts: ForwardParts, client: ClientRequest, state: RequestState, end: RequestCompletion): Attempts {
   const { clock, loads, log, metrics } = parts
-  const trail = createAttemptTrail(parts, client, state)
+  const trail = createAttemptLog(parts, client, state)
   const { route, response, metadata } = client
   let running: Running | undefined
   let silence: SilenceWatch | undefined
@@ -72,16 +72,16 @@
       .then(() => { if (!stopped) sendPrepared() })
       .catch(error => {
         log.error('request handling failed', { reason: (error as Error).message })
-        end.breakOff('internal_error')
+        end.abortConnection('internal_error')
       })
   }
 
-  const mayOfferOnceMore = (): boolean => state.offers < MAX_OFFERS && choose() !== undefined
+  const mayOfferOnceMore = (): boolean => state.sendCount < MAX_OFFERS && choose() !== undefined
 
   const stepAfter = (failure: AttemptFailure, attemptsThatMayHaveRun = state.attemptsThatMayHaveRun): NextStep => nextStep(route, failure, {
     attemptsThatMayHaveRun,
-    answerBegun: state.answerBegun,
-    hasUntriedEndpoint: mayOfferOnceMore() && parts.crashes.mayRun(repeatedRequestOf(client)),
+    responseStarted: state.responseStarted,
+    hasUntriedEndpoint: mayOfferOnceMore() && parts.crashes.mayRun(requestIdentityOf(client)),
     remainingMs: remainingMs()
   })
 
@@ -100,19 +100,19 @@
 
   const steps: Record<NextStep, (reason: string) => void> = {
     send_again: sendAgain,
-    refuse: reason => end.answer({ status: 503, code: 'not_run', message: `no endpoint took the request (${reason})`, retryAfterMs: REFUSED_RETRY_AFTER_MS }),
-    fail: reason => end.answer({ status: 502, code: 'endpoint_failed', message: `the endpoint gave no whole answer (${reason})` }),
-    time_out: reason => end.answer({ status: 504, code: 'timeout', message: `no whole answer within ${state.limitMs} ms (${reason})` }),
-    break_off: reason => end.breakOff(reason)
+    refuse: reason => end.respond({ status: 503, code: 'not_run', message: `no endpoint took the request (${reason})`, retryAfterMs: REFUSED_RETRY_AFTER_MS }),
+    fail: reason => end.respond({ status: 502, code: 'endpoint_failed', message: `the endpoint gave no whole answer (${reason})` }),
+    time_out: reason => end.respond({ status: 504, code: 'timeout', message: `no whole answer within ${state.timeoutMs} ms (${reason})` }),
+    break_off: reason => end.abortConnection(reason)
   }
 
   const onFailure = (endpoint: Endpoint, failure: AttemptFailure, reason: string, metricReason = reason): void => {
     leaveRunning()
     if (failure === 'may_have_run') state.attemptsThatMayHaveRun++
-    else state.refusedOffers++
-    if (!isPassingRefusal(reason)) loads.onFailure(endpoint.startId)
+    else state.refusedSendCount++
+    if (!isTransientRefusal(reason)) loads.onFailure(endpoint.startId)
     if (isConnectionRefused(reason)) parts.crashes.onEndpointLost(endpoint.startId)
-    if (failure === 'may_have_run' && isBrokenConnection(reason)) parts.crashes.onBroken(repeatedRequestOf(client), endpoint.startId)
+    if (failure === 'may_have_run' && isBrokenConnection(reason)) parts.crashes.onConnectionLost(requestIdentityOf(client), endpoint.startId)
     metrics.attemptFailures.inc({ kind: route.kind, reason: metricReason })
     trail.failed(endpoint, failure, reason)
     steps[stepAfter(failure)](reason)
@@ -136,16 +136,16 @@
 
   /** Called at a send and at each event; only the first call sets a timer. */
   const watchSilence = (endpoint: Endpoint): void => {
-    if (!isRepeatable(route) || state.attemptsThatMayHaveRun + 1 >= route.maxAttempts) return
-    const boundMs = silenceLimitMs(route, state.answerBegun)
+    if (!isRetryable(route) || state.attemptsThatMayHaveRun + 1 >= route.maxAttempts) return
+    const boundMs = silenceTimeoutMs(route, state.responseStarted)
     silence ??= createSilenceWatch({ clock, boundMs, onSilence: () => onSilence(endpoint), onOwnPause: lateMs => onOwnPause(endpoint, lateMs) })
     silence.heard()
     silence.setBoundMs(boundMs)
   }
 
   /** The answer of an endpoint that failed, or that was to go on with a stream and sent something else. */
-  const onFailedAnswer = (endpoint: Endpoint, whole: AttemptAnswer): void => {
-    if (!state.answerBegun) state.failedAnswer = { endpointId: endpoint.startId, whole }
+  const onFailedAnswer = (endpoint: Endpoint, whole: EndpointResponse): void => {
+    if (!state.responseStarted) state.failedResponse = { endpointId: endpoint.startId, whole }
     onFailure(endpoint, 'may_have_run', `status ${whole.status}`, 'endpoint_status')
   }
 
@@ -158,14 +158,14 @@
     }
   }
 
-  const onAnswer = (endpoint: Endpoint, whole: AttemptAnswer): void => {
+  const onAnswer = (endpoint: Endpoint, whole: EndpointResponse): void => {
     observeWait()
-    if (state.answerBegun || whole.status >= FIRST_FAILURE_STATUS) {
+    if (state.responseStarted || whole.status >= FIRST_FAILURE_STATUS) {
       onFailedAnswer(endpoint, whole)
       return
     }
     onSuccess(endpoint)
-    end.answerWhole(endpoint.startId, whole)
+    end.respondFromEndpoint(endpoint.startId, whole)
   }
 
   const onEventsEnd = (endpoint: Endpoint): void => {
@@ -176,9 +176,9 @@
 
   const onHead = (endpoint: Endpoint, head: { status: number, rawHeaders: string[] }): void => {
     trail.begun(endpoint, head.status)
-    if (state.answerBegun) return
-    state.answerBegun = true
-    if (parts.notice.isLeaving()) response.setHeader('Connection', 'close')
+    if (state.responseStarted) return
+    state.responseStarted = true
+    if (parts.drainState.isDraining()) response.setHeader('Connection', 'close')
     response.writeHead(head.status, head.rawHeaders)
     response.flushHeaders()
   }
@@ -228,26 +228,26 @@
   }
 
   const sendName = (): 'first' | 'again' | 'resumed' => {
-    if (state.offers === 0) return 'first'
+    if (state.sendCount === 0) return 'first'
     return state.lastEventId === metadata.lastEventId ? 'again' : 'resumed'
   }
 
   const timeOut = (): void => {
-    if (state.answerBegun) end.breakOff('timeout')
+    if (state.responseStarted) end.abortConnection('timeout')
     else steps.time_out('timeout')
   }
 
   /** The key was taken away while the request waited: what runs goes on, nothing new is sent. */
   const endForLostKey = (): void => {
-    if (state.answerBegun) end.breakOff('key_taken_away')
+    if (state.responseStarted) end.abortConnection('key_taken_away')
     else if (state.attemptsThatMayHaveRun > 0) steps.fail('key_taken_away')
-    else end.answer(unauthorizedAnswer(parts.wire.credentialScheme))
+    else end.respond(unauthorizedResponse(parts.wire.credentialScheme))
   }
 
   /** Endpoints that could have been tried may have gone while the request waited for the choice of one. */
   const endWithoutEndpoint = (): void => {
     if (state.attemptsThatMayHaveRun > 0) steps[stepAfter('may_have_run')]('no_endpoint')
-    else end.answer({ status: 503, code: 'no_endpoint', message: 'no endpoint of the service is known', retryAfterMs: NO_ENDPOINT_RETRY_AFTER_MS })
+    else end.respond({ status: 503, code: 'no_endpoint', message: 'no endpoint of the service is known', retryAfterMs: NO_ENDPOINT_RETRY_AFTER_MS })
   }
 
   const sendPrepared = (): void => {
@@ -269,7 +269,7 @@
     trail.chosen(endpoint)
     state.tried.add(endpoint.startId)
     metrics.sends.inc({ kind: route.kind, send: sendName() })
-    state.offers++
+    state.sendCount++
     sentAtMs = clock.nowMs()
     loads.onSent(endpoint.startId)
     parts.use.onSent(endpoint)
--- a/packages/anvilarch-serving/src/requests/types.ts
+++ b/packages/anvilarch-serving/src/requests/types.ts
@@ -4,7 +4,7 @@
 import type { RequestMetadata } from '../model/types'
 
 /** What one send to an endpoint carries beside the client's own headers. */
-export interface SendTerms {
+export interface SendOptions {
   /** Time that the endpoint has, from the sending. */
   deadlineMs: number
   /** Incarnation that must answer; another one refuses. */
@@ -15,7 +15,7 @@
 }
 
 /** What an endpoint's answer says beside its status and body. */
-export interface AnswerMetadata {
+export interface ResponseMetadata {
   /** The request that the answer belongs to, as far as it says so. */
   requestId: string | undefined
   /** Whether the answer bears an endpoint's signature. */
@@ -31,6 +31,6 @@
   decodeCredential: (rawHeaders: readonly string[]) => Credential
   /** Name of the scheme of keys, for the answer to a request without a good one. */
   credentialScheme: string
-  encodeSend: (rawHeaders: readonly string[], terms: SendTerms) => string[]
-  decodeAnswer: (headers: ReadonlyMap<string, string>) => AnswerMetadata
+  encodeSend: (rawHeaders: readonly string[], terms: SendOptions) => string[]
+  decodeResponse: (headers: ReadonlyMap<string, string>) => ResponseMetadata
 }
--- a/packages/anvilarch-serving/src/roles/clientCalls.ts
+++ b/packages/anvilarch-serving/src/roles/clientCalls.ts
@@ -8,7 +8,7 @@
 import type { EndpointTable } from '../endpoints/endpointTable'
 import type { JobCalls } from '../jobs/jobCalls'
 import type { Configuration, Route } from '../model/types'
-import { type ClosingNotice, type OwnAnswer, sendOwnAnswer } from '../requests/clientAnswer'
+import { type DrainState, type GatewayResponse, sendGatewayResponse } from '../requests/clientResponse'
 import { forwardRequest } from '../requests/forwardRequest'
 import type { ForwardParts } from '../requests/forwardTypes'
 import { readBody } from '../requests/readBody'
@@ -27,9 +27,9 @@
 /** A gateway that cannot reach the store may reach it again soon, and another one may reach it now. */
 const UNCONFIRMED_RETRY_AFTER_MS = 300
 
-const NO_ROUTE: OwnAnswer = { status: 404, code: 'no_route', message: 'no route matches this host and path' }
+const NO_ROUTE: GatewayResponse = { status: 404, code: 'no_route', message: 'no route matches this host and path' }
 
-const ROUTE_NOT_CONFIRMED: OwnAnswer = {
+const ROUTE_NOT_CONFIRMED: GatewayResponse = {
   status: 503,
   code: 'route_not_confirmed',
   message: 'no route that is known here matches this host and path, and the store does not say whether there is a new one',
@@ -51,7 +51,7 @@
   isConfigurationStale: () => boolean
   /** @returns whether there may be a version of the configuration of which this gateway has not heard */
   mayMissVersions: () => boolean
-  notice: ClosingNotice
+  notice: DrainState
 }
 
 /**
@@ -62,7 +62,7 @@
 export async function handleClient (call: ClientCall): Promise<void> {
   const { request, response, arrivedAtMs, forward, notice } = call
   if (await waitForConfiguration(call) === undefined) {
-    sendOwnAnswer(response, { status: 503, code: 'not_ready', message: 'no configuration is known yet', retryAfterMs: NOT_READY_RETRY_AFTER_MS }, notice)
+    sendGatewayResponse(response, { status: 503, code: 'not_ready', message: 'no configuration is known yet', retryAfterMs: NOT_READY_RETRY_AFTER_MS }, notice)
     return
   }
   const caller = await letIn(call)
@@ -80,7 +80,7 @@
   const found = await findRoute(call, configuration)
   if (found.route === undefined) {
     logNoRoute(call, found.refusal)
-    sendOwnAnswer(response, found.refusal, notice)
+    sendGatewayResponse(response, found.refusal, notice)
     return
   }
   const { route } = found
@@ -103,7 +103,7 @@
   forwardRequest(forward, { request, response, body: read.body, metadata, route, caller, configurationVersion: found.configurationVersion, arrivedAtMs })
 }
 
-type FoundRoute = { route: Route, configurationVersion: number } | { route: undefined, refusal: OwnAnswer }
+type FoundRoute = { route: Route, configurationVersion: number } | { route: undefined, refusal: GatewayResponse }
 
 /** Clients do not come back after 404: it is answered only by a gateway that knows all versions. */
 async function findRoute (call: ClientCall, configuration: Configuration): Promise<FoundRoute> {
@@ -119,8 +119,8 @@
 }
 
 /** Any client can ask for what is not there, as often as it likes. */
-function logNoRoute ({ request, forward, configuration }: ClientCall, refusal: OwnAnswer): void {
-  if (!forward.lines.take()) {
+function logNoRoute ({ request, forward, configuration }: ClientCall, refusal: GatewayResponse): void {
+  if (!forward.logRateLimiter.take()) {
     forward.metrics.logLinesLeftOut.inc()
     return
   }
@@ -163,14 +163,14 @@
     reason: refusal,
     configurationVersion: configuration.current()?.version
   })
-  sendOwnAnswer(response, refusalAnswer(refusal, forward.wire.credentialScheme), notice)
+  sendGatewayResponse(response, refusalAnswer(refusal, forward.wire.credentialScheme), notice)
 }
 
 /** Answers a request that has not been read whole; what the client still sends cannot be told from its next request. */
 function rejectClient ({ request, response, forward, notice }: ClientCall, status: number, code: string, message: string): void {
   forward.log.info('client bytes rejected', { requestId: forward.wire.decodeRequest(request.headers).requestId, status, reason: code })
   response.setHeader('Connection', 'close')
-  sendOwnAnswer(response, { status, code, message }, notice)
+  sendGatewayResponse(response, { status, code, message }, notice)
 }
 
 /**
--- a/packages/anvilarch-serving/src/roles/gatewayRole.ts
+++ b/packages/anvilarch-serving/src/roles/gatewayRole.ts
@@ -1,7 +1,7 @@
 /** The gateway: takes requests and job calls from clients. */
 import { createServer, type Server } from 'node:http'
 import { isStillAllowed } from '../accounts/identifyCaller'
-import { createCrashWatch } from '../crashes/crashWatch'
+import { createCrashMonitor } from '../crashes/crashMonitor'
 import { shareSuspects, SUSPECT_TABLE } from '../crashes/shareSuspects'
 import { createSuspectTable } from '../crashes/suspectTable'
 import { createConnectionPools } from '../endpoints/connectionPools'
@@ -15,7 +15,7 @@
 import { createJobCalls } from '../jobs/jobCalls'
 import { createResultReader } from '../jobs/resultReader'
 import type { WorkTable } from '../jobs/workTable'
-import type { ClosingNotice } from '../requests/clientAnswer'
+import type { DrainState } from '../requests/clientResponse'
 import type { ForwardParts } from '../requests/forwardTypes'
 import { createHoldTimes } from '../requests/holdTimes'
 import { createLineBudget } from '../telemetry/lineBudget'
@@ -51,7 +51,7 @@
   const gateway = settings.gateway
   if (gateway === undefined) throw new Error('the gateway role needs an address for clients and one for readiness')
   let leaving = false
-  const notice: ClosingNotice = { isLeaving: () => leaving }
+  const notice: DrainState = { isDraining: () => leaving }
   const view = followPlatform(context, { membersIntervalMs: () => MEMBERS_INTERVAL_MS })
   const loads = createLoadTable(clock)
   const limitOf = (service: string): number => {
@@ -61,7 +61,7 @@
   const pools = createConnectionPools({ limitOf })
   const suspects = createSuspectTable(clock, context.store.storeNowMs)
   const shared = shareSuspects(context, suspects)
-  const crashes = createCrashWatch(suspects, shared.publish)
+  const crashes = createCrashMonitor(suspects, shared.publish)
   view.follow({ table: SUSPECT_TABLE, partitions: SHARED_PARTITIONS, listener: shared.listener })
   const onReport = (report: LoadReport): void => {
     // A report about a start that is not listed yet comes again; kept, it would stay for ever if that start never is.
@@ -113,14 +113,14 @@
     use,
     pools,
     wire: wire.request,
-    notice,
+    drainState: notice,
     holdTimes: createHoldTimes(),
     crashes,
     limits: accounts.limits,
     isStillAllowed: caller => isStillAllowed(view.configuration.current(), caller),
     traffic,
-    lines: createLineBudget(clock, GOOD_LINES_PER_SECOND),
-    draw: () => context.random.next()
+    logRateLimiter: createLineBudget(clock, GOOD_LINES_PER_SECOND),
+    random: () => context.random.next()
   }
   const jobs = createJobCalls({
     store: context.store,
--- a/packages/anvilarch-serving/src/roles/types.ts
+++ b/packages/anvilarch-serving/src/roles/types.ts
@@ -7,7 +7,7 @@
 import type { JobResult, ResultPage } from '../jobs/resultReader'
 import type { EndpointRow, ListedConfiguration } from '../model/types'
 import type { PeerDirectory } from '../peers/peerDirectory'
-import type { RequestWire, SendTerms } from '../requests/types'
+import type { RequestWire, SendOptions } from '../requests/types'
 import type { MetadataStore, RowChange, StoredRow } from '../store/types'
 import type { ServingMetrics } from '../telemetry/metrics'
 import type { EventLog } from '../telemetry/events'
@@ -80,7 +80,7 @@
   reportPath: string
   decodeReport: (body: Buffer) => EngineReport | undefined
   /** @returns the wire headers of an item's run */
-  encodeItem: (item: JobItem, host: string, terms: SendTerms) => string[]
+  encodeItem: (item: JobItem, host: string, terms: SendOptions) => string[]
 }
 
 /** How the store tells of endpoints and the configuration. */
