--- a/packages/anvilarch-serving/src/crashes/__tests__/suspectTable.test.ts
+++ b/packages/anvilarch-serving/src/crashes/__tests__/suspectTable.test.ts
@@ -16,8 +16,8 @@
 }
 
 describe('createSuspectTable', () => {
-  // Guards against this: engines restart one after another for as long as one caller sends the same request.
-  it('quarantines a request that has been in the crashes of three starts', () => {
+  // Guards against engines that restart one after another for as long as one caller sends the same request.
+  it('quarantines a request that was in progress at the crashes of three starts', () => {
     crash('poison', 'e1@1')
     crash('poison', 'e2@1')
     expect(table.isQuarantined('poison')).toBe(false)
@@ -25,7 +25,7 @@
     expect(table.isQuarantined('poison')).toBe(true)
   })
 
-  it('leaves those alone that were lost beside it once', () => {
+  it('does not quarantine requests that were in progress at one of these crashes', () => {
     for (const startId of ['e1@1', 'e2@1', 'e1@2']) {
       table.onConnectionLost(`harmless at ${startId}`, startId)
       crash('poison', startId)
@@ -33,31 +33,31 @@
     expect(table.records().filter(record => table.isQuarantined(record.fingerprint)).map(record => record.fingerprint)).toEqual(['poison'])
   })
 
-  it('takes a broken connection alone for no crash, however often it breaks', () => {
+  it('does not count lost connections alone as crashes, however many there are', () => {
     for (let index = 0; index < 10; index++) table.onConnectionLost('unlucky', `e${index}`)
     clock.advance(CRASH_CORRELATION_MS + 1)
     for (let index = 0; index < 10; index++) table.onEndpointLost(`e${index}`)
     expect(table.isEmpty()).toBe(true)
   })
 
-  it('counts a break that is noticed after the loss of the endpoint', () => {
+  it('counts a lost connection that is detected after the loss of the endpoint', () => {
     table.onEndpointLost('e1')
     clock.advance(100)
     expect(table.onConnectionLost('late', 'e1')).toHaveLength(1)
   })
 
-  it('counts one start once', () => {
+  it('counts each start once', () => {
     for (let index = 0; index < 5; index++) crash('poison', 'e1@1')
     expect(table.records()[0].crashedStarts).toEqual(['e1@1'])
   })
 
-  it('adds what other gateways have seen', () => {
+  it('merges records of other gateways', () => {
     crash('poison', 'e1@1')
     table.merge({ fingerprint: 'poison', crashedStarts: ['e2@1', 'e3@1'], lastCrashAtMs: 5 })
     expect(table.isQuarantined('poison')).toBe(true)
   })
 
-  it('keeps a bounded number of records', () => {
+  it('evicts the oldest record beyond the limit', () => {
     for (let index = 0; index <= MAX_SUSPECTS; index++) table.merge({ fingerprint: `f${index}`, crashedStarts: ['e'], lastCrashAtMs: 1 })
     expect(table.records()).toHaveLength(MAX_SUSPECTS)
     expect(table.records()[0].fingerprint).toBe('f1')
--- a/packages/anvilarch-serving/src/crashes/fingerprint.ts
+++ b/packages/anvilarch-serving/src/crashes/fingerprint.ts
@@ -1,7 +1,7 @@
-/** Recognizes a request that comes again. */
+/** Recognizes a request that is sent again. */
 import { createHash } from 'node:crypto'
 
-/** What a request is recognized by: a caller that sends it again changes its id, but not these. */
+/** Properties by which a request is recognized. A caller that sends it again may change its id, but not these. */
 export interface RequestIdentity {
   method: string
   host: string
@@ -10,8 +10,8 @@
 }
 
 /**
- * @param request - as the client sent it
- * @returns the same text for each attempt of the same request
+ * @param request - the request as the client sent it
+ * @returns a hash that is the same each time a client sends the request
  */
 export function fingerprintOf (request: RequestIdentity): string {
   return createHash('sha1')
--- a/packages/anvilarch-serving/src/crashes/shareSuspects.ts
+++ b/packages/anvilarch-serving/src/crashes/shareSuspects.ts
@@ -1,37 +1,37 @@
-/** Shares suspects between gateways by rows of the store, since the same request may come to any of them. */
+/** Shares suspects between gateways through rows of the store, since any gateway may receive the same request. */
 import { runInBackground } from 'anvilarch-utils'
 import type { RowKey, StoredRow } from '../store/types'
 import type { RoleContext } from '../roles/types'
 import type { TableListener } from '../store/tableFollower'
 import { SUSPECT_RETENTION_MS, type SuspectRecord, type SuspectTable } from './suspectTable'
 
-/** Rows of requests that were in progress at crashes. */
+/** Table of requests that were in progress at crashes. */
 export const SUSPECT_TABLE = 'suspects'
 
-/** A transaction holds at most 100 entries, conditions included. */
+/** Rows in one transaction, which holds at most 100 entries including conditions. */
 const ROWS_PER_COMMIT = 45
 
-/** Tries of one record. Each conflict means that another gateway has just written the same one. */
-const MAX_TRIES = 5
+/** Attempts to write a record. Each conflict means that another gateway has just written the same record. */
+const MAX_WRITE_ATTEMPTS = 5
 
-/** Suspects that this gateway tells to others and hears of from them. */
+/** Exchange of suspects with other gateways. */
 export interface SharedSuspects {
-  /** Hears of the rows of all gateways. */
+  /** Receives the rows of all gateways. */
   listener: TableListener
-  /** Writes what this gateway has seen; a record that cannot be written stays known here alone. */
+  /** Writes records of this gateway. A record that cannot be written remains local to this gateway. */
   publish: (records: readonly SuspectRecord[]) => void
 }
 
 /**
  * @param context - store and log
- * @param suspects - what this gateway knows
- * @returns the sharing
+ * @param suspects - suspects known to this gateway
+ * @returns the exchange with other gateways
  */
 export function shareSuspects (context: Pick<RoleContext, 'store' | 'log'>, suspects: SuspectTable): SharedSuspects {
   const { store, log } = context
   const versions = new Map<string, number>()
 
-  const takeRow = (row: StoredRow): void => {
+  const mergeRow = (row: StoredRow): void => {
     versions.set(row.key, row.version)
     const record = decodeSuspect(row)
     if (record !== undefined) suspects.merge(record)
@@ -39,7 +39,7 @@
 
   const write = async (records: readonly SuspectRecord[]): Promise<void> => {
     let pending = [...records]
-    for (let tries = 0; tries < MAX_TRIES && pending.length > 0; tries++) {
+    for (let attempt = 0; attempt < MAX_WRITE_ATTEMPTS && pending.length > 0; attempt++) {
       const outcome = await store.commit({
         conditions: pending.map(record => ({ ...suspectKey(record.fingerprint), version: versions.get(record.fingerprint) ?? 0 })),
         puts: pending.map(record => ({ ...suspectKey(record.fingerprint), value: Buffer.from(JSON.stringify(record)) })),
@@ -50,7 +50,7 @@
         return
       }
       if (outcome.outcome !== 'conflict') break
-      outcome.rows.forEach(takeRow)
+      outcome.rows.forEach(mergeRow)
       pending = pending.map(record => suspects.merge(record))
     }
     log.warn('suspects not shared', { recordCount: pending.length })
@@ -60,11 +60,11 @@
     listener: {
       onListing: rows => {
         versions.clear()
-        rows.forEach(takeRow)
-        runInBackground(log, 'remove old suspects', () => removeOld(store, rows))
+        rows.forEach(mergeRow)
+        runInBackground(log, 'remove old suspects', () => removeExpired(store, rows))
       },
       onChange: change => {
-        if (change.change === 'put') takeRow(change.row)
+        if (change.change === 'put') mergeRow(change.row)
         else {
           versions.delete(change.key.key)
           suspects.remove(change.key.key)
@@ -86,21 +86,21 @@
   return { table: SUSPECT_TABLE, partition: '', key: fingerprint }
 }
 
-/** @returns the record; undefined when the bytes are not of this program */
+/** @returns the record; undefined if the row does not contain one */
 function decodeSuspect (row: StoredRow): SuspectRecord | undefined {
   try {
     const record = JSON.parse(row.value.toString()) as SuspectRecord
     return Array.isArray(record.crashedStarts) && typeof record.lastCrashAtMs === 'number' ? { ...record, fingerprint: row.key } : undefined
   } catch {
-    // Whatever wrote it, it says nothing about a request.
+    // A row that is not valid JSON is not a suspect record.
     return undefined
   }
 }
 
-/** Every gateway does so when it starts; a row that another one has removed already is no loss. */
-async function removeOld (store: RoleContext['store'], rows: readonly StoredRow[]): Promise<void> {
+/** Removes rows past their retention. Each gateway does this after listing the table; rows that another gateway has already removed are harmless. */
+async function removeExpired (store: RoleContext['store'], rows: readonly StoredRow[]): Promise<void> {
   const nowMs = store.storeNowMs()
   if (nowMs === undefined) return
-  const old = rows.filter(row => nowMs - (decodeSuspect(row)?.lastCrashAtMs ?? 0) > SUSPECT_RETENTION_MS).slice(0, ROWS_PER_COMMIT)
-  if (old.length > 0) await store.commit({ conditions: [], puts: [], removes: old.map(row => suspectKey(row.key)) })
+  const expired = rows.filter(row => nowMs - (decodeSuspect(row)?.lastCrashAtMs ?? 0) > SUSPECT_RETENTION_MS).slice(0, ROWS_PER_COMMIT)
+  if (expired.length > 0) await store.commit({ conditions: [], puts: [], removes: expired.map(row => suspectKey(row.key)) })
 }
--- a/packages/anvilarch-serving/src/crashes/suspectTable.ts
+++ b/packages/anvilarch-serving/src/crashes/suspectTable.ts
@@ -1,16 +1,16 @@
 /**
- * Finds the requests that crash each endpoint which runs them, and keeps them from the endpoints that are left. Pure.
+ * Detects requests that crash every endpoint that runs them, and quarantines them to protect the remaining endpoints. Free of I/O.
  *
- * Answers a request whose processing ends the endpoint: its caller sends it again, to any gateway, and each time an endpoint
- * and all requests in progress there are lost. One sees endpoints restart one after another, each with the same request
- * in progress. A request under suspicion may run until it has been seen in the crashes of three starts of endpoints.
+ * Protects against a request whose processing crashes the endpoint: its caller sends it again, to any gateway, and each time an
+ * endpoint and all requests in progress there are lost. The symptom is that endpoints restart one after another, each with the
+ * same request in progress. A suspect may run until it has been in progress at the crashes of three starts of endpoints.
  */
 import type { Clock } from 'anvilarch-utils'
 
-/** In which crashes a request has been. */
+/** Crashes at which a request was in progress. */
 export interface SuspectRecord {
   fingerprint: string
-  /** Starts of endpoints that were lost while the request was in progress there. */
+  /** Start ids of the endpoints that crashed while the request was in progress there. */
   crashedStarts: string[]
   /** Store time of the last crash, in milliseconds. */
   lastCrashAtMs: number
@@ -18,60 +18,65 @@
 
 /** Requests that were in progress at crashes. */
 export interface SuspectTable {
-  /** The connection to an endpoint broke while the request was in progress there. Not a crash yet: connections break for other reasons. */
+  /**
+   * Records that the connection to an endpoint was lost while the request was in progress there. This alone is no crash, since
+   * connections are lost for other reasons too.
+   *
+   * @returns new records, if the endpoint is already known to be lost
+   */
   onConnectionLost: (fingerprint: string, startId: string) => SuspectRecord[]
-  /** The endpoint refuses connections, has been replaced or is no longer reached by its agent. @returns records that are new by this */
+  /** Records that the endpoint refuses connections, was replaced or cannot be reached by its agent. @returns new records */
   onEndpointLost: (startId: string) => SuspectRecord[]
-  /** Takes what another gateway has seen. @returns the record with what is known here */
+  /** Merges a record of another gateway. @returns the record merged with the local one */
   merge: (record: SuspectRecord) => SuspectRecord
   remove: (fingerprint: string) => void
   /** @returns whether the request may not be sent to any endpoint */
   isQuarantined: (fingerprint: string) => boolean
-  /** @returns whether no request is under suspicion, so that nothing needs to be looked up */
+  /** @returns whether there are no suspects, so that no lookup is needed */
   isEmpty: () => boolean
   records: () => SuspectRecord[]
 }
 
 /**
- * Crashes after which a request is not run again. Two may be chance: where a fifth of the endpoints is lost at once, one retry
- * in five meets a second crash.
+ * Crashes after which a request is quarantined. Two can be a coincidence: if a fifth of the endpoints is lost at once, one retry
+ * in five is in progress at a second crash.
  */
 export const QUARANTINE_CRASH_COUNT = 3
 
-/** A break and the loss of the endpoint belong together within this time: a restart is listed after at most a heartbeat of 1.2 s. */
+/** A lost connection and a lost endpoint are attributed to the same crash within this time. A restart is listed after at most one heartbeat of 1.2 s. */
 export const CRASH_CORRELATION_MS = 2500
 
-/** A request is forgotten this long after the last crash that it was in. */
+/** A record is removed this long after its last crash. */
 export const SUSPECT_RETENTION_MS = 600_000
 
-/** Records kept at most; the oldest goes first, so that a flood of crashes cannot fill the memory. */
+/** Limit on the number of records. The oldest is evicted first, so that a flood of crashes cannot exhaust the memory. */
 export const MAX_SUSPECTS = 2000
 
-interface Evidence {
+interface LostConnection {
   fingerprint: string
-  brokenAtMs: number
+  lostAtMs: number
 }
 
 /**
  * @param clock - local clock
- * @param storeNowMs - the store's clock, by which records of several gateways compare
+ * @param storeNowMs - the store's clock, which makes records of several gateways comparable
  * @returns a table without suspects
  */
 export function createSuspectTable (clock: Clock, storeNowMs: () => number | undefined): SuspectTable {
   const records = new Map<string, SuspectRecord>()
-  const brokenAt = new Map<string, Evidence[]>()
-  const lostAtMs = new Map<string, number>()
+  const lostConnections = new Map<string, LostConnection[]>()
+  const endpointLostAtMs = new Map<string, number>()
 
-  const forgetOldEvidence = (nowMs: number): void => {
-    for (const [startId, evidence] of brokenAt) {
-      const fresh = evidence.filter(entry => nowMs - entry.brokenAtMs <= CRASH_CORRELATION_MS)
-      if (fresh.length === 0) brokenAt.delete(startId)
-      else brokenAt.set(startId, fresh)
+  const evictUncorrelated = (nowMs: number): void => {
+    for (const [startId, connections] of lostConnections) {
+      const recent = connections.filter(connection => nowMs - connection.lostAtMs <= CRASH_CORRELATION_MS)
+      if (recent.length === 0) lostConnections.delete(startId)
+      else lostConnections.set(startId, recent)
     }
-    for (const [startId, atMs] of lostAtMs) if (nowMs - atMs > CRASH_CORRELATION_MS) lostAtMs.delete(startId)
+    for (const [startId, atMs] of endpointLostAtMs) if (nowMs - atMs > CRASH_CORRELATION_MS) endpointLostAtMs.delete(startId)
   }
 
-  const learn = (record: SuspectRecord): SuspectRecord => {
+  const merge = (record: SuspectRecord): SuspectRecord => {
     const known = records.get(record.fingerprint)
     const merged: SuspectRecord = {
       fingerprint: record.fingerprint,
@@ -85,28 +90,28 @@
     return merged
   }
 
-  const confirm = (fingerprint: string, startId: string): SuspectRecord[] => {
+  const recordCrash = (fingerprint: string, startId: string): SuspectRecord[] => {
     if (records.get(fingerprint)?.crashedStarts.includes(startId) === true) return []
-    return [learn({ fingerprint, crashedStarts: [startId], lastCrashAtMs: storeNowMs() ?? 0 })]
+    return [merge({ fingerprint, crashedStarts: [startId], lastCrashAtMs: storeNowMs() ?? 0 })]
   }
 
   return {
     onConnectionLost: (fingerprint, startId) => {
       const nowMs = clock.nowMs()
-      forgetOldEvidence(nowMs)
-      if (lostAtMs.has(startId)) return confirm(fingerprint, startId)
-      brokenAt.set(startId, [...brokenAt.get(startId) ?? [], { fingerprint, brokenAtMs: nowMs }])
+      evictUncorrelated(nowMs)
+      if (endpointLostAtMs.has(startId)) return recordCrash(fingerprint, startId)
+      lostConnections.set(startId, [...lostConnections.get(startId) ?? [], { fingerprint, lostAtMs: nowMs }])
       return []
     },
     onEndpointLost: startId => {
       const nowMs = clock.nowMs()
-      forgetOldEvidence(nowMs)
-      lostAtMs.set(startId, nowMs)
-      const evidence = brokenAt.get(startId) ?? []
-      brokenAt.delete(startId)
-      return evidence.flatMap(entry => confirm(entry.fingerprint, startId))
+      evictUncorrelated(nowMs)
+      endpointLostAtMs.set(startId, nowMs)
+      const connections = lostConnections.get(startId) ?? []
+      lostConnections.delete(startId)
+      return connections.flatMap(connection => recordCrash(connection.fingerprint, startId))
     },
-    merge: learn,
+    merge,
     remove: fingerprint => { records.delete(fingerprint) },
     isQuarantined: fingerprint => (records.get(fingerprint)?.crashedStarts.length ?? 0) >= QUARANTINE_CRASH_COUNT,
     isEmpty: () => records.size === 0,
--- a/packages/anvilarch-serving/src/requests/__fixtures__/forwardHarness.ts
+++ b/packages/anvilarch-serving/src/requests/__fixtures__/forwardHarness.ts
@@ -1,4 +1,4 @@
-/** One client request on a fake clock, with endpoints and a client in memory. */
+/** Runs one client request on a fake clock, with in-memory endpoints and an in-memory client. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { createFakeClock, type FakeClock, SILENT_LOGGER, sleep } from 'anvilarch-utils'
 import type { Pool } from '../../endpoints/httpPool'
@@ -19,77 +19,78 @@
   onError: (error: Error) => void
 }
 
-/** A request as an endpoint got it. */
+/** A request as an endpoint received it. */
 export interface SentRequest {
   endpoint: string
   sentAtMs: number
-  /** Time that the endpoint was given. */
+  /** Time limit that the endpoint received. */
   deadlineMs: number
-  /** The endpoint is to go on after this event. */
+  /** Id of the event after which the endpoint is to resume the stream. */
   lastEventId: number | undefined
-  /** False until a connection is there, which it is at once unless `onSend` holds it back. */
+  /** Whether there is a connection. It is made immediately unless `onSend` returns false. */
   connected: boolean
   aborted: boolean
-  /** The exchange as the client of HTTP tells it, for endings that have no method here. */
+  /** Handler of the exchange, for endings that have no method here. */
   exchange: Omit<ExchangeHandler, 'onConnect'>
-  /** Answers with an event; the head goes before the first one. */
+  /** Sends an event, and the head before the first one. */
   event: (id: number) => void
-  /** Answers with any block of a stream of events, its empty line left out. */
+  /** Sends any block of a stream of events, given without its closing empty line. */
   block: (text: string) => void
-  /** Ends the events. */
+  /** Ends the stream. */
   endEvents: () => void
-  /** Answers with a whole body that is no stream of events. */
-  answer: (status?: number, body?: string) => void
-  /** Breaks the connection. */
+  /** Sends a complete response that is not a stream of events. */
+  respond: (status?: number, body?: string) => void
+  /** Resets the connection. */
   reset: () => void
 }
 
-/** What the client got. */
+/** The response as the client received it. */
 export interface ClientView {
   status: number | undefined
   body: string
   ended: boolean
   destroyed: boolean
-  /** The head went out before the rest of the answer was there. */
-  begun: boolean
-  /** The client has closed its connection. */
-  left: boolean
-  /** When the answer ended or was cut. */
+  /** Whether the head was sent before the rest of the response was available. */
+  responseStarted: boolean
+  /** Whether the client has closed its connection. */
+  disconnected: boolean
+  /** Time at which the response ended or was cut. */
   endedAtMs: number | undefined
-  /** Heads that were sent, and pieces after the end; more than one head, or any such piece, is a fault of the gateway. */
+  /** Number of heads that were sent. More than one is a fault of the gateway. */
   headCount: number
-  piecesAfterEnd: number
+  /** Number of writes after the end of the response. Any is a fault of the gateway. */
+  writesAfterEnd: number
 }
 
-/** The request and what is around it. */
+/** The request, its client and its endpoints. */
 export interface ForwardHarness {
   clock: FakeClock
   sent: SentRequest[]
   client: ClientView
-  /** Takes all endpoints away. */
+  /** Removes all endpoints. */
   removeEndpoints: () => void
-  /** Takes the first endpoint away; another start of one may come in its place. */
-  replaceEndpoint: (isListedAgain: boolean) => void
-  /** @returns endpoints that may be sent to and have not been */
+  /** Removes the first endpoint and, if `isReplaced`, adds a new one. */
+  replaceEndpoint: (isReplaced: boolean) => void
+  /** @returns the number of listed endpoints that the request has not been sent to */
   untriedCount: () => number
-  /** Ends the connection of the client as the end of a stop does. */
-  stopNow: () => void
-  /** Takes the key of the caller away. */
-  takeKeyAway: () => void
-  /** Says that endpoints crash when they run the request. */
+  /** Closes the client's connection, as the end of a shutdown does. */
+  closeOnShutdown: () => void
+  /** Revokes the key of the caller. */
+  revokeKey: () => void
+  /** Quarantines the request. */
   quarantine: () => void
-  /** @returns requests that count as in progress at endpoints, by each of the two tables */
+  /** @returns the numbers of requests in progress at endpoints according to the load table and to the usage notices */
   inProgress: () => { loads: number, notices: number }
-  /** How often the permit was given back. */
-  permitsGivenBack: () => number
-  /** Lets the placement end that waits for loads. */
-  placed: () => void
-  /** @returns ends of answers that had begun, with the outcome of their requests, as the metrics show them */
-  begunAnswers: () => Promise<Array<[end: string, outcome: string]>>
-  /** Closes the client's connection. */
-  leave: () => void
-  /** @returns how often the gateway has noticed a pause of its own */
-  ownPauses: () => Promise<number>
+  /** @returns how often the permit was refunded */
+  permitsRefunded: () => number
+  /** Completes the pending placement. */
+  finishPlacement: () => void
+  /** @returns how started responses ended and the outcomes of their requests, from the metrics */
+  startedResponses: () => Promise<Array<[end: string, outcome: string]>>
+  /** Closes the connection from the client's side. */
+  disconnect: () => void
+  /** @returns how many process pauses the gateway has detected */
+  processPauses: () => Promise<number>
 }
 
 /** Options of `forwardOnFakeClock`. */
@@ -97,26 +98,26 @@
   kind?: Route['kind']
   timeoutMs?: number
   endpoints?: number
-  /** Whether the placement waits until it is let go on. */
-  holdsPlacement?: boolean
+  /** Whether the placement waits for a call of `finishPlacement`. */
+  delaysPlacement?: boolean
   maxAttempts?: number
   resumable?: boolean
-  /** Last event that the client has already. */
+  /** Id of the last event that the client already has. */
   lastEventId?: number
-  /** How long placements take, each in turn. */
+  /** @returns the duration of the next placement */
   placementMs?: () => number
-  /** Whether the limit of the account lets the request start. */
+  /** Whether the rate limit of the account permits the request. */
   granted?: boolean
-  /** Called for each send. @returns false while there is no connection to the endpoint */
+  /** Called for each send. @returns whether the connection to the endpoint is made */
   onSend?: (request: SentRequest) => boolean
 }
 
 const REQUEST_ID = 'r1'
 
-/** Headers of an answer that is this request's, with the signature of its endpoint. */
-export const OWN_HEADERS = ['request-id', REQUEST_ID, 'signature', 's']
+/** Headers of a signed response that belongs to the request. */
+export const SIGNED_HEADERS = ['request-id', REQUEST_ID, 'signature', 's']
 
-export const EVENT_STREAM_HEADERS = [...OWN_HEADERS, 'content-type', 'text/event-stream', 'transfer-encoding', 'chunked']
+export const EVENT_STREAM_HEADERS = [...SIGNED_HEADERS, 'content-type', 'text/event-stream', 'transfer-encoding', 'chunked']
 
 function endpointNamed (id: string): Endpoint {
   return { id, bornAtMs: undefined, startId: id, service: 's', address: `${id}:1`, failureDomain: 'a', slots: 8, state: 'ready', coldLeftMs: 0, listedVersion: 1 }
@@ -124,18 +125,18 @@
 
 /**
  * @param options - route, endpoints and placement
- * @returns the request, which has just arrived
+ * @returns the harness; the request has just arrived
  */
 export function forwardOnFakeClock (options: ForwardHarnessOptions = {}): ForwardHarness {
   const clock = createFakeClock()
   const sent: SentRequest[] = []
-  const client: ClientView = { status: undefined, body: '', ended: false, destroyed: false, begun: false, left: false, endedAtMs: undefined, headCount: 0, piecesAfterEnd: 0 }
+  const client: ClientView = { status: undefined, body: '', ended: false, destroyed: false, responseStarted: false, disconnected: false, endedAtMs: undefined, headCount: 0, writesAfterEnd: 0 }
   const endpoints = Array.from({ length: options.endpoints ?? 2 }, (_, index) => endpointNamed(`e${index + 1}`))
   let endpointCount = endpoints.length
-  let placed: () => void = () => {}
+  let finishPlacement: () => void = () => {}
   let hasKey = true
   let isQuarantined = false
-  let permitsGivenBack = 0
+  let permitsRefunded = 0
   const inProgress = { loads: 0, notices: 0 }
 
   const poolOf = (endpoint: Endpoint): Pool => ({
@@ -162,8 +163,8 @@
           head(200, EVENT_STREAM_HEADERS)
           handler.onComplete()
         },
-        answer: (status = 200, body = 'ok') => {
-          head(status, [...OWN_HEADERS, 'content-type', 'text/plain', 'content-length', String(body.length)])
+        respond: (status = 200, body = 'ok') => {
+          head(status, [...SIGNED_HEADERS, 'content-type', 'text/plain', 'content-length', String(body.length)])
           if (body !== '') handler.onData(Buffer.from(body))
           handler.onComplete()
         },
@@ -183,19 +184,19 @@
     useChunkedEncodingByDefault: true,
     on: (_event: string, listener: () => void) => { onClose = listener },
     setHeader: () => {},
-    flushHeaders: () => { client.begun = true },
+    flushHeaders: () => { client.responseStarted = true },
     writeHead: (status: number) => {
       client.status = status
       client.headCount++
       response.headersSent = true
     },
     write: (bytes: Buffer) => {
-      if (client.ended) client.piecesAfterEnd++
-      // What is written to an answer that was cut, or to a client that has left, is dropped.
+      if (client.ended) client.writesAfterEnd++
+      // Writes to a response that was cut, or to a disconnected client, are dropped.
       else if (response.destroyed === false) client.body += bytes.toString()
     },
     end: (bytes?: Buffer) => {
-      if (client.ended) client.piecesAfterEnd++
+      if (client.ended) client.writesAfterEnd++
       if (response.destroyed === true) return
       client.body += bytes?.toString() ?? ''
       client.ended = true
@@ -237,7 +238,7 @@
     loads: { onReport: () => {}, onSent: () => { inProgress.loads++ }, onEnded: () => { inProgress.loads-- }, onFailure: () => {}, onSuccess: () => {}, loadOf: () => load, forget: () => {} },
     placement: {
       prepare: async () => {
-        if (options.holdsPlacement === true) await new Promise<void>(resolve => { placed = resolve })
+        if (options.delaysPlacement === true) await new Promise<void>(resolve => { finishPlacement = resolve })
         if (options.placementMs !== undefined) await sleep(clock, options.placementMs())
       },
       choose: ({ excluded }) => endpoints.find(endpoint => !excluded.has(endpoint.startId)),
@@ -250,7 +251,7 @@
     wire: {
       decodeCredential: () => ({ credential: 'none' }),
       credentialScheme: 'Key',
-      decodeRequest: () => { throw new Error('the head is decoded already') },
+      decodeRequest: () => { throw new Error('the head has already been decoded') },
       encodeSend: (_headers, terms) => ['deadline', String(terms.deadlineMs), 'go-on-after', String(terms.lastEventId ?? '')],
       decodeResponse: headers => ({ requestId: headers.get('request-id'), signed: headers.has('signature'), notRun: headers.has('not-run') })
     },
@@ -260,7 +261,7 @@
     limits: {
       ask: async () => options.granted === false
         ? { granted: false, retryAfterMs: 100, granter: 'home' }
-        : { granted: true, giveBack: () => { permitsGivenBack++ } }
+        : { granted: true, giveBack: () => { permitsRefunded++ } }
     },
     isStillAllowed: () => hasKey,
     traffic: createTrafficTally(),
@@ -281,23 +282,23 @@
     sent,
     client,
     removeEndpoints: () => { endpoints.length = 0 },
-    replaceEndpoint: isListedAgain => {
+    replaceEndpoint: isReplaced => {
       endpoints.shift()
-      if (isListedAgain) endpoints.push(endpointNamed(`e${++endpointCount}`))
+      if (isReplaced) endpoints.push(endpointNamed(`e${++endpointCount}`))
     },
     untriedCount: () => endpoints.filter(({ id }) => !sent.some(({ endpoint }) => endpoint === id)).length,
-    stopNow: () => { (response as unknown as ServerResponse).destroy() },
-    takeKeyAway: () => { hasKey = false },
+    closeOnShutdown: () => { (response as unknown as ServerResponse).destroy() },
+    revokeKey: () => { hasKey = false },
     quarantine: () => { isQuarantined = true },
     inProgress: () => ({ ...inProgress }),
-    permitsGivenBack: () => permitsGivenBack,
-    placed: () => placed(),
-    begunAnswers: async () => (await metrics.begunAnswers.get()).values.map(({ labels }) => [String(labels.end), String(labels.outcome)]),
-    leave: () => {
-      client.left = true
+    permitsRefunded: () => permitsRefunded,
+    finishPlacement: () => finishPlacement(),
+    startedResponses: async () => (await metrics.begunAnswers.get()).values.map(({ labels }) => [String(labels.end), String(labels.outcome)]),
+    disconnect: () => {
+      client.disconnected = true
       response.destroyed = true
       onClose()
     },
-    ownPauses: async () => (await metrics.ownPauses.get()).values[0].value
+    processPauses: async () => (await metrics.ownPauses.get()).values[0].value
   }
 }
--- a/packages/anvilarch-serving/src/requests/__fixtures__/scriptedEndpoint.ts
+++ b/packages/anvilarch-serving/src/requests/__fixtures__/scriptedEndpoint.ts
@@ -1,28 +1,37 @@
-/** Endpoints that end their runs as a script says. */
+/** Endpoints that follow a script. */
 import type { FakeClock } from 'anvilarch-utils'
-import { EVENT_STREAM_HEADERS, OWN_HEADERS, type SentRequest } from './forwardHarness'
+import { EVENT_STREAM_HEADERS, SIGNED_HEADERS, type SentRequest } from './forwardHarness'
 
-/** How events are written. */
+/** Format of events. */
 export type EventStyle = 'plain' | 'crlf' | 'with_version' | 'with_comments'
 
-/** How one send ends, and how fast it gets there. */
+/** Ending and timing of one send. */
 export type Ending = EndingKind & {
   /** Time to the head. */
   headMs: number
   gapMs: number
-  /** Size of the pieces in which events come; 0 for one piece for each event. */
-  pieceBytes: number
+  /** Chunk size of the stream; 0 for one chunk for each event. */
+  chunkBytes: number
   style: EventStyle
 }
 
 /**
- * `whole`: all events, or the whole body. `break`, `half_event`: cut before or within an event. `half_event_end`: an end within
- * an event that looks whole. `silent`: nothing more comes.
- * `skip`, `repeat`, `lower`, `without_id`: an event bears another id, or none; the others follow, and an end that looks whole.
- * `unframed_end`: events of a head that names no frame end early, and look whole.
- * `from_start`: goes on from the first event whatever was asked for. `of_another`, `unsigned`, `encoded`, `unframed`: such a head, and
- * all events. `empty`: the head of a stream from the start, and its end. `status`: a whole body that is no stream. `half_status`: half of one. `refusal`: the endpoint has not run the request and
- * says so. `half_refusal`: the head of that. `no_answer`: no head, and an end. `not_reached`: no connection.
+ * - `whole`: all events, or the complete body.
+ * - `break`, `half_event`: the connection closes before or within an event.
+ * - `half_event_end`: the response ends within an event as if it were complete.
+ * - `silent`: nothing is sent from an event on.
+ * - `skip`, `repeat`, `lower`, `without_id`: an event is missing, or has a wrong id or none. The other events follow, and an end as
+ *   of a complete response.
+ * - `unframed_end`: the head states no framing, and the events end early as if the response were complete.
+ * - `from_start`: the stream starts with the first event although it was to be resumed.
+ * - `of_another`, `unsigned`, `encoded`, `unframed`: a head with this fault, then all events.
+ * - `empty`: the head of a stream from the start, then its end.
+ * - `status`: a complete body that is not a stream.
+ * - `half_status`: half of such a body.
+ * - `refusal`: the endpoint states that it has not run the request.
+ * - `half_refusal`: the head of a refusal and half of its body.
+ * - `no_answer`: an end without a head.
+ * - `not_reached`: no connection.
  */
 export type EndingKind =
   | { ending: 'whole' | 'from_start' | 'of_another' | 'unsigned' | 'encoded' | 'unframed' | 'empty' | 'no_answer' | 'not_reached' }
@@ -30,21 +39,21 @@
   | { ending: 'status' | 'half_status', status: number, body: string }
   | { ending: 'refusal' | 'half_refusal', status: 421 | 429 | 503 | 400 }
 
-/** A send and what became of it. */
+/** A scripted send and its result. */
 export interface Run {
   request: SentRequest
   ending: Ending
-  /** Nothing more comes from the endpoint, or the gateway has ended the exchange. */
+  /** @returns whether the endpoint sends nothing more or the gateway has aborted the exchange */
   isOver: () => boolean
-  /** False where the endpoint has said that it has not run the request, or was never reached. */
+  /** @returns false if the endpoint has stated that it has not run the request, or was never reached */
   mayHaveRun: () => boolean
-  /** Whether the endpoint has told the end of the events, after the last one. */
-  toldEnd: boolean
-  /** The whole answer that is no stream of events. */
+  /** Whether the endpoint has ended the stream after the last event. */
+  endedStream: boolean
+  /** The complete response that is not a stream of events. */
   whole?: { status: number, body: string }
 }
 
-/** What the endpoints know of the request. */
+/** Properties of the request that determine the response. */
 export interface ScriptedRequest {
   streams: boolean
   eventCount: number
@@ -52,7 +61,7 @@
 
 const HALF_EVENTS: ReadonlySet<string> = new Set<Ending['ending']>(['half_event', 'half_event_end'])
 
-const NOT_FRAMED = [...OWN_HEADERS, 'content-type', 'text/event-stream']
+const UNFRAMED_HEADERS = [...SIGNED_HEADERS, 'content-type', 'text/event-stream']
 
 /** @returns the data of an event */
 export function eventData (id: number): string {
@@ -67,17 +76,17 @@
 }
 
 /**
- * @param clock - on which the endpoint works
- * @param request - as the endpoint got it
- * @param ending - how it ends
- * @param asked - what the request is
- * @returns the run, which goes on with the clock; it hands on whatever the script says after it was aborted, too
+ * @param clock - clock of the endpoint
+ * @param request - the request as the endpoint received it
+ * @param ending - ending and timing of the send
+ * @param scripted - properties of the request
+ * @returns the run, which proceeds with the clock; it follows the script even after it was aborted
  */
-export function runScript (clock: FakeClock, request: SentRequest, ending: Ending, asked: ScriptedRequest): Run {
+export function runScript (clock: FakeClock, request: SentRequest, ending: Ending, scripted: ScriptedRequest): Run {
   const { exchange } = request
   let over = false
   let refused = ending.ending === 'not_reached'
-  const run: Run = { request, ending, isOver: () => over || request.aborted, mayHaveRun: () => !refused, toldEnd: false }
+  const run: Run = { request, ending, isOver: () => over || request.aborted, mayHaveRun: () => !refused, endedStream: false }
 
   const end = (act: () => void): void => {
     over = true
@@ -88,13 +97,13 @@
 
   const send = (text: string): void => {
     const bytes = Buffer.from(text)
-    const pieceBytes = ending.pieceBytes === 0 ? bytes.length : ending.pieceBytes
-    for (let from = 0; from < bytes.length; from += pieceBytes) exchange.onData(bytes.subarray(from, from + pieceBytes))
+    const chunkBytes = ending.chunkBytes === 0 ? bytes.length : ending.chunkBytes
+    for (let from = 0; from < bytes.length; from += chunkBytes) exchange.onData(bytes.subarray(from, from + chunkBytes))
   }
 
-  const sendWhole = (status: number, notRun: string[], isHalf: boolean): void => {
+  const sendBuffered = (status: number, notRun: string[], isHalf: boolean): void => {
     const body = 'body' in ending ? ending.body : `${status} of ${request.endpoint}`
-    head(status, [...OWN_HEADERS, ...notRun, 'content-type', 'text/plain', 'content-length', String(body.length)])
+    head(status, [...SIGNED_HEADERS, ...notRun, 'content-type', 'text/plain', 'content-length', String(body.length)])
     send(isHalf ? body.slice(0, body.length / 2) : body)
     if (isHalf) {
       clock.after(ending.gapMs, () => fail('ECONNRESET'))
@@ -105,36 +114,36 @@
     end(exchange.onComplete)
   }
 
-  const trouble = 'atEvent' in ending ? ending : undefined
+  const fault = 'atEvent' in ending ? ending : undefined
   const firstId = (ending.ending === 'from_start' ? 0 : request.lastEventId ?? 0) + 1
-  /** A first event that is missing, or of another run, shows only where the one before it is known. */
-  const troubleId = trouble === undefined ? undefined : firstId + Math.max(trouble.atEvent, request.lastEventId === undefined ? 1 : 0)
+  /** A fault at the first event is detectable only if the id of the event before it is known. */
+  const faultId = fault === undefined ? undefined : firstId + Math.max(fault.atEvent, request.lastEventId === undefined ? 1 : 0)
 
   const idOf = (id: number): number | string => {
-    if (id !== troubleId) return id
+    if (id !== faultId) return id
     const ids: Partial<Record<Ending['ending'], number | string>> = { repeat: id - 1, lower: Math.max(0, id - 2), without_id: 'x' }
     return ids[ending.ending] ?? id
   }
 
   const endEvents = (id: number): void => {
-    run.toldEnd = id > asked.eventCount
+    run.endedStream = id > scripted.eventCount
     end(exchange.onComplete)
   }
 
   const sendEvents = (id: number): void => {
     if (over) return
-    if (id === troubleId && ending.ending === 'silent') return
-    if (id === troubleId && ending.ending === 'unframed_end') endEvents(id)
-    else if (id === troubleId && ending.ending === 'break') fail('UND_ERR_SOCKET')
-    else if (id === troubleId && HALF_EVENTS.has(ending.ending)) {
+    if (id === faultId && ending.ending === 'silent') return
+    if (id === faultId && ending.ending === 'unframed_end') endEvents(id)
+    else if (id === faultId && ending.ending === 'break') fail('UND_ERR_SOCKET')
+    else if (id === faultId && HALF_EVENTS.has(ending.ending)) {
       send(eventText(id, eventData(id), ending.style).slice(0, -1))
       if (ending.ending === 'half_event') fail('ECONNRESET')
       else endEvents(id)
-    } else if (id > asked.eventCount) endEvents(id)
+    } else if (id > scripted.eventCount) endEvents(id)
     else {
-      // Nothing tells how many events there are: that the last one is missing cannot be seen.
-      const isLeftOut = id === troubleId && ending.ending === 'skip' && id < asked.eventCount
-      if (!isLeftOut) send(eventText(idOf(id), eventData(id), ending.style))
+      // The number of events is not stated, so the absence of the last one is not detectable.
+      const isSkipped = id === faultId && ending.ending === 'skip' && id < scripted.eventCount
+      if (!isSkipped) send(eventText(idOf(id), eventData(id), ending.style))
       clock.after(ending.gapMs, () => sendEvents(id + 1))
     }
   }
@@ -144,15 +153,15 @@
     clock.after(ending.gapMs, () => sendEvents(firstId))
   }
 
-  const answerUsual = (headers: string[]): void => {
-    if (asked.streams) streamHead(headers)
-    else if (ending.ending === 'break' || HALF_EVENTS.has(ending.ending)) sendWhole(200, [], true)
-    else if (ending.ending !== 'silent') sendWhole(200, [], false)
+  const respondNormally = (headers: string[]): void => {
+    if (scripted.streams) streamHead(headers)
+    else if (ending.ending === 'break' || HALF_EVENTS.has(ending.ending)) sendBuffered(200, [], true)
+    else if (ending.ending !== 'silent') sendBuffered(200, [], false)
   }
 
-  /** Heads that spoil whatever follows them; the same for lookups, whose body is as whole as can be. */
-  const answerWithHead = (headers: string[]): void => {
-    if (asked.streams) {
+  /** Sends a faulty head, which invalidates all that follows. The body of a lookup is complete. */
+  const respondWithHead = (headers: string[]): void => {
+    if (scripted.streams) {
       streamHead(headers)
       return
     }
@@ -161,20 +170,20 @@
     end(exchange.onComplete)
   }
 
-  const answers: Partial<Record<Ending['ending'], () => void>> = {
-    of_another: () => answerWithHead(['request-id', 'another', ...EVENT_STREAM_HEADERS.slice(2)]),
-    unsigned: () => answerWithHead(['content-type', 'text/event-stream', 'transfer-encoding', 'chunked']),
-    encoded: () => answerWithHead([...EVENT_STREAM_HEADERS, 'content-encoding', 'gzip']),
-    unframed: () => answerWithHead(NOT_FRAMED),
-    unframed_end: () => answerWithHead(NOT_FRAMED),
-    status: () => sendWhole(statusOf(ending), [], false),
-    half_status: () => sendWhole(statusOf(ending), [], true),
-    refusal: () => sendWhole(statusOf(ending), ['not-run', '1'], false),
-    half_refusal: () => sendWhole(statusOf(ending), ['not-run', '1'], true),
+  const responses: Partial<Record<Ending['ending'], () => void>> = {
+    of_another: () => respondWithHead(['request-id', 'another', ...EVENT_STREAM_HEADERS.slice(2)]),
+    unsigned: () => respondWithHead(['content-type', 'text/event-stream', 'transfer-encoding', 'chunked']),
+    encoded: () => respondWithHead([...EVENT_STREAM_HEADERS, 'content-encoding', 'gzip']),
+    unframed: () => respondWithHead(UNFRAMED_HEADERS),
+    unframed_end: () => respondWithHead(UNFRAMED_HEADERS),
+    status: () => sendBuffered(statusOf(ending), [], false),
+    half_status: () => sendBuffered(statusOf(ending), [], true),
+    refusal: () => sendBuffered(statusOf(ending), ['not-run', '1'], false),
+    half_refusal: () => sendBuffered(statusOf(ending), ['not-run', '1'], true),
     empty: () => {
-      // Of the rest of a stream nothing tells that an event is missing.
-      if (!asked.streams || firstId > 1) {
-        answerUsual(EVENT_STREAM_HEADERS)
+      // If a stream is resumed, a missing event is not detectable.
+      if (!scripted.streams || firstId > 1) {
+        respondNormally(EVENT_STREAM_HEADERS)
         return
       }
       head(200, EVENT_STREAM_HEADERS)
@@ -183,7 +192,7 @@
     no_answer: () => end(exchange.onComplete),
     not_reached: () => fail('ECONNREFUSED')
   }
-  clock.after(ending.headMs, answers[ending.ending] ?? (() => answerUsual(EVENT_STREAM_HEADERS)))
+  clock.after(ending.headMs, responses[ending.ending] ?? (() => respondNormally(EVENT_STREAM_HEADERS)))
   return run
 }
 
--- a/packages/anvilarch-serving/src/requests/__tests__/eventBlocks.test.ts
+++ b/packages/anvilarch-serving/src/requests/__tests__/eventBlocks.test.ts
@@ -8,7 +8,7 @@
 }
 
 describe('createEventSplitter', () => {
-  it('gives the same events wherever the bytes are cut', () => {
+  it('returns the same events wherever the bytes are cut', () => {
     fc.assert(fc.property(fc.array(fc.string({ unit: 'grapheme' }).map(text => text.replace(/[\r\n]/g, '')), { minLength: 1, maxLength: 6 }), fc.array(fc.nat(40), { maxLength: 30 }), (texts, cuts) => {
       const bytes = Buffer.from(texts.map((text, index) => event(index + 1, text)).join(''))
       const splitter = createEventSplitter()
@@ -26,19 +26,19 @@
     }), RUNS)
   })
 
-  it('keeps what is not a whole event', () => {
+  it('buffers an incomplete event', () => {
     const splitter = createEventSplitter()
     expect(splitter.push(Buffer.from(event(1, 'a') + 'id: 2\nda'))).toHaveLength(1)
     expect(splitter.rest().toString()).toBe('id: 2\nda')
   })
 
-  it('reads events with carriage returns and further fields', () => {
+  it('parses events with carriage returns and unknown fields', () => {
     const [block] = createEventSplitter().push(Buffer.from('x-versions: 3\r\nid: 7\r\ndata:a\r\ndata: b\r\n\r\n'))
     expect(block).toMatchObject({ id: 7, data: 'a\nb' })
   })
 
-  // Guards against this: an event without an id counts as the event number 0.
-  it.each(['', 'x', '1.5', '-1', '0x1'])('takes %j for no id', value => {
+  // Guards against counting an event without an id as event 0.
+  it.each(['', 'x', '1.5', '-1', '0x1'])('does not accept %j as an id', value => {
     expect(createEventSplitter().push(Buffer.from(`id: ${value}\ndata: a\n\n`))).toMatchObject([{ id: undefined, data: 'a' }])
   })
 })
@@ -47,7 +47,7 @@
   it.each([
     [': alive', true], ['retry: 500', true], [': alive\r\n: still', true],
     ['data: a', false], ['event: note', false], ['{"error":"busy"}', false], [': alive\ndata: a', false]
-  ])('is right about %j', (text, expected) => {
+  ])('classifies %j', (text, expected) => {
     const [block] = createEventSplitter().push(Buffer.from(`${text}\n\n`))
     expect(holdsNoEvent(block)).toBe(expected)
   })
--- a/packages/anvilarch-serving/src/requests/__tests__/holdTimes.test.ts
+++ b/packages/anvilarch-serving/src/requests/__tests__/holdTimes.test.ts
@@ -1,13 +1,13 @@
 import { createHoldTimes } from '../holdTimes'
 
 describe('createHoldTimes', () => {
-  it('says nothing until it has seen enough, and then follows the mean', () => {
+  it('has no value until there are enough samples, and then follows the mean', () => {
     const times = createHoldTimes()
-    for (let index = 0; index < 9; index++) times.onAnswer('s', 700)
+    for (let index = 0; index < 9; index++) times.onCompleted('s', 700)
     expect(times.holdMs('s')).toBeUndefined()
-    times.onAnswer('s', 700)
+    times.onCompleted('s', 700)
     expect(times.holdMs('s')).toBe(700)
-    for (let index = 0; index < 100; index++) times.onAnswer('s', 1400)
+    for (let index = 0; index < 100; index++) times.onCompleted('s', 1400)
     expect(times.holdMs('s')).toBeGreaterThan(1350)
     expect(times.holdMs('other')).toBeUndefined()
   })
--- a/packages/anvilarch-serving/src/requests/__tests__/overload.test.ts
+++ b/packages/anvilarch-serving/src/requests/__tests__/overload.test.ts
@@ -10,22 +10,22 @@
 }
 
 describe('checkOverload', () => {
-  it('takes a request that finds a slot, or a short queue', () => {
+  it('accepts a request if there is a free slot or a short queue', () => {
     expect(checkOverload(input(7)).refused).toBe(false)
     expect(checkOverload(input(9)).refused).toBe(false)
   })
 
-  it('refuses at once what would miss its objective in the queue, and says when to come back', () => {
+  it('refuses a request that would miss its objective in the queue, with a Retry-After', () => {
     const overload = checkOverload(input(12))
     expect(overload).toMatchObject({ refused: true, reason: 'wait_too_long' })
     expect(overload.refused && overload.retryAfterMs).toBeLessThanOrEqual(5000 / 3)
     expect(overload.refused && overload.retryAfterMs).toBeGreaterThan(800)
   })
 
-  // Guards against urgent accounts that wait behind less urgent ones at endpoints that are full.
+  // Guards against urgent accounts waiting behind less urgent ones at full endpoints.
   it('refuses the less urgent accounts first as the queue grows', () => {
-    const refusedFrom = (ranksBehind: number): number => {
-      for (let online = 0; online < 40; online++) if (checkOverload(input(online, { priorityRank: ranksBehind, holdMs: 100 })).refused) return online
+    const refusedFrom = (priorityRank: number): number => {
+      for (let online = 0; online < 40; online++) if (checkOverload(input(online, { priorityRank, holdMs: 100 })).refused) return online
       return Infinity
     }
     const [urgent, less, least] = [0, 1, 2].map(refusedFrom)
@@ -33,19 +33,19 @@
     expect(least).toBeLessThan(less)
   })
 
-  it('does not send a client away twice', () => {
+  it('does not refuse a request a second time for a long wait', () => {
     expect(checkOverload(input(12, { remainingMs: 3500 })).refused).toBe(false)
   })
 
-  it('refuses what could not even meet its deadline', () => {
+  it('refuses a request that would miss its deadline', () => {
     expect(checkOverload(input(60, { remainingMs: 1000 }))).toMatchObject({ refused: true, reason: 'no_time' })
   })
 
-  it('refuses nothing before it knows how long requests take', () => {
+  it('refuses nothing until the hold time is known', () => {
     expect(checkOverload(input(60, { holdMs: undefined })).refused).toBe(false)
   })
 
-  it('goes by the best endpoint that is not under suspicion', () => {
+  it('uses the shortest wait among endpoints that are not suspected', () => {
     const loads: Record<string, EndpointLoad> = {
       e1: { online: 0, batchRunning: 0, ownInProgress: 0, suspected: true, ageMs: 0 },
       e2: { online: 12, batchRunning: 0, ownInProgress: 0, suspected: false, ageMs: 0 }
@@ -53,8 +53,8 @@
     expect(checkOverload(input(0, { loadOf: ({ id }) => loads[id] })).refused).toBe(true)
   })
 
-  // Guards against this: every request of a burst beyond the capacity is late, although most of them could be in time.
-  it('keeps more requests of a burst in time than a queue without refusals', () => {
+  // Guards against every request of a burst beyond the capacity being late although most of them could be on time.
+  it('keeps more requests of a burst on time than a queue without refusals', () => {
     const served = (refuses: boolean): number => playBurst(refuses).filter(waitMs => waitMs <= 300).length
     expect(playBurst(false)).toHaveLength(168)
     expect(served(false)).toBe(120)
@@ -62,7 +62,7 @@
   })
 })
 
-/** @returns waits of the requests that are taken in a burst of 70 a second before 40 slots */
+/** @returns the waits of the accepted requests of a burst of 70 a second at 40 slots */
 function playBurst (refuses: boolean): number[] {
   const slotCount = 40
   const holdMs = 700
--- a/packages/anvilarch-serving/src/requests/__tests__/ownPause.test.ts
+++ b/packages/anvilarch-serving/src/requests/__tests__/processPause.test.ts
@@ -1,20 +1,20 @@
 import { forwardOnFakeClock } from '../__fixtures__/forwardHarness'
 
-describe('a gateway whose own process stands still', () => {
-  // Guards against this: an endpoint runs a request whose client has left two seconds before, and is cut off at once.
-  it('sends nothing whose deadline has passed', async () => {
-    const { clock, sent, client, placed } = forwardOnFakeClock({ holdsPlacement: true, timeoutMs: 1_000 })
+describe('a gateway whose process pauses', () => {
+  // Guards against sending a request after its deadline: its client disconnected two seconds before, so the attempt is aborted immediately.
+  it('does not send a request whose deadline has passed', async () => {
+    const { clock, sent, client, finishPlacement } = forwardOnFakeClock({ delaysPlacement: true, timeoutMs: 1_000 })
     await clock.advanceAsync(1)
     clock.stall(3_000)
-    placed()
+    finishPlacement()
     await clock.advanceAsync(0)
     expect(sent).toEqual([])
     expect(client).toMatchObject({ status: 504, ended: true })
   })
 
-  // Guards against this: after a gateway wakes up, streams that endpoints have fed all the time run a second time elsewhere.
-  it('goes on with a stream whose events came meanwhile', async () => {
-    const { clock, sent, client, ownPauses } = forwardOnFakeClock({ kind: 'stream', timeoutMs: 10_000 })
+  // Guards against running streams a second time on other endpoints after a pause although their endpoints kept sending events.
+  it('continues a stream whose events arrived during the pause', async () => {
+    const { clock, sent, client, processPauses } = forwardOnFakeClock({ kind: 'stream', timeoutMs: 10_000 })
     await clock.advanceAsync(0)
     sent[0].event(1)
     clock.stall(2_000)
@@ -24,23 +24,23 @@
     expect(sent).toHaveLength(1)
     expect(sent[0].aborted).toBe(false)
     expect(client.body).toBe('id: 1\ndata: x\n\nid: 2\ndata: x\n\n')
-    expect(await ownPauses()).toBe(1)
+    expect(await processPauses()).toBe(1)
   })
 
-  it('waits for a lookup whose answer came meanwhile', async () => {
+  it('accepts the response to a lookup that arrived during the pause', async () => {
     const { clock, sent, client } = forwardOnFakeClock()
     await clock.advanceAsync(0)
     clock.stall(1_500)
     clock.advance(0)
-    sent[0].answer()
+    sent[0].respond()
     await clock.advanceAsync(0)
     expect(sent).toHaveLength(1)
     expect(client).toMatchObject({ status: 200, body: 'ok' })
   })
 })
 
-describe('an endpoint that is silent', () => {
-  it('loses a stream to another endpoint once three quarters of the longest pause are over', async () => {
+describe('a silent endpoint', () => {
+  it('has its stream resumed on another endpoint after three quarters of the gap objective', async () => {
     const { clock, sent } = forwardOnFakeClock({ kind: 'stream', timeoutMs: 10_000 })
     await clock.advanceAsync(0)
     sent[0].event(1)
@@ -51,7 +51,7 @@
     expect(sent[0].aborted).toBe(true)
   })
 
-  it('loses it also after a pause of the gateway, a quarter of that time later', async () => {
+  it('has its stream resumed a quarter of that time later if the gateway has paused', async () => {
     const { clock, sent } = forwardOnFakeClock({ kind: 'stream', timeoutMs: 10_000 })
     await clock.advanceAsync(0)
     sent[0].event(1)
--- a/packages/anvilarch-serving/src/requests/__tests__/requestCompletion.test.ts
+++ b/packages/anvilarch-serving/src/requests/__tests__/requestCompletion.test.ts
@@ -9,8 +9,8 @@
 let ended: boolean
 let destroyed: boolean
 
-/** @returns the end of a stream whose head the client has */
-function endOfBegunStream (): RequestCompletion {
+/** @returns the completion of a stream whose head has been sent to the client */
+function completionOfStartedStream (): RequestCompletion {
   ended = false
   destroyed = false
   const clock = createFakeClock()
@@ -26,20 +26,20 @@
   return createRequestCompletion(parts as unknown as ForwardParts, client as unknown as ClientRequest, state as unknown as RequestState, () => {})
 }
 
-describe('the end of an answer whose head the client has', () => {
-  // Guards against this: an answer looks complete before its last event, or is left open.
+describe('the end of a response whose head has been sent to the client', () => {
+  // Guards against a response that looks complete before its last event, or that stays open.
   it.each<[string, (end: RequestCompletion) => void]>([
-    ['an answer of the gateway', end => end.respond({ status: 503, code: 'no_endpoint', message: '' })],
-    ['a whole answer of an endpoint', end => end.respondFromEndpoint('e1', { status: 200, rawHeaders: [], body: Buffer.alloc(0) })],
-    ['a break', end => end.abortConnection('timeout')]
-  ])('is a cut when it is to be ended by %s', (_name, act) => {
-    act(endOfBegunStream())
+    ['a response of the gateway', end => end.respond({ status: 503, code: 'no_endpoint', message: '' })],
+    ['a buffered response of an endpoint', end => end.respondFromEndpoint('e1', { status: 200, rawHeaders: [], body: Buffer.alloc(0) })],
+    ['an abort', end => end.abortConnection('timeout')]
+  ])('is a closed connection if the cause is %s', (_name, act) => {
+    act(completionOfStartedStream())
     expect({ ended, destroyed }).toEqual({ ended: false, destroyed: true })
   })
 
-  it('is complete after the last event, whatever comes after that', () => {
-    const end = endOfBegunStream()
-    end.completeEvents('e1')
+  it('is complete after the last event, even if an abort follows', () => {
+    const end = completionOfStartedStream()
+    end.completeStream('e1')
     end.abortConnection('timeout')
     expect({ ended, destroyed }).toEqual({ ended: true, destroyed: false })
   })
--- a/packages/anvilarch-serving/src/requests/__tests__/requestHistories.test.ts
+++ b/packages/anvilarch-serving/src/requests/__tests__/requestHistories.test.ts
@@ -1,8 +1,9 @@
 /**
- * Symptoms looked for: a stream that lacks an event, has one twice or out of order; an answer that looks whole and is not, or that no
- * endpoint gave; a refusal of what may have run; a run too many, or beside another; a request that does not end, or goes on after its end.
- * Sequences: endpoints answer wrongly, break off, fall silent, refuse and are replaced one after another, while clients leave, keys are
- * taken away, requests are quarantined, and the process stands still or stops.
+ * Guards against: a stream with a missing, duplicate or out-of-order event; a response that looks complete and is not, or that no
+ * endpoint sent; a refusal of a request that may have run; a run beyond the limit or concurrent with another; a request that does
+ * not end, or continues after its end.
+ * Generated histories: endpoints send wrong responses, close connections, become silent, refuse and are replaced one after
+ * another, while clients disconnect, keys are revoked, requests are quarantined, and the process pauses or shuts down.
  */
 import fc from 'fast-check'
 import { forwardOnFakeClock, type ForwardHarness } from '../__fixtures__/forwardHarness'
@@ -10,9 +11,9 @@
 import { type Ending, type EndingKind, eventData, type Run, runScript } from '../__fixtures__/scriptedEndpoint'
 
 type Step =
-  | { step: 'wait' | 'stand_still', ms: number }
-  | { step: 'replace', isListedAgain: boolean }
-  | { step: 'leave' | 'stop' | 'take_key_away' | 'quarantine' | 'remove_all' }
+  | { step: 'wait' | 'pause', ms: number }
+  | { step: 'replace', isReplaced: boolean }
+  | { step: 'disconnect' | 'stop' | 'revoke_key' | 'quarantine' | 'remove_endpoints' }
 
 interface History {
   kind: 'stream' | 'idempotent' | 'once'
@@ -31,10 +32,10 @@
 const SEED = Number(process.env.REQUEST_HISTORIES_SEED ?? 31_012)
 const RUNS = Number(process.env.REQUEST_HISTORIES ?? 1500)
 
-/** How often a request may be offered to endpoints, refusals included. */
-const MAX_OFFERS = 6
+/** Limit on the sends of a request, refused ones included. */
+const MAX_SENDS = 6
 
-/** Runs of scripts end by then: up to thirty events with their gaps. */
+/** Time within which every script ends: up to thirty events with their gaps. */
 const LAST_WAIT_MS = 60_000
 
 const atEvent = fc.oneof({ weight: 4, arbitrary: fc.nat({ max: 4 }) }, { weight: 1, arbitrary: fc.nat({ max: 30 }) })
@@ -74,7 +75,7 @@
 const pace = fc.record({
   headMs: fc.oneof({ weight: 5, arbitrary: fc.nat({ max: 30 }) }, { weight: 1, arbitrary: fc.nat({ max: 1500 }) }),
   gapMs: fc.oneof({ weight: 5, arbitrary: fc.nat({ max: 20 }) }, { weight: 1, arbitrary: fc.nat({ max: 500 }) }),
-  pieceBytes: fc.constantFrom(0, 0, 1, 7, 64),
+  chunkBytes: fc.constantFrom(0, 0, 1, 7, 64),
   style: fc.constantFrom('plain' as const, 'crlf' as const, 'with_version' as const, 'with_comments' as const)
 })
 
@@ -82,12 +83,12 @@
 
 const step: fc.Arbitrary<Step> = fc.oneof(
   { weight: 14, arbitrary: fc.record({ step: fc.constant('wait' as const), ms: fc.oneof(fc.nat({ max: 60 }), fc.nat({ max: 600 })) }) },
-  { weight: 2, arbitrary: fc.record({ step: fc.constant('stand_still' as const), ms: fc.nat({ max: 1500 }) }) },
-  { weight: 2, arbitrary: fc.record({ step: fc.constant('replace' as const), isListedAgain: fc.boolean() }) },
-  { weight: 2, arbitrary: fc.record({ step: fc.constantFrom('leave' as const, 'leave' as const, 'stop' as const, 'take_key_away' as const, 'quarantine' as const, 'remove_all' as const) }) }
+  { weight: 2, arbitrary: fc.record({ step: fc.constant('pause' as const), ms: fc.nat({ max: 1500 }) }) },
+  { weight: 2, arbitrary: fc.record({ step: fc.constant('replace' as const), isReplaced: fc.boolean() }) },
+  { weight: 2, arbitrary: fc.record({ step: fc.constantFrom('disconnect' as const, 'disconnect' as const, 'stop' as const, 'revoke_key' as const, 'quarantine' as const, 'remove_endpoints' as const) }) }
 )
 
-const history: fc.Arbitrary<History> = fc.record({
+const historyArbitrary: fc.Arbitrary<History> = fc.record({
   kind: fc.constantFrom('stream' as const, 'stream' as const, 'stream' as const, 'idempotent' as const, 'once' as const),
   resumable: fc.oneof({ weight: 3, arbitrary: fc.constant(true) }, { weight: 1, arbitrary: fc.constant(false) }),
   maxAttempts: fc.integer({ min: 1, max: 4 }),
@@ -101,88 +102,88 @@
   steps: fc.array(step, { minLength: 2, maxLength: 16 })
 })
 
-/** One request and all that became of it. */
-interface Played {
-  drawn: History
+/** One request with its sends and the violations found so far. */
+interface PlayedRequest {
+  history: History
   harness: ForwardHarness
   runs: Run[]
-  /** Sends while another was in progress. */
-  besideAnother: number
-  /** Sends after the client had gone or the request had ended, or too late. */
-  needless: number
-  /** Sends that do not ask for the event after the last one that the client has. */
+  /** Number of sends while another send was in progress. */
+  concurrent: number
+  /** Number of sends after the client disconnected, after the request ended or past its deadline. */
+  unwanted: number
+  /** Number of sends that do not resume after the last event that the client has. */
   wrongStarts: number
   isStopped: boolean
-  /** Nothing new may be sent for it: its key was taken away, or endpoints crash when they run it. */
-  isBarred: boolean
-  /** Endpoints that could have been tried when the request ended. */
+  /** Whether nothing new may be sent for the request, since its key was revoked or it was quarantined. */
+  isBlocked: boolean
+  /** Number of untried endpoints when the request ended. */
   untriedAtEnd: number | undefined
 }
 
-function begin (drawn: History): Played {
+function begin (history: History): PlayedRequest {
   const runs: Run[] = []
   let placements = 0
-  const played: Omit<Played, 'harness'> = { drawn, runs, besideAnother: 0, needless: 0, wrongStarts: 0, isStopped: false, isBarred: false, untriedAtEnd: undefined }
-  const eventCount = Math.max(drawn.eventCount, drawn.lastEventId ?? 0)
+  const played: Omit<PlayedRequest, 'harness'> = { history, runs, concurrent: 0, unwanted: 0, wrongStarts: 0, isStopped: false, isBlocked: false, untriedAtEnd: undefined }
+  const eventCount = Math.max(history.eventCount, history.lastEventId ?? 0)
   const harness = forwardOnFakeClock({
-    kind: drawn.kind,
-    resumable: drawn.resumable,
-    maxAttempts: drawn.maxAttempts,
-    timeoutMs: drawn.timeoutMs,
-    endpoints: drawn.endpoints,
-    lastEventId: drawn.lastEventId,
-    granted: drawn.granted,
-    placementMs: () => drawn.placementMs[placements++ % drawn.placementMs.length],
+    kind: history.kind,
+    resumable: history.resumable,
+    maxAttempts: history.maxAttempts,
+    timeoutMs: history.timeoutMs,
+    endpoints: history.endpoints,
+    lastEventId: history.lastEventId,
+    granted: history.granted,
+    placementMs: () => history.placementMs[placements++ % history.placementMs.length],
     onSend: request => {
       const { clock, client } = harness
-      if (runs.some(run => !run.isOver() && run.request.connected)) played.besideAnother++
-      // A stop destroys the answer; that it has closed is told a moment later.
-      const isGone = client.left || client.ended || (client.destroyed && !played.isStopped)
-      if (isGone || clock.nowMs() + request.deadlineMs > drawn.timeoutMs) played.needless++
-      const heldCount = drawn.kind === 'stream' && drawn.resumable ? dataOf(client.body).length : 0
-      if ((request.lastEventId ?? 0) !== (drawn.lastEventId ?? 0) + heldCount) played.wrongStarts++
-      const next = drawn.endings[runs.length % drawn.endings.length]
-      runs.push(runScript(clock, request, next, { streams: drawn.kind === 'stream', eventCount }))
+      if (runs.some(run => !run.isOver() && run.request.connected)) played.concurrent++
+      // A shutdown destroys the response; its close event follows later.
+      const hasEndedForClient = client.disconnected || client.ended || (client.destroyed && !played.isStopped)
+      if (hasEndedForClient || clock.nowMs() + request.deadlineMs > history.timeoutMs) played.unwanted++
+      const receivedCount = history.kind === 'stream' && history.resumable ? dataOf(client.body).length : 0
+      if ((request.lastEventId ?? 0) !== (history.lastEventId ?? 0) + receivedCount) played.wrongStarts++
+      const next = history.endings[runs.length % history.endings.length]
+      runs.push(runScript(clock, request, next, { streams: history.kind === 'stream', eventCount }))
       return next.ending !== 'not_reached'
     }
   })
   return Object.assign(played, { harness })
 }
 
-async function take (played: Played, next: Step): Promise<void> {
+async function takeStep (played: PlayedRequest, next: Step): Promise<void> {
   const { harness } = played
   switch (next.step) {
     case 'wait':
       await harness.clock.advanceAsync(next.ms)
       break
-    case 'stand_still':
+    case 'pause':
       harness.clock.stall(next.ms)
       break
     case 'replace':
-      harness.replaceEndpoint(next.isListedAgain)
+      harness.replaceEndpoint(next.isReplaced)
       break
     case 'stop':
       if (!harness.client.ended && !harness.client.destroyed) {
         played.isStopped = true
-        harness.stopNow()
+        harness.closeOnShutdown()
       }
       break
     default:
-      played.isBarred ||= next.step === 'take_key_away' || next.step === 'quarantine'
+      played.isBlocked ||= next.step === 'revoke_key' || next.step === 'quarantine'
       actions[next.step](harness)
   }
   if (hasEnded(played)) played.untriedAtEnd ??= harness.untriedCount()
 }
 
 const actions = {
-  leave: (harness: ForwardHarness) => { if (!harness.client.ended && !harness.client.destroyed) harness.leave() },
-  take_key_away: (harness: ForwardHarness) => harness.takeKeyAway(),
+  disconnect: (harness: ForwardHarness) => { if (!harness.client.ended && !harness.client.destroyed) harness.disconnect() },
+  revoke_key: (harness: ForwardHarness) => harness.revokeKey(),
   quarantine: (harness: ForwardHarness) => harness.quarantine(),
-  remove_all: (harness: ForwardHarness) => harness.removeEndpoints()
+  remove_endpoints: (harness: ForwardHarness) => harness.removeEndpoints()
 }
 
-function hasEnded ({ harness: { client } }: Played): boolean {
-  return client.ended || client.destroyed || client.left
+function hasEnded ({ harness: { client } }: PlayedRequest): boolean {
+  return client.ended || client.destroyed || client.disconnected
 }
 
 function mayRunTwice ({ kind, resumable }: History): boolean {
@@ -193,30 +194,30 @@
   return [...body.matchAll(/^data: (.*?)\r?$/gm)].map(([, data]) => data)
 }
 
-/** @returns the data of events from the first one that the client lacks */
-function expectedData ({ drawn }: Played, count: number): string[] {
-  return Array.from({ length: count }, (_, index) => eventData((drawn.lastEventId ?? 0) + 1 + index))
+/** @returns the data of `count` events, starting with the first one that the client does not have */
+function expectedData ({ history }: PlayedRequest, count: number): string[] {
+  return Array.from({ length: count }, (_, index) => eventData((history.lastEventId ?? 0) + 1 + index))
 }
 
-const OWN_STATUSES = [401, 429, 502, 503, 504]
+const GATEWAY_STATUSES = [401, 429, 502, 503, 504]
 
-/** Statuses by which a client is told that its request has not run. */
+/** Statuses that tell the client that its request has not run. */
 const REFUSALS = [401, 429, 503]
 
-function checkStream (played: Played): void {
-  const { drawn, harness: { client }, runs } = played
+function checkStream (played: PlayedRequest): void {
+  const { history, harness: { client }, runs } = played
   const data = dataOf(client.body)
   expect(data).toEqual(expectedData(played, data.length))
   if (!client.ended) return
-  expect(data).toHaveLength(Math.max(0, drawn.eventCount - (drawn.lastEventId ?? 0)))
-  expect(runs.at(-1)?.toldEnd).toBe(true)
+  expect(data).toHaveLength(Math.max(0, history.eventCount - (history.lastEventId ?? 0)))
+  expect(runs.at(-1)?.endedStream).toBe(true)
 }
 
-function checkWhole ({ harness: { client }, runs }: Played): void {
+function checkBuffered ({ harness: { client }, runs }: PlayedRequest): void {
   const { status, body } = client
   expect(client.destroyed && client.status === undefined).toBe(false)
   if (body.startsWith('{"error"')) {
-    expect(OWN_STATUSES).toContain(status)
+    expect(GATEWAY_STATUSES).toContain(status)
     if (REFUSALS.includes(status ?? 0)) expect(runs.filter(run => run.mayHaveRun())).toEqual([])
   } else {
     expect(runs.map(run => run.whole)).toContainEqual({ status, body })
@@ -224,41 +225,41 @@
   }
 }
 
-/** A request is given up only where it may go nowhere else. */
-function checkGivenUp ({ drawn, harness, runs, isBarred, untriedAtEnd = harness.untriedCount() }: Played): void {
+/** A request fails only if it may not be sent to another endpoint. */
+function checkFailure ({ history, harness, runs, isBlocked, untriedAtEnd = harness.untriedCount() }: PlayedRequest): void {
   const { client } = harness
   const mayHaveRun = runs.filter(run => run.mayHaveRun()).length
-  const remainingMs = drawn.timeoutMs - (client.endedAtMs ?? 0)
-  const mayGoOn = untriedAtEnd > 0 && remainingMs > MIN_REMAINING_MS && runs.length < MAX_OFFERS && mayHaveRun < drawn.maxAttempts &&
-    (mayHaveRun === 0 || mayRunTwice(drawn)) && drawn.granted && !isBarred
-  expect(mayGoOn).toBe(false)
+  const remainingMs = history.timeoutMs - (client.endedAtMs ?? 0)
+  const mayBeResent = untriedAtEnd > 0 && remainingMs > MIN_REMAINING_MS && runs.length < MAX_SENDS && mayHaveRun < history.maxAttempts &&
+    (mayHaveRun === 0 || mayRunTwice(history)) && history.granted && !isBlocked
+  expect(mayBeResent).toBe(false)
   if (mayHaveRun === 0) expect(client.status).not.toBe(502)
 }
 
-function checkRuns ({ drawn, runs, ...played }: Played): void {
-  expect(runs.filter(run => run.mayHaveRun()).length).toBeLessThanOrEqual(mayRunTwice(drawn) ? drawn.maxAttempts : 1)
+function checkRuns ({ history, runs, ...played }: PlayedRequest): void {
+  expect(runs.filter(run => run.mayHaveRun()).length).toBeLessThanOrEqual(mayRunTwice(history) ? history.maxAttempts : 1)
   expect(new Set(runs.map(run => run.request.endpoint)).size).toBe(runs.length)
-  const { besideAnother, needless, wrongStarts } = played
-  expect({ besideAnother, needless, wrongStarts }).toEqual({ besideAnother: 0, needless: 0, wrongStarts: 0 })
+  const { concurrent, unwanted, wrongStarts } = played
+  expect({ concurrent, unwanted, wrongStarts }).toEqual({ concurrent: 0, unwanted: 0, wrongStarts: 0 })
 }
 
-/** Nothing goes on for a request that has ended. */
-function checkRest ({ harness, runs }: Played): void {
+/** After the end of a request nothing remains in progress for it. */
+function checkCleanup ({ harness, runs }: PlayedRequest): void {
   expect(runs.filter(run => !run.isOver() && run.request.connected)).toEqual([])
   expect(harness.inProgress()).toEqual({ loads: 0, notices: 0 })
-  expect({ heads: harness.client.headCount <= 1, piecesAfterEnd: harness.client.piecesAfterEnd }).toEqual({ heads: true, piecesAfterEnd: 0 })
+  expect({ heads: harness.client.headCount <= 1, writesAfterEnd: harness.client.writesAfterEnd }).toEqual({ heads: true, writesAfterEnd: 0 })
   expect(harness.clock.pendingCount()).toBe(0)
-  expect(harness.permitsGivenBack()).toBeLessThanOrEqual(runs.some(run => run.mayHaveRun()) ? 0 : 1)
+  expect(harness.permitsRefunded()).toBeLessThanOrEqual(runs.some(run => run.mayHaveRun()) ? 0 : 1)
 }
 
-async function play (drawn: History): Promise<Played> {
-  const played = begin(drawn)
+async function play (history: History): Promise<PlayedRequest> {
+  const played = begin(history)
   const { clock } = played.harness
-  for (const next of drawn.steps) {
-    await take(played, next)
-    if (next.step === 'wait' && clock.nowMs() >= drawn.timeoutMs) expect(hasEnded(played)).toBe(true)
+  for (const next of history.steps) {
+    await takeStep(played, next)
+    if (next.step === 'wait' && clock.nowMs() >= history.timeoutMs) expect(hasEnded(played)).toBe(true)
   }
-  await clock.advanceAsync(drawn.timeoutMs)
+  await clock.advanceAsync(history.timeoutMs)
   expect(hasEnded(played)).toBe(true)
   expect(played.runs.filter(run => !run.isOver() && run.request.connected)).toEqual([])
   await clock.advanceAsync(LAST_WAIT_MS)
@@ -266,20 +267,20 @@
 }
 
 describe('a request', () => {
-  // Guards against this: an answer looks whole and is not, has events out of order, or comes from a run that ought not to have been.
-  it('is answered by what its endpoints have told, once and in time', async () => {
-    await fc.assert(fc.asyncProperty(history, async drawn => {
-      const played = await play(drawn)
+  // Guards against responses that look complete and are not, have events out of order or come from a run that was not allowed.
+  it('gets one response, in time, that consists only of what its endpoints sent', async () => {
+    await fc.assert(fc.asyncProperty(historyArbitrary, async history => {
+      const played = await play(history)
       const { client } = played.harness
       checkRuns(played)
-      checkRest(played)
-      if (client.begun) checkStream(played)
-      else if (!client.left && !played.isStopped) checkWhole(played)
-      if (!client.left && !played.isStopped && hasFailed(played)) checkGivenUp(played)
+      checkCleanup(played)
+      if (client.responseStarted) checkStream(played)
+      else if (!client.disconnected && !played.isStopped) checkBuffered(played)
+      if (!client.disconnected && !played.isStopped && hasFailed(played)) checkFailure(played)
     }), { seed: SEED, numRuns: RUNS })
   })
 })
 
-function hasFailed ({ harness: { client } }: Played): boolean {
+function hasFailed ({ harness: { client } }: PlayedRequest): boolean {
   return client.destroyed || (client.status ?? 0) >= 500
 }
--- a/packages/anvilarch-serving/src/requests/__tests__/retryDecision.test.ts
+++ b/packages/anvilarch-serving/src/requests/__tests__/retryDecision.test.ts
@@ -7,7 +7,7 @@
   maxAttempts: fc.integer({ min: 1, max: 4 })
 })
 
-const HISTORY = fc.array(fc.record({
+const ATTEMPTS = fc.array(fc.record({
   failure: fc.constantFrom<AttemptFailure>('not_run', 'may_have_run'),
   responseStarted: fc.boolean(),
   hasUntriedEndpoint: fc.boolean(),
@@ -17,15 +17,15 @@
 const RUNS = { seed: 20261202, numRuns: 3000 }
 
 describe('nextStep', () => {
-  // Guards against this: a request that may run once runs twice, a client is told "not run" of one that ran, or more endpoints run it than allowed.
-  it('never repeats what may run once, keeps to the attempts allowed, and refuses only what has not run', () => {
-    fc.assert(fc.property(ROUTE, HISTORY, (route, history) => {
+  // Guards against a request that may run only once running twice, a "not run" response for a request that ran, and more runs than the route allows.
+  it('never resends a request that may run only once, respects the attempt limit, and refuses only requests that have not run', () => {
+    fc.assert(fc.property(ROUTE, ATTEMPTS, (route, attempts) => {
       let mayHaveRun = 0
-      let begun = false
-      for (const attempt of history) {
+      let responseStarted = false
+      for (const attempt of attempts) {
         if (attempt.failure === 'may_have_run') mayHaveRun++
-        begun = begun || (attempt.responseStarted && attempt.failure === 'may_have_run')
-        const step = nextStep(route, attempt.failure, { ...attempt, responseStarted: begun, attemptsThatMayHaveRun: mayHaveRun })
+        responseStarted = responseStarted || (attempt.responseStarted && attempt.failure === 'may_have_run')
+        const step = nextStep(route, attempt.failure, { ...attempt, responseStarted, attemptsThatMayHaveRun: mayHaveRun })
         if (step === 'send_again') {
           expect(mayHaveRun === 0 || isRetryable(route)).toBe(true)
           expect(mayHaveRun).toBeLessThan(route.maxAttempts)
@@ -33,20 +33,20 @@
           continue
         }
         if (step === 'refuse') expect(mayHaveRun).toBe(0)
-        if (begun) expect(step).toBe('break_off')
+        if (responseStarted) expect(step).toBe('break_off')
         return
       }
     }), RUNS)
   })
 
-  it('goes elsewhere after a refusal also when the request may run once', () => {
+  it('sends a request that may run only once to another endpoint after a refusal', () => {
     const progress = { attemptsThatMayHaveRun: 0, responseStarted: false, hasUntriedEndpoint: true, remainingMs: 1000 }
     expect(nextStep({ kind: 'once', resumable: false, maxAttempts: 1 }, 'not_run', progress)).toBe('send_again')
   })
 })
 
 describe('silenceTimeoutMs', () => {
-  it('leaves a resumed stream time within the pause that counts as on time', () => {
+  it('is shorter than the gap objective, so that a stream can be resumed on time', () => {
     const route = { kind: 'stream' as const, latencyObjectiveMs: 300, gapObjectiveMs: 400 }
     expect(silenceTimeoutMs(route, true)).toBeLessThan(400)
     expect(silenceTimeoutMs(route, false)).toBeGreaterThan(300)
--- a/packages/anvilarch-serving/src/requests/__tests__/silenceAtLastOffer.test.ts
+++ b/packages/anvilarch-serving/src/requests/__tests__/silenceAtLastSend.test.ts
@@ -1,28 +1,28 @@
 import { forwardOnFakeClock, type ForwardHarness, type ForwardHarnessOptions } from '../__fixtures__/forwardHarness'
 
-/** A request that five endpoints have refused, at the sixth, while further ones are left. */
-async function atLastOffer (options: ForwardHarnessOptions): Promise<ForwardHarness> {
+/** @returns a request that five endpoints have refused and that is in progress at the sixth, while there are further ones */
+async function atLastSend (options: ForwardHarnessOptions): Promise<ForwardHarness> {
   const harness = forwardOnFakeClock({ endpoints: 8, timeoutMs: 10_000, ...options })
   await harness.clock.advanceAsync(0)
   for (let index = 0; index < 5; index++) {
-    harness.sent[index].answer(421)
+    harness.sent[index].respond(421)
     await harness.clock.advanceAsync(0)
   }
   expect(harness.sent).toHaveLength(6)
   return harness
 }
 
-describe('an endpoint that is silent where nothing may be sent elsewhere', () => {
-  // Guards against this: a slow answer is given up though no other one can come.
-  it('keeps its lookup', async () => {
-    const { clock, sent, client } = await atLastOffer({})
+describe('a silent endpoint at the last allowed send', () => {
+  // Guards against aborting a slow response although the request may not be sent to another endpoint.
+  it('is not timed out for a lookup', async () => {
+    const { clock, sent, client } = await atLastSend({})
     await clock.advanceAsync(1000)
-    sent[5].answer(200)
+    sent[5].respond(200)
     expect(client).toMatchObject({ status: 200, body: 'ok' })
   })
 
-  it('keeps its stream', async () => {
-    const { clock, sent, client } = await atLastOffer({ kind: 'stream' })
+  it('is not timed out for a stream', async () => {
+    const { clock, sent, client } = await atLastSend({ kind: 'stream' })
     sent[5].event(1)
     await clock.advanceAsync(1000)
     sent[5].event(2)
@@ -31,21 +31,21 @@
   })
 })
 
-describe('an endpoint to which there is no connection in time', () => {
-  // Guards against this: a request that never got to it counts as one that it may have run.
-  it.each<ForwardHarnessOptions['kind']>(['idempotent', 'stream'])('leaves all attempts of the route to others (%s)', async kind => {
+describe('an endpoint to which no connection is made in time', () => {
+  // Guards against counting a request that never reached the endpoint as one that the endpoint may have run.
+  it.each<ForwardHarnessOptions['kind']>(['idempotent', 'stream'])('does not use up an attempt of the route (%s)', async kind => {
     const { clock, sent, client } = forwardOnFakeClock({ kind, endpoints: 3, maxAttempts: 2, timeoutMs: 10_000, onSend: ({ endpoint }) => endpoint !== 'e1' })
     await clock.advanceAsync(350)
     sent[1].reset()
     await clock.advanceAsync(0)
-    sent[2].answer(200)
+    sent[2].respond(200)
     expect(client).toMatchObject({ status: 200, body: 'ok' })
   })
 
-  it('lets the client be told that its request has not run', async () => {
+  it('does not prevent a response that the request has not run', async () => {
     const { clock, sent, client } = forwardOnFakeClock({ endpoints: 2, onSend: ({ endpoint }) => endpoint !== 'e1' })
     await clock.advanceAsync(350)
-    sent[1].answer(421)
+    sent[1].respond(421)
     await clock.advanceAsync(0)
     expect(client.status).toBe(503)
   })
--- a/packages/anvilarch-serving/src/requests/__tests__/startedResponses.test.ts
+++ b/packages/anvilarch-serving/src/requests/__tests__/startedResponses.test.ts
@@ -1,6 +1,6 @@
 import { forwardOnFakeClock, type ForwardHarness, type ForwardHarnessOptions } from '../__fixtures__/forwardHarness'
 
-/** A stream that breaks off after its second event. @returns once it has been sent elsewhere, if it is */
+/** Breaks a stream after its second event. @returns the harness after the request was sent to another endpoint, if it was */
 async function brokenStream (options: ForwardHarnessOptions): Promise<ForwardHarness> {
   const harness = forwardOnFakeClock({ kind: 'stream', timeoutMs: 10_000, ...options })
   await harness.clock.advanceAsync(0)
@@ -13,11 +13,11 @@
 
 const TWO_EVENTS = 'id: 1\ndata: x\n\nid: 2\ndata: x\n\n'
 
-describe('a stream that is to go on at another endpoint', () => {
-  // Guards against this: the failure of the second endpoint ends the client's answer as if it were complete.
-  it.each([500, 504, 404, 400, 422, 200, 206])('goes on at a third one when the second answers as a whole with status %i', async status => {
+describe('a stream that is to be resumed on another endpoint', () => {
+  // Guards against the failure of the second endpoint ending the client's response as if it were complete.
+  it.each([500, 504, 404, 400, 422, 200, 206])('is resumed on a third one if the second sends a buffered response with status %i', async status => {
     const { clock, sent, client } = await brokenStream({ endpoints: 3 })
-    sent[1].answer(status)
+    sent[1].respond(status)
     await clock.advanceAsync(0)
     expect(client).toMatchObject({ body: TWO_EVENTS, ended: false, destroyed: false })
     sent[2].event(3)
@@ -25,52 +25,52 @@
     expect(client).toMatchObject({ status: 200, body: `${TWO_EVENTS}id: 3\ndata: x\n\n`, ended: true, destroyed: false })
   })
 
-  it.each([500, 504, 404, 400, 422, 200, 206])('is cut when the last one answers as a whole with status %i', async status => {
+  it.each([500, 504, 404, 400, 422, 200, 206])('is cut if the last one sends a buffered response with status %i', async status => {
     const { clock, sent, client } = await brokenStream({ endpoints: 2 })
-    sent[1].answer(status)
+    sent[1].respond(status)
     await clock.advanceAsync(0)
     expect(client).toMatchObject({ body: TWO_EVENTS, ended: false, destroyed: true })
   })
 
-  it('is cut when the route allows no further attempt after a whole answer', async () => {
+  it('is cut if the route allows no further attempt after a buffered response', async () => {
     const { clock, sent, client } = await brokenStream({ endpoints: 3, maxAttempts: 2 })
-    sent[1].answer(500)
+    sent[1].respond(500)
     await clock.advanceAsync(0)
     expect(sent).toHaveLength(2)
     expect(client).toMatchObject({ body: TWO_EVENTS, ended: false, destroyed: true })
   })
 
-  // Guards against this: a body that is no stream of events passes for a stream without further events.
-  it.each(['', 'a paragraph\n\n'])('is cut when the last one answers 200 with %j, which is no stream of events', async body => {
+  // Guards against treating a body that is not a stream of events as a stream without further events.
+  it.each(['', 'a paragraph\n\n'])('is cut if the last one sends status 200 and %j, which is not a stream of events', async body => {
     const { clock, sent, client } = await brokenStream({ endpoints: 2 })
-    sent[1].answer(200, body)
+    sent[1].respond(200, body)
     await clock.advanceAsync(0)
     expect(client).toMatchObject({ body: TWO_EVENTS, ended: false, destroyed: true })
   })
 
-  // Guards against this: the client waits on an answer that nothing will end.
-  it('is cut when no endpoint is left by the time at which it could go on', async () => {
-    const { clock, sent, client, placed, removeEndpoints } = forwardOnFakeClock({ kind: 'stream', timeoutMs: 10_000, holdsPlacement: true })
-    placed()
+  // Guards against a response that stays open because no endpoint can end it.
+  it('is cut if there is no endpoint by the time it can be resumed', async () => {
+    const { clock, sent, client, finishPlacement, removeEndpoints } = forwardOnFakeClock({ kind: 'stream', timeoutMs: 10_000, delaysPlacement: true })
+    finishPlacement()
     await clock.advanceAsync(0)
     sent[0].event(1)
     sent[0].reset()
     removeEndpoints()
-    placed()
+    finishPlacement()
     await clock.advanceAsync(0)
     expect(client).toMatchObject({ body: 'id: 1\ndata: x\n\n', ended: false, destroyed: true })
   })
 
-  it('is complete when the second endpoint has no event left', async () => {
+  it('is complete if the second endpoint has no further event', async () => {
     const { sent, client } = await brokenStream({ endpoints: 2 })
     sent[1].endEvents()
     expect(client).toMatchObject({ body: TWO_EVENTS, ended: true, destroyed: false })
   })
 })
 
-describe('a stream of events that ends before its first one', () => {
-  // Guards against this: an empty answer is framed as complete though the client has no event of its stream.
-  it.each([true, false])('is no answer to a request from the start (resumable: %s)', async resumable => {
+describe('a stream that ends before its first event', () => {
+  // Guards against sending an empty response as complete although the client has no event of its stream.
+  it.each([true, false])('is no valid response to a request from the start (resumable: %s)', async resumable => {
     const { clock, sent, client } = forwardOnFakeClock({ kind: 'stream', endpoints: 2, timeoutMs: 10_000, resumable })
     await clock.advanceAsync(0)
     sent[0].block(': alive')
@@ -80,7 +80,7 @@
     expect(client).toMatchObject({ ended: false, destroyed: true })
   })
 
-  it('is none for one from the start that goes on elsewhere', async () => {
+  it('makes a request from the start run on another endpoint', async () => {
     const { clock, sent, client } = forwardOnFakeClock({ kind: 'stream', endpoints: 2, timeoutMs: 10_000 })
     await clock.advanceAsync(0)
     sent[0].endEvents()
@@ -97,7 +97,7 @@
     expect(client).toMatchObject({ body: '', ended: true, destroyed: false })
   })
 
-  it('is complete if its events bear no ids', async () => {
+  it('is complete if its events have no ids', async () => {
     const { clock, sent, client } = forwardOnFakeClock({ kind: 'stream', resumable: false })
     await clock.advanceAsync(0)
     sent[0].block('data: y')
@@ -106,36 +106,36 @@
   })
 })
 
-describe('the metric of begun answers', () => {
-  it('tells one that is complete', async () => {
-    const { sent, begunAnswers } = await brokenStream({ endpoints: 2 })
+describe('the metric of started responses', () => {
+  it('counts a complete response', async () => {
+    const { sent, startedResponses } = await brokenStream({ endpoints: 2 })
     sent[1].endEvents()
-    expect(await begunAnswers()).toEqual([['complete', 'answered']])
+    expect(await startedResponses()).toEqual([['complete', 'answered']])
   })
 
-  it('tells one that is cut', async () => {
-    const { sent, begunAnswers } = await brokenStream({ endpoints: 2 })
-    sent[1].answer(500)
-    expect(await begunAnswers()).toEqual([['cut', 'broken_off']])
+  it('counts a cut response', async () => {
+    const { sent, startedResponses } = await brokenStream({ endpoints: 2 })
+    sent[1].respond(500)
+    expect(await startedResponses()).toEqual([['cut', 'broken_off']])
   })
 
-  it('tells one that its client has left', async () => {
-    const { leave, begunAnswers } = await brokenStream({ endpoints: 2 })
-    leave()
-    expect(await begunAnswers()).toEqual([['left', 'client_left']])
+  it('counts a response whose client disconnected', async () => {
+    const { disconnect, startedResponses } = await brokenStream({ endpoints: 2 })
+    disconnect()
+    expect(await startedResponses()).toEqual([['left', 'client_left']])
   })
 
-  it('does not count a failure that is the whole answer', async () => {
-    const { clock, sent, begunAnswers } = forwardOnFakeClock({ kind: 'stream', endpoints: 1 })
+  it('does not count a failure that is sent as a buffered response', async () => {
+    const { clock, sent, startedResponses } = forwardOnFakeClock({ kind: 'stream', endpoints: 1 })
     await clock.advanceAsync(0)
-    sent[0].answer(500)
-    expect(await begunAnswers()).toEqual([])
+    sent[0].respond(500)
+    expect(await startedResponses()).toEqual([])
   })
 })
 
 describe('an event without an id', () => {
-  // Guards against this: events after it are joined to those before it, and an endpoint that goes on sends it again.
-  it.each(['data: y', 'event: note\ndata: y', 'id: x\ndata: y', '{"error":"busy"}'])('(%j) is not handed on in a stream that may be resumed', async block => {
+  // Guards against a duplicate event: the ids around it look contiguous, and an endpoint that resumes the stream after the last id sends it again.
+  it.each(['data: y', 'event: note\ndata: y', 'id: x\ndata: y', '{"error":"busy"}'])('(%j) is not forwarded in a resumable stream', async block => {
     const { clock, sent, client } = forwardOnFakeClock({ kind: 'stream', timeoutMs: 10_000 })
     await clock.advanceAsync(0)
     sent[0].event(1)
@@ -146,7 +146,7 @@
     expect(client).toMatchObject({ body: TWO_EVENTS, ended: true })
   })
 
-  it('is handed on in a stream that may not be resumed', async () => {
+  it('is forwarded in a stream that is not resumable', async () => {
     const { clock, sent, client } = forwardOnFakeClock({ kind: 'stream', timeoutMs: 10_000, resumable: false })
     await clock.advanceAsync(0)
     sent[0].block('data: y')
@@ -154,7 +154,7 @@
     expect(client).toMatchObject({ body: 'data: y\n\n', ended: true })
   })
 
-  it('is none if it holds comments only', async () => {
+  it('is not assumed for a block that holds only comments', async () => {
     const { clock, sent, client } = forwardOnFakeClock({ kind: 'stream', timeoutMs: 10_000 })
     await clock.advanceAsync(0)
     sent[0].event(1)
@@ -165,9 +165,9 @@
   })
 })
 
-describe('a stream of more bytes than a whole answer may have', () => {
-  // Guards against this: a long stream is cut for its size, though none of it is held in memory.
-  it('is handed on', async () => {
+describe('a stream that exceeds the size limit of buffered responses', () => {
+  // Guards against cutting a long stream for its size although it is not buffered.
+  it('is forwarded', async () => {
     const { clock, sent, client } = forwardOnFakeClock({ kind: 'stream', timeoutMs: 10_000 })
     await clock.advanceAsync(0)
     for (let id = 1; id <= 20; id++) sent[0].block(`id: ${id}\ndata: ${'x'.repeat(1024 * 1024)}`)
@@ -177,14 +177,14 @@
 })
 
 describe('a lookup that is to be sent again', () => {
-  // Guards against this: the client is told that its request has not run though an endpoint may have run it.
-  it('is answered 502 when no endpoint is left by then', async () => {
-    const { clock, sent, client, placed, removeEndpoints } = forwardOnFakeClock({ holdsPlacement: true })
-    placed()
+  // Guards against a response that the request has not run although an endpoint may have run it.
+  it('gets status 502 if there is no endpoint by then', async () => {
+    const { clock, sent, client, finishPlacement, removeEndpoints } = forwardOnFakeClock({ delaysPlacement: true })
+    finishPlacement()
     await clock.advanceAsync(0)
     sent[0].reset()
     removeEndpoints()
-    placed()
+    finishPlacement()
     await clock.advanceAsync(0)
     expect(client).toMatchObject({ status: 502, ended: true })
   })
--- a/packages/anvilarch-serving/src/requests/attemptLog.ts
+++ b/packages/anvilarch-serving/src/requests/attemptLog.ts
@@ -1,22 +1,22 @@
-/** What the log tells of the attempts of one request. */
+/** Logs the attempts of one request. */
 import type { Endpoint } from '../model/types'
 import type { AttemptFailure } from './retryDecision'
 import type { ClientRequest, ForwardParts, RequestState } from './forwardTypes'
 import { elapsedMs } from './requestLog'
 
-/** Lines about attempts. Those about a request that goes well are kept back. */
+/** Writes log lines about attempts. `failed` flushes the request log; the other lines are buffered there. */
 export interface AttemptLog {
   chosen: (endpoint: Endpoint) => void
-  begun: (endpoint: Endpoint, status: number) => void
+  responseStarted: (endpoint: Endpoint, status: number) => void
   failed: (endpoint: Endpoint, failure: AttemptFailure, reason: string) => void
-  ownPause: (endpoint: Endpoint, lateMs: number) => void
+  processPaused: (endpoint: Endpoint, lateMs: number) => void
 }
 
 /**
- * @param parts - log, loads and placement
+ * @param parts - clock, log, loads and placement
  * @param client - the request
- * @param state - how far it has come
- * @returns lines about its attempts
+ * @param state - progress of the request
+ * @returns the log of its attempts
  */
 export function createAttemptLog (parts: ForwardParts, client: ClientRequest, state: RequestState): AttemptLog {
   const { clock } = parts
@@ -38,14 +38,14 @@
         afterMs: elapsedMs(clock, client.arrivedAtMs)
       })
     },
-    begun: (endpoint, status) => {
+    responseStarted: (endpoint, status) => {
       state.requestLog.note('answer begun', { requestId, endpoint: endpoint.startId, status, afterMs: elapsedMs(clock, client.arrivedAtMs) })
     },
     failed: (endpoint, failure, reason) => {
       state.requestLog.flush()
       parts.log.info('attempt failed', { requestId, endpoint: endpoint.startId, failure, reason, lastEventId: state.lastEventId, remainingMs: remainingMs() })
     },
-    ownPause: (endpoint, lateMs) => {
+    processPaused: (endpoint, lateMs) => {
       state.requestLog.note('own pause noticed', { requestId, endpoint: endpoint.startId, lateMs: Math.round(lateMs) })
     }
   }
--- a/packages/anvilarch-serving/src/requests/clientResponse.ts
+++ b/packages/anvilarch-serving/src/requests/clientResponse.ts
@@ -1,45 +1,45 @@
-/** Answers a client. */
+/** Sends responses of this gateway to clients. */
 import type { ServerResponse } from 'node:http'
 
-/** Adds `Connection: close` while the process is leaving. */
+/** Whether the process is draining. Responses of a draining process carry `Connection: close`. */
 export interface DrainState {
   isDraining: () => boolean
 }
 
-/** An answer of this process, not of an endpoint. */
+/** A response that this process creates itself rather than an endpoint. */
 export interface GatewayResponse {
   status: number
   code: string
   message: string
   retryAfterMs?: number
-  /** Scheme by which a caller is to show its key. */
+  /** Authentication scheme for the `WWW-Authenticate` header. */
   credentialScheme?: string
 }
 
 /**
- * @param credentialScheme - by which keys are shown
- * @returns the answer to a caller without a good key; it does not say whether there is such a route
+ * @param credentialScheme - authentication scheme of keys
+ * @returns the response to a caller without a valid key; it does not reveal whether the route exists
  */
 export function unauthorizedResponse (credentialScheme: string): GatewayResponse {
   return { status: 401, code: 'unauthorized', message: 'the request needs a key that an account holds', credentialScheme }
 }
 
 /**
- * @param response - of the client's request
- * @param answer - status and reason
- * @param drainState - whether the connection is to be closed
+ * @param response - response object of the client request
+ * @param gatewayResponse - status, code and message
+ * @param drainState - whether the connection is closed after the response
  */
-export function sendGatewayResponse (response: ServerResponse, answer: GatewayResponse, drainState: DrainState): void {
-  if (answer.retryAfterMs !== undefined) response.setHeader('Retry-After', String(answer.retryAfterMs / 1000))
-  if (answer.credentialScheme !== undefined) response.setHeader('WWW-Authenticate', answer.credentialScheme)
-  sendJson(response, answer.status, { error: { code: answer.code, message: answer.message } }, drainState)
+export function sendGatewayResponse (response: ServerResponse, gatewayResponse: GatewayResponse, drainState: DrainState): void {
+  if (gatewayResponse.retryAfterMs !== undefined) response.setHeader('Retry-After', String(gatewayResponse.retryAfterMs / 1000))
+  if (gatewayResponse.credentialScheme !== undefined) response.setHeader('WWW-Authenticate', gatewayResponse.credentialScheme)
+  sendJson(response, gatewayResponse.status, { error: { code: gatewayResponse.code, message: gatewayResponse.message } }, drainState)
 }
 
 /**
- * @param response - of the client's request
+ * @param response - response object of the client request
  * @param status - HTTP status
- * @param body - sent as JSON
- * @param drainState - whether the connection is to be closed
+ * @param body - value that is sent as JSON
+ * @param drainState - whether the connection is closed after the response
  */
 export function sendJson (response: ServerResponse, status: number, body: unknown, drainState: DrainState): void {
   if (response.headersSent || response.destroyed) return
--- a/packages/anvilarch-serving/src/requests/eventBlocks.ts
+++ b/packages/anvilarch-serving/src/requests/eventBlocks.ts
@@ -1,18 +1,18 @@
-/** Splits a stream of events at event boundaries, so that a stream cut in the middle of an event loses only that event. */
+/** Splits a stream of server-sent events at event boundaries, so that a stream cut in the middle of an event loses only that event. */
 
-/** One whole event with the bytes that carried it. */
+/** One complete block of a stream and its bytes. A block is an event, or holds only comments and `retry` fields. */
 export interface EventBlock {
-  /** Bytes of the event, its closing empty line included. */
+  /** Bytes of the block, including its closing empty line. */
   bytes: Buffer
-  /** Undefined when the event carries no id. */
+  /** Undefined if the block has no numeric id. */
   id: number | undefined
   data: string
 }
 
-/** Collects bytes into events. */
+/** Splits bytes into blocks. */
 export interface EventSplitter {
   push: (chunk: Buffer) => EventBlock[]
-  /** @returns bytes after the last whole event */
+  /** @returns the bytes after the last complete block */
   rest: () => Buffer
 }
 
@@ -21,7 +21,7 @@
 
 const EVENT_ID_PATTERN = /^\d+$/
 
-/** An event larger than this is no event; a stream of them would fill the memory. */
+/** Size limit of an event, since incomplete events are buffered in memory. */
 export const MAX_EVENT_BYTES = 4 * 1024 * 1024
 
 /** @returns a splitter at the start of a stream */
@@ -32,7 +32,7 @@
       pending = pending.length === 0 ? chunk : Buffer.concat([pending, chunk])
       const blocks: EventBlock[] = []
       for (;;) {
-        const end = endOfEvent(pending)
+        const end = endOfBlock(pending)
         if (end < 0) break
         blocks.push(parseBlock(pending.subarray(0, end)))
         pending = pending.subarray(end)
@@ -44,8 +44,8 @@
   }
 }
 
-/** @returns the offset after the empty line that closes the first event; -1 when there is none yet */
-function endOfEvent (bytes: Buffer): number {
+/** @returns the offset after the empty line that closes the first block; -1 if there is none yet */
+function endOfBlock (bytes: Buffer): number {
   let from = 0
   for (;;) {
     const newline = bytes.indexOf(NEWLINE, from)
@@ -56,7 +56,7 @@
   }
 }
 
-/** @returns whether a block is no event, but holds comments or the time to reconnect after */
+/** @returns whether a block is not an event but holds only comments or `retry` fields */
 export function holdsNoEvent (block: EventBlock): boolean {
   const lines = block.bytes.toString('latin1').split('\n')
   return lines.every(line => line === '' || line === '\r' || line.startsWith(':') || line.startsWith('retry:'))
@@ -66,7 +66,7 @@
   let id: number | undefined
   let data: string | undefined
   const text = bytes.toString()
-  // Each event of each stream comes through here: lines are cut out by hand, without arrays and expressions.
+  // This runs for each event of each stream, so lines are parsed without arrays and regular expressions.
   for (let start = 0; start < text.length;) {
     const newline = text.indexOf('\n', start)
     const end = newline < 0 ? text.length : newline
@@ -81,7 +81,7 @@
   return { bytes, id, data: data ?? '' }
 }
 
-/** One space after the colon does not belong to the value. */
+/** @returns the value of a field, without one leading space */
 function fieldValue (text: string, from: number, to: number): string {
   return text.slice(text[from] === ' ' ? from + 1 : from, to)
 }
--- a/packages/anvilarch-serving/src/requests/forwardRequest.ts
+++ b/packages/anvilarch-serving/src/requests/forwardRequest.ts
@@ -1,4 +1,4 @@
-/** Takes one client request through its attempts until it is answered, its time is over or its client has left. */
+/** Runs the attempts of one client request until it has a response, its deadline passes or its client disconnects. */
 import type { Permit } from '../accounts/limits/rateLimits'
 import { accountNameOf } from '../accounts/types'
 import { chooseService } from '../routing/matchRoute'
@@ -9,10 +9,10 @@
 import { createRequestLog } from './requestLog'
 import { createAttempts } from './sendAttempts'
 
-/** When a caller whose request has crashed endpoints may ask again; what crashes them is mended by hand, if at all. */
+/** Retry-After for quarantined requests. It is long since the cause of the crashes needs a manual fix. */
 const QUARANTINED_RETRY_AFTER_MS = 60_000
 
-const QUARANTINED_ANSWER: GatewayResponse = {
+const QUARANTINED_RESPONSE: GatewayResponse = {
   status: 503,
   code: 'quarantined',
   message: 'endpoints crash when they run this request; it is not run again',
@@ -20,7 +20,7 @@
 }
 
 /**
- * Answers a client request from an endpoint.
+ * Forwards a client request to an endpoint and sends the response to the client.
  *
  * @param parts - endpoints, connections and wire
  * @param client - the request
@@ -43,26 +43,26 @@
   client.response.on('close', () => {
     if (end.hasEnded()) return
     attempts.stop()
-    end.clientLeft()
+    end.clientDisconnected()
   })
 
   if (!parts.crashes.mayRun(requestIdentityOf(client))) {
-    end.respond(QUARANTINED_ANSWER)
+    end.respond(QUARANTINED_RESPONSE)
     return
   }
   Promise.all([parts.limits.ask(client.caller), attempts.prepare()])
-    .then(([asked]) => {
+    .then(([received]) => {
       if (end.hasEnded()) {
-        if (asked.granted) asked.giveBack()
+        if (received.granted) received.giveBack()
         return
       }
-      permit = asked
-      if (!asked.granted) {
-        turnAway(parts, client, end, asked)
+      permit = received
+      if (!received.granted) {
+        refuseOverRate(parts, client, end, received)
         return
       }
-      const overload = overloadOf(parts, client, state)
-      if (overload.refused) refuse(parts, client, state, end, overload)
+      const overload = checkForOverload(parts, client, state)
+      if (overload.refused) refuseOverloaded(parts, client, state, end, overload)
       else attempts.sendPrepared()
     })
     .catch(error => {
@@ -75,7 +75,7 @@
   return state.sendCount > state.refusedSendCount
 }
 
-function turnAway (parts: ForwardParts, client: ClientRequest, end: RequestCompletion, denial: Exclude<Permit, { granted: true }>): void {
+function refuseOverRate (parts: ForwardParts, client: ClientRequest, end: RequestCompletion, denial: Exclude<Permit, { granted: true }>): void {
   parts.log.info('request over the limit of its account', {
     requestId: client.metadata.requestId,
     account: accountNameOf(client.caller),
@@ -85,7 +85,7 @@
   end.respond({ status: 429, code: 'over_rate', message: 'the account sends more requests than its limit allows', retryAfterMs: denial.retryAfterMs })
 }
 
-function refuse (parts: ForwardParts, client: ClientRequest, state: RequestState, end: RequestCompletion, overload: Refusal): void {
+function refuseOverloaded (parts: ForwardParts, client: ClientRequest, state: RequestState, end: RequestCompletion, overload: Refusal): void {
   const known = state.service === undefined ? [] : parts.placement.known(state.service)
   const loads = known.map(parts.placement.loadOf)
   parts.log.info('request refused', {
@@ -104,11 +104,11 @@
 }
 
 function createRequestState (parts: ForwardParts, { route, metadata, arrivedAtMs }: ClientRequest): RequestState {
-  const limitMs = Math.min(metadata.deadlineMs ?? Infinity, route.timeoutMs)
+  const timeoutMs = Math.min(metadata.deadlineMs ?? Infinity, route.timeoutMs)
   return {
     service: chooseService(route.targets, parts.random()),
-    timeoutMs: limitMs,
-    deadlineAtMs: arrivedAtMs + limitMs,
+    timeoutMs,
+    deadlineAtMs: arrivedAtMs + timeoutMs,
     requestLog: createRequestLog(parts.log),
     tried: new Set(),
     attemptsThatMayHaveRun: 0,
@@ -124,7 +124,7 @@
   }
 }
 
-function overloadOf (parts: ForwardParts, { route, caller }: ClientRequest, state: RequestState): Overload {
+function checkForOverload (parts: ForwardParts, { route, caller }: ClientRequest, state: RequestState): Overload {
   if (state.service === undefined) return { refused: false }
   return checkOverload({
     candidates: parts.placement.known(state.service),
--- a/packages/anvilarch-serving/src/requests/forwardTypes.ts
+++ b/packages/anvilarch-serving/src/requests/forwardTypes.ts
@@ -1,4 +1,4 @@
-/** What forwarding one client request works with. */
+/** Types for forwarding a client request. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { Clock } from 'anvilarch-utils'
 import type { RateLimits } from '../accounts/limits/rateLimits'
@@ -20,7 +20,7 @@
 import type { RequestWire } from './types'
 import type { EventLog } from '../telemetry/events'
 
-/** Parts that forwarding needs. */
+/** Dependencies of request forwarding. */
 export interface ForwardParts {
   clock: Clock
   log: EventLog
@@ -34,15 +34,16 @@
   holdTimes: HoldTimes
   crashes: CrashMonitor
   limits: Pick<RateLimits, 'ask'>
-  /** @returns whether something new may still be started for a caller */
+  /** @returns whether new work may still be started for the caller */
   isStillAllowed: (caller: Caller) => boolean
   traffic: TrafficTally
-  /** Bounds the lines about requests that went well. */
+  /** Limits the log lines about successful requests. */
   logRateLimiter: LineBudget
+  /** @returns a random number in [0, 1) */
   random: () => number
 }
 
-/** A client request that has been read. */
+/** A client request whose body has been read. */
 export interface ClientRequest {
   request: IncomingMessage
   response: ServerResponse
@@ -51,55 +52,57 @@
   route: Route
   caller: Caller
   configurationVersion: number
-  /** Local time at which the head had arrived. */
+  /** Local time at which the head arrived. */
   arrivedAtMs: number
 }
 
-/** @returns what the request is recognized by when its caller sends it again */
+/** @returns the properties by which the request is recognized when its caller sends it again */
 export function requestIdentityOf ({ request, body }: ClientRequest): RequestIdentity {
   return { method: request.method ?? '', host: request.headers.host ?? '', path: request.url ?? '', body }
 }
 
 /**
  * @param client - the request
- * @param state - how far it has come
- * @param service - where it goes
- * @returns what its place depends on
+ * @param state - progress of the request
+ * @param service - target service
+ * @returns the criteria for the choice of an endpoint
  */
 export function placementTerms (client: ClientRequest, state: RequestState, service: string): PlacementTerms {
   return { service, sharedParts: client.metadata.promptParts.slice(0, -1), excluded: state.tried }
 }
 
-/** How far a request has come. */
+/** Progress of a request. */
 export interface RequestState {
-  /** Service that the request goes to; undefined when its route has none. */
+  /** Target service; undefined if the route has none. */
   readonly service: string | undefined
+  /** Time limit of the request from its arrival. */
   readonly timeoutMs: number
   readonly deadlineAtMs: number
   readonly requestLog: RequestLog
-  /** Starts of endpoints that the request has been offered to. */
+  /** Start ids of the endpoints that the request has been sent to. */
   readonly tried: Set<string>
   attemptsThatMayHaveRun: number
-  /** Sends in all, refused ones included. */
+  /** All sends, refused ones included. */
   sendCount: number
-  /** Those of them that have certainly not run. */
+  /** Sends that are known not to have run. */
   refusedSendCount: number
-  /** Last event that the client has. */
+  /** Id of the last event that has been sent to the client. */
   lastEventId: number | undefined
-  /** Whether the head of the answer has gone to the client. */
+  /** Whether the head of the response has been sent to the client. */
   responseStarted: boolean
   firstEventAtMs: number | undefined
-  /** Events with an id that were handed on, and the id of the first of them. */
+  /** Number of forwarded events that have an id. */
   eventCount: number
+  /** Id of the first of these events. */
   firstEventId: number | undefined
-  /** Longest time between two events so far. */
+  /** Longest time between two consecutive events so far. */
   longestGapMs: number
-  /** An endpoint's own failure; the client gets it if no other endpoint does better. */
+  /** Failure response of an endpoint; sent to the client if no other endpoint succeeds. */
   failedResponse: FailedResponse | undefined
 }
 
-/** A failure that an endpoint has answered itself. */
+/** A failure response that an endpoint has sent. */
 export interface FailedResponse {
   endpointId: string
-  whole: EndpointResponse
+  response: EndpointResponse
 }
--- a/packages/anvilarch-serving/src/requests/holdTimes.ts
+++ b/packages/anvilarch-serving/src/requests/holdTimes.ts
@@ -1,34 +1,34 @@
-/** Learns how long requests of a service hold a slot. */
+/** Measures how long requests of a service occupy an engine slot. */
 
-/** Mean times by service. */
+/** Mean hold times by service, as moving averages. */
 export interface HoldTimes {
-  onAnswer: (service: string, elapsedMs: number) => void
-  /** @returns the mean, or undefined until enough requests have been seen */
+  onCompleted: (service: string, elapsedMs: number) => void
+  /** @returns the mean; undefined until there are enough samples */
   holdMs: (service: string) => number | undefined
 }
 
-/** Fewer requests than this say too little to refuse others by. */
+/** Fewer samples than this are too few to refuse requests by. */
 const MIN_SAMPLES = 10
 
-/** Weight of the newest request: the mean follows a change of pace within some twenty requests. */
+/** Weight of the newest sample. The mean follows a change within some twenty requests. */
 const SMOOTHING = 0.05
 
-/** @returns times without samples */
+/** @returns hold times without samples */
 export function createHoldTimes (): HoldTimes {
   const means = new Map<string, { meanMs: number, samples: number }>()
   return {
-    onAnswer: (service, elapsedMs) => {
-      const known = means.get(service)
-      if (known === undefined) {
+    onCompleted: (service, elapsedMs) => {
+      const mean = means.get(service)
+      if (mean === undefined) {
         means.set(service, { meanMs: elapsedMs, samples: 1 })
         return
       }
-      known.samples++
-      known.meanMs += Math.max(SMOOTHING, 1 / known.samples) * (elapsedMs - known.meanMs)
+      mean.samples++
+      mean.meanMs += Math.max(SMOOTHING, 1 / mean.samples) * (elapsedMs - mean.meanMs)
     },
     holdMs: service => {
-      const known = means.get(service)
-      return known === undefined || known.samples < MIN_SAMPLES ? undefined : known.meanMs
+      const mean = means.get(service)
+      return mean === undefined || mean.samples < MIN_SAMPLES ? undefined : mean.meanMs
     }
   }
 }
--- a/packages/anvilarch-serving/src/requests/readBody.ts
+++ b/packages/anvilarch-serving/src/requests/readBody.ts
@@ -1,34 +1,34 @@
-/** Reads the whole body of a client's request. */
+/** Reads the complete body of a client request. */
 import type { IncomingMessage } from 'node:http'
 import type { Clock } from 'anvilarch-utils'
 
-/** How the reading ended. */
+/** Result of reading a body. `broken_off`: the connection closed before the end of the body. */
 export type BodyReadResult =
   | { outcome: 'read', body: Buffer }
   | { outcome: 'too_large' }
   | { outcome: 'too_slow' }
   | { outcome: 'broken_off' }
 
-/** Bounds of a body. */
+/** Limits of a body. */
 export interface BodyLimits {
   maxBytes: number
-  /** The whole body is to be here in this time; a client that sends no more would keep its connection for ever. */
+  /** Time limit for the complete body. Without it, a client that stops sending would occupy its connection indefinitely. */
   timeoutMs: number
 }
 
 /**
  * @param request - the client's request
- * @param bounds - size and time
+ * @param limits - size and time
  * @param clock - local clock
- * @returns the body, or why there is none
+ * @returns the body, or why it could not be read
  */
-export function readBody (request: IncomingMessage, bounds: BodyLimits, clock: Clock): Promise<BodyReadResult> {
+export function readBody (request: IncomingMessage, limits: BodyLimits, clock: Clock): Promise<BodyReadResult> {
   return new Promise(resolve => {
     const chunks: Buffer[] = []
     let bytes = 0
-    const patience = clock.after(bounds.timeoutMs, () => stop({ outcome: 'too_slow' }))
+    const timer = clock.after(limits.timeoutMs, () => stop({ outcome: 'too_slow' }))
     const end = (read: BodyReadResult): void => {
-      patience.cancel()
+      timer.cancel()
       resolve(read)
     }
     const stop = (read: BodyReadResult): void => {
@@ -37,7 +37,7 @@
     }
     request.on('data', (chunk: Buffer) => {
       bytes += chunk.length
-      if (bytes > bounds.maxBytes) stop({ outcome: 'too_large' })
+      if (bytes > limits.maxBytes) stop({ outcome: 'too_large' })
       else chunks.push(chunk)
     })
     request.on('end', () => end({ outcome: 'read', body: Buffer.concat(chunks) }))
--- a/packages/anvilarch-serving/src/requests/requestCompletion.ts
+++ b/packages/anvilarch-serving/src/requests/requestCompletion.ts
@@ -1,4 +1,4 @@
-/** Ends one client request, once: its answer, its metrics and its line in the log. */
+/** Ends a client request exactly once: its response, its metrics and its log line. */
 import { cutAnswer } from 'anvilarch-utils'
 import { accountNameOf } from '../accounts/types'
 import { type DrainState, type GatewayResponse, sendGatewayResponse } from './clientResponse'
@@ -8,46 +8,46 @@
 import { elapsedMs } from './requestLog'
 import type { EndpointResponse } from './runAttempt'
 
-/** Fields of the line about the end of a request. */
+/** Fields of the `request ended` log line. */
 type EndFields = Record<string, string | number | boolean | undefined> & { answerEnd?: AnswerEnd }
 
 /**
- * The end of one request. Whatever comes after the first end is ignored. An answer whose head the client has ends as complete only
- * by `completeEvents`; every other end closes its connection.
+ * Ends one request. Only the first call takes effect. A response whose head has been sent to the client completes only by
+ * `completeStream`; every other end closes the connection or finds it closed by the client.
  */
 export interface RequestCompletion {
   hasEnded: () => boolean
-  /** Answers from this process, or with the failure that an endpoint has answered before. */
-  respond: (own: GatewayResponse) => void
-  /** Hands on what an endpoint has answered as a whole. */
-  respondFromEndpoint: (endpointId: string, whole: EndpointResponse) => void
-  /** All events of the answer have been handed on. */
-  completeEvents: (endpointId: string) => void
-  /** Closes the connection, so that the answer cannot look complete. */
+  /** Sends a response of this gateway, or the failure response that an endpoint has sent before. */
+  respond: (gatewayResponse: GatewayResponse) => void
+  /** Sends the buffered response of an endpoint. */
+  respondFromEndpoint: (endpointId: string, endpointResponse: EndpointResponse) => void
+  /** Ends a stream after its last event has been forwarded. */
+  completeStream: (endpointId: string) => void
+  /** Closes the connection, so that the response does not look complete. */
   abortConnection: (reason: string) => void
-  clientLeft: () => void
+  clientDisconnected: () => void
 }
 
-/** Status of every answer that is handed on in events. */
-const EVENTS_STATUS = 200
+/** Status of every response that is forwarded as a stream. */
+const STREAM_STATUS = 200
 
-/** From this status on an answer tells the client that its request has failed. */
+/** Lowest status that reports a failure of the request. */
 const FIRST_ERROR_STATUS = 400
 
-/** Ends that are no failure of the request; `refused` means that it has not run. */
+/** Outcomes that do not count as failures; `refused` means that the request has not run. */
 const TRAFFIC_ENDS: ReadonlyMap<string, TrafficEnd> = new Map([
   ['overloaded', 'refused'], ['not_run', 'refused'], ['no_endpoint', 'refused'], ['quarantined', 'refused'], ['over_rate', 'refused'], ['unauthorized', 'refused'], ['client_left', 'left']
 ])
 
-/** Tell the client that its request has not run and never will. */
+/** Statuses that tell the client that its request has not run and never will. */
 const REFUSED_STATUSES: ReadonlySet<number> = new Set([429, 503])
 
 /**
  * @param parts - clock, log and metrics
  * @param client - the request
- * @param state - how far it has come
- * @param onEnd - called once, before anything is answered
- * @returns the ways in which the request ends
+ * @param state - progress of the request
+ * @param onEnd - called once, before any response is sent
+ * @returns the functions that end the request
  */
 export function createRequestCompletion (parts: ForwardParts, client: ClientRequest, state: RequestState, onEnd: () => void): RequestCompletion {
   const { clock, log, metrics, drainState } = parts
@@ -83,11 +83,11 @@
     return TRAFFIC_ENDS.get(outcome) ?? 'failed'
   }
 
-  /** @returns how the client sees the end of its answer; undefined while it has no head */
-  const seenAs = (answerEnd: AnswerEnd): AnswerEnd | undefined => state.responseStarted ? answerEnd : undefined
+  /** @returns how the response ends for the client; undefined if its head has not been sent */
+  const endForClient = (answerEnd: AnswerEnd): AnswerEnd | undefined => state.responseStarted ? answerEnd : undefined
 
-  /** @returns whether this is the first end */
-  const end = (outcome: string, fields: EndFields = {}): boolean => {
+  /** @returns whether this call has ended the request */
+  const finish = (outcome: string, fields: EndFields = {}): boolean => {
     if (ended) return false
     ended = true
     onEnd()
@@ -97,49 +97,49 @@
     if (state.longestGapMs > 0) metrics.longestGapSeconds.observe(state.longestGapMs / 1000)
     const result = trafficEnd(outcome)
     parts.traffic.onEnd(result)
-    const wentWell = result === 'answered'
-    if (!wentWell) state.requestLog.flush()
-    if (wentWell && !parts.logRateLimiter.take()) metrics.logLinesLeftOut.inc()
+    const succeeded = result === 'answered'
+    if (!succeeded) state.requestLog.flush()
+    if (succeeded && !parts.logRateLimiter.take()) metrics.logLinesLeftOut.inc()
     else logEnd(outcome, result === 'late' ? { ...fields, late: true } : fields)
     return true
   }
 
-  const breakOff = (reason: string): void => {
-    if (end('broken_off', { reason, answerEnd: seenAs('cut') })) cutAnswer(response)
+  const abortConnection = (reason: string): void => {
+    if (finish('broken_off', { reason, answerEnd: endForClient('cut') })) cutAnswer(response)
   }
 
   return {
     hasEnded: () => ended,
-    respond: own => {
+    respond: gatewayResponse => {
       const failed = state.failedResponse
-      if (state.responseStarted) breakOff(own.code)
+      if (state.responseStarted) abortConnection(gatewayResponse.code)
       else if (failed !== undefined) {
-        // An endpoint has answered, if only with a failure: that is what the client gets, not one of our own.
-        if (end('endpoint_status', { endpoint: failed.endpointId, status: failed.whole.status })) sendWhole(client, failed.whole, drainState)
-      } else if (end(own.code, { status: own.status })) {
-        if (REFUSED_STATUSES.has(own.status)) metrics.refusals.inc({ kind: route.kind, reason: own.code })
-        sendGatewayResponse(response, own, drainState)
+        // A failure response of an endpoint takes precedence over one of the gateway.
+        if (finish('endpoint_status', { endpoint: failed.endpointId, status: failed.response.status })) sendEndpointResponse(client, failed.response, drainState)
+      } else if (finish(gatewayResponse.code, { status: gatewayResponse.status })) {
+        if (REFUSED_STATUSES.has(gatewayResponse.status)) metrics.refusals.inc({ kind: route.kind, reason: gatewayResponse.code })
+        sendGatewayResponse(response, gatewayResponse, drainState)
       }
     },
-    respondFromEndpoint: (endpointId, whole) => {
-      const outcome = whole.status < FIRST_ERROR_STATUS ? 'answered' : 'endpoint_status'
-      if (state.responseStarted) breakOff('whole_answer')
-      else if (end(outcome, { endpoint: endpointId, status: whole.status })) sendWhole(client, whole, drainState)
+    respondFromEndpoint: (endpointId, endpointResponse) => {
+      const outcome = endpointResponse.status < FIRST_ERROR_STATUS ? 'answered' : 'endpoint_status'
+      if (state.responseStarted) abortConnection('whole_answer')
+      else if (finish(outcome, { endpoint: endpointId, status: endpointResponse.status })) sendEndpointResponse(client, endpointResponse, drainState)
     },
-    completeEvents: endpointId => {
-      if (end('answered', { endpoint: endpointId, status: EVENTS_STATUS, answerEnd: 'complete' })) response.end()
+    completeStream: endpointId => {
+      if (finish('answered', { endpoint: endpointId, status: STREAM_STATUS, answerEnd: 'complete' })) response.end()
     },
-    abortConnection: breakOff,
-    clientLeft: () => {
-      end('client_left', { answerEnd: seenAs('left') })
+    abortConnection,
+    clientDisconnected: () => {
+      finish('client_left', { answerEnd: endForClient('left') })
     }
   }
 }
 
-function sendWhole ({ request, response }: ClientRequest, whole: EndpointResponse, drainState: DrainState): void {
+function sendEndpointResponse ({ request, response }: ClientRequest, endpointResponse: EndpointResponse, drainState: DrainState): void {
   if (drainState.isDraining()) response.setHeader('Connection', 'close')
-  const headers = [...whole.rawHeaders]
-  if (request.method !== 'HEAD' && whole.status !== 204 && whole.status !== 304) headers.push('Content-Length', String(whole.body.length))
-  response.writeHead(whole.status, headers)
-  response.end(whole.body)
+  const headers = [...endpointResponse.rawHeaders]
+  if (request.method !== 'HEAD' && endpointResponse.status !== 204 && endpointResponse.status !== 304) headers.push('Content-Length', String(endpointResponse.body.length))
+  response.writeHead(endpointResponse.status, headers)
+  response.end(endpointResponse.body)
 }
--- a/packages/anvilarch-serving/src/requests/requestLog.ts
+++ b/packages/anvilarch-serving/src/requests/requestLog.ts
@@ -1,51 +1,51 @@
-/** Keeps the decisions about a request until it is known whether they are worth writing. */
+/** Buffers log events about a request until it is known whether the request fails. */
 import type { Clock } from 'anvilarch-utils'
 import type { EventFields, EventLog } from '../telemetry/events'
 
-/** Events that are written only of requests that go wrong. */
-export type TrailEvent = 'endpoint chosen' | 'answer begun' | 'own pause noticed'
+/** Events that are logged only for requests that fail, are refused or miss an objective. */
+export type BufferedEvent = 'endpoint chosen' | 'answer begun' | 'own pause noticed'
 
-/** The decisions about one request. */
+/** Log events of one request. */
 export interface RequestLog {
-  /** Keeps an event; one of a request that has gone wrong is written at once. */
-  note: <Name extends TrailEvent>(name: Name, fields: EventFields[Name]) => void
-  /** The request has gone wrong: writes what has been kept, and everything from now on. */
+  /** Buffers an event, or writes it at once after the first `flush`. */
+  note: <Name extends BufferedEvent>(name: Name, fields: EventFields[Name]) => void
+  /** Writes the buffered events. Later events are written at once. */
   flush: () => void
 }
 
-/** More than the sends that one request may have; an older event gives way to a newer one. */
+/** Events buffered for each request. When the buffer is full, the oldest event is dropped. Exceeds the number of sends that one request may have. */
 export const MAX_BUFFERED_EVENTS = 16
 
 /**
- * Nearly all requests go well and have one line. Of the others, an engineer wants each decision with what it was based on.
+ * Nearly all requests succeed and get at most one log line. For the others, engineers need each decision and its inputs.
  *
- * @param log - where the events go
- * @returns a trail without events
+ * @param log - receives the events
+ * @returns a request log without events
  */
 export function createRequestLog (log: EventLog): RequestLog {
-  const kept: Array<() => void> = []
-  let revealed = false
+  const buffered: Array<() => void> = []
+  let flushed = false
   return {
     note: (name, fields) => {
       const write = (): void => log.info(name, fields)
-      if (revealed) {
+      if (flushed) {
         write()
         return
       }
-      if (kept.length === MAX_BUFFERED_EVENTS) kept.shift()
-      kept.push(write)
+      if (buffered.length === MAX_BUFFERED_EVENTS) buffered.shift()
+      buffered.push(write)
     },
     flush: () => {
-      revealed = true
-      for (const write of kept.splice(0)) write()
+      flushed = true
+      for (const write of buffered.splice(0)) write()
     }
   }
 }
 
 /**
  * @param clock - local clock
- * @param sinceMs - local time
- * @returns whole milliseconds since then
+ * @param sinceMs - local time of the start
+ * @returns milliseconds since then, rounded
  */
 export function elapsedMs (clock: Clock, sinceMs: number): number {
   return Math.round(clock.nowMs() - sinceMs)
--- a/packages/anvilarch-serving/src/requests/runAttempt.ts
+++ b/packages/anvilarch-serving/src/requests/runAttempt.ts
@@ -1,4 +1,4 @@
-/** One attempt at an endpoint: checks that the answer is this request's, whole and in order. */
+/** Runs one attempt at an endpoint and checks that the response belongs to the request, is complete and has its events in order. */
 import { isFramed } from 'anvilarch-utils'
 import type { Pool } from '../endpoints/httpPool'
 import { type Exchange, type ExchangeRequest, startExchange } from '../endpoints/exchange'
@@ -7,114 +7,114 @@
 import { forwardedHeaders } from './headers'
 import type { ResponseMetadata, RequestWire } from './types'
 
-/** A whole answer that is not handed on in events. */
+/** A complete response that is buffered instead of streamed. */
 export interface EndpointResponse {
   status: number
   rawHeaders: string[]
   body: Buffer
 }
 
-/** What an attempt needs and whom it tells. */
+/** Inputs and callbacks of an attempt. */
 export interface AttemptOptions {
   pool: Pool
   wire: RequestWire
   requestId: string
   request: ExchangeRequest
-  /** Whether events are handed on as they come. */
+  /** Whether events are forwarded as they arrive. */
   streams: boolean
-  /** Events go on after this one. */
+  /** Id of the event after which the stream resumes. */
   afterEventId: number | undefined
-  /** Whether another endpoint may go on with the events, which takes an id at each of them. */
+  /** Whether another endpoint may resume the stream, which requires an id on each event. */
   resumable: boolean
   onHead: (head: { status: number, rawHeaders: string[] }) => void
   onEvent: (bytes: Buffer, id: number | undefined, data: string) => void
-  /** The answer was a stream of events, and is whole. */
+  /** Called when the response was a stream of events and is complete. */
   onEventsEnd: () => void
-  onAnswer: (answer: EndpointResponse) => void
+  onAnswer: (response: EndpointResponse) => void
   onFailure: (failure: AttemptFailure, reason: string) => void
 }
 
 /** An attempt in progress. */
 export interface Attempt {
-  /** @returns whether the endpoint may have run the request, as far as is known by now */
+  /** @returns whether the endpoint may have run the request */
   mayHaveRun: () => boolean
-  /** Ends the attempt; nothing is heard afterwards. */
+  /** Ends the attempt. No callback is called afterwards. */
   abort: () => void
 }
 
-/** An answer that is not handed on in events is held in memory until it is whole. */
-const MAX_WHOLE_ANSWER_BYTES = 16 * 1024 * 1024
+/** Size limit of responses that are not streamed, since they are buffered in memory until they are complete. */
+const MAX_BUFFERED_RESPONSE_BYTES = 16 * 1024 * 1024
 
 const NO_HEADERS: ReadonlySet<string> = new Set()
-/** Another incarnation answers at the address: the one that was expected is gone. */
+/** Status of an incarnation other than the expected one: the expected one no longer runs at this address. */
 const OTHER_INCARNATION_STATUS = 421
 
-/** Why an endpoint has not run a request, by its status. */
-const REFUSALS: ReadonlyMap<number, RefusalReason> = new Map([
+/** Reasons for which an endpoint has not run a request, by status. */
+const REFUSAL_REASONS: ReadonlyMap<number, RefusalReason> = new Map([
   [OTHER_INCARNATION_STATUS, 'other_incarnation'],
   [429, 'too_many_calls'],
   [503, 'full'],
   [400, 'malformed']
 ])
 
-/** Reasons of refusals, as logs and metrics show them. */
+/** Reasons of refusals in logs and metrics. */
 export type RefusalReason = 'other_incarnation' | 'too_many_calls' | 'full' | 'malformed'
 
-/** Reasons for which another request may well be taken by the same endpoint. */
-const PASSING_REASONS: ReadonlySet<string> = new Set<RefusalReason>(['too_many_calls', 'full', 'malformed'])
+/** Reasons for which the same endpoint may still accept other requests. */
+const TRANSIENT_REASONS: ReadonlySet<string> = new Set<RefusalReason>(['too_many_calls', 'full', 'malformed'])
 
 /**
- * @param reason - of a failed attempt
- * @returns whether it says nothing against the endpoint; one that has been replaced refuses every request
+ * @param reason - reason of a failed attempt
+ * @returns whether the refusal does not indicate a fault of the endpoint; an endpoint that has been replaced refuses every request
  */
 export function isTransientRefusal (reason: string): boolean {
-  return PASSING_REASONS.has(reason)
+  return TRANSIENT_REASONS.has(reason)
 }
 
-/** Errors of a connection that the other side has ended. */
-const BROKEN_REASONS: ReadonlySet<string> = new Set(['ECONNRESET', 'EPIPE', 'UND_ERR_SOCKET'])
+/** Error codes of connections that the other side has closed. */
+const CLOSED_CONNECTION_CODES: ReadonlySet<string> = new Set(['ECONNRESET', 'EPIPE', 'UND_ERR_SOCKET'])
 
-/** @returns whether an attempt has failed since its connection broke while it was in progress */
+/** @returns whether an attempt failed because its connection was closed while it was in progress */
 export function isBrokenConnection (reason: string): boolean {
-  return BROKEN_REASONS.has(reason)
+  return CLOSED_CONNECTION_CODES.has(reason)
 }
 
-/** @returns whether an attempt has failed since nobody listens at the endpoint's address */
+/** @returns whether an attempt failed because no process listens at the endpoint's address */
 export function isConnectionRefused (reason: string): boolean {
   return reason === 'ECONNREFUSED'
 }
 
-/** @returns why the endpoint has not run the request; undefined when it does not say so */
-function refusalOf (status: number, answer: ResponseMetadata): RefusalReason | undefined {
-  if (status !== OTHER_INCARNATION_STATUS && !answer.notRun) return undefined
-  return REFUSALS.get(status)
+/** @returns why the endpoint has not run the request; undefined if it does not report so */
+function refusalOf (status: number, metadata: ResponseMetadata): RefusalReason | undefined {
+  if (status !== OTHER_INCARNATION_STATUS && !metadata.notRun) return undefined
+  return REFUSAL_REASONS.get(status)
 }
 
 const EVENT_STREAM_TYPE = 'text/event-stream'
 
-/** @returns whether the body is a stream of events; any other body has no events to hand on, and none that could be missing */
+/** @returns whether the body is a stream of events; any other body has no events to forward or to miss */
 function isEventStream (headers: ReadonlyMap<string, string>): boolean {
   return headers.get('content-type')?.toLowerCase().startsWith(EVENT_STREAM_TYPE) ?? false
 }
 
 /**
- * @param options - request, connections and listeners
+ * @param options - request, connections and callbacks
  * @returns the attempt
  */
 export function startAttempt (options: AttemptOptions): Attempt {
-  let head: { status: number, rawHeaders: string[], answer: ResponseMetadata, events: boolean } | undefined
+  let head: { status: number, rawHeaders: string[], metadata: ResponseMetadata, events: boolean } | undefined
   let lastEventId = options.afterEventId
-  /** Whether the receiver has an event; one that goes on after the last has none left to get. */
+  /** Whether the client has at least one event. A stream that resumes after the last event has no further events. */
   let hasEvent = (options.afterEventId ?? 0) > 0
-  let wholeBytes = 0
+  let bufferedBytes = 0
   let ended = false
   const chunks: Buffer[] = []
   const splitter = createEventSplitter()
-  const asksForHead = options.request.method === 'HEAD'
+  const isHeadRequest = options.request.method === 'HEAD'
 
-  /** The length of a body that is handed on is left to the sender. The answer to a HEAD names one that it does not have. */
-  const handedOnHeaders = (rawHeaders: string[], headers: ReadonlyMap<string, string>): string[] => {
-    const length = asksForHead ? headers.get('content-length') : undefined
+  /** The sender sets the content length of a forwarded body. A HEAD response states a length without having a body, so it keeps its header. */
+  const responseHeaders = (rawHeaders: string[], headers: ReadonlyMap<string, string>): string[] => {
+    const length = isHeadRequest ? headers.get('content-length') : undefined
     return [...forwardedHeaders(rawHeaders, NO_HEADERS), ...length === undefined ? [] : ['Content-Length', length]]
   }
 
@@ -126,9 +126,9 @@
   }
 
   const onHead = (status: number, headers: Map<string, string>, rawHeaders: string[]): void => {
-    const answer = options.wire.decodeResponse(headers)
-    // A late answer to an earlier request may stand where this one's is expected; handing it on would give a caller another's answer.
-    if (answer.requestId !== undefined && answer.requestId !== options.requestId) {
+    const metadata = options.wire.decodeResponse(headers)
+    // A late response to an earlier request may arrive in place of this one's. Forwarding it would give a caller the response to another request.
+    if (metadata.requestId !== undefined && metadata.requestId !== options.requestId) {
       fail('may_have_run', 'answer_of_another_request')
       return
     }
@@ -137,28 +137,28 @@
       return
     }
     const events = options.streams && status === 200 && isEventStream(headers)
-    head = { status, rawHeaders: handedOnHeaders(rawHeaders, headers), answer, events }
-    if (refusalOf(status, answer) !== undefined) return
-    if (!answer.signed || answer.requestId === undefined) {
+    head = { status, rawHeaders: responseHeaders(rawHeaders, headers), metadata, events }
+    if (refusalOf(status, metadata) !== undefined) return
+    if (!metadata.signed || metadata.requestId === undefined) {
       fail('may_have_run', 'unsigned_answer')
       return
     }
-    if (!asksForHead && !isFramed(status, name => headers.get(name))) {
+    if (!isHeadRequest && !isFramed(status, name => headers.get(name))) {
       fail('may_have_run', 'unframed_answer')
       return
     }
     if (events) options.onHead(head)
   }
 
-  /** @returns why a block cannot follow those before it; undefined when it can */
-  const misplacement = (block: EventBlock): string | undefined => {
+  /** @returns why a block cannot follow the previous ones; undefined if it can */
+  const sequenceError = (block: EventBlock): string | undefined => {
     if (block.id === undefined) return options.resumable && !holdsNoEvent(block) ? 'event_without_id' : undefined
     return lastEventId !== undefined && block.id !== lastEventId + 1 ? 'events_out_of_order' : undefined
   }
 
   const onEvents = (chunk: Buffer): void => {
     for (const block of splitter.push(chunk)) {
-      const reason = misplacement(block)
+      const reason = sequenceError(block)
       if (reason !== undefined) {
         fail('may_have_run', reason)
         return
@@ -170,16 +170,16 @@
     }
   }
 
-  const onWholeData = (chunk: Buffer): void => {
-    wholeBytes += chunk.length
-    if (wholeBytes > MAX_WHOLE_ANSWER_BYTES) fail('may_have_run', 'answer_too_large')
+  const onBufferedData = (chunk: Buffer): void => {
+    bufferedBytes += chunk.length
+    if (bufferedBytes > MAX_BUFFERED_RESPONSE_BYTES) fail('may_have_run', 'answer_too_large')
     else chunks.push(chunk)
   }
 
   const onData = (chunk: Buffer): void => {
     if (ended || head === undefined) return
     if (!head.events) {
-      onWholeData(chunk)
+      onBufferedData(chunk)
       return
     }
     try {
@@ -195,7 +195,7 @@
       fail('may_have_run', 'no_answer')
       return
     }
-    const refusal = refusalOf(head.status, head.answer)
+    const refusal = refusalOf(head.status, head.metadata)
     if (refusal !== undefined) {
       fail('not_run', refusal)
       return
@@ -204,12 +204,12 @@
       fail('may_have_run', 'cut_within_an_event')
       return
     }
-    // The work on a request begins with its first event.
-    if (head.events && !hasEvent && !asksForHead) {
+    // A stream from the start has at least one event, since work on a request begins with its first event.
+    if (head.events && !hasEvent && !isHeadRequest) {
       fail('may_have_run', 'no_events')
       return
     }
-    // Such a status tells the client that the request has not run; this endpoint does not say so.
+    // These statuses tell the client that the request has not run, which the endpoint has not stated.
     if (head.status === 503 || head.status === 429 || head.status === 408) {
       fail('may_have_run', 'refusal_without_proof')
       return
--- a/packages/anvilarch-serving/src/requests/sendAttempts.ts
+++ b/packages/anvilarch-serving/src/requests/sendAttempts.ts
@@ -1,4 +1,4 @@
-/** Sends one request to endpoints, one after another, until one has answered or none may be tried any more. */
+/** Sends one request to endpoints, one after another, until one responds or no further send is allowed. */
 import { createSilenceWatch, type SilenceWatch } from 'anvilarch-utils'
 import { callerTerms } from '../accounts/types'
 import type { Endpoint } from '../model/types'
@@ -9,31 +9,31 @@
 import { unauthorizedResponse } from './clientResponse'
 import { type Attempt, type EndpointResponse, isBrokenConnection, isConnectionRefused, isTransientRefusal, startAttempt } from './runAttempt'
 
-/** The attempts of one request. */
+/** Attempts of one request. */
 export interface Attempts {
-  /** Finds out which endpoints are free. @returns a promise that resolves when it is time to choose one */
+  /** Queries the loads of endpoints. @returns a promise that resolves when an endpoint can be chosen */
   prepare: () => Promise<void>
-  /** Sends to the best endpoint that has not been tried. */
+  /** Sends the request to the best endpoint that has not been tried. */
   sendPrepared: () => void
-  /** Ends the attempt in progress; nothing is sent afterwards. */
+  /** Aborts the attempt in progress and sends nothing afterwards. */
   stop: () => void
-  /** Answers that no whole answer came in time. */
+  /** Ends the request with a time-out. */
   timeOut: () => void
 }
 
-/** When a refused client may come back: slots free up within some hundred milliseconds. */
+/** Retry-After for requests that no endpoint has run: slots become free within a few hundred milliseconds. */
 const REFUSED_RETRY_AFTER_MS = 300
 
-/** When there is no endpoint at all; a replaced one is listed after about a heartbeat. */
+/** Retry-After if there is no endpoint: a replacement is listed after about one heartbeat. */
 const NO_ENDPOINT_RETRY_AFTER_MS = 800
 
-/** Endpoints answer failures of their own with this status or a higher one. */
+/** Lowest status that endpoints use for failures of their own. */
 const FIRST_FAILURE_STATUS = 500
 
-/** How often a request that an endpoint has refused as full is offered to others. */
-const MAX_OFFERS = 6
+/** Limit on the sends of one request, including those that endpoints refuse because they are full. */
+const MAX_SENDS = 6
 
-/** An attempt in progress and where it is. */
+/** An attempt in progress and its endpoint. */
 interface Running {
   endpoint: Endpoint
   attempt: Attempt
@@ -42,18 +42,18 @@
 /**
  * @param parts - endpoints, connections and wire
  * @param client - the request
- * @param state - how far it has come; the attempts change it
+ * @param state - progress of the request; updated by the attempts
  * @param end - ends the request
  * @returns the attempts, none sent yet
  */
 export function createAttempts (parts: ForwardParts, client: ClientRequest, state: RequestState, end: RequestCompletion): Attempts {
   const { clock, loads, log, metrics } = parts
-  const trail = createAttemptLog(parts, client, state)
+  const attemptLog = createAttemptLog(parts, client, state)
   const { route, response, metadata } = client
   let running: Running | undefined
   let silence: SilenceWatch | undefined
   let lastEventAtMs: number | undefined
-  /** Of the send in progress, until its first event or answer. */
+  /** Time of the send in progress; undefined after its first event or its response. */
   let sentAtMs: number | undefined
   let stopped = false
 
@@ -66,8 +66,8 @@
     if (state.service !== undefined) await parts.placement.prepare(placementTerms(client, state, state.service))
   }
 
-  /** After a failure: loads are asked for anew, since an endpoint that fails leaves its requests to the others. */
-  const sendAgain = (): void => {
+  /** Queries loads again before the next send: after an endpoint fails, its requests move to the others. */
+  const resend = (): void => {
     prepare()
       .then(() => { if (!stopped) sendPrepared() })
       .catch(error => {
@@ -76,30 +76,30 @@
       })
   }
 
-  const mayOfferOnceMore = (): boolean => state.sendCount < MAX_OFFERS && choose() !== undefined
+  const maySendAgain = (): boolean => state.sendCount < MAX_SENDS && choose() !== undefined
 
   const stepAfter = (failure: AttemptFailure, attemptsThatMayHaveRun = state.attemptsThatMayHaveRun): NextStep => nextStep(route, failure, {
     attemptsThatMayHaveRun,
     responseStarted: state.responseStarted,
-    hasUntriedEndpoint: mayOfferOnceMore() && parts.crashes.mayRun(requestIdentityOf(client)),
+    hasUntriedEndpoint: maySendAgain() && parts.crashes.mayRun(requestIdentityOf(client)),
     remainingMs: remainingMs()
   })
 
-  /** @returns the attempt that was in progress, which no longer counts as load */
-  const leaveRunning = (): Running | undefined => {
-    const left = running
+  /** Stops counting the attempt in progress as load. @returns that attempt */
+  const releaseRunning = (): Running | undefined => {
+    const released = running
     running = undefined
     silence?.cancel()
     silence = undefined
-    if (left !== undefined) {
-      loads.onEnded(left.endpoint.startId)
-      parts.use.onEnded(left.endpoint)
+    if (released !== undefined) {
+      loads.onEnded(released.endpoint.startId)
+      parts.use.onEnded(released.endpoint)
     }
-    return left
+    return released
   }
 
   const steps: Record<NextStep, (reason: string) => void> = {
-    send_again: sendAgain,
+    send_again: resend,
     refuse: reason => end.respond({ status: 503, code: 'not_run', message: `no endpoint took the request (${reason})`, retryAfterMs: REFUSED_RETRY_AFTER_MS }),
     fail: reason => end.respond({ status: 502, code: 'endpoint_failed', message: `the endpoint gave no whole answer (${reason})` }),
     time_out: reason => end.respond({ status: 504, code: 'timeout', message: `no whole answer within ${state.timeoutMs} ms (${reason})` }),
@@ -107,75 +107,75 @@
   }
 
   const onFailure = (endpoint: Endpoint, failure: AttemptFailure, reason: string, metricReason = reason): void => {
-    leaveRunning()
+    releaseRunning()
     if (failure === 'may_have_run') state.attemptsThatMayHaveRun++
     else state.refusedSendCount++
     if (!isTransientRefusal(reason)) loads.onFailure(endpoint.startId)
     if (isConnectionRefused(reason)) parts.crashes.onEndpointLost(endpoint.startId)
     if (failure === 'may_have_run' && isBrokenConnection(reason)) parts.crashes.onConnectionLost(requestIdentityOf(client), endpoint.startId)
     metrics.attemptFailures.inc({ kind: route.kind, reason: metricReason })
-    trail.failed(endpoint, failure, reason)
+    attemptLog.failed(endpoint, failure, reason)
     steps[stepAfter(failure)](reason)
   }
 
   const onSilence = (endpoint: Endpoint): void => {
     silence = undefined
     if (running === undefined) return
-    // A request that still waits for a connection never gets to the endpoint once it is given up.
+    // A request that still waits for a connection is not sent after it is aborted.
     const failure = running.attempt.mayHaveRun() ? 'may_have_run' : 'not_run'
-    const attemptsThen = state.attemptsThatMayHaveRun + (failure === 'may_have_run' ? 1 : 0)
-    if (stepAfter(failure, attemptsThen) !== 'send_again') return
+    const attemptsAfterAbort = state.attemptsThatMayHaveRun + (failure === 'may_have_run' ? 1 : 0)
+    if (stepAfter(failure, attemptsAfterAbort) !== 'send_again') return
     running.attempt.abort()
     onFailure(endpoint, failure, 'silent')
   }
 
-  const onOwnPause = (endpoint: Endpoint, lateMs: number): void => {
+  const onProcessPause = (endpoint: Endpoint, lateMs: number): void => {
     metrics.ownPauses.inc()
-    trail.ownPause(endpoint, lateMs)
+    attemptLog.processPaused(endpoint, lateMs)
   }
 
-  /** Called at a send and at each event; only the first call sets a timer. */
-  const watchSilence = (endpoint: Endpoint): void => {
+  /** Restarts the silence time-out. Called at a send and at each event; only the first call sets a timer. */
+  const restartSilenceTimeout = (endpoint: Endpoint): void => {
     if (!isRetryable(route) || state.attemptsThatMayHaveRun + 1 >= route.maxAttempts) return
     const boundMs = silenceTimeoutMs(route, state.responseStarted)
-    silence ??= createSilenceWatch({ clock, boundMs, onSilence: () => onSilence(endpoint), onOwnPause: lateMs => onOwnPause(endpoint, lateMs) })
+    silence ??= createSilenceWatch({ clock, boundMs, onSilence: () => onSilence(endpoint), onOwnPause: lateMs => onProcessPause(endpoint, lateMs) })
     silence.heard()
     silence.setBoundMs(boundMs)
   }
 
-  /** The answer of an endpoint that failed, or that was to go on with a stream and sent something else. */
-  const onFailedAnswer = (endpoint: Endpoint, whole: EndpointResponse): void => {
-    if (!state.responseStarted) state.failedResponse = { endpointId: endpoint.startId, whole }
+  /** Handles the response of an endpoint that failed, or that sent a buffered response when a stream was to be resumed. */
+  const onFailedResponse = (endpoint: Endpoint, whole: EndpointResponse): void => {
+    if (!state.responseStarted) state.failedResponse = { endpointId: endpoint.startId, response: whole }
     onFailure(endpoint, 'may_have_run', `status ${whole.status}`, 'endpoint_status')
   }
 
   const onSuccess = (endpoint: Endpoint): void => {
-    leaveRunning()
+    releaseRunning()
     loads.onSuccess(endpoint.startId)
-    // The first event stands for the time in the queue; the slot is held from then on.
+    // The request waits in the queue until its first event and holds the slot from then on.
     if (state.service !== undefined && state.firstEventAtMs !== undefined) {
-      parts.holdTimes.onAnswer(state.service, clock.nowMs() - state.firstEventAtMs)
+      parts.holdTimes.onCompleted(state.service, clock.nowMs() - state.firstEventAtMs)
     }
   }
 
   const onAnswer = (endpoint: Endpoint, whole: EndpointResponse): void => {
-    observeWait()
+    observeEndpointWait()
     if (state.responseStarted || whole.status >= FIRST_FAILURE_STATUS) {
-      onFailedAnswer(endpoint, whole)
+      onFailedResponse(endpoint, whole)
       return
     }
     onSuccess(endpoint)
     end.respondFromEndpoint(endpoint.startId, whole)
   }
 
-  const onEventsEnd = (endpoint: Endpoint): void => {
-    observeWait()
+  const onStreamEnd = (endpoint: Endpoint): void => {
+    observeEndpointWait()
     onSuccess(endpoint)
-    end.completeEvents(endpoint.startId)
+    end.completeStream(endpoint.startId)
   }
 
   const onHead = (endpoint: Endpoint, head: { status: number, rawHeaders: string[] }): void => {
-    trail.begun(endpoint, head.status)
+    attemptLog.responseStarted(endpoint, head.status)
     if (state.responseStarted) return
     state.responseStarted = true
     if (parts.drainState.isDraining()) response.setHeader('Connection', 'close')
@@ -191,10 +191,10 @@
     if (state.lastEventId === metadata.lastEventId) metrics.firstEventSeconds.observe((nowMs - client.arrivedAtMs) / 1000)
     if (lastEventAtMs !== undefined) state.longestGapMs = Math.max(state.longestGapMs, nowMs - lastEventAtMs)
     lastEventAtMs = nowMs
-    observeWait()
+    observeEndpointWait()
     state.lastEventId = id ?? state.lastEventId
     response.write(bytes)
-    watchSilence(endpoint)
+    restartSilenceTimeout(endpoint)
   }
 
   const startAt = (endpoint: Endpoint): Attempt => startAttempt({
@@ -217,17 +217,17 @@
     resumable: route.resumable,
     onHead: head => onHead(endpoint, head),
     onEvent: (bytes, id) => onEvent(endpoint, bytes, id),
-    onEventsEnd: () => onEventsEnd(endpoint),
+    onEventsEnd: () => onStreamEnd(endpoint),
     onAnswer: whole => onAnswer(endpoint, whole),
     onFailure: (failure, reason) => onFailure(endpoint, failure, reason)
   })
 
-  const observeWait = (): void => {
+  const observeEndpointWait = (): void => {
     if (sentAtMs !== undefined) metrics.endpointWaitSeconds.observe({ kind: route.kind }, (clock.nowMs() - sentAtMs) / 1000)
     sentAtMs = undefined
   }
 
-  const sendName = (): 'first' | 'again' | 'resumed' => {
+  const sendKind = (): 'first' | 'again' | 'resumed' => {
     if (state.sendCount === 0) return 'first'
     return state.lastEventId === metadata.lastEventId ? 'again' : 'resumed'
   }
@@ -237,28 +237,28 @@
     else steps.time_out('timeout')
   }
 
-  /** The key was taken away while the request waited: what runs goes on, nothing new is sent. */
-  const endForLostKey = (): void => {
+  /** Ends a request whose key was revoked while it waited. Running attempts continue; nothing new is sent. */
+  const endForRevokedKey = (): void => {
     if (state.responseStarted) end.abortConnection('key_taken_away')
     else if (state.attemptsThatMayHaveRun > 0) steps.fail('key_taken_away')
     else end.respond(unauthorizedResponse(parts.wire.credentialScheme))
   }
 
-  /** Endpoints that could have been tried may have gone while the request waited for the choice of one. */
+  /** Ends a request that has no endpoint released: endpoints may be removed while the request waits for their loads. */
   const endWithoutEndpoint = (): void => {
     if (state.attemptsThatMayHaveRun > 0) steps[stepAfter('may_have_run')]('no_endpoint')
     else end.respond({ status: 503, code: 'no_endpoint', message: 'no endpoint of the service is known', retryAfterMs: NO_ENDPOINT_RETRY_AFTER_MS })
   }
 
   const sendPrepared = (): void => {
-    // After a pause of this process the timer of the deadline may run after the one that leads here. An endpoint would run
-    // what nobody waits for any more.
+    // After a process pause the deadline timer may fire after the timer that leads here. An endpoint would then run a
+    // request that its client no longer waits for.
     if (remainingMs() <= 0) {
       timeOut()
       return
     }
     if (!parts.isStillAllowed(client.caller)) {
-      endForLostKey()
+      endForRevokedKey()
       return
     }
     const endpoint = choose()
@@ -266,15 +266,15 @@
       endWithoutEndpoint()
       return
     }
-    trail.chosen(endpoint)
+    attemptLog.chosen(endpoint)
     state.tried.add(endpoint.startId)
-    metrics.sends.inc({ kind: route.kind, send: sendName() })
+    metrics.sends.inc({ kind: route.kind, send: sendKind() })
     state.sendCount++
     sentAtMs = clock.nowMs()
     loads.onSent(endpoint.startId)
     parts.use.onSent(endpoint)
     running = { endpoint, attempt: startAt(endpoint) }
-    watchSilence(endpoint)
+    restartSilenceTimeout(endpoint)
   }
 
   return {
@@ -282,7 +282,7 @@
     sendPrepared,
     stop: () => {
       stopped = true
-      leaveRunning()?.attempt.abort()
+      releaseRunning()?.attempt.abort()
     },
     timeOut
   }
--- a/packages/anvilarch-serving/src/requests/types.ts
+++ b/packages/anvilarch-serving/src/requests/types.ts
@@ -1,35 +1,35 @@
-/** What an adapter does for requests: it reads and writes the headers of its wire. */
+/** Types for adapters, which read and write the headers of requests and responses. */
 import type { IncomingHttpHeaders } from 'node:http'
 import type { CallerTerms, Credential } from '../accounts/types'
 import type { RequestMetadata } from '../model/types'
 
-/** What one send to an endpoint carries beside the client's own headers. */
+/** Data that a send to an endpoint carries in addition to the client's own headers. */
 export interface SendOptions {
-  /** Time that the endpoint has, from the sending. */
+  /** Time limit of the endpoint, from the send. */
   deadlineMs: number
-  /** Incarnation that must answer; another one refuses. */
+  /** Id of the endpoint that is expected at the address; another one refuses the request. */
   expectedEndpointId: string
-  /** The endpoint goes on after this event. */
+  /** Id of the event after which the endpoint resumes the stream. */
   lastEventId: number | undefined
   caller: CallerTerms
 }
 
-/** What an endpoint's answer says beside its status and body. */
+/** Metadata in the headers of an endpoint's response. */
 export interface ResponseMetadata {
-  /** The request that the answer belongs to, as far as it says so. */
+  /** Id of the request that the response belongs to; undefined if the response does not state it. */
   requestId: string | undefined
-  /** Whether the answer bears an endpoint's signature. */
+  /** Whether the response carries the signature of an endpoint. */
   signed: boolean
-  /** The endpoint states that it has not run the request. */
+  /** Whether the endpoint states that it has not run the request. */
   notRun: boolean
 }
 
-/** Headers of requests and answers on the adapter's wire. */
+/** Encodes and decodes the headers of requests and responses in the adapter's wire format. */
 export interface RequestWire {
   decodeRequest: (headers: IncomingHttpHeaders) => RequestMetadata
-  /** @returns what the client shows of itself */
+  /** @returns the credential of the client */
   decodeCredential: (rawHeaders: readonly string[]) => Credential
-  /** Name of the scheme of keys, for the answer to a request without a good one. */
+  /** Authentication scheme of keys, for the response to a request without a valid key. */
   credentialScheme: string
   encodeSend: (rawHeaders: readonly string[], terms: SendOptions) => string[]
   decodeResponse: (headers: ReadonlyMap<string, string>) => ResponseMetadata
--- a/packages/anvilarch-serving/src/routing/__tests__/matchRoute.test.ts
+++ b/packages/anvilarch-serving/src/routing/__tests__/matchRoute.test.ts
@@ -22,18 +22,18 @@
     ['y.example', '/a/b/c', 'other'],
     ['x.example', '/a', undefined],
     ['z.example', '/a/', undefined]
-  ])('takes the longest prefix of the host (%s%s)', (host, path, name) => {
+  ])('selects the longest matching prefix of the host (%s%s)', (host, path, name) => {
     expect(matchRoute(CONFIGURATION, host, path)?.name).toBe(name)
   })
 })
 
 describe('chooseService', () => {
-  it('follows the weights', () => {
+  it('selects services in proportion to their weights', () => {
     const targets = [{ service: 'a', weight: 90 }, { service: 'b', weight: 0 }, { service: 'c', weight: 10 }]
-    expect([0, 0.89, 0.91, 0.999].map(draw => chooseService(targets, draw))).toEqual(['a', 'a', 'c', 'c'])
+    expect([0, 0.89, 0.91, 0.999].map(randomValue => chooseService(targets, randomValue))).toEqual(['a', 'a', 'c', 'c'])
   })
 
-  it('chooses nothing without weight', () => {
+  it('selects nothing if no target has a weight', () => {
     expect(chooseService([{ service: 'a', weight: 0 }], 0)).toBeUndefined()
   })
 })
--- a/packages/anvilarch-serving/src/routing/matchRoute.ts
+++ b/packages/anvilarch-serving/src/routing/matchRoute.ts
@@ -1,11 +1,11 @@
-/** Selects the route of a request. */
+/** Selects the route and the target service of a request. */
 import type { Configuration, Route, RouteTarget } from '../model/types'
 
 /**
- * @param configuration - the version in force
+ * @param configuration - the current version
  * @param host - the `Host` of the request; a port is ignored
  * @param target - path, with or without a query
- * @returns the route of that host with the longest prefix that begins the path
+ * @returns the route of that host with the longest matching path prefix; undefined if there is none
  */
 export function matchRoute (configuration: Configuration, host: string, target: string): Route | undefined {
   const hostname = withoutPort(host)
@@ -19,9 +19,9 @@
 }
 
 /**
- * @param route - of the configuration
+ * @param route - a route of the configuration
  * @param host - the `Host` of a request; a port is ignored
- * @returns whether the route is of that host
+ * @returns whether the route belongs to that host
  */
 export function isRouteHost (route: Pick<Route, 'host'>, host: string): boolean {
   return route.host === withoutPort(host)
@@ -29,15 +29,15 @@
 
 /**
  * @param targets - services of a route with their weights
- * @param draw - a number in [0, 1)
- * @returns the service that the draw falls on; undefined when no target has a weight
+ * @param randomValue - a number in [0, 1)
+ * @returns the service that the value selects by weight; undefined if no target has a weight
  */
-export function chooseService (targets: readonly RouteTarget[], draw: number): string | undefined {
-  const total = targets.reduce((sum, target) => sum + target.weight, 0)
-  let left = draw * total
+export function chooseService (targets: readonly RouteTarget[], randomValue: number): string | undefined {
+  const totalWeight = targets.reduce((sum, target) => sum + target.weight, 0)
+  let remainder = randomValue * totalWeight
   for (const target of targets) {
-    left -= target.weight
-    if (left < 0) return target.service
+    remainder -= target.weight
+    if (remainder < 0) return target.service
   }
   return undefined
 }
@@ -48,6 +48,6 @@
 }
 
 function withoutQuery (target: string): string {
-  const mark = target.indexOf('?')
-  return mark < 0 ? target : target.slice(0, mark)
+  const queryStart = target.indexOf('?')
+  return queryStart < 0 ? target : target.slice(0, queryStart)
 }
