--- a/packages/anvilarch-serving/src/requests/__tests__/requestHistories.test.ts
+++ b/packages/anvilarch-serving/src/requests/__tests__/requestHistories.test.ts
@@ -268,7 +268,7 @@
 
 describe('a request', () => {
   // Guards against responses that look complete and are not, have events out of order or come from a run that was not allowed.
-  it('gets one response, in time, that consists only of what its endpoints sent', async () => {
+  it('gets one response in time, which matches what its endpoints sent', async () => {
     await fc.assert(fc.asyncProperty(historyArbitrary, async history => {
       const played = await play(history)
       const { client } = played.harness
--- a/packages/anvilarch-serving/src/requests/forwardRequest.ts
+++ b/packages/anvilarch-serving/src/requests/forwardRequest.ts
@@ -61,7 +61,7 @@
         refuseOverRate(parts, client, end, received)
         return
       }
-      const overload = checkForOverload(parts, client, state)
+      const overload = checkRequestOverload(parts, client, state)
       if (overload.refused) refuseOverloaded(parts, client, state, end, overload)
       else attempts.sendPrepared()
     })
@@ -124,7 +124,7 @@
   }
 }
 
-function checkForOverload (parts: ForwardParts, { route, caller }: ClientRequest, state: RequestState): Overload {
+function checkRequestOverload (parts: ForwardParts, { route, caller }: ClientRequest, state: RequestState): Overload {
   if (state.service === undefined) return { refused: false }
   return checkOverload({
     candidates: parts.placement.known(state.service),
--- a/packages/anvilarch-serving/src/requests/forwardTypes.ts
+++ b/packages/anvilarch-serving/src/requests/forwardTypes.ts
@@ -67,7 +67,7 @@
  * @param service - target service
  * @returns the criteria for the choice of an endpoint
  */
-export function placementTerms (client: ClientRequest, state: RequestState, service: string): PlacementTerms {
+export function placementCriteria (client: ClientRequest, state: RequestState, service: string): PlacementTerms {
   return { service, sharedParts: client.metadata.promptParts.slice(0, -1), excluded: state.tried }
 }
 
--- a/packages/anvilarch-serving/src/requests/holdTimes.ts
+++ b/packages/anvilarch-serving/src/requests/holdTimes.ts
@@ -1,4 +1,4 @@
-/** Measures how long requests of a service occupy an engine slot. */
+/** Measures how long requests of a service hold a slot. */
 
 /** Mean hold times by service, as moving averages. */
 export interface HoldTimes {
@@ -18,17 +18,17 @@
   const means = new Map<string, { meanMs: number, samples: number }>()
   return {
     onCompleted: (service, elapsedMs) => {
-      const mean = means.get(service)
-      if (mean === undefined) {
+      const stats = means.get(service)
+      if (stats === undefined) {
         means.set(service, { meanMs: elapsedMs, samples: 1 })
         return
       }
-      mean.samples++
-      mean.meanMs += Math.max(SMOOTHING, 1 / mean.samples) * (elapsedMs - mean.meanMs)
+      stats.samples++
+      stats.meanMs += Math.max(SMOOTHING, 1 / stats.samples) * (elapsedMs - stats.meanMs)
     },
     holdMs: service => {
-      const mean = means.get(service)
-      return mean === undefined || mean.samples < MIN_SAMPLES ? undefined : mean.meanMs
+      const stats = means.get(service)
+      return stats === undefined || stats.samples < MIN_SAMPLES ? undefined : stats.meanMs
     }
   }
 }
--- a/packages/anvilarch-serving/src/requests/requestLog.ts
+++ b/packages/anvilarch-serving/src/requests/requestLog.ts
@@ -45,7 +45,7 @@
 /**
  * @param clock - local clock
  * @param sinceMs - local time of the start
- * @returns milliseconds since then, rounded
+ * @returns milliseconds since then, rounded to an integer
  */
 export function elapsedMs (clock: Clock, sinceMs: number): number {
   return Math.round(clock.nowMs() - sinceMs)
--- a/packages/anvilarch-serving/src/requests/sendAttempts.ts
+++ b/packages/anvilarch-serving/src/requests/sendAttempts.ts
@@ -4,7 +4,7 @@
 import type { Endpoint } from '../model/types'
 import { createAttemptLog } from './attemptLog'
 import { type AttemptFailure, isRetryable, type NextStep, nextStep, silenceTimeoutMs } from './retryDecision'
-import { type ClientRequest, type ForwardParts, placementTerms, requestIdentityOf, type RequestState } from './forwardTypes'
+import { type ClientRequest, type ForwardParts, placementCriteria, requestIdentityOf, type RequestState } from './forwardTypes'
 import type { RequestCompletion } from './requestCompletion'
 import { unauthorizedResponse } from './clientResponse'
 import { type Attempt, type EndpointResponse, isBrokenConnection, isConnectionRefused, isTransientRefusal, startAttempt } from './runAttempt'
@@ -60,10 +60,10 @@
   const remainingMs = (): number => state.deadlineAtMs - clock.nowMs()
 
   const choose = (): Endpoint | undefined =>
-    state.service === undefined ? undefined : parts.placement.choose(placementTerms(client, state, state.service))
+    state.service === undefined ? undefined : parts.placement.choose(placementCriteria(client, state, state.service))
 
   const prepare = async (): Promise<void> => {
-    if (state.service !== undefined) await parts.placement.prepare(placementTerms(client, state, state.service))
+    if (state.service !== undefined) await parts.placement.prepare(placementCriteria(client, state, state.service))
   }
 
   /** Queries loads again before the next send: after an endpoint fails, its requests move to the others. */
@@ -144,9 +144,9 @@
   }
 
   /** Handles the response of an endpoint that failed, or that sent a buffered response when a stream was to be resumed. */
-  const onFailedResponse = (endpoint: Endpoint, whole: EndpointResponse): void => {
-    if (!state.responseStarted) state.failedResponse = { endpointId: endpoint.startId, response: whole }
-    onFailure(endpoint, 'may_have_run', `status ${whole.status}`, 'endpoint_status')
+  const onFailedResponse = (endpoint: Endpoint, endpointResponse: EndpointResponse): void => {
+    if (!state.responseStarted) state.failedResponse = { endpointId: endpoint.startId, response: endpointResponse }
+    onFailure(endpoint, 'may_have_run', `status ${endpointResponse.status}`, 'endpoint_status')
   }
 
   const onSuccess = (endpoint: Endpoint): void => {
@@ -158,14 +158,14 @@
     }
   }
 
-  const onAnswer = (endpoint: Endpoint, whole: EndpointResponse): void => {
+  const onResponse = (endpoint: Endpoint, endpointResponse: EndpointResponse): void => {
     observeEndpointWait()
-    if (state.responseStarted || whole.status >= FIRST_FAILURE_STATUS) {
-      onFailedResponse(endpoint, whole)
+    if (state.responseStarted || endpointResponse.status >= FIRST_FAILURE_STATUS) {
+      onFailedResponse(endpoint, endpointResponse)
       return
     }
     onSuccess(endpoint)
-    end.respondFromEndpoint(endpoint.startId, whole)
+    end.respondFromEndpoint(endpoint.startId, endpointResponse)
   }
 
   const onStreamEnd = (endpoint: Endpoint): void => {
@@ -218,7 +218,7 @@
     onHead: head => onHead(endpoint, head),
     onEvent: (bytes, id) => onEvent(endpoint, bytes, id),
     onEventsEnd: () => onStreamEnd(endpoint),
-    onAnswer: whole => onAnswer(endpoint, whole),
+    onAnswer: endpointResponse => onResponse(endpoint, endpointResponse),
     onFailure: (failure, reason) => onFailure(endpoint, failure, reason)
   })
 
@@ -237,14 +237,14 @@
     else steps.time_out('timeout')
   }
 
-  /** Ends a request whose key was revoked while it waited. Running attempts continue; nothing new is sent. */
+  /** Ends a request whose key was revoked while it waited. Attempts in progress are not aborted, but nothing new is sent. */
   const endForRevokedKey = (): void => {
     if (state.responseStarted) end.abortConnection('key_taken_away')
     else if (state.attemptsThatMayHaveRun > 0) steps.fail('key_taken_away')
     else end.respond(unauthorizedResponse(parts.wire.credentialScheme))
   }
 
-  /** Ends a request that has no endpoint released: endpoints may be removed while the request waits for their loads. */
+  /** Ends a request without an untried endpoint: endpoints may be removed while the request waits for their loads. */
   const endWithoutEndpoint = (): void => {
     if (state.attemptsThatMayHaveRun > 0) steps[stepAfter('may_have_run')]('no_endpoint')
     else end.respond({ status: 503, code: 'no_endpoint', message: 'no endpoint of the service is known', retryAfterMs: NO_ENDPOINT_RETRY_AFTER_MS })
