--- a/packages/anvilarch-serving/src/endpoints/endpointTable.ts
+++ b/packages/anvilarch-serving/src/endpoints/endpointTable.ts
@@ -2,7 +2,7 @@
 import type { Clock } from 'anvilarch-utils'
 import type { Endpoint, EndpointRow, UnusableRow } from '../model/types'
 import type { EventLog } from '../telemetry/events'
-import { createLineBudget } from '../telemetry/lineBudget'
+import { createLogRateLimiter } from '../telemetry/logRateLimiter'
 import { type EntryLife, lastResort, LAPSE_HOLD_MS, mayHaveLapsed, type StoreContact, takesRequests, untilNextChangeMs } from './entryLife'
 
 /** Endpoints by service. */
@@ -51,7 +51,7 @@
   const entries = new Map<string, Entry>()
   /** Why the row with an id names no endpoint, as it was last logged. */
   const unusableReasons = new Map<string, string>()
-  const unusableLines = createLineBudget(clock, UNUSABLE_LINES_PER_SECOND)
+  const unusableLines = createLogRateLimiter(clock, UNUSABLE_LINES_PER_SECOND)
   const goneListeners: Array<(endpoint: Endpoint) => void> = []
   let listed = false
   /** Answers of `usable`, until an entry changes or the time at which one changes by itself. */
@@ -73,7 +73,7 @@
   const putUnusable = (row: UnusableRow): void => {
     const known = entries.get(row.id)
     const reason = `${row.field}: ${row.reason}`
-    if (unusableReasons.get(row.id) !== reason && unusableLines.take()) {
+    if (unusableReasons.get(row.id) !== reason && unusableLines.tryAcquire()) {
       log.warn('endpoint entry not usable', { endpoint: row.id, field: row.field, reason: row.reason, replacedGood: known !== undefined && !known.gone })
     }
     unusableReasons.set(row.id, reason)
--- a/packages/anvilarch-serving/src/jobs/jobCache.ts
+++ b/packages/anvilarch-serving/src/jobs/jobCache.ts
@@ -1,6 +1,6 @@
 /** The jobs that clients of a gateway have lately asked for. */
 import { LRUCache } from 'lru-cache'
-import type { Versioned } from '../store/rowCopy'
+import type { Versioned } from '../store/tableCache'
 import { decodeRecord, JOB_TABLE } from './jobRows'
 import type { JobCopy } from './jobStore'
 import type { JobRecord } from './types'
--- a/packages/anvilarch-serving/src/jobs/jobStore.ts
+++ b/packages/anvilarch-serving/src/jobs/jobStore.ts
@@ -4,7 +4,7 @@
 import type { MetadataStore, RowCondition, RowKey, RowWrite, StoreFailure, StoredRow, TransactionOutcome } from '../store/types'
 import { decodeRecord, jobKey, recordRow } from './jobRows'
 import type { JobRecord } from './types'
-import type { Versioned } from '../store/rowCopy'
+import type { Versioned } from '../store/tableCache'
 import type { WorkTable } from './workTable'
 import type { EventLog } from '../telemetry/events'
 
--- a/packages/anvilarch-serving/src/jobs/workTable.ts
+++ b/packages/anvilarch-serving/src/jobs/workTable.ts
@@ -1,5 +1,5 @@
 /** This process's copy of the jobs, claims and members in the store. */
-import { createRowCopy, type RowCopy, type Versioned } from '../store/rowCopy'
+import { createTableCache, type TableCache, type Versioned } from '../store/tableCache'
 import type { RowKey, StoredRow } from '../store/types'
 import type { TableListener } from '../store/tableFollower'
 import { CLAIM_TABLE, claimRowKey, decodeRecord, JOB_TABLE, MEMBER_TABLE } from './jobRows'
@@ -24,10 +24,10 @@
 
 /** @returns an empty copy */
 export function createWorkTable (): WorkTable {
-  const jobs = createRowCopy<JobRecord>(decodeRecord)
-  const claims = createRowCopy<ClaimRecord>(decodeRecord)
-  const members = createRowCopy<MemberRecord>(decodeRecord)
-  const copies: ReadonlyMap<string, RowCopy<unknown>> = new Map<string, RowCopy<unknown>>([[JOB_TABLE, jobs], [CLAIM_TABLE, claims], [MEMBER_TABLE, members]])
+  const jobs = createTableCache<JobRecord>(decodeRecord)
+  const claims = createTableCache<ClaimRecord>(decodeRecord)
+  const members = createTableCache<MemberRecord>(decodeRecord)
+  const copies: ReadonlyMap<string, TableCache<unknown>> = new Map<string, TableCache<unknown>>([[JOB_TABLE, jobs], [CLAIM_TABLE, claims], [MEMBER_TABLE, members]])
 
   return {
     job: jobId => jobs.get(jobId),
@@ -36,8 +36,8 @@
     members: members.values,
     member: name => members.get(name),
     membersListedAtVersion: members.listedAtVersion,
-    learn: row => copies.get(row.table)?.learn(row),
-    forget: (key, version) => copies.get(key.table)?.forget(key, version),
+    learn: row => copies.get(row.table)?.update(row),
+    forget: (key, version) => copies.get(key.table)?.remove(key, version),
     listeners: { jobs, claims, members }
   }
 }
--- a/packages/anvilarch-serving/src/operations/__tests__/accountUse.test.ts
+++ b/packages/anvilarch-serving/src/operations/__tests__/accountUsage.test.ts
@@ -1,6 +1,6 @@
 import { Registry } from 'prom-client'
 import { createRecentUses } from '../../accounts/limits/recentUse'
-import { readAccountUse, registerAccountUse } from '../accountUse'
+import { readAccountUsage, registerAccountUsage } from '../accountUsage'
 
 describe('recent use of accounts', () => {
   it('slides over the window, and forgets who has been quiet', () => {
@@ -17,10 +17,10 @@
   it('is read back from the metrics of all gateways, whatever the name of an account', async () => {
     const registries = [[{ accountName: 'a"\\b', granted: 3, refused: 1 }], [{ accountName: 'a"\\b', granted: 2, refused: 0 }, { accountName: 'c', granted: 9, refused: 0 }]].map(read => {
       const registry = new Registry()
-      registerAccountUse(registry, () => read)
+      registerAccountUsage(registry, () => read)
       return registry
     })
     const texts = await Promise.all(registries.map(async registry => await registry.metrics()))
-    expect(readAccountUse(texts)).toEqual([{ accountName: 'c', granted: 9, refused: 0 }, { accountName: 'a"\\b', granted: 5, refused: 1 }])
+    expect(readAccountUsage(texts)).toEqual([{ accountName: 'c', granted: 9, refused: 0 }, { accountName: 'a"\\b', granted: 5, refused: 1 }])
   })
 })
--- a/packages/anvilarch-serving/src/operations/accountUse.ts
+++ b/packages/anvilarch-serving/src/operations/accountUsage.ts
@@ -6,7 +6,7 @@
 const METRIC = 'anvilarch_account_window_requests'
 
 /** Accounts that a gateway tells of; one that keeps thousands of meters tells of the busiest. */
-export const MAX_ACCOUNTS_TOLD = 20
+export const MAX_REPORTED_ACCOUNTS = 20
 
 const RESULTS = ['granted', 'refused'] as const
 
@@ -16,7 +16,7 @@
  * @param registry - of the process
  * @param read - the busiest accounts
  */
-export function registerAccountUse (registry: Registry, read: () => RecentUse[]): void {
+export function registerAccountUsage (registry: Registry, read: () => RecentUse[]): void {
   // prom-client calls `collect` on the gauge itself.
   // eslint-disable-next-line no-new
   new Gauge({
@@ -35,7 +35,7 @@
  * @param metricsTexts - metrics of all gateways
  * @returns use by account, the busiest first; an account that lately has had two meters has the sum of both
  */
-export function readAccountUse (metricsTexts: readonly string[]): RecentUse[] {
+export function readAccountUsage (metricsTexts: readonly string[]): RecentUse[] {
   const uses = new Map<string, RecentUse>()
   for (const [, encodedName, result, count] of metricsTexts.flatMap(text => [...text.matchAll(LINE)])) {
     const accountName = JSON.parse(`"${encodedName}"`) as string
--- a/packages/anvilarch-serving/src/operations/readStore.ts
+++ b/packages/anvilarch-serving/src/operations/readStore.ts
@@ -29,7 +29,7 @@
  * @param wire - decoders of the operator's rows
  * @returns the state, or why it cannot be read
  */
-export async function readStore (store: MetadataStore, wire: OperatorWire): Promise<Result<StoreSnapshot, StoreFailure>> {
+export async function readStoreSnapshot (store: MetadataStore, wire: OperatorWire): Promise<Result<StoreSnapshot, StoreFailure>> {
   const snapshot: StoreSnapshot = { configuration: undefined, accounts: [], endpoints: [], members: [], jobs: [], storeNowMs: undefined }
   const configurationRows = await store.readRows({ table: wire.configurationTable, partition: '' })
   if (configurationRows.err) return configurationRows
--- a/packages/anvilarch-serving/src/requests/__fixtures__/forwardHarness.ts
+++ b/packages/anvilarch-serving/src/requests/__fixtures__/forwardHarness.ts
@@ -4,9 +4,9 @@
 import type { Pool } from '../../endpoints/httpPool'
 import type { Endpoint, Route } from '../../model/types'
 import { createServingMetrics } from '../../telemetry/metrics'
-import { createLineBudget } from '../../telemetry/lineBudget'
+import { createLogRateLimiter } from '../../telemetry/logRateLimiter'
 import type { EventLog } from '../../telemetry/events'
-import { createTrafficTally } from '../../telemetry/trafficTally'
+import { createTrafficCounters } from '../../telemetry/trafficCounters'
 import { forwardRequest } from '../forwardRequest'
 import { createHoldTimes } from '../holdTimes'
 
@@ -263,8 +263,8 @@
         : { granted: true, giveBack: () => { permitsGivenBack++ } }
     },
     isStillAllowed: () => hasKey,
-    traffic: createTrafficTally(),
-    lines: createLineBudget(clock, 20),
+    traffic: createTrafficCounters(),
+    lines: createLogRateLimiter(clock, 20),
     draw: () => 0.5
   }, {
     request: { method: 'GET', url: '/', headers: {}, rawHeaders: [] } as unknown as IncomingMessage,
--- a/packages/anvilarch-serving/src/requests/__tests__/requestEnd.test.ts
+++ b/packages/anvilarch-serving/src/requests/__tests__/requestEnd.test.ts
@@ -1,8 +1,8 @@
 import type { ServerResponse } from 'node:http'
 import { createFakeClock, SILENT_LOGGER } from 'anvilarch-utils'
-import { createLineBudget } from '../../telemetry/lineBudget'
+import { createLogRateLimiter } from '../../telemetry/logRateLimiter'
 import { createServingMetrics } from '../../telemetry/metrics'
-import { createTrafficTally } from '../../telemetry/trafficTally'
+import { createTrafficCounters } from '../../telemetry/trafficCounters'
 import type { ClientRequest, ForwardParts, RequestState } from '../forwardTypes'
 import { createRequestEnd, type RequestEnd } from '../requestEnd'
 
@@ -20,7 +20,7 @@
     end: () => { ended = true },
     destroy: () => { destroyed = true }
   }
-  const parts = { clock, log: SILENT_LOGGER, metrics: createServingMetrics(), traffic: createTrafficTally(), lines: createLineBudget(clock, 20), notice: { isLeaving: () => false } }
+  const parts = { clock, log: SILENT_LOGGER, metrics: createServingMetrics(), traffic: createTrafficCounters(), lines: createLogRateLimiter(clock, 20), notice: { isLeaving: () => false } }
   const client = { response: response as unknown as ServerResponse, route: { kind: 'stream' }, metadata: {}, caller: { caller: 'unchecked' }, arrivedAtMs: 0 }
   const state = { answerBegun: true, longestGapMs: 0, trail: { note: () => {}, reveal: () => {} } }
   return createRequestEnd(parts as unknown as ForwardParts, client as unknown as ClientRequest, state as unknown as RequestState, () => {})
--- a/packages/anvilarch-serving/src/requests/forwardTypes.ts
+++ b/packages/anvilarch-serving/src/requests/forwardTypes.ts
@@ -10,8 +10,8 @@
 import type { Placement, PlacementTerms } from '../endpoints/placement'
 import type { UseNotices } from '../endpoints/useNotices'
 import type { RequestMetadata, Route } from '../model/types'
-import type { LineBudget } from '../telemetry/lineBudget'
-import type { TrafficTally } from '../telemetry/trafficTally'
+import type { LogRateLimiter } from '../telemetry/logRateLimiter'
+import type { TrafficCounters } from '../telemetry/trafficCounters'
 import type { ServingMetrics } from '../telemetry/metrics'
 import type { ClosingNotice } from './clientAnswer'
 import type { HoldTimes } from './holdTimes'
@@ -36,9 +36,9 @@
   limits: Pick<RateLimits, 'ask'>
   /** @returns whether something new may still be started for a caller */
   isStillAllowed: (caller: Caller) => boolean
-  traffic: TrafficTally
+  traffic: TrafficCounters
   /** Bounds the lines about requests that went well. */
-  lines: LineBudget
+  lines: LogRateLimiter
   draw: () => number
 }
 
--- a/packages/anvilarch-serving/src/requests/requestEnd.ts
+++ b/packages/anvilarch-serving/src/requests/requestEnd.ts
@@ -4,7 +4,7 @@
 import { type ClosingNotice, type OwnAnswer, sendOwnAnswer } from './clientAnswer'
 import type { ClientRequest, ForwardParts, RequestState } from './forwardTypes'
 import type { AnswerEnd } from '../telemetry/events'
-import type { TrafficEnd } from '../telemetry/trafficTally'
+import type { TrafficOutcome } from '../telemetry/trafficCounters'
 import { elapsedMs } from './requestTrail'
 import type { AttemptAnswer } from './runAttempt'
 
@@ -35,7 +35,7 @@
 const FIRST_ERROR_STATUS = 400
 
 /** Ends that are no failure of the request; `refused` means that it has not run. */
-const TRAFFIC_ENDS: ReadonlyMap<string, TrafficEnd> = new Map([
+const TRAFFIC_ENDS: ReadonlyMap<string, TrafficOutcome> = new Map([
   ['overloaded', 'refused'], ['not_run', 'refused'], ['no_endpoint', 'refused'], ['quarantined', 'refused'], ['over_rate', 'refused'], ['unauthorized', 'refused'], ['client_left', 'left']
 ])
 
@@ -78,7 +78,7 @@
     return gapTooLong || (state.firstEventAtMs ?? clock.nowMs()) > onTimeMs
   }
 
-  const trafficEnd = (outcome: string): TrafficEnd => {
+  const trafficEnd = (outcome: string): TrafficOutcome => {
     if (outcome === 'answered') return isLate() ? 'late' : 'answered'
     return TRAFFIC_ENDS.get(outcome) ?? 'failed'
   }
@@ -99,7 +99,7 @@
     parts.traffic.onEnd(result)
     const wentWell = result === 'answered'
     if (!wentWell) state.trail.reveal()
-    if (wentWell && !parts.lines.take()) metrics.logLinesLeftOut.inc()
+    if (wentWell && !parts.lines.tryAcquire()) metrics.logLinesLeftOut.inc()
     else logEnd(outcome, result === 'late' ? { ...fields, late: true } : fields)
     return true
   }
--- a/packages/anvilarch-serving/src/roles/agentRole.ts
+++ b/packages/anvilarch-serving/src/roles/agentRole.ts
@@ -3,7 +3,7 @@
 import type { PeerMessage } from '../endpoints/peerMessages'
 import { startExchange } from '../endpoints/exchange'
 import { createPool, type Pool } from '../endpoints/httpPool'
-import { logEachSecond } from '../telemetry/secondLines'
+import { startPeriodicLog } from '../telemetry/periodicLog'
 import { startHeartbeat } from '../peers/heartbeat'
 import { CLAIM_TABLE, JOB_TABLE, MEMBER_TABLE } from '../jobs/jobRows'
 import { JOB_PARTITIONS } from '../jobs/partitions'
@@ -44,7 +44,7 @@
   const agent = settings.agent
   if (agent === undefined) throw new Error('the agent role needs the address of an engine')
   let othersHoldItems = (): boolean => false
-  const view = followPlatform(context, { membersIntervalMs: () => othersHoldItems() ? BUSY_MEMBERS_INTERVAL_MS : IDLE_MEMBERS_INTERVAL_MS })
+  const view = followPlatform(context, { memberListingIntervalMs: () => othersHoldItems() ? BUSY_MEMBERS_INTERVAL_MS : IDLE_MEMBERS_INTERVAL_MS })
   let wantsItems = (): boolean => false
   const feedIntervalMs = (): number => wantsItems() ? HUNGRY_FEED_INTERVAL_MS : FEED_INTERVAL_MS
   view.follow({ table: JOB_TABLE, partitions: JOB_PARTITIONS, listener: view.work.listeners.jobs, intervalMs: feedIntervalMs })
@@ -84,7 +84,7 @@
     else if (message.message === 'use') runner.onUse(`${from.ip}:${from.port}`, message.startId, message.inProgress)
   }
   const peers = openPeerSocket({ clock, log, own: { ip: settings.ip, port: settings.peerPort }, onMessage })
-  logEachSecond({ clock, log, event: 'engine use', read: runner.use, signal: closing.signal })
+  startPeriodicLog({ clock, log, event: 'engine use', read: runner.use, signal: closing.signal })
   const close = once(async () => {
     closing.abort()
     runner.halt()
--- a/packages/anvilarch-serving/src/roles/clientCalls.ts
+++ b/packages/anvilarch-serving/src/roles/clientCalls.ts
@@ -50,7 +50,7 @@
   /** @returns whether too little is known of keys that were taken away */
   isConfigurationStale: () => boolean
   /** @returns whether there may be a version of the configuration of which this gateway has not heard */
-  mayMissVersions: () => boolean
+  isConfigurationFeedOverdue: () => boolean
   notice: ClosingNotice
 }
 
@@ -114,13 +114,13 @@
   }
   const found = findIn(configuration)
   if (found !== undefined) return found
-  const isConfirmed = !call.mayMissVersions() || await call.callers.confirm()
+  const isConfirmed = !call.isConfigurationFeedOverdue() || await call.callers.confirm()
   return findIn(call.configuration.current() ?? configuration) ?? { route: undefined, refusal: isConfirmed ? NO_ROUTE : ROUTE_NOT_CONFIRMED }
 }
 
 /** Any client can ask for what is not there, as often as it likes. */
 function logNoRoute ({ request, forward, configuration }: ClientCall, refusal: OwnAnswer): void {
-  if (!forward.lines.take()) {
+  if (!forward.lines.tryAcquire()) {
     forward.metrics.logLinesLeftOut.inc()
     return
   }
--- a/packages/anvilarch-serving/src/roles/followPlatform.ts
+++ b/packages/anvilarch-serving/src/roles/followPlatform.ts
@@ -9,7 +9,7 @@
 import { createWorkTable, type WorkTable } from '../jobs/workTable'
 import type { StoredRow } from '../store/types'
 import { feedWaitMs } from '../store/feedWait'
-import { followListing, type FollowOptions, followTable } from '../store/tableFollower'
+import { pollTable, type FollowTableOptions, followTable } from '../store/tableFollower'
 import { registerStateMetrics } from '../telemetry/stateMetrics'
 import type { RoleContext } from './types'
 
@@ -25,16 +25,16 @@
   /** @returns local time of the last answer about a followed table; undefined before the first */
   answeredAtMs: (table: string) => number | undefined
   /** @returns whether a followed table may have changes of which this process has not heard: its feed is overdue */
-  mayMissChanges: (table: string) => boolean
+  isFeedOverdue: (table: string) => boolean
   /** Ends the following. */
   close: () => void
 }
 
 /** Operators and endpoints write to one partition without a name. */
-export const SHARED_PARTITIONS = ['']
+export const DEFAULT_PARTITIONS = ['']
 
 /** A table that is followed. */
-export type FollowedTable = Pick<FollowOptions, 'table' | 'partitions' | 'listener' | 'intervalMs'>
+export type FollowedTable = Pick<FollowTableOptions, 'table' | 'partitions' | 'listener' | 'intervalMs'>
 
 /** Each endpoint's heartbeat is a change. An endpoint that drains must be left alone within 2 s, so that gathering them is no harm. */
 const ENDPOINT_FEED_INTERVAL_MS = 250
@@ -45,7 +45,7 @@
 /** Options of `followPlatform`. */
 export interface FollowPlatformOptions {
   /** Asked after each listing of the daemons: time until the next one. */
-  membersIntervalMs: () => number
+  memberListingIntervalMs: () => number
 }
 
 /**
@@ -88,7 +88,7 @@
   }
 
   const refreshConfiguration = async (): Promise<boolean> => {
-    const read = await store.readRows({ table: wire.operator.configurationTable, partition: SHARED_PARTITIONS[0] })
+    const read = await store.readRows({ table: wire.operator.configurationTable, partition: DEFAULT_PARTITIONS[0] })
     if (read.err) return false
     await Promise.all(read.val.rows.map(takeConfiguration))
     return true
@@ -96,7 +96,7 @@
 
   follow({
     table: wire.operator.configurationTable,
-    partitions: SHARED_PARTITIONS,
+    partitions: DEFAULT_PARTITIONS,
     listener: {
       onListing: rows => rows.forEach(offerConfiguration),
       onChange: change => { if (change.change === 'put') offerConfiguration(change.row) }
@@ -104,7 +104,7 @@
   })
   follow({
     table: wire.operator.endpointTable,
-    partitions: SHARED_PARTITIONS,
+    partitions: DEFAULT_PARTITIONS,
     intervalMs: () => ENDPOINT_FEED_INTERVAL_MS,
     listener: {
       onListing: rows => endpoints.onListing(rows.map(wire.operator.decodeEndpoint)),
@@ -114,7 +114,7 @@
       }
     }
   })
-  runInBackground(log, `list ${MEMBER_TABLE}`, () => followListing({
+  runInBackground(log, `list ${MEMBER_TABLE}`, () => pollTable({
     store,
     clock,
     random: context.random,
@@ -124,7 +124,7 @@
     table: MEMBER_TABLE,
     partitions: [MEMBER_PARTITION],
     listener: work.listeners.members,
-    intervalMs: options.membersIntervalMs
+    intervalMs: options.memberListingIntervalMs
   }))
   context.peers.use({ work, endpoints })
   registerStateMetrics(context.metrics.registry, { clock, work, tableAnsweredAtMs })
@@ -135,7 +135,7 @@
     follow,
     refreshConfiguration,
     answeredAtMs: table => tableAnsweredAtMs.get(table),
-    mayMissChanges: table => clock.nowMs() - (tableAnsweredAtMs.get(table) ?? -Infinity) > waitMs + OVERDUE_MS,
+    isFeedOverdue: table => clock.nowMs() - (tableAnsweredAtMs.get(table) ?? -Infinity) > waitMs + OVERDUE_MS,
     close: () => controller.abort()
   }
 }
--- a/packages/anvilarch-serving/src/roles/gatewayAccounts.ts
+++ b/packages/anvilarch-serving/src/roles/gatewayAccounts.ts
@@ -8,7 +8,7 @@
 import type { ClientAccount } from '../accounts/types'
 import type { PeerMessage } from '../endpoints/peerMessages'
 import type { PeerAddress } from '../endpoints/peerSocket'
-import { MAX_ACCOUNTS_TOLD, registerAccountUse } from '../operations/accountUse'
+import { MAX_REPORTED_ACCOUNTS, registerAccountUsage } from '../operations/accountUsage'
 import type { HeartbeatDetails } from '../peers/heartbeat'
 import type { PlatformView } from './followPlatform'
 import type { RoleContext } from './types'
@@ -48,7 +48,7 @@
   const meters = createAccountMeters({ clock, bounds: settings.limitBounds, account: accountNamed, gatewayCount: () => places().length })
   const asker = createPermitAsker({ clock, send, configurationVersion: currentVersion })
   const limits = createRateLimits({ clock, log, ownName: settings.name, meters, asker, homesOf: name => meterHomes(places(), name) })
-  registerAccountUse(context.metrics.registry, () => meters.busiest(MAX_ACCOUNTS_TOLD))
+  registerAccountUsage(context.metrics.registry, () => meters.busiest(MAX_REPORTED_ACCOUNTS))
   view.configuration.onChange(({ accounts }) => meters.retain(name => accounts?.byName(name) !== undefined))
 
   /** The feed of the store may be cut off here while it reaches others. */
@@ -75,7 +75,7 @@
     isConfigurationStale: () => {
       if (!settings.failsClosed) return false
       const heardAtMs = view.answeredAtMs(context.wire.operator.configurationTable)
-      return heardAtMs === undefined || clock.nowMs() - heardAtMs > settings.revokedKeyMs
+      return heardAtMs === undefined || clock.nowMs() - heardAtMs > settings.maxRevocationDelayMs
     },
     onMessage: (message, from) => handlers[message.message]?.(message as never, from),
     heartbeatDetails: storeNowMs => {
--- a/packages/anvilarch-serving/src/roles/gatewayRole.ts
+++ b/packages/anvilarch-serving/src/roles/gatewayRole.ts
@@ -18,15 +18,15 @@
 import type { ClosingNotice } from '../requests/clientAnswer'
 import type { ForwardParts } from '../requests/forwardTypes'
 import { createHoldTimes } from '../requests/holdTimes'
-import { createLineBudget } from '../telemetry/lineBudget'
-import { logEachSecond } from '../telemetry/secondLines'
-import { createTrafficTally } from '../telemetry/trafficTally'
+import { createLogRateLimiter } from '../telemetry/logRateLimiter'
+import { startPeriodicLog } from '../telemetry/periodicLog'
+import { createTrafficCounters } from '../telemetry/trafficCounters'
 import { startHeartbeat } from '../peers/heartbeat'
 import { handleClient } from './clientCalls'
 import { createClientServer } from './clientServer'
 import { drainClients } from './drainClients'
 import { createGatewayAccounts } from './gatewayAccounts'
-import { followPlatform, SHARED_PARTITIONS } from './followPlatform'
+import { followPlatform, DEFAULT_PARTITIONS } from './followPlatform'
 import { once } from './once'
 import type { RoleContext, RunningRole } from './types'
 
@@ -52,7 +52,7 @@
   if (gateway === undefined) throw new Error('the gateway role needs an address for clients and one for readiness')
   let leaving = false
   const notice: ClosingNotice = { isLeaving: () => leaving }
-  const view = followPlatform(context, { membersIntervalMs: () => MEMBERS_INTERVAL_MS })
+  const view = followPlatform(context, { memberListingIntervalMs: () => MEMBERS_INTERVAL_MS })
   const loads = createLoadTable(clock)
   const limitOf = (service: string): number => {
     const limit = view.configuration.current()?.services.get(service)?.maxConnections
@@ -62,7 +62,7 @@
   const suspects = createSuspectTable(clock, context.store.storeNowMs)
   const shared = shareSuspects(context, suspects)
   const crashes = createCrashWatch(suspects, shared.publish)
-  view.follow({ table: SUSPECT_TABLE, partitions: SHARED_PARTITIONS, listener: shared.listener })
+  view.follow({ table: SUSPECT_TABLE, partitions: DEFAULT_PARTITIONS, listener: shared.listener })
   const onReport = (report: LoadReport): void => {
     // A report about a start that is not listed yet comes again; kept, it would stay for ever if that start never is.
     if (!view.endpoints.hasStart(report.startId)) return
@@ -99,7 +99,7 @@
     if (endpoint.state === 'ready') crashes.onEndpointLost(endpoint.startId)
   })
   const closing = new AbortController()
-  const traffic = createTrafficTally()
+  const traffic = createTrafficCounters()
   const ageMs = (table: string): number | undefined => {
     const answeredAtMs = view.answeredAtMs(table)
     return answeredAtMs === undefined ? undefined : Math.round(clock.nowMs() - answeredAtMs)
@@ -119,7 +119,7 @@
     limits: accounts.limits,
     isStillAllowed: caller => isStillAllowed(view.configuration.current(), caller),
     traffic,
-    lines: createLineBudget(clock, GOOD_LINES_PER_SECOND),
+    lines: createLogRateLimiter(clock, GOOD_LINES_PER_SECOND),
     draw: () => context.random.next()
   }
   const jobs = createJobCalls({
@@ -132,12 +132,12 @@
     wire: wire.job,
     notice
   })
-  logEachSecond({
+  startPeriodicLog({
     clock,
     log,
     event: 'traffic',
     read: () => {
-      const counts = traffic.take()
+      const counts = traffic.readAndReset()
       return counts === undefined ? undefined : { ...counts, configurationAgeMs: ageMs(wire.operator.configurationTable), endpointsAgeMs: ageMs(wire.operator.endpointTable) }
     },
     signal: closing.signal
@@ -158,7 +158,7 @@
         endpoints: view.endpoints,
         callers: accounts.callers,
         isConfigurationStale: accounts.isConfigurationStale,
-        mayMissVersions: () => view.mayMissChanges(wire.operator.configurationTable),
+        isConfigurationFeedOverdue: () => view.isFeedOverdue(wire.operator.configurationTable),
         notice
       })
         .catch(error => {
--- a/packages/anvilarch-serving/src/roles/types.ts
+++ b/packages/anvilarch-serving/src/roles/types.ts
@@ -28,10 +28,10 @@
   retentionMs: number
   /** How closely limits of rate are to be kept. */
   limitBounds: LimitBounds
-  /** Whether a gateway that has not heard of the store for `revokedKeyMs` refuses callers with keys. */
+  /** Whether a gateway that has not heard of the store for `maxRevocationDelayMs` refuses callers with keys. */
   failsClosed: boolean
   /** How long a key may still be good after it was taken away. */
-  revokedKeyMs: number
+  maxRevocationDelayMs: number
   /** Configured for the gateway only. */
   gateway: GatewaySettings | undefined
   /** Configured for the agent only. */
--- a/packages/anvilarch-serving/src/store/__tests__/waitingCalls.test.ts
+++ b/packages/anvilarch-serving/src/store/__tests__/longPolls.test.ts
@@ -1,19 +1,19 @@
 import { createFakeClock, type FakeClock } from 'anvilarch-utils'
-import { createWaitingCalls, type WaitingCalls } from '../waitingCalls'
+import { createLongPolls, type LongPolls } from '../longPolls'
 
 let clock: FakeClock
-let waiting: WaitingCalls
+let waiting: LongPolls
 
 beforeEach(() => {
   clock = createFakeClock(1000)
-  waiting = createWaitingCalls(clock)
+  waiting = createLongPolls(clock)
 })
 
-describe('createWaitingCalls', () => {
+describe('createLongPolls', () => {
   it('gives up what was sent before a silence or within it, once a later call is answered', () => {
     const before = waiting.begin()
     clock.advance(500)
-    waiting.onSilence(1400)
+    waiting.onNoAnswer(1400)
     const within = waiting.begin()
     clock.advance(500)
     const after = waiting.begin()
@@ -30,12 +30,12 @@
 
   // Guards against giving up good calls again and again after an outage, each time that one of its calls times out.
   it('does not take the late timeout of a call from within the silence for another one', () => {
-    waiting.onSilence(1000)
+    waiting.onNoAnswer(1000)
     clock.advance(1000)
     waiting.onAnswer(2000)
     const { signal } = waiting.begin()
     clock.advance(500)
-    waiting.onSilence(1900)
+    waiting.onNoAnswer(1900)
     waiting.onAnswer(2500)
     expect(signal.aborted).toBe(false)
   })
@@ -44,7 +44,7 @@
     const { signal, end } = waiting.begin()
     end()
     clock.advance(100)
-    waiting.onSilence(1000)
+    waiting.onNoAnswer(1000)
     waiting.onAnswer(1100)
     expect(signal.aborted).toBe(false)
   })
--- a/packages/anvilarch-serving/src/store/__tests__/silentConnections.test.ts
+++ b/packages/anvilarch-serving/src/store/__tests__/silentConnections.test.ts
@@ -1,7 +1,7 @@
 import { createServer, type Server } from 'node:http'
 import type { AddressInfo, Socket } from 'node:net'
 import { createSystemClock } from 'anvilarch-utils'
-import { createDirectTransport, type StoreAnswer, type StoreCall } from '../transport'
+import { createDirectTransport, type StoreResponse, type StoreCall } from '../transport'
 
 const CALL: StoreCall = { name: 'read', method: 'GET', path: '/', headers: [], body: undefined, timeoutMs: 300 }
 const OPEN_CONNECTIONS = 5
@@ -29,7 +29,7 @@
     await Promise.all(Array.from({ length: OPEN_CONNECTIONS }, () => call(CALL)))
     expect(connections.size).toBe(OPEN_CONNECTIONS)
     for (const socket of connections) silent.add(socket)
-    const outcomes: Array<StoreAnswer['outcome']> = []
+    const outcomes: Array<StoreResponse['outcome']> = []
     for (let index = 0; index < OPEN_CONNECTIONS; index++) outcomes.push((await call(CALL)).outcome)
     expect(outcomes.filter(outcome => outcome === 'no_answer')).toHaveLength(1)
   })
--- a/packages/anvilarch-serving/src/store/__tests__/transport.test.ts
+++ b/packages/anvilarch-serving/src/store/__tests__/transport.test.ts
@@ -1,16 +1,16 @@
 import { createServer } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { createFakeClock, createRandom, createSystemClock, type FakeClock, SILENT_LOGGER } from 'anvilarch-utils'
-import { createDirectTransport, createRelayedTransport, type RelayedTransport, type StoreAnswer, type StoreCall, type StoreTransport } from '../transport'
+import { createDirectTransport, createRelayedTransport, type RelayedTransport, type StoreResponse, type StoreCall, type StoreTransport } from '../transport'
 
 const CALL: StoreCall = { name: 'read', method: 'GET', path: '/', headers: [], body: undefined, timeoutMs: 1000 }
-const DONE: StoreAnswer = { outcome: 'answered', status: 200, body: Buffer.alloc(0) }
-const BUSY: StoreAnswer = { outcome: 'answered', status: 503, body: Buffer.alloc(0) }
-const SILENT: StoreAnswer = { outcome: 'no_answer', reason: 'timeout' }
+const DONE: StoreResponse = { outcome: 'answered', status: 200, body: Buffer.alloc(0) }
+const BUSY: StoreResponse = { outcome: 'answered', status: 503, body: Buffer.alloc(0) }
+const SILENT: StoreResponse = { outcome: 'no_answer', reason: 'timeout' }
 
 let clock: FakeClock
-let direct: StoreAnswer
-let throughPeer: StoreAnswer
+let direct: StoreResponse
+let throughPeer: StoreResponse
 let directCalls: number
 let peerCalls: number
 let transport: RelayedTransport
@@ -30,7 +30,7 @@
     return throughPeer
   }
   transport = createRelayedTransport({
-    clock, log: SILENT_LOGGER, random: createRandom(1), direct: answerDirect, peers: () => ['10.0.0.2:1'], through: () => answerThroughPeer
+    clock, log: SILENT_LOGGER, random: createRandom(1), direct: answerDirect, peers: () => ['10.0.0.2:1'], createPeerTransport: () => answerThroughPeer
   })
 })
 
@@ -92,7 +92,7 @@
       random: createRandom(1),
       direct: async () => direct,
       peers: () => ['10.0.0.2:1', '10.0.0.3:1', '10.0.0.4:1'],
-      through: address => async () => {
+      createPeerTransport: address => async () => {
         asked.push(address)
         return asked.length < 3 ? BUSY : DONE
       }
@@ -111,7 +111,7 @@
       random: createRandom(1),
       direct: async () => direct,
       peers: () => ['10.0.0.2:1', '10.0.0.3:1'],
-      through: () => async () => {
+      createPeerTransport: () => async () => {
         asked++
         return SILENT
       }
@@ -124,15 +124,15 @@
 describe('the time of a call', () => {
   // Guards against this: a daemon knows of no change for several timeouts in a row, though it counts as in contact.
   it.each([['reach nobody', undefined], ['are silent', SILENT]])('is kept over all its tries when the store cannot be reached and peers %s', async (_title, last) => {
-    const notDone: StoreAnswer = { outcome: 'not_done', reason: 'UND_ERR_CONNECT_TIMEOUT' }
-    const answer = (given: StoreAnswer, afterMs: number): Promise<StoreAnswer> => new Promise(resolve => { clock.after(afterMs, () => resolve(given)) })
+    const notDone: StoreResponse = { outcome: 'not_done', reason: 'UND_ERR_CONNECT_TIMEOUT' }
+    const answer = (given: StoreResponse, afterMs: number): Promise<StoreResponse> => new Promise(resolve => { clock.after(afterMs, () => resolve(given)) })
     let tries = 0
     const through: StoreTransport = call => {
       tries++
       return tries < 3 ? answer(notDone, Math.min(700, call.timeoutMs)) : answer(last ?? notDone, call.timeoutMs)
     }
     const relayed = createRelayedTransport({
-      clock, log: SILENT_LOGGER, random: createRandom(1), direct: () => answer(notDone, 700), peers: () => ['10.0.0.2:1', '10.0.0.3:1', '10.0.0.4:1'], through: () => through
+      clock, log: SILENT_LOGGER, random: createRandom(1), direct: () => answer(notDone, 700), peers: () => ['10.0.0.2:1', '10.0.0.3:1', '10.0.0.4:1'], createPeerTransport: () => through
     })
     let endedMs: number | undefined
     relayed.call({ ...CALL, timeoutMs: 2500 }).then(() => { endedMs = clock.nowMs() }).catch(error => { throw error })
@@ -148,12 +148,12 @@
     call.signal?.addEventListener('abort', () => resolve({ outcome: 'no_answer', reason: 'given_up' }))
     if (answersAfterMs !== undefined) clock.after(answersAfterMs, () => resolve(DONE))
   })
-  const WAITING: StoreCall = { ...CALL, timeoutMs: 3500, waits: true }
+  const WAITING: StoreCall = { ...CALL, timeoutMs: 3500, isLongPoll: true }
 
   it('are given up when the store is back after a silence, and do not count as another one', async () => {
     const store = { answersAfterMs: undefined as number | undefined }
     const relayed = createRelayedTransport({
-      clock, log: SILENT_LOGGER, random: createRandom(1), direct: call => answerAfter(store.answersAfterMs)(call), peers: () => [], through: () => answerAfter(undefined)
+      clock, log: SILENT_LOGGER, random: createRandom(1), direct: call => answerAfter(store.answersAfterMs)(call), peers: () => [], createPeerTransport: () => answerAfter(undefined)
     })
     const lost = relayed.call(CALL)
     await clock.advanceAsync(900)
@@ -178,7 +178,7 @@
       random: createRandom(1),
       direct: call => answerAfter(store.answersAfterMs)(call),
       peers: () => ['10.0.0.2:1'],
-      through: () => call => {
+      createPeerTransport: () => call => {
         throughPeers++
         return answerAfter(undefined)(call)
       }
@@ -199,7 +199,7 @@
 })
 
 /** @returns what becomes of half of an answer that ends with its connection */
-async function unframedAnswer (status: number): Promise<StoreAnswer> {
+async function unframedAnswer (status: number): Promise<StoreResponse> {
   const server = createServer((_request, response) => {
     response.shouldKeepAlive = false
     response.removeHeader('Transfer-Encoding')
@@ -229,7 +229,7 @@
     const send = createDirectTransport(`127.0.0.1:${(server.address() as AddressInfo).port}`, createSystemClock())
     expect(await send(CALL)).toMatchObject({ outcome: 'answered' })
     const answer = send({ ...CALL, path: '/late', timeoutMs: 100 })
-    expect(await answer).toEqual({ outcome: 'answered', status: 200, body: Buffer.from('done'), readLate: true })
+    expect(await answer).toEqual({ outcome: 'answered', status: 200, body: Buffer.from('done'), readAfterPause: true })
     server.closeAllConnections()
     server.close()
   })
--- a/packages/anvilarch-serving/src/store/feedWait.ts
+++ b/packages/anvilarch-serving/src/store/feedWait.ts
@@ -10,7 +10,7 @@
 const CATCH_UP_MS = 500
 
 /** What the wait follows from. */
-export interface FeedWaitBounds {
+export interface FeedWaitOptions {
   /** How long after the end of an outage a host counts as out of contact. */
   contactMs: number
   /** How long a call is waited for beyond the wait that it asks for. */
@@ -24,6 +24,6 @@
  * @param bounds - of the deployment and of the client
  * @returns how long one call asks the store to wait, in milliseconds
  */
-export function feedWaitMs ({ contactMs, callTimeoutMs }: FeedWaitBounds): number {
+export function feedWaitMs ({ contactMs, callTimeoutMs }: FeedWaitOptions): number {
   return Math.min(MAX_FEED_WAIT_MS, Math.max(MIN_FEED_WAIT_MS, contactMs - callTimeoutMs - CATCH_UP_MS))
 }
--- a/packages/anvilarch-serving/src/store/waitingCalls.ts
+++ b/packages/anvilarch-serving/src/store/longPolls.ts
@@ -2,7 +2,7 @@
 import type { Clock } from 'anvilarch-utils'
 
 /** A call that asks the store to wait. */
-export interface WaitingCall {
+export interface LongPoll {
   /** Aborted when the store may never have got the call. */
   signal: AbortSignal
   /** The call has ended. */
@@ -10,10 +10,10 @@
 }
 
 /** The waiting calls of a process. */
-export interface WaitingCalls {
-  begin: () => WaitingCall
+export interface LongPolls {
+  begin: () => LongPoll
   /** A call got no answer. */
-  onSilence: (sentAtMs: number) => void
+  onNoAnswer: (sentAtMs: number) => void
   /** A call was answered. */
   onAnswer: (sentAtMs: number) => void
 }
@@ -25,7 +25,7 @@
  * @param clock - local clock
  * @returns a register without calls
  */
-export function createWaitingCalls (clock: Clock): WaitingCalls {
+export function createLongPolls (clock: Clock): LongPolls {
   const open = new Map<AbortController, number>()
   let silent = false
   let answeredSentAtMs = -Infinity
@@ -40,7 +40,7 @@
       open.set(controller, clock.nowMs())
       return { signal: controller.signal, end: () => { open.delete(controller) } }
     },
-    onSilence: sentAtMs => {
+    onNoAnswer: sentAtMs => {
       // One that was sent before an answered call tells of the time before that answer.
       if (sentAtMs >= answeredSentAtMs) silent = true
     },
--- a/packages/anvilarch-serving/src/store/rowCopy.ts
+++ b/packages/anvilarch-serving/src/store/tableCache.ts
@@ -8,13 +8,13 @@
 }
 
 /** A copy of one table. */
-export interface RowCopy<Record> {
+export interface TableCache<Record> {
   get: (key: string) => Versioned<Record> | undefined
   values: () => Iterable<Versioned<Record>>
   /** Takes a row that this process has just written or read, if it is newer than the copy. */
-  learn: (row: StoredRow) => void
+  update: (row: StoredRow) => void
   /** Forgets a row that is gone as of a version. */
-  forget: (key: RowKey, version: number) => void
+  remove: (key: RowKey, version: number) => void
   /** Takes the whole table as of a version of the store. */
   onListing: (rows: readonly StoredRow[], version: number) => void
   onChange: (change: RowChange) => void
@@ -33,7 +33,7 @@
  * @param decode - a row; gives undefined when the bytes are not of this program
  * @returns an empty copy
  */
-export function createRowCopy<Record> (decode: (row: StoredRow) => Record | undefined): RowCopy<Record> {
+export function createTableCache<Record> (decode: (row: StoredRow) => Record | undefined): TableCache<Record> {
   const entries = new Map<string, Entry<Record>>()
   let listedAtVersion: number | undefined
 
@@ -55,8 +55,8 @@
     values: function * () {
       for (const { versioned } of entries.values()) if (versioned !== undefined) yield versioned
     },
-    learn: put,
-    forget: remove,
+    update: put,
+    remove,
     onListing: (rows, version) => {
       const listed = new Set(rows.map(row => row.key))
       for (const [key, entry] of entries) if (!listed.has(key) && entry.version <= version) entries.delete(key)
--- a/packages/anvilarch-serving/src/store/tableFollower.ts
+++ b/packages/anvilarch-serving/src/store/tableFollower.ts
@@ -11,7 +11,7 @@
 }
 
 /** Options of `followTable`. */
-export interface FollowOptions {
+export interface FollowTableOptions {
   store: MetadataStore
   clock: Clock
   random: Random
@@ -52,7 +52,7 @@
  * @param options - store, table and listener
  * @returns a promise that resolves when following has ended
  */
-export async function followTable (options: FollowOptions): Promise<void> {
+export async function followTable (options: FollowTableOptions): Promise<void> {
   let version: number | undefined
   let retryMs = FEED_RETRY_MS
   const listing = createListing(options)
@@ -83,7 +83,7 @@
   onOutcome: (step: Step, sentAtMs: number) => void
 }
 
-function watchFeed ({ clock, log, table }: Pick<FollowOptions, 'clock' | 'log' | 'table'>): FeedWatch {
+function watchFeed ({ clock, log, table }: Pick<FollowTableOptions, 'clock' | 'log' | 'table'>): FeedWatch {
   let failedCalls = 0
   let lostSinceMs = 0
   return {
@@ -117,7 +117,7 @@
  * A refused call costs its own partition only. Were all partitions listed again, a store beyond its rate would get eight calls
  * for each one that it refuses, and no daemon would ever have all of them.
  */
-function createListing (options: Pick<FollowOptions, 'store' | 'clock' | 'log' | 'table' | 'partitions' | 'listener'>): Listing {
+function createListing (options: Pick<FollowTableOptions, 'store' | 'clock' | 'log' | 'table' | 'partitions' | 'listener'>): Listing {
   let rows: StoredRow[] = []
   let oldestVersion: number | undefined
   let next = 0
@@ -151,7 +151,7 @@
   }
 }
 
-async function readChanges (options: FollowOptions, version: number): Promise<Step> {
+async function readChanges (options: FollowTableOptions, version: number): Promise<Step> {
   const read = await options.store.readFeed(options.table, version, options.waitMs)
   if (read.err) return { outcome: 'failed', reason: read.val.reason }
   if (read.val.outcome === 'history_lost') {
@@ -165,8 +165,8 @@
 /** Daemons that start together write their rows one after another: listings come this soon at first, then ever less often. */
 const FIRST_LISTING_INTERVAL_MS = 100
 
-/** Options of `followListing`. */
-export interface ListingOptions extends Omit<FollowOptions, 'intervalMs' | 'waitMs'> {
+/** Options of `pollTable`. */
+export interface PollTableOptions extends Omit<FollowTableOptions, 'intervalMs' | 'waitMs'> {
   /** Asked after each listing: time until the next one. */
   intervalMs: () => number
 }
@@ -180,7 +180,7 @@
  * @param options - store, table and listener
  * @returns a promise that resolves when the following has ended
  */
-export async function followListing (options: ListingOptions): Promise<void> {
+export async function pollTable (options: PollTableOptions): Promise<void> {
   let earlyIntervalMs = FIRST_LISTING_INTERVAL_MS
   const listing = createListing(options)
   while (!options.signal.aborted) {
@@ -193,6 +193,6 @@
   }
 }
 
-async function pause (options: Pick<FollowOptions, 'clock' | 'random' | 'signal'>, delayMs: number): Promise<void> {
+async function pause (options: Pick<FollowTableOptions, 'clock' | 'random' | 'signal'>, delayMs: number): Promise<void> {
   await sleep(options.clock, options.random.jitter(delayMs, PAUSE_JITTER), options.signal)
 }
--- a/packages/anvilarch-serving/src/store/transport.ts
+++ b/packages/anvilarch-serving/src/store/transport.ts
@@ -3,7 +3,7 @@
 import { startExchange } from '../endpoints/exchange'
 import { createPool, type Pool } from '../endpoints/httpPool'
 import type { EventLog } from '../telemetry/events'
-import { createWaitingCalls } from './waitingCalls'
+import { createLongPolls } from './longPolls'
 
 /** One call to the store, encoded. */
 export interface StoreCall {
@@ -16,22 +16,22 @@
   body: Buffer | undefined
   timeoutMs: number
   /** Whether the store is asked to wait with its answer. */
-  waits?: boolean
+  isLongPoll?: boolean
   /** Gives the call up; its answer is then `no_answer`. */
   signal?: AbortSignal
 }
 
 /**
  * What came of a call. `not_done`: nothing reached the store. `no_answer`: it may have been done, or may be done later.
- * `readLate`: this process stood still while the answer waited to be read, so that times in the answer are of the past.
+ * `readAfterPause`: this process stood still while the answer waited to be read, so that times in the answer are of the past.
  */
-export type StoreAnswer =
-  | { outcome: 'answered', status: number, body: Buffer, readLate?: boolean }
+export type StoreResponse =
+  | { outcome: 'answered', status: number, body: Buffer, readAfterPause?: boolean }
   | { outcome: 'not_done', reason: string }
   | { outcome: 'no_answer', reason: string }
 
 /** Sends one call. */
-export type StoreTransport = (call: StoreCall) => Promise<StoreAnswer>
+export type StoreTransport = (call: StoreCall) => Promise<StoreResponse>
 
 /** A connection that takes longer is one whose packets are dropped. */
 const CONNECT_TIMEOUT_MS = 500
@@ -67,8 +67,8 @@
     const pool = currentPool
     const chunks: Buffer[] = []
     let status = 0
-    let readLate = false
-    const settle = (answer: StoreAnswer): void => {
+    let readAfterPause = false
+    const settle = (answer: StoreResponse): void => {
       timeout.cancel()
       call.signal?.removeEventListener('abort', onAbort)
       resolve(answer)
@@ -85,7 +85,7 @@
         settle({ outcome: 'no_answer', reason: 'unframed_answer' })
       },
       onData: chunk => { chunks.push(chunk) },
-      onComplete: () => settle({ outcome: 'answered', status, body: Buffer.concat(chunks), readLate }),
+      onComplete: () => settle({ outcome: 'answered', status, body: Buffer.concat(chunks), readAfterPause }),
       onFailure: failure => settle({ outcome: failure.notSent ? 'not_done' : 'no_answer', reason: failure.reason })
     })
     const timeout = createSilenceWatch({
@@ -96,7 +96,7 @@
         replacePool(pool)
         settle({ outcome: 'no_answer', reason: 'timeout' })
       },
-      onOwnPause: () => { readLate = true }
+      onOwnPause: () => { readAfterPause = true }
     })
     call.signal?.addEventListener('abort', onAbort, { once: true })
   })
@@ -119,7 +119,7 @@
   /** Peer ports of other daemons. */
   peers: () => string[]
   /** @returns a transport through the relay of a peer */
-  through: (peerAddress: string) => StoreTransport
+  createPeerTransport: (peerAddress: string) => StoreTransport
 }
 
 /** A transport and what it has seen. */
@@ -166,9 +166,9 @@
   let lastProbeMs = -Infinity
   let relayAgainMs = -Infinity
   let relayBackoffMs = RELAY_BACKOFF_MS
-  const waiting = createWaitingCalls(clock)
+  const waiting = createLongPolls(clock)
 
-  const note = (answer: StoreAnswer): boolean => {
+  const note = (answer: StoreResponse): boolean => {
     const nowMs = clock.nowMs()
     const succeeded = answer.outcome === 'answered' && !BUSY_STATUS.has(answer.status)
     if (succeeded) {
@@ -186,16 +186,16 @@
   }
 
   /** Asks one peer after another, as long as the answers show that nothing was done and the time of the call is not over. */
-  const relay = async (call: StoreCall, untilMs: number): Promise<StoreAnswer | undefined> => {
+  const relay = async (call: StoreCall, untilMs: number): Promise<StoreResponse | undefined> => {
     if (clock.nowMs() < relayAgainMs) return undefined
     const peers = [...options.peers()]
-    let answer: StoreAnswer | undefined
+    let answer: StoreResponse | undefined
     for (let tries = 0; tries < RELAY_TRIES && peers.length > 0; tries++) {
       const timeoutMs = untilMs - clock.nowMs()
       if (timeoutMs < MIN_TRY_MS) break
       const peer = options.random.pick(peers)
       peers.splice(peers.indexOf(peer), 1)
-      answer = await options.through(peer)({ ...call, timeoutMs })
+      answer = await options.createPeerTransport(peer)({ ...call, timeoutMs })
       if (call.signal?.aborted === true) return answer
       if (answer.outcome === 'answered' && !BUSY_STATUS.has(answer.status)) {
         contact.lastSuccessMs = clock.nowMs()
@@ -210,7 +210,7 @@
     return answer
   }
 
-  const callNow = async (storeCall: StoreCall): Promise<StoreAnswer> => {
+  const callNow = async (storeCall: StoreCall): Promise<StoreResponse> => {
     const untilMs = clock.nowMs() + storeCall.timeoutMs
     const turnedAway = failures >= TURNED_AWAY_FAILURES
     if (turnedAway && clock.nowMs() - lastProbeMs < PROBE_INTERVAL_MS) {
@@ -222,15 +222,15 @@
     const answer = await options.direct({ ...storeCall, timeoutMs: untilMs - sentAtMs })
     if (storeCall.signal?.aborted === true) return answer
     if (answer.outcome === 'answered') waiting.onAnswer(sentAtMs)
-    else if (answer.outcome === 'no_answer') waiting.onSilence(sentAtMs)
+    else if (answer.outcome === 'no_answer') waiting.onNoAnswer(sentAtMs)
     if (note(answer)) return answer
     // A call without an answer may have been done; doing it again through a peer is left to the caller.
     if (answer.outcome === 'no_answer') return answer
     return await relay(storeCall, untilMs) ?? answer
   }
 
-  const call = async (storeCall: StoreCall): Promise<StoreAnswer> => {
-    if (storeCall.waits !== true) return await callNow(storeCall)
+  const call = async (storeCall: StoreCall): Promise<StoreResponse> => {
+    if (storeCall.isLongPoll !== true) return await callNow(storeCall)
     const { signal, end } = waiting.begin()
     const answer = await callNow({ ...storeCall, signal })
     end()
@@ -239,6 +239,6 @@
   return { call, contact }
 }
 
-function reasonOf (answer: StoreAnswer): string {
+function reasonOf (answer: StoreResponse): string {
   return answer.outcome === 'answered' ? `status ${answer.status}` : answer.reason
 }
--- a/packages/anvilarch-serving/src/store/types.ts
+++ b/packages/anvilarch-serving/src/store/types.ts
@@ -69,7 +69,7 @@
   | { outcome: 'history_lost' }
 
 /** How the writing of an object ended. */
-export type ObjectWrite = 'stored' | 'exists' | 'refused' | 'unknown'
+export type ObjectWriteOutcome = 'stored' | 'exists' | 'refused' | 'unknown'
 
 /** A range of keys in one partition; `to` is excluded. */
 export interface RowRange {
@@ -87,7 +87,7 @@
   readRows: (range: RowRange) => Promise<Result<RowsRead, StoreFailure>>
   readFeed: (table: string, afterVersion: number, waitMs: number) => Promise<Result<FeedRead, StoreFailure>>
   /** Writes an object unless it exists. */
-  writeObject: (name: string, bytes: Buffer) => Promise<ObjectWrite>
+  writeObject: (name: string, bytes: Buffer) => Promise<ObjectWriteOutcome>
   /** @returns the bytes, or undefined when there is no such object */
   readObject: (name: string) => Promise<Result<Buffer | undefined, StoreFailure>>
   removeObject: (name: string) => Promise<boolean>
--- a/packages/anvilarch-serving/src/telemetry/__tests__/telemetry.test.ts
+++ b/packages/anvilarch-serving/src/telemetry/__tests__/telemetry.test.ts
@@ -1,14 +1,14 @@
 import { Writable } from 'node:stream'
 import { createFakeClock } from 'anvilarch-utils'
 import { createBoundedLog } from '../boundedLog'
-import { createLineBudget } from '../lineBudget'
+import { createLogRateLimiter } from '../logRateLimiter'
 import { createServingMetrics } from '../metrics'
 
-describe('createLineBudget', () => {
+describe('createLogRateLimiter', () => {
   it('bounds the lines of each second', () => {
     const clock = createFakeClock()
-    const budget = createLineBudget(clock, 3)
-    const taken = (): number => Array.from({ length: 10 }, () => budget.take()).filter(Boolean).length
+    const budget = createLogRateLimiter(clock, 3)
+    const taken = (): number => Array.from({ length: 10 }, () => budget.tryAcquire()).filter(Boolean).length
     expect(taken()).toBe(3)
     clock.advance(999)
     expect(taken()).toBe(0)
--- a/packages/anvilarch-serving/src/telemetry/lineBudget.ts
+++ b/packages/anvilarch-serving/src/telemetry/logRateLimiter.ts
@@ -2,8 +2,8 @@
 import type { Clock } from 'anvilarch-utils'
 
 /** Says whether one more line may be written. */
-export interface LineBudget {
-  take: () => boolean
+export interface LogRateLimiter {
+  tryAcquire: () => boolean
 }
 
 const SECOND_MS = 1000
@@ -13,11 +13,11 @@
  * @param linesPerSecond - lines that are written in any second
  * @returns a budget that is full at the start of each second
  */
-export function createLineBudget (clock: Clock, linesPerSecond: number): LineBudget {
+export function createLogRateLimiter (clock: Clock, linesPerSecond: number): LogRateLimiter {
   let secondStartMs = -Infinity
   let left = 0
   return {
-    take: () => {
+    tryAcquire: () => {
       const nowMs = clock.nowMs()
       if (nowMs - secondStartMs >= SECOND_MS) {
         secondStartMs = nowMs
--- a/packages/anvilarch-serving/src/telemetry/secondLines.ts
+++ b/packages/anvilarch-serving/src/telemetry/periodicLog.ts
@@ -6,10 +6,10 @@
 const LINE_INTERVAL_MS = 1000
 
 /** Events that are logged once a second. */
-export type SecondEvent = 'traffic' | 'engine use'
+export type PeriodicEvent = 'traffic' | 'engine use'
 
-/** Options of `logEachSecond`. */
-export interface SecondLineOptions<Name extends SecondEvent> {
+/** Options of `startPeriodicLog`. */
+export interface PeriodicLogOptions<Name extends PeriodicEvent> {
   clock: Clock
   log: EventLog
   event: Name
@@ -21,7 +21,7 @@
 /**
  * @param options - event and where its fields come from
  */
-export function logEachSecond<Name extends SecondEvent> (options: SecondLineOptions<Name>): void {
+export function startPeriodicLog<Name extends PeriodicEvent> (options: PeriodicLogOptions<Name>): void {
   const { clock, log, event, read, signal } = options
   runInBackground(log, `log ${event}`, async () => {
     while (!signal.aborted) {
--- a/packages/anvilarch-serving/src/telemetry/trafficTally.ts
+++ b/packages/anvilarch-serving/src/telemetry/trafficCounters.ts
@@ -1,21 +1,21 @@
 /** Counts what became of the requests of a gateway, for the line of each second. */
 
 /** How a request ended, as far as its client is concerned. */
-export type TrafficEnd = 'answered' | 'late' | 'refused' | 'failed' | 'left'
+export type TrafficOutcome = 'answered' | 'late' | 'refused' | 'failed' | 'left'
 
 /** Counts since the last reading, and the requests in progress now. */
-export type TrafficCounts = Record<TrafficEnd | 'arrived' | 'inProgress', number>
+export type TrafficCounts = Record<TrafficOutcome | 'arrived' | 'inProgress', number>
 
 /** The counts of a gateway. */
-export interface TrafficTally {
+export interface TrafficCounters {
   onArrival: () => void
-  onEnd: (end: TrafficEnd) => void
+  onEnd: (end: TrafficOutcome) => void
   /** @returns the counts since the last reading; undefined when there is nothing to tell */
-  take: () => TrafficCounts | undefined
+  readAndReset: () => TrafficCounts | undefined
 }
 
 /** @returns counts of nothing */
-export function createTrafficTally (): TrafficTally {
+export function createTrafficCounters (): TrafficCounters {
   let inProgress = 0
   let counts = emptyCounts()
   return {
@@ -27,7 +27,7 @@
       counts[end]++
       inProgress--
     },
-    take: () => {
+    readAndReset: () => {
       const taken = { ...counts, inProgress }
       counts = emptyCounts()
       return Object.values(taken).some(count => count > 0) ? taken : undefined
--- a/packages/anvilarch/src/commands/accountUsage.ts
+++ b/packages/anvilarch/src/commands/accountUsage.ts
@@ -1,6 +1,6 @@
 /** `anvilarch account usage` */
 import { METRICS_PORT } from 'anvilarch-platform'
-import { readAccountUse } from 'anvilarch-serving'
+import { readAccountUsage } from 'anvilarch-serving'
 import { fetchMetrics } from '../accounts'
 import { defineCommand } from '../defineCommand'
 import { formatTable } from '../output/table'
@@ -18,7 +18,7 @@
     const texts = await Promise.all(gateways.map(async member => await fetchMetrics(`http://${member.peerAddress.split(':')[0]}:${METRICS_PORT}/metrics`)))
     const silent = gateways.filter((_, index) => texts[index] === undefined).map(member => member.name)
     const limits = new Map(accounts.map(account => [account.name, account]))
-    const uses = readAccountUse(texts.filter(text => text !== undefined)).map(use => ({
+    const uses = readAccountUsage(texts.filter(text => text !== undefined)).map(use => ({
       ...use, requestsPerSecond: limits.get(use.accountName)?.requestsPerSecond, burstRequests: limits.get(use.accountName)?.burstRequests
     }))
     return {
--- a/packages/anvilarch/src/storeSnapshot.ts
+++ b/packages/anvilarch/src/storeSnapshot.ts
@@ -1,7 +1,7 @@
 /** Reads the platform's store for a command. */
 import { option, string } from 'cmd-ts'
 import { openStore } from 'anvilarch-platform'
-import { readStore, type StoreSnapshot } from 'anvilarch-serving'
+import { readStoreSnapshot, type StoreSnapshot } from 'anvilarch-serving'
 import { SILENT_LOGGER } from 'anvilarch-utils'
 import { CliError } from './cliError'
 import type { CliSession } from './session'
@@ -17,7 +17,7 @@
  */
 export async function readSnapshot (address: string, session: CliSession): Promise<StoreSnapshot> {
   const { store, wire } = openStore(address, session.environment.clock, SILENT_LOGGER)
-  const read = await readStore(store, wire)
+  const read = await readStoreSnapshot(store, wire)
   if (read.ok) return read.val
   throw new CliError(`The store at ${address} can't be read: ${read.val.reason}.`, {
     code: 'platform_unavailable', step: 'store.read', peer: address, exit: 'unreachable', ran: 'not_run', hint: 'Check the address in the settings file of a daemon, and try again.'
