--- a/packages/anvilarch-bench/src/model/fleetModel.ts
+++ b/packages/anvilarch-bench/src/model/fleetModel.ts
@@ -1,6 +1,6 @@
 /** Plays a load on a fleet of modelled engines, with the daemon's own decisions, on a clock that needs no waiting. */
 import { type Clock, createFakeClock, createRandom, type FakeClock, type Random } from 'anvilarch-utils'
-import { type Endpoint, urgency } from 'anvilarch-serving'
+import { type Endpoint, itemSortKey } from 'anvilarch-serving'
 import { createModelEngine, type ModelEngine } from './modelEngine'
 import { createModelGateway, type ModelGateway } from './modelGateway'
 import type { FleetModelFigures, FleetModelOptions, ModelBacklog, ModelItem } from './types'
@@ -81,7 +81,7 @@
   let waiting: ModelItem[] = []
   return {
     first: count => {
-      const keyed = waiting.map(item => ({ item, key: urgency(item.dueAtMs - clock.nowMs(), item.remainingMs) }))
+      const keyed = waiting.map(item => ({ item, key: itemSortKey(item.dueAtMs - clock.nowMs(), item.remainingMs) }))
       return keyed.sort((a, b) => a.key - b.key).slice(0, count).map(({ item }) => item)
     },
     take: item => { waiting = waiting.filter(other => other !== item) },
--- a/packages/anvilarch-bench/src/model/modelEngine.ts
+++ b/packages/anvilarch-bench/src/model/modelEngine.ts
@@ -1,6 +1,6 @@
 /** An engine of the model with its agent: slots, a queue in order of arrival, and batch items in the slots to spare. */
 import type { Clock, Timer } from 'anvilarch-utils'
-import { countToStart, isPressing, itemsToStop, planSlack } from 'anvilarch-serving'
+import { countToStart, hasTightDeadline, countToPreempt, planBatchSlots } from 'anvilarch-serving'
 import type { ModelBacklog, ModelItem, ModelRequest } from './types'
 
 /** One engine. */
@@ -87,11 +87,11 @@
   const online = (): number => runningOnline + queue.length + announced
 
   const look = (): void => {
-    const plan = planSlack({ slots, running: runningOnline + items.length, waiting: queue.length, ownItems: items.length, ownUnseen: 0 })
-    cutItems(plan.stop)
+    const plan = planBatchSlots({ slots, running: runningOnline + items.length, waiting: queue.length, ownItems: items.length, ownUnreported: 0 })
+    cutItems(plan.preempt)
     const first = backlog.first(plan.start)
-    const wanting = first.map(item => ({ pressing: isPressing(item.dueAtMs - clock.nowMs(), item.remainingMs) }))
-    const count = countToStart({ count: plan.start, items: wanting, online: online(), sinceCutMs: clock.nowMs() - cutAtMs })
+    const wanting = first.map(item => ({ tightDeadline: hasTightDeadline(item.dueAtMs - clock.nowMs(), item.remainingMs) }))
+    const count = countToStart({ count: plan.start, items: wanting, online: online(), sincePreemptionMs: clock.nowMs() - cutAtMs })
     for (const item of first.slice(0, count)) {
       backlog.take(item)
       startItem(item)
@@ -104,7 +104,7 @@
   return {
     onNotice: () => {
       announced++
-      cutItems(itemsToStop(slots, online(), items.length))
+      cutItems(countToPreempt(slots, online(), items.length))
     },
     onRequest: request => {
       announced--
--- a/packages/anvilarch-serving/src/roles/agentRole.ts
+++ b/packages/anvilarch-serving/src/roles/agentRole.ts
@@ -8,7 +8,7 @@
 import { CLAIM_TABLE, JOB_TABLE, MEMBER_TABLE } from '../jobs/jobRows'
 import { JOB_PARTITIONS } from '../jobs/partitions'
 import { startBatchRunner } from '../runner/batchRunner'
-import { createPace } from '../runner/pace'
+import { createRunTimeEstimator } from '../runner/runTimeEstimator'
 import { followPlatform } from './followPlatform'
 import type { EngineReport, EngineWire, RoleContext, RunningRole } from './types'
 import { type Clock, createSilenceWatch } from 'anvilarch-utils'
@@ -43,15 +43,15 @@
   const { settings, clock, log } = context
   const agent = settings.agent
   if (agent === undefined) throw new Error('the agent role needs the address of an engine')
-  let othersHoldItems = (): boolean => false
-  const view = followPlatform(context, { membersIntervalMs: () => othersHoldItems() ? BUSY_MEMBERS_INTERVAL_MS : IDLE_MEMBERS_INTERVAL_MS })
-  let wantsItems = (): boolean => false
-  const feedIntervalMs = (): number => wantsItems() ? HUNGRY_FEED_INTERVAL_MS : FEED_INTERVAL_MS
+  let othersHoldClaims = (): boolean => false
+  const view = followPlatform(context, { membersIntervalMs: () => othersHoldClaims() ? BUSY_MEMBERS_INTERVAL_MS : IDLE_MEMBERS_INTERVAL_MS })
+  let hasUnfilledSlots = (): boolean => false
+  const feedIntervalMs = (): number => hasUnfilledSlots() ? HUNGRY_FEED_INTERVAL_MS : FEED_INTERVAL_MS
   view.follow({ table: JOB_TABLE, partitions: JOB_PARTITIONS, listener: view.work.listeners.jobs, intervalMs: feedIntervalMs })
   view.follow({ table: CLAIM_TABLE, partitions: JOB_PARTITIONS, listener: view.work.listeners.claims, intervalMs: feedIntervalMs })
   const closing = new AbortController()
-  const pace = createPace()
-  const heartbeat = startHeartbeat(context, { role: 'agent', onWritten: view.work.learn, details: () => ({ eventMs: pace.eventMs() }) })
+  const runTimeEstimator = createRunTimeEstimator()
+  const heartbeat = startHeartbeat(context, { role: 'agent', onWritten: view.work.learn, details: () => ({ eventMs: runTimeEstimator.eventIntervalMs() }) })
   const poolOptions = { connections: ENGINE_CONNECTIONS, connectTimeout: REPORT_TIMEOUT_MS, headersTimeout: 0, bodyTimeout: 0 }
   const pool = createPool(`http://${agent.engineAddress}`, { ...poolOptions, pipelining: 1 })
   // Without pipelining, a connection is closed after its first answer.
@@ -75,16 +75,16 @@
     retentionMs: settings.retentionMs,
     membersListedAtMs: () => view.answeredAtMs(MEMBER_TABLE),
     readReport: () => readReport(pool, context.wire.engine, clock),
-    pace
+    runTimeEstimator
   })
-  othersHoldItems = runner.watchesOthers
-  wantsItems = runner.wantsItems
+  othersHoldClaims = runner.othersHoldClaims
+  hasUnfilledSlots = runner.hasUnfilledSlots
   const onMessage = (message: PeerMessage, from: PeerAddress): void => {
     if (message.message === 'load_question') peers.send({ message: 'load_answer', number: message.number, report: runner.load() }, from)
-    else if (message.message === 'use') runner.onUse(`${from.ip}:${from.port}`, message.startId, message.inProgress)
+    else if (message.message === 'use') runner.onUsageReport(`${from.ip}:${from.port}`, message.startId, message.inProgress)
   }
   const peers = openPeerSocket({ clock, log, own: { ip: settings.ip, port: settings.peerPort }, onMessage })
-  logEachSecond({ clock, log, event: 'engine use', read: runner.use, signal: closing.signal })
+  logEachSecond({ clock, log, event: 'engine use', read: runner.slotUsage, signal: closing.signal })
   const close = once(async () => {
     closing.abort()
     runner.halt()
--- a/packages/anvilarch-serving/src/runner/__fixtures__/memoryStore.ts
+++ b/packages/anvilarch-serving/src/runner/__fixtures__/memoryStore.ts
@@ -11,7 +11,7 @@
  * What becomes of a call. `unanswered`: done, without an answer. `late`: the same, seconds after it. `lost`: neither done nor
  * answered.
  */
-export type CallFate = 'done' | 'refused' | 'unanswered' | 'late' | 'lost'
+export type CallOutcome = 'done' | 'refused' | 'unanswered' | 'late' | 'lost'
 
 /** The store. */
 export interface MemoryStore {
@@ -22,11 +22,11 @@
   putObject: (name: string, bytes: Buffer) => void
   put: (key: RowKey, record: JobRecord | MemberRecord) => void
   /** @returns a copy of the work that hears of each change after the lag */
-  follow: (process: Pick<ProcessClock, 'whenRunning'>, lagMs: number) => FollowedWork
+  replicate: (process: Pick<ProcessClock, 'whenRunning'>, lagMs: number) => WorkReplica
 }
 
 /** A copy of the work. */
-export interface FollowedWork {
+export interface WorkReplica {
   work: WorkTable
   /** The copy hears of no change for so long; then the store has forgotten what it missed, and the copy is listed anew. */
   loseHistory: (durationMs: number) => void
@@ -45,7 +45,7 @@
  * @param nextFate - asked once for each write and each read of a row
  * @returns a store without rows
  */
-export function createMemoryStore (clock: FakeClock, nextFate: () => CallFate): MemoryStore {
+export function createMemoryStore (clock: FakeClock, nextFate: () => CallOutcome): MemoryStore {
   const rows = new Map<string, StoredRow>()
   const objects = new Map<string, Buffer>()
   const followers: Array<(change: RowChange) => void> = []
@@ -124,7 +124,7 @@
 
   const rowsOf = (table: string): StoredRow[] => [...rows.values()].filter(row => row.table === table)
 
-  const follow = (process: Pick<ProcessClock, 'whenRunning'>, lagMs: number): FollowedWork => {
+  const follow = (process: Pick<ProcessClock, 'whenRunning'>, lagMs: number): WorkReplica => {
     const work = createWorkTable()
     const listeners = new Map([[JOB_TABLE, work.listeners.jobs], [CLAIM_TABLE, work.listeners.claims]])
     let isLost = false
@@ -158,7 +158,7 @@
     }
   }
 
-  return { client, rows: () => [...rows.values()], row: rowOf, object: name => objects.get(name), putObject: (name, bytes) => { objects.set(name, bytes) }, put, follow }
+  return { client, rows: () => [...rows.values()], row: rowOf, object: name => objects.get(name), putObject: (name, bytes) => { objects.set(name, bytes) }, put, replicate: follow }
 }
 
 function versionOf (change: RowChange): number {
--- a/packages/anvilarch-serving/src/runner/__fixtures__/processClock.ts
+++ b/packages/anvilarch-serving/src/runner/__fixtures__/processClock.ts
@@ -6,7 +6,7 @@
   /** Runs something that comes from outside: now, or as soon as the process goes on. */
   whenRunning: (action: () => void) => void
   /** Nothing of the process runs for so long. Then timers that have come due run first, and what has come from outside next. */
-  standStill: (durationMs: number) => void
+  freeze: (durationMs: number) => void
 }
 
 /**
@@ -47,7 +47,7 @@
       }
     },
     whenRunning: action => runOrKeep(arrivals, action),
-    standStill: durationMs => {
+    freeze: durationMs => {
       stillUntilMs = Math.max(stillUntilMs, clock.nowMs() + durationMs)
       clock.after(durationMs, catchUp)
     }
--- a/packages/anvilarch-serving/src/runner/__fixtures__/runnerFleet.ts
+++ b/packages/anvilarch-serving/src/runner/__fixtures__/runnerFleet.ts
@@ -11,17 +11,17 @@
 import type { MetadataStore } from '../../store/types'
 import { createServingMetrics } from '../../telemetry/metrics'
 import { type BatchRunner, startBatchRunner } from '../batchRunner'
-import { createPace } from '../pace'
+import { createRunTimeEstimator } from '../runTimeEstimator'
 import { CONFIGURATION, WIRE } from './jobRoute'
-import { type CallFate, createMemoryStore, type MemoryStore } from './memoryStore'
+import { type CallOutcome, createMemoryStore, type MemoryStore } from './memoryStore'
 import { createProcessClock, type ProcessClock } from './processClock'
-import { createScriptedEngine, type RunTrouble, type ScriptedEngine, wholeTextOf } from './scriptedEngine'
+import { createScriptedEngine, type RunFault, type ScriptedEngine, wholeTextOf } from './scriptedEngine'
 
 /** What goes wrong; each entry is used up by one call or run, and nothing goes wrong after the last. */
 export interface FleetScript {
   eventCounts: readonly number[]
-  calls: CallFate[]
-  runs: RunTrouble[]
+  calls: CallOutcome[]
+  runs: RunFault[]
 }
 
 /** A runner and the engine beside it. */
@@ -33,12 +33,12 @@
   /** The process saves its items and ends; another takes its place. */
   stop: () => Promise<void>
   /** Whether the store takes the agent for alive; its process goes on all the same. */
-  setHeard: (heard: boolean) => void
+  setAlive: (heard: boolean) => void
   /** Requests of online clients at the engine. */
   setOnline: (requests: number) => void
   setReady: (ready: boolean) => void
   /** All runs at the engine go wrong so, before the script is asked; undefined follows the script again. */
-  setTrouble: (trouble: RunTrouble | undefined) => void
+  setFault: (trouble: RunFault | undefined) => void
   /** The process stands still for so long, and the store takes it for dead meanwhile; its engine goes on. */
   freeze: (durationMs: number) => void
   /** What the process has copied is out of date for so long, and listed anew then. */
@@ -54,9 +54,9 @@
   /** A client ends the job. */
   endJob: () => void
   /** All calls of the store end so; undefined follows the script again. */
-  setFate: (fate: CallFate | undefined) => void
+  setCallOutcome: (fate: CallOutcome | undefined) => void
   /** Nothing goes wrong any more. */
-  endTroubles: () => void
+  clearFaults: () => void
   results: () => Promise<JobResult[]>
   expectedText: (itemId: string) => string
   /** Answers 500 and 422 by item. */
@@ -86,7 +86,7 @@
  */
 export function createRunnerFleet (agentCount: number, script: FleetScript): RunnerFleet {
   const clock = createFakeClock()
-  let fateOfAll: CallFate | undefined
+  let fateOfAll: CallOutcome | undefined
   const store = createMemoryStore(clock, () => fateOfAll ?? script.calls.shift() ?? 'done')
   const statuses = new Map<string, number[]>()
   const items = script.eventCounts.map((_, index): JobItem => ({ id: `item${index}`, path: '/', headers: {}, body: Buffer.alloc(0), tokens: 100 }))
@@ -95,7 +95,7 @@
   store.put(jobKey(JOB_ID), newJob(items, { jobId: JOB_ID, account: undefined, host: 'h', path: '/jobs', nowMs: 0, dueMs: 600_000, expiryMs: 900_000, maxAttempts: 3 }))
   const agents = Array.from({ length: agentCount }, (_, index) => {
     const process = createProcessClock(clock)
-    let troubleOfAll: RunTrouble | undefined
+    let troubleOfAll: RunFault | undefined
     return createAgent({
       clock: process,
       setTrouble: trouble => { troubleOfAll = trouble },
@@ -107,7 +107,7 @@
         toReader: process.whenRunning,
         eventIntervalMs: EVENT_INTERVAL_MS,
         eventCount,
-        nextTrouble: () => troubleOfAll ?? script.runs.shift() ?? { trouble: 'none' },
+        nextFault: () => troubleOfAll ?? script.runs.shift() ?? { trouble: 'none' },
         onStatus: (itemId, status) => statuses.set(itemId, [...statuses.get(itemId) ?? [], status])
       })
     })
@@ -122,8 +122,8 @@
       const parts = { store: store.client, work: createJobCache(), clock, log: SILENT_LOGGER }
       changeJob(parts, JOB_ID, job => job.ended ? undefined : { next: endJob(job) }, clock.nowMs() + END_PATIENCE_MS).catch(() => {})
     },
-    setFate: fate => { fateOfAll = fate },
-    endTroubles: () => {
+    setCallOutcome: fate => { fateOfAll = fate },
+    clearFaults: () => {
       fateOfAll = undefined
       script.calls.length = 0
       script.runs.length = 0
@@ -150,11 +150,11 @@
   name: string
   lagMs: number
   engine: ScriptedEngine
-  setTrouble: FleetAgent['setTrouble']
+  setTrouble: FleetAgent['setFault']
 }
 
 function createAgent ({ clock, store, name, lagMs, engine, setTrouble }: AgentParts): FleetAgent {
-  const { work, loseHistory } = store.follow(clock, lagMs)
+  const { work, loseHistory } = store.replicate(clock, lagMs)
   let incarnation = 0
   let online = 0
   let ready = true
@@ -189,7 +189,7 @@
       retentionMs: 900_000,
       membersListedAtMs: () => clock.nowMs(),
       readReport: async () => ({ running: engine.running() + online, waiting: 0, bornAtMs: engine.bornAtMs() }),
-      pace: createPace()
+      runTimeEstimator: createRunTimeEstimator()
     })
   }
   const agent: FleetAgent = {
@@ -205,21 +205,21 @@
       await runner.stop()
       if (agent.runner === runner) agent.replace()
     },
-    setHeard: nowHeard => {
+    setAlive: nowHeard => {
       heard = nowHeard
       tellStore()
     },
     setOnline: requests => {
       online = requests
-      agent.runner.onUse('gateway', endpoint().startId, requests)
+      agent.runner.onUsageReport('gateway', endpoint().startId, requests)
     },
     setReady: nowReady => { ready = nowReady },
     freeze: durationMs => {
-      clock.standStill(durationMs)
-      agent.setHeard(false)
-      clock.after(durationMs, () => agent.setHeard(true))
+      clock.freeze(durationMs)
+      agent.setAlive(false)
+      clock.after(durationMs, () => agent.setAlive(true))
     },
-    setTrouble,
+    setFault: setTrouble,
     loseHistory
   }
   return agent
--- a/packages/anvilarch-serving/src/runner/__fixtures__/runnerHarness.ts
+++ b/packages/anvilarch-serving/src/runner/__fixtures__/runnerHarness.ts
@@ -11,7 +11,7 @@
 import type { MetadataStore } from '../../store/types'
 import { createServingMetrics } from '../../telemetry/metrics'
 import { type BatchRunner, startBatchRunner } from '../batchRunner'
-import { createPace } from '../pace'
+import { createRunTimeEstimator } from '../runTimeEstimator'
 import { CONFIGURATION, WIRE } from './jobRoute'
 
 /** A run at the engine. */
@@ -27,11 +27,11 @@
   runner: BatchRunner
   runs: EngineRun[]
   /** Items whose claims were given back, in order. */
-  letGo: number[]
+  released: number[]
   /** Requests of online clients, which the engine runs or lets wait. */
   online: { running: number, waiting: number }
   /** A gateway tells how many of its requests are in progress. */
-  tell: (inProgress: number) => void
+  reportUsage: (inProgress: number) => void
   runningItems: () => EngineRun[]
 }
 
@@ -128,10 +128,10 @@
     retentionMs: 900_000,
     membersListedAtMs: () => clock.nowMs(),
     readReport: async () => ({ running: runningItems().length + online.running, waiting: online.waiting, bornAtMs: undefined }),
-    pace: createPace()
+    runTimeEstimator: createRunTimeEstimator()
   })
-  const tell = (inProgress: number): void => runner.onUse('gateway', 'e1', inProgress)
-  return { clock, runner, runs, letGo, online, tell, runningItems }
+  const tell = (inProgress: number): void => runner.onUsageReport('gateway', 'e1', inProgress)
+  return { clock, runner, runs, released: letGo, online, reportUsage: tell, runningItems }
 }
 
 function endpointWith (slots: number): Endpoint {
--- a/packages/anvilarch-serving/src/runner/__fixtures__/scriptedEngine.ts
+++ b/packages/anvilarch-serving/src/runner/__fixtures__/scriptedEngine.ts
@@ -8,7 +8,7 @@
  * to runs from the start only, since it is right for one that goes on after the last event. `silent`: goes on when it has been
  * given up. `fail_twice`: 500, and once more on a kept connection, as if it were the answer to the next run of the item.
  */
-export type RunTrouble =
+export type RunFault =
   | { trouble: 'none' | 'from_start' | 'of_another' | 'no_stream' | 'empty' | 'fail_twice' }
   | { trouble: 'status', status: number }
   | { trouble: 'break' | 'silent' | 'without_id' | 'skip' | 'cut', atEvent: number }
@@ -30,7 +30,7 @@
   eventIntervalMs: number
   eventCount: (itemId: string) => number
   /** Asked once for each run. */
-  nextTrouble: () => RunTrouble
+  nextFault: () => RunFault
   /** Carries what the engine sends to the process that reads it. */
   toReader: (action: () => void) => void
   /** Told of each answer to a run that is not a stream, repeated ones left out. */
@@ -94,7 +94,7 @@
     handler.onComplete()
   }
 
-  const stream = (handler: Handler, itemId: string, from: number, trouble: RunTrouble): void => {
+  const stream = (handler: Handler, itemId: string, from: number, trouble: RunFault): void => {
     const answeredId = trouble.trouble === 'of_another' ? 'another' : itemId
     handler.onHeaders(200, ['x-id', answeredId, 'content-type', EVENT_STREAM_TYPE, 'transfer-encoding', 'chunked'].map(text => Buffer.from(text)))
     const first = trouble.trouble === 'from_start' ? 1 : from + 1
@@ -134,7 +134,7 @@
       answer(handler, itemId, FAILED_STATUS, '')
       return
     }
-    const trouble = options.nextTrouble()
+    const trouble = options.nextFault()
     if (trouble.trouble === 'status' || trouble.trouble === 'fail_twice') {
       const status = 'status' in trouble ? trouble.status : FAILED_STATUS
       if (isKept && trouble.trouble === 'fail_twice') failsAgain.add(itemId)
--- a/packages/anvilarch-serving/src/runner/__tests__/batchRunner.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/batchRunner.test.ts
@@ -29,7 +29,7 @@
   // Guards against this: first events of online requests come late while a job runs.
   it.each([1, 2, 3])('gives way at once when a gateway tells that the requests exceed the free slots by %i', async excess => {
     await startRunner(10)
-    harness.tell(excess)
+    harness.reportUsage(excess)
     expect(harness.runs.filter(run => run.abortedAtMs === harness.clock.nowMs())).toHaveLength(excess)
     harness.online.running = excess
     await harness.clock.advanceAsync(300)
@@ -48,11 +48,11 @@
   it('goes on with the items it has broken off once the requests are gone', async () => {
     await startRunner(3)
     harness.online.running = SLOTS
-    harness.tell(SLOTS)
+    harness.reportUsage(SLOTS)
     await harness.clock.advanceAsync(100)
     expect(harness.runningItems()).toHaveLength(0)
     harness.online.running = 0
-    harness.tell(0)
+    harness.reportUsage(0)
     await harness.clock.advanceAsync(100)
     expect(harness.runningItems()).toHaveLength(3)
     expect(new Set(harness.runs.map(run => run.itemId)).size).toBe(3)
@@ -69,11 +69,11 @@
   it('keeps paused items that can wait for as long as a burst usually lasts', async () => {
     await startRunner(3)
     harness.online.running = SLOTS
-    harness.tell(SLOTS)
+    harness.reportUsage(SLOTS)
     await harness.clock.advanceAsync(2500)
-    expect(harness.letGo).toEqual([])
+    expect(harness.released).toEqual([])
     harness.online.running = 0
-    harness.tell(0)
+    harness.reportUsage(0)
     await harness.clock.advanceAsync(100)
     expect(harness.runningItems()).toHaveLength(3)
   })
@@ -81,17 +81,17 @@
   it('lets go of items that wait longer', async () => {
     await startRunner(3)
     harness.online.running = SLOTS
-    harness.tell(SLOTS)
+    harness.reportUsage(SLOTS)
     await harness.clock.advanceAsync(4000)
-    expect([...harness.letGo].sort()).toEqual([0, 1, 2])
+    expect([...harness.released].sort()).toEqual([0, 1, 2])
   })
 
   it('lets go of items that cannot wait within a second', async () => {
     harness = createRunnerHarness(SLOTS, 3, 500)
     await harness.clock.advanceAsync(1000)
     harness.online.running = SLOTS
-    harness.tell(SLOTS)
+    harness.reportUsage(SLOTS)
     await harness.clock.advanceAsync(1000)
-    expect([...harness.letGo].sort()).toEqual([0, 1, 2])
+    expect([...harness.released].sort()).toEqual([0, 1, 2])
   })
 })
--- a/packages/anvilarch-serving/src/runner/__tests__/engineView.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/engineView.test.ts
@@ -19,29 +19,29 @@
 describe('createEngineView', () => {
   // Guards against this: items are sent to an engine on the word of an entry that its former start wrote.
   it('knows no engine between a restart and the entry of the new start', () => {
-    expect(view.look({ running: 0, waiting: 0, bornAtMs: 1000 })).toBe(listed)
-    expect(view.look({ running: 0, waiting: 0, bornAtMs: 2000 })).toBeUndefined()
+    expect(view.update({ running: 0, waiting: 0, bornAtMs: 1000 })).toBe(listed)
+    expect(view.update({ running: 0, waiting: 0, bornAtMs: 2000 })).toBeUndefined()
     expect(view.current()).toBeUndefined()
     listed = endpoint(2000)
-    expect(view.look({ running: 0, waiting: 0, bornAtMs: 2000 })).toBe(listed)
+    expect(view.update({ running: 0, waiting: 0, bornAtMs: 2000 })).toBe(listed)
     expect(restarts).toBe(1)
   })
 
   it('goes by the list where engines do not say when they were started', () => {
     listed = endpoint(undefined)
-    expect(view.look({ running: 0, waiting: 0, bornAtMs: undefined })).toBe(listed)
+    expect(view.update({ running: 0, waiting: 0, bornAtMs: undefined })).toBe(listed)
     listed = { ...endpoint(undefined), id: 'e2', startId: 'e2' }
-    expect(view.look({ running: 0, waiting: 0, bornAtMs: undefined })).toBe(listed)
+    expect(view.update({ running: 0, waiting: 0, bornAtMs: undefined })).toBe(listed)
     expect(restarts).toBe(1)
   })
 
   it('sees no restart in an engine that does not answer for a while', () => {
-    view.look({ running: 0, waiting: 0, bornAtMs: 1000 })
-    view.look(undefined)
+    view.update({ running: 0, waiting: 0, bornAtMs: 1000 })
+    view.update(undefined)
     listed = undefined
-    view.look(undefined)
+    view.update(undefined)
     listed = endpoint(1000)
-    view.look({ running: 0, waiting: 0, bornAtMs: 1000 })
+    view.update({ running: 0, waiting: 0, bornAtMs: 1000 })
     expect(restarts).toBe(0)
   })
 })
--- a/packages/anvilarch-serving/src/runner/__tests__/fruitlessRuns.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/failedStarts.test.ts
@@ -1,5 +1,5 @@
 import { createRunnerFleet, type RunnerFleet } from '../__fixtures__/runnerFleet'
-import type { RunTrouble } from '../__fixtures__/scriptedEngine'
+import type { RunFault } from '../__fixtures__/scriptedEngine'
 
 let fleet: RunnerFleet
 
@@ -7,7 +7,7 @@
 
 describe('an item whose runs bring nothing', () => {
   // Guards against this: an item waits for ever at an engine that cannot do it, beside engines that can.
-  it.each<RunTrouble>([
+  it.each<RunFault>([
     { trouble: 'of_another' },
     { trouble: 'no_stream' },
     { trouble: 'break', atEvent: 0 },
@@ -17,7 +17,7 @@
   ])('goes to another engine: %j', async trouble => {
     fleet = createRunnerFleet(2, { eventCounts: [20, 20, 20], calls: [], runs: [] })
     const [broken, sound] = fleet.agents
-    broken.setTrouble(trouble)
+    broken.setFault(trouble)
     sound.setOnline(3)
     await fleet.clock.advanceAsync(2000)
     sound.setOnline(0)
--- a/packages/anvilarch-serving/src/runner/__tests__/itemChoice.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/itemChoice.test.ts
@@ -1,7 +1,7 @@
 import hashes from 'murmurhash'
 import { newJob } from '../../jobs/jobRecord'
 import type { ClaimRecord, JobRecord, MemberRecord } from '../../jobs/types'
-import { chooseItems, type ItemChoiceInput, urgency } from '../itemChoice'
+import { chooseItems, type ItemChoiceInput, itemSortKey } from '../itemChoice'
 
 const NOW_MS = 10_000
 
@@ -31,7 +31,7 @@
     storeNowMs: NOW_MS,
     heartbeatsTrusted: true,
     mayRun: () => true,
-    ranksBehind: () => 0,
+    priorityRank: () => 0,
     isSkipped: () => false,
     remainingMs: () => 5000,
     remainingElsewhereMs: () => 5000,
@@ -56,7 +56,7 @@
   it('takes items of the more urgent accounts first, unless others are due more than a second sooner for each step', () => {
     const jobs = [job('less', 20_000), job('more', 20_900), job('soon', 18_000)]
     const ranksBehind = ({ jobId }: JobRecord): number => jobId === 'more' ? 0 : 1
-    expect(chooseItems(input({ jobs }, { ranksBehind }), 6).map(candidate => candidate.job.jobId)).toEqual(['soon', 'soon', 'more', 'more', 'less', 'less'])
+    expect(chooseItems(input({ jobs }, { priorityRank: ranksBehind }), 6).map(candidate => candidate.job.jobId)).toEqual(['soon', 'soon', 'more', 'more', 'less', 'less'])
   })
 
   // Guards against this: nearly all items of a busy hour end just after they were due.
@@ -133,7 +133,7 @@
 
 describe('urgency', () => {
   it('orders by due time, what is late last', () => {
-    const keys = [urgency(8000, 5000), urgency(9000, 5000), urgency(-2000, 5000), urgency(3000, 5000)]
+    const keys = [itemSortKey(8000, 5000), itemSortKey(9000, 5000), itemSortKey(-2000, 5000), itemSortKey(3000, 5000)]
     expect([...keys].sort((a, b) => a - b)).toEqual(keys)
   })
 })
--- a/packages/anvilarch-serving/src/runner/__tests__/itemHistories.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/itemHistories.test.ts
@@ -6,13 +6,13 @@
  */
 import fc from 'fast-check'
 import { resultKey } from '../../jobs/jobRows'
-import type { CallFate } from '../__fixtures__/memoryStore'
+import type { CallOutcome } from '../__fixtures__/memoryStore'
 import { createRunnerFleet, type RunnerFleet } from '../__fixtures__/runnerFleet'
-import type { RunTrouble } from '../__fixtures__/scriptedEngine'
+import type { RunFault } from '../__fixtures__/scriptedEngine'
 
 type Step =
   | { type: 'wait', ms: number }
-  | { type: 'store', fate: CallFate, ms: number }
+  | { type: 'store', fate: CallOutcome, ms: number }
   | { type: 'burst' | 'drain' | 'lapse' | 'freeze' | 'lose_history', agent: number, ms: number }
   | { type: 'replace' | 'stop' | 'restart', agent: number }
 
@@ -29,7 +29,7 @@
 
 const ms = fc.integer({ min: 10, max: 4500 })
 
-const fate = fc.constantFrom<CallFate>('done', 'done', 'done', 'refused', 'unanswered', 'late', 'lost')
+const fate = fc.constantFrom<CallOutcome>('done', 'done', 'done', 'refused', 'unanswered', 'late', 'lost')
 
 const step: fc.Arbitrary<Step> = fc.oneof(
   { weight: 5, arbitrary: fc.record({ type: fc.constant('wait' as const), ms: fc.integer({ min: 10, max: 800 }) }) },
@@ -39,7 +39,7 @@
   { weight: 3, arbitrary: fc.record({ type: fc.constantFrom('replace' as const, 'stop' as const, 'restart' as const), agent }) }
 )
 
-const trouble: fc.Arbitrary<RunTrouble> = fc.oneof(
+const trouble: fc.Arbitrary<RunFault> = fc.oneof(
   { weight: 2, arbitrary: fc.record({ trouble: fc.constant('none' as const) }) },
   { weight: 4, arbitrary: fc.record({ trouble: fc.constantFrom('from_start' as const, 'of_another' as const, 'no_stream' as const, 'empty' as const) }) },
   { weight: 2, arbitrary: fc.record({ trouble: fc.constant('fail_twice' as const) }) },
@@ -68,8 +68,8 @@
       await fleet.clock.advanceAsync(step.ms)
       break
     case 'store':
-      fleet.setFate(step.fate)
-      fleet.clock.after(step.ms, () => fleet.setFate(undefined))
+      fleet.setCallOutcome(step.fate)
+      fleet.clock.after(step.ms, () => fleet.setCallOutcome(undefined))
       break
     default:
       disturb(fleet, step)
@@ -85,7 +85,7 @@
   const actions: Record<typeof step.type, () => void> = {
     burst: () => forAWhile(() => target.setOnline(SLOTS), () => target.setOnline(0)),
     drain: () => forAWhile(() => target.setReady(false), () => target.setReady(true)),
-    lapse: () => forAWhile(() => target.setHeard(false), () => target.setHeard(true)),
+    lapse: () => forAWhile(() => target.setAlive(false), () => target.setAlive(true)),
     freeze: () => 'ms' in step && target.freeze(step.ms),
     lose_history: () => 'ms' in step && target.loseHistory(step.ms),
     replace: target.replace,
@@ -97,9 +97,9 @@
 
 async function heal (fleet: RunnerFleet, itemCount: number): Promise<void> {
   await fleet.clock.advanceAsync(2 * HEAL_STEP_MS)
-  fleet.endTroubles()
+  fleet.clearFaults()
   for (const target of fleet.agents) {
-    target.setHeard(true)
+    target.setAlive(true)
     target.setOnline(0)
     target.setReady(true)
   }
--- a/packages/anvilarch-serving/src/runner/__tests__/itemRun.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/itemRun.test.ts
@@ -43,11 +43,11 @@
 }
 
 function startOfText (): ItemText {
-  return { lastEventId: 0, pieces: [] }
+  return { lastEventId: 0, eventData: [] }
 }
 
 function textUpToSecondEvent (): ItemText {
-  return { lastEventId: 2, pieces: ['a', 'b'] }
+  return { lastEventId: 2, eventData: ['a', 'b'] }
 }
 
 describe('runItem', () => {
--- a/packages/anvilarch-serving/src/runner/__tests__/lookSchedule.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/pollSchedule.test.ts
@@ -1,8 +1,8 @@
 import { createFakeClock, type FakeClock } from 'anvilarch-utils'
-import { createLookSchedule, type LookSchedule } from '../lookSchedule'
+import { createPollSchedule, type PollSchedule } from '../pollSchedule'
 
 let clock: FakeClock
-let schedule: LookSchedule
+let schedule: PollSchedule
 let looksAtMs: number[]
 let stopping: AbortController
 
@@ -19,7 +19,7 @@
 
 beforeEach(async () => {
   clock = createFakeClock(0)
-  schedule = createLookSchedule({ clock, minPauseMs: 40, maxPauseMs: () => 200 })
+  schedule = createPollSchedule({ clock, minPauseMs: 40, maxPauseMs: () => 200 })
   looksAtMs = []
   stopping = new AbortController()
   const look = async (): Promise<void> => {
@@ -37,7 +37,7 @@
   await settle()
 })
 
-describe('createLookSchedule', () => {
+describe('createPollSchedule', () => {
   it('looks from time to time when nothing is told', async () => {
     await advance(410)
     expect(looksAtMs).toEqual([0, 200, 400])
--- a/packages/anvilarch-serving/src/runner/batchRunner.ts
+++ b/packages/anvilarch-serving/src/runner/batchRunner.ts
@@ -6,18 +6,18 @@
 import type { EventFields } from '../telemetry/events'
 import type { LoadReport } from '../endpoints/peerMessages'
 import { createEngineView } from './engineView'
-import { fleetEventMs } from './fleetPace'
-import { createHeldItemCare } from './heldItemCare'
-import { createHeldItems } from './heldItems'
+import { medianEventIntervalMs } from './fleetEventInterval'
+import { createClaimMaintenance } from './claimMaintenance'
+import { createClaimedItems } from './claimedItems'
 import type { ItemChoiceInput } from './itemChoice'
-import { createItemSteps } from './itemSteps'
-import { createLookSchedule } from './lookSchedule'
-import { createOnlineUse } from './onlineUse'
-import { createRefusals } from './refusals'
-import { createSlotBalance } from './slotBalance'
+import { createItemLifecycle } from './itemLifecycle'
+import { createPollSchedule } from './pollSchedule'
+import { createOnlineUsage } from './onlineUsage'
+import { createStartBackoff } from './startBackoff'
+import { createSlotScheduler } from './slotScheduler'
 import type { RunnerParts, RunnerState } from './types'
-import { createUpkeep } from './upkeep'
-import { hasOpenJobs, livingRunners, othersHoldItems } from './itemChoice'
+import { createJobMaintenance } from './jobMaintenance'
+import { hasOpenJobs, liveRunners, othersHoldClaims } from './itemChoice'
 
 /** A batch runner at work. */
 export interface BatchRunner {
@@ -26,15 +26,15 @@
   /** Drops everything at once; the claims lapse. */
   halt: () => void
   /** A gateway has told how many of its requests are in progress at a start of the engine. */
-  onUse: (gateway: string, startId: string, inProgress: number) => void
+  onUsageReport: (gateway: string, startId: string, inProgress: number) => void
   /** @returns how busy the engine is; undefined while it is not known which start it is */
   load: () => LoadReport | undefined
   /** @returns how the slots of the engine are used; undefined while there is no engine to tell of */
-  use: () => EventFields['engine use'] | undefined
+  slotUsage: () => EventFields['engine use'] | undefined
   /** @returns whether the engine has slots to spare for which no item was found */
-  wantsItems: () => boolean
+  hasUnfilledSlots: () => boolean
   /** @returns whether other runners hold items, so that it matters whether they are alive */
-  watchesOthers: () => boolean
+  othersHoldClaims: () => boolean
 }
 
 /** Longest pause between two looks at the engine while there is batch work: an item waits half of it for a slot that nobody has told of. */
@@ -71,22 +71,22 @@
 export function startBatchRunner (parts: RunnerParts): BatchRunner {
   const { clock, log } = parts
   const controller = new AbortController()
-  const held = createHeldItems(clock, parts.metrics)
-  const { pace } = parts
-  const engineRefusals = createRefusals(clock)
+  const held = createClaimedItems(clock, parts.metrics)
+  const { runTimeEstimator: pace } = parts
+  const engineRefusals = createStartBackoff(clock)
   const engine = createEngineView({
     log,
     listed: () => parts.endpoints.atAddress(parts.engineAddress),
     onRestart: () => {
       pace.onEngineRestart()
       engineRefusals.reset()
-      held.all().forEach(entry => entry.refusals.reset())
+      held.all().forEach(entry => entry.backoff.reset())
     }
   })
-  const looks = createLookSchedule({ clock, minPauseMs: MIN_LOOK_MS, maxPauseMs: () => hasWork() ? BUSY_LOOK_MS : IDLE_LOOK_MS })
-  const use = createOnlineUse(clock)
-  const steps = createItemSteps({
-    ...parts, engine, held, engineRefusals, submissions: createResultReader(parts.store), stopping: controller.signal, onSlotFreed: looks.request
+  const looks = createPollSchedule({ clock, minPauseMs: MIN_LOOK_MS, maxPauseMs: () => hasWork() ? BUSY_LOOK_MS : IDLE_LOOK_MS })
+  const use = createOnlineUsage(clock)
+  const steps = createItemLifecycle({
+    ...parts, engine, claimedItems: held, engineBackoff: engineRefusals, submissions: createResultReader(parts.store), stopping: controller.signal, onSlotFreed: looks.request
   })
   let reachable = false
   /** Whether an item may want a slot that becomes free. */
@@ -111,38 +111,38 @@
 
   const choiceInput = (storeNowMs: number): ItemChoiceInput => {
     // Found once for all items of a choice.
-    const elsewhereEventMs = fleetEventMs(parts.work, storeNowMs)
+    const elsewhereEventMs = medianEventIntervalMs(parts.work, storeNowMs)
     return {
       work: parts.work,
       runner: parts.runner,
       incarnation: parts.incarnation,
-      runners: livingRunners(parts.work, storeNowMs),
+      runners: liveRunners(parts.work, storeNowMs),
       storeNowMs,
       heartbeatsTrusted: heartbeatsTrusted(),
       mayRun,
-      ranksBehind,
+      priorityRank: ranksBehind,
       remainingMs: pace.remainingMs,
       remainingElsewhereMs: (tokens, lastEventId) => pace.remainingMs(tokens, lastEventId, elsewhereEventMs),
-      isSkipped: held.isHeldOrLeft
+      isSkipped: held.isClaimedOrCoolingDown
     }
   }
 
-  const state: RunnerState = { held, steps, engineRefusals, choiceInput }
-  const balance = createSlotBalance(parts, state)
-  const care = createHeldItemCare(parts, state)
-  const upkeep = createUpkeep({ ...parts, choiceInput })
+  const state: RunnerState = { claimedItems: held, lifecycle: steps, engineBackoff: engineRefusals, choiceInput }
+  const balance = createSlotScheduler(parts, state)
+  const care = createClaimMaintenance(parts, state)
+  const upkeep = createJobMaintenance({ ...parts, choiceInput })
 
   const tick = async (): Promise<void> => {
     const reportAskedAtMs = clock.nowMs()
     const report = await parts.readReport()
-    const endpoint = engine.look(report)
-    care.review()
+    const endpoint = engine.update(report)
+    care.dropLostItems()
     reachable = report !== undefined
     if (report !== undefined && endpoint !== undefined) {
-      use.onLook(endpoint.startId, Math.max(0, report.running + report.waiting - held.inState('running').length))
-      balance.onLook(report, endpoint, reportAskedAtMs)
+      use.onPoll(endpoint.startId, Math.max(0, report.running + report.waiting - held.inState('running').length))
+      balance.onPoll(report, endpoint, reportAskedAtMs)
     }
-    care.learnPace()
+    care.sampleEventIntervals()
     care.saveRunning()
     care.releaseUnwanted(endpoint)
   }
@@ -162,15 +162,15 @@
   runInBackground(log, 'expiry', () => repeat(() => sleep(clock, EXPIRY_INTERVAL_MS, controller.signal), upkeep.expire))
 
   return {
-    onUse: (gateway, startId, inProgress) => {
+    onUsageReport: (gateway, startId, inProgress) => {
       const before = use.online()
-      use.onNotice(gateway, startId, inProgress)
+      use.onUsageReport(gateway, startId, inProgress)
       const now = use.online()
       const endpoint = engine.current()
-      if (now > before && endpoint !== undefined) balance.onOnline(now, endpoint)
+      if (now > before && endpoint !== undefined) balance.onOnlineIncrease(now, endpoint)
       if (now < before && hasWork()) looks.request()
     },
-    use: () => {
+    slotUsage: () => {
       const endpoint = engine.current()
       if (endpoint === undefined) return undefined
       return {
@@ -187,8 +187,8 @@
       if (endpoint === undefined) return undefined
       return { startId: endpoint.startId, online: use.online(), batchRunning: held.inState('running').length, reachable }
     },
-    wantsItems: balance.wantsItems,
-    watchesOthers: () => othersHoldItems(parts.work, parts.runner),
+    hasUnfilledSlots: balance.hasUnfilledSlots,
+    othersHoldClaims: () => othersHoldClaims(parts.work, parts.runner),
     halt: () => {
       controller.abort()
       held.all().forEach(held.drop)
--- a/packages/anvilarch-serving/src/runner/heldItemCare.ts
+++ b/packages/anvilarch-serving/src/runner/claimMaintenance.ts
@@ -2,17 +2,17 @@
 import { runInBackground } from 'anvilarch-utils'
 import type { Endpoint } from '../model/types'
 import { ownClaimVersion, saveProgress } from './claims'
-import { fleetEventMs } from './fleetPace'
-import { type HeldItem, progressOf } from './heldItems'
-import { isBetterElsewhere, isPressing } from './itemChoice'
-import type { ReleaseReason } from './itemSteps'
+import { medianEventIntervalMs } from './fleetEventInterval'
+import { type ClaimedItem, progressOf } from './claimedItems'
+import { isBetterElsewhere, hasTightDeadline } from './itemChoice'
+import type { ReleaseReason } from './itemLifecycle'
 import type { RunnerParts, RunnerState } from './types'
 
 /** What is done for held items after each look at the engine. */
-export interface HeldItemCare {
+export interface ClaimMaintenance {
   /** Ends what is no longer this runner's or no longer wanted. */
-  review: () => void
-  learnPace: () => void
+  dropLostItems: () => void
+  sampleEventIntervals: () => void
   saveRunning: () => void
   /** Lets go of what waits too long, of what is better run elsewhere, and of all when the endpoint leaves. */
   releaseUnwanted: (endpoint: Endpoint | undefined) => void
@@ -38,15 +38,15 @@
  * @param state - items of the runner
  * @returns the care
  */
-export function createHeldItemCare (parts: RunnerParts, state: Pick<RunnerState, 'held' | 'steps'>): HeldItemCare {
-  const { clock, log, pace } = parts
-  const { held, steps } = state
+export function createClaimMaintenance (parts: RunnerParts, state: Pick<RunnerState, 'claimedItems' | 'lifecycle'>): ClaimMaintenance {
+  const { clock, log, runTimeEstimator: pace } = parts
+  const { claimedItems: held, lifecycle: steps } = state
 
   /** Items that would be late at this engine and in time at another. */
-  const betterElsewhere = (): HeldItem[] => {
+  const betterElsewhere = (): ClaimedItem[] => {
     const storeNowMs = parts.store.storeNowMs()
     if (storeNowMs === undefined) return []
-    const eventMs = fleetEventMs(parts.work, storeNowMs)
+    const eventMs = medianEventIntervalMs(parts.work, storeNowMs)
     return held.inState('running').filter(entry => isBetterElsewhere(
       entry.dueAtMs - storeNowMs,
       pace.remainingMs(entry.tokens, entry.text.lastEventId),
@@ -54,17 +54,17 @@
     ))
   }
 
-  const holdMs = (entry: HeldItem): number => {
+  const holdMs = (entry: ClaimedItem): number => {
     const dueInMs = entry.dueAtMs - (parts.store.storeNowMs() ?? 0)
-    return isPressing(dueInMs, pace.remainingMs(entry.tokens, entry.text.lastEventId)) ? PRESSING_HOLD_MS : PATIENT_HOLD_MS
+    return hasTightDeadline(dueInMs, pace.remainingMs(entry.tokens, entry.text.lastEventId)) ? PRESSING_HOLD_MS : PATIENT_HOLD_MS
   }
 
-  const releaseAll = (entries: HeldItem[], reason: ReleaseReason): void => {
+  const releaseAll = (entries: ClaimedItem[], reason: ReleaseReason): void => {
     for (const entry of entries) runInBackground(log, 'release item', () => steps.release(entry, reason))
   }
 
   return {
-    review: () => {
+    dropLostItems: () => {
       for (const entry of [...held.inState('running'), ...held.inState('paused')]) {
         const job = parts.work.job(entry.jobId)?.record
         const lost = ownClaimVersion(parts, entry.jobId, entry.item) === undefined
@@ -73,13 +73,13 @@
         held.drop(entry)
       }
     },
-    learnPace: () => {
+    sampleEventIntervals: () => {
       const nowMs = clock.nowMs()
       for (const entry of held.inState('running')) {
-        if (nowMs - entry.pacedAtMs < PACE_INTERVAL_MS) continue
-        pace.onRun(entry.text.lastEventId - entry.pacedEventId, nowMs - entry.pacedAtMs)
-        entry.pacedAtMs = nowMs
-        entry.pacedEventId = entry.text.lastEventId
+        if (nowMs - entry.sampledAtMs < PACE_INTERVAL_MS) continue
+        pace.onRun(entry.text.lastEventId - entry.sampledEventId, nowMs - entry.sampledAtMs)
+        entry.sampledAtMs = nowMs
+        entry.sampledEventId = entry.text.lastEventId
       }
     },
     saveRunning: () => {
--- a/packages/anvilarch-serving/src/runner/heldItems.ts
+++ b/packages/anvilarch-serving/src/runner/claimedItems.ts
@@ -4,16 +4,16 @@
 import type { Attempt } from '../requests/runAttempt'
 import type { ServingMetrics } from '../telemetry/metrics'
 import type { ItemText } from './itemRun'
-import { createRefusals, type Refusals } from './refusals'
+import { createStartBackoff, type StartBackoff } from './startBackoff'
 
 /**
  * `claiming`: on the way into a run. `paused`: held without a run. `finishing`: ended, not yet in the store.
  * `saving`: its text is being written before the item is let go.
  */
-export type HeldState = 'claiming' | 'running' | 'paused' | 'finishing' | 'saving'
+export type ClaimedItemState = 'claiming' | 'running' | 'paused' | 'finishing' | 'saving'
 
 /** An item that this process holds or is about to. */
-export interface HeldItem {
+export interface ClaimedItem {
   jobId: string
   /** Place of the item in its job. */
   item: number
@@ -21,7 +21,7 @@
   tokens: number
   /** Store time at which the item is due. */
   dueAtMs: number
-  state: HeldState
+  state: ClaimedItemState
   text: ItemText
   /** Last event whose text the store has. */
   savedEventId: number
@@ -30,23 +30,23 @@
   pausedAtMs: number
   startedAtMs: number
   /** Up to where the pace of this run has been learned. */
-  pacedAtMs: number
-  pacedEventId: number
+  sampledAtMs: number
+  sampledEventId: number
   /** Sends of this item that made no event. */
-  refusals: Refusals
+  backoff: StartBackoff
   run?: Attempt
 }
 
 /** All of them. */
-export interface HeldItems {
-  add: (job: JobRecord, item: number) => HeldItem
+export interface ClaimedItems {
+  add: (job: JobRecord, item: number) => ClaimedItem
   /** Ends the run and forgets the item. */
-  drop: (entry: HeldItem) => void
+  drop: (entry: ClaimedItem) => void
   /** Leaves the item to other runners for a while. */
-  leaveToOthers: (entry: HeldItem) => void
-  isHeldOrLeft: (jobId: string, item: number) => boolean
-  all: () => HeldItem[]
-  inState: (state: HeldState) => HeldItem[]
+  startCooldown: (entry: ClaimedItem) => void
+  isClaimedOrCoolingDown: (jobId: string, item: number) => boolean
+  all: () => ClaimedItem[]
+  inState: (state: ClaimedItemState) => ClaimedItem[]
 }
 
 /** An item that could not be claimed or run is left to others for this long. */
@@ -57,8 +57,8 @@
  * @param metrics - shows how many are held
  * @returns no items
  */
-export function createHeldItems (clock: Clock, metrics: ServingMetrics): HeldItems {
-  const held = new Map<string, HeldItem>()
+export function createClaimedItems (clock: Clock, metrics: ServingMetrics): ClaimedItems {
+  const held = new Map<string, ClaimedItem>()
   const leftUntilMs = new Map<string, number>()
   const idOf = (jobId: string, item: number): string => `${jobId}/${item}`
   const sweepLeft = (nowMs: number): void => {
@@ -67,21 +67,21 @@
   return {
     add: (job, item) => {
       const nowMs = clock.nowMs()
-      const entry: HeldItem = {
+      const entry: ClaimedItem = {
         jobId: job.jobId,
         item,
         itemId: job.itemIds[item],
         tokens: job.itemTokens[item],
         dueAtMs: job.dueAtMs,
         state: 'claiming',
-        text: { lastEventId: 0, pieces: [] },
+        text: { lastEventId: 0, eventData: [] },
         savedEventId: 0,
         savedAtMs: nowMs,
         pausedAtMs: nowMs,
         startedAtMs: nowMs,
-        pacedAtMs: nowMs,
-        pacedEventId: 0,
-        refusals: createRefusals(clock)
+        sampledAtMs: nowMs,
+        sampledEventId: 0,
+        backoff: createStartBackoff(clock)
       }
       held.set(idOf(entry.jobId, item), entry)
       metrics.itemsInHand.set(held.size)
@@ -92,12 +92,12 @@
       held.delete(idOf(entry.jobId, entry.item))
       metrics.itemsInHand.set(held.size)
     },
-    leaveToOthers: entry => {
+    startCooldown: entry => {
       const nowMs = clock.nowMs()
       sweepLeft(nowMs)
       leftUntilMs.set(idOf(entry.jobId, entry.item), nowMs + LEAVE_MS)
     },
-    isHeldOrLeft: (jobId, item) => {
+    isClaimedOrCoolingDown: (jobId, item) => {
       const id = idOf(jobId, item)
       return held.has(id) || (leftUntilMs.get(id) ?? -Infinity) > clock.nowMs()
     },
@@ -107,6 +107,6 @@
 }
 
 /** @returns the text of an item so far, as it is saved */
-export function progressOf (entry: HeldItem): { lastEventId: number, text: string } {
-  return { lastEventId: entry.text.lastEventId, text: entry.text.pieces.join('\n') }
+export function progressOf (entry: ClaimedItem): { lastEventId: number, text: string } {
+  return { lastEventId: entry.text.lastEventId, text: entry.text.eventData.join('\n') }
 }
--- a/packages/anvilarch-serving/src/runner/engineView.ts
+++ b/packages/anvilarch-serving/src/runner/engineView.ts
@@ -6,7 +6,7 @@
 /** The engine beside an agent. */
 export interface EngineView {
   /** Takes a look at the engine into account. @returns the same as `current` */
-  look: (report: EngineReport | undefined) => Endpoint | undefined
+  update: (report: EngineReport | undefined) => Endpoint | undefined
   /** @returns the engine as it is listed; undefined while the start that answers is not the one that is listed */
   current: () => Endpoint | undefined
 }
@@ -48,7 +48,7 @@
   }
 
   return {
-    look: report => {
+    update: report => {
       if (report?.bornAtMs !== undefined) answeringBornAtMs = report.bornAtMs
       const listed = options.listed()
       if (listed !== undefined) noteStart(startIdOf(listed.id, answeringBornAtMs ?? listed.bornAtMs), answeringBornAtMs ?? listed.bornAtMs)
--- a/packages/anvilarch-serving/src/runner/fleetPace.ts
+++ b/packages/anvilarch-serving/src/runner/fleetEventInterval.ts
@@ -6,7 +6,7 @@
  * @param storeNowMs - the store's clock
  * @returns the median time between two events over all living agents that know theirs; undefined if none does
  */
-export function fleetEventMs (work: Pick<WorkTable, 'members'>, storeNowMs: number): number | undefined {
+export function medianEventIntervalMs (work: Pick<WorkTable, 'members'>, storeNowMs: number): number | undefined {
   const paces: number[] = []
   for (const { record } of work.members()) {
     if (record.aliveUntilMs > storeNowMs && record.eventMs !== undefined) paces.push(record.eventMs)
--- a/packages/anvilarch-serving/src/runner/itemChoice.ts
+++ b/packages/anvilarch-serving/src/runner/itemChoice.ts
@@ -9,9 +9,9 @@
 export interface Candidate {
   job: JobRecord
   item: number
-  urgency: number
-  /** Whether it would be late if it waited much longer; see `isPressing`. */
-  pressing: boolean
+  sortKey: number
+  /** Whether it would be late if it waited much longer; see `hasTightDeadline`. */
+  tightDeadline: boolean
 }
 
 /** What the choice depends on. */
@@ -27,7 +27,7 @@
   /** Whether this runner's endpoint may run items of the job. */
   mayRun: (job: JobRecord) => boolean
   /** How many steps of priority lie between the account of the job and the most urgent ones. */
-  ranksBehind: (job: JobRecord) => number
+  priorityRank: (job: JobRecord) => number
   /** Items that this process has in hand or has just failed to run. */
   isSkipped: (jobId: string, item: number) => boolean
   /** Estimate of the time that an item still runs here. */
@@ -64,7 +64,7 @@
  * @param remainingMs - time that it still runs
  * @returns sort key
  */
-export function urgency (dueInMs: number, remainingMs: number): number {
+export function itemSortKey (dueInMs: number, remainingMs: number): number {
   return dueInMs >= remainingMs ? dueInMs : LATE_OFFSET_MS + dueInMs
 }
 
@@ -76,7 +76,7 @@
  * @param remainingMs - time that it still runs
  * @returns whether it should take any slot that it can get
  */
-export function isPressing (dueInMs: number, remainingMs: number): boolean {
+export function hasTightDeadline (dueInMs: number, remainingMs: number): boolean {
   return dueInMs < PRESSING_FACTOR * remainingMs
 }
 
@@ -102,15 +102,15 @@
   for (const job of open) {
     // What is in time comes in this order: no later job can add an item to the window.
     if (inTime.length >= window && rankedDueMs(job, input) > rankedDueMs(inTime[window - 1].job, input)) break
-    for (const candidate of candidatesOf(job, input)) (candidate.urgency < LATE_OFFSET_MS / 2 ? inTime : late).push(candidate)
+    for (const candidate of candidatesOf(job, input)) (candidate.sortKey < LATE_OFFSET_MS / 2 ? inTime : late).push(candidate)
   }
-  const byUrgency = (a: Candidate, b: Candidate): number => a.urgency - b.urgency
+  const byUrgency = (a: Candidate, b: Candidate): number => a.sortKey - b.sortKey
   const mostUrgent = [...inTime.sort(byUrgency), ...late.sort(byUrgency)].slice(0, window)
   return spread(mostUrgent, input).slice(0, limit)
 }
 
 function rankedDueMs (job: JobRecord, input: ItemChoiceInput): number {
-  return job.dueAtMs + RANK_HANDICAP_MS * input.ranksBehind(job)
+  return job.dueAtMs + RANK_HANDICAP_MS * input.priorityRank(job)
 }
 
 /**
@@ -156,7 +156,7 @@
     const tokens = job.itemTokens[item]
     const remainingMs = input.remainingMs(tokens, savedEventId)
     if (isBetterElsewhere(dueInMs, remainingMs, input.remainingElsewhereMs(tokens, savedEventId))) continue
-    candidates.push({ job, item, urgency: urgency(dueInMs, remainingMs) + rankedDueMs(job, input) - job.dueAtMs, pressing: isPressing(dueInMs, remainingMs) })
+    candidates.push({ job, item, sortKey: itemSortKey(dueInMs, remainingMs) + rankedDueMs(job, input) - job.dueAtMs, tightDeadline: hasTightDeadline(dueInMs, remainingMs) })
   }
   return candidates
 }
@@ -185,7 +185,7 @@
  * @param runner - this runner
  * @returns whether another runner holds an item of a job that is open
  */
-export function othersHoldItems (work: Pick<WorkTable, 'jobs' | 'claim'>, runner: string): boolean {
+export function othersHoldClaims (work: Pick<WorkTable, 'jobs' | 'claim'>, runner: string): boolean {
   for (const { record: job } of work.jobs()) {
     for (const item of openItems(job)) {
       const claim = work.claim(job.jobId, item)?.record
@@ -206,7 +206,7 @@
  * @param storeNowMs - the store's clock
  * @returns names of the runners that are alive, in the same order at each of them
  */
-export function livingRunners (work: Pick<WorkTable, 'members'>, storeNowMs: number): string[] {
+export function liveRunners (work: Pick<WorkTable, 'members'>, storeNowMs: number): string[] {
   return [...work.members()]
     .map(member => member.record)
     .filter(member => member.role === 'agent' && member.aliveUntilMs > storeNowMs)
--- a/packages/anvilarch-serving/src/runner/itemSteps.ts
+++ b/packages/anvilarch-serving/src/runner/itemLifecycle.ts
@@ -8,13 +8,13 @@
 import type { ServingMetrics } from '../telemetry/metrics'
 import { type ClaimParts, claimItem, failItem, finishItem, ownClaimVersion, readProgress, releaseClaim } from './claims'
 import type { EngineView } from './engineView'
-import { type HeldItem, type HeldItems, progressOf } from './heldItems'
+import { type ClaimedItem, type ClaimedItems, progressOf } from './claimedItems'
 import { type RunEnd, runItem } from './itemRun'
-import type { Pace } from './pace'
-import type { Refusals } from './refusals'
+import type { RunTimeEstimator } from './runTimeEstimator'
+import type { StartBackoff } from './startBackoff'
 
 /** Parts of the steps. */
-export interface StepParts extends ClaimParts {
+export interface ItemLifecycleParts extends ClaimParts {
   metrics: ServingMetrics
   wire: PlatformWire
   engine: EngineView
@@ -22,11 +22,11 @@
   pool: Pool
   /** The same, each for one run only. */
   freshPool: Pool
-  held: HeldItems
-  pace: Pace
+  claimedItems: ClaimedItems
+  runTimeEstimator: RunTimeEstimator
   submissions: ResultReader
   /** Sends of any item that made no event. */
-  engineRefusals: Refusals
+  engineBackoff: StartBackoff
   /** Aborted when nothing may start any more. */
   stopping: AbortSignal
   /** Called when an item no longer takes a slot of the engine. */
@@ -37,14 +37,14 @@
 export type ReleaseReason = 'long_paused' | 'endpoint_not_ready' | 'better_elsewhere' | 'stopping'
 
 /** The steps. */
-export interface ItemSteps {
+export interface ItemLifecycle {
   /** Claims an item and runs it. */
-  begin: (job: JobRecord, item: number) => Promise<void>
+  claimAndRun: (job: JobRecord, item: number) => Promise<void>
   /** Runs a held item on from where it is. */
-  resume: (entry: HeldItem) => Promise<void>
-  pause: (entry: HeldItem, reason: string) => void
+  resume: (entry: ClaimedItem) => Promise<void>
+  pause: (entry: ClaimedItem, reason: string) => void
   /** Saves the text and lets go of the item. @returns false if the store has not taken it */
-  release: (entry: HeldItem, reason: ReleaseReason) => Promise<boolean>
+  release: (entry: ClaimedItem, reason: ReleaseReason) => Promise<boolean>
 }
 
 /**
@@ -62,7 +62,7 @@
 type FinalEnd = Exclude<RunEnd, { end: 'interrupted' }>
 
 /** @returns whether the store has answered lately enough to start something on what it told */
-export function isWorkFresh (parts: Pick<StepParts, 'clock' | 'store'>): boolean {
+export function isWorkFresh (parts: Pick<ItemLifecycleParts, 'clock' | 'store'>): boolean {
   return parts.clock.nowMs() - (parts.store.lastSuccessMs() ?? -Infinity) < STALE_WORK_MS
 }
 
@@ -70,10 +70,10 @@
  * @param parts - store, engine and held items
  * @returns the steps of items
  */
-export function createItemSteps (parts: StepParts): ItemSteps {
-  const { clock, log, held } = parts
+export function createItemLifecycle (parts: ItemLifecycleParts): ItemLifecycle {
+  const { clock, log, claimedItems: held } = parts
 
-  const pauseSince = (entry: HeldItem, reason: string, pausedAtMs: number): void => {
+  const pauseSince = (entry: ClaimedItem, reason: string, pausedAtMs: number): void => {
     entry.run?.abort()
     entry.run = undefined
     entry.state = 'paused'
@@ -82,20 +82,20 @@
     log.info('item paused', { jobId: entry.jobId, itemId: entry.itemId, reason, lastEventId: entry.text.lastEventId })
   }
 
-  const pause = (entry: HeldItem, reason: string): void => pauseSince(entry, reason, clock.nowMs())
+  const pause = (entry: ClaimedItem, reason: string): void => pauseSince(entry, reason, clock.nowMs())
 
   /** An item that this engine does not bring on counts as paused all the while, so that others get it in the end. */
-  const onInterrupted = (entry: HeldItem, reason: string, fromEventId: number): void => {
+  const onInterrupted = (entry: ClaimedItem, reason: string, fromEventId: number): void => {
     if (entry.text.lastEventId > fromEventId) {
       pause(entry, reason)
       return
     }
-    entry.refusals.onFruitless()
-    parts.engineRefusals.onFruitless()
+    entry.backoff.onFailedStart()
+    parts.engineBackoff.onFailedStart()
     pauseSince(entry, reason, entry.pausedAtMs)
   }
 
-  const release = async (entry: HeldItem, reason: ReleaseReason): Promise<boolean> => {
+  const release = async (entry: ClaimedItem, reason: ReleaseReason): Promise<boolean> => {
     entry.run?.abort()
     entry.run = undefined
     entry.state = 'saving'
@@ -106,19 +106,19 @@
       entry.pausedAtMs = clock.nowMs()
       return false
     }
-    held.leaveToOthers(entry)
+    held.startCooldown(entry)
     held.drop(entry)
     log.info('item released', { jobId: entry.jobId, itemId: entry.itemId, reason, saved, lastEventId: entry.text.lastEventId })
     return true
   }
 
   /** The text of an ended item is kept until the store has it, or the item is another runner's. */
-  const settle = async (entry: HeldItem, end: FinalEnd): Promise<void> => {
+  const settle = async (entry: ClaimedItem, end: FinalEnd): Promise<void> => {
     for (;;) {
       const outcome = await writeEnd(entry, end)
       if (outcome === 'applied' || outcome === 'not_applicable' || outcome === 'no_such_job') {
         log.info('item settled', { jobId: entry.jobId, itemId: entry.itemId, end: end.end, outcome })
-        if (end.end === 'failed') held.leaveToOthers(entry)
+        if (end.end === 'failed') held.startCooldown(entry)
         held.drop(entry)
         return
       }
@@ -126,18 +126,18 @@
     }
   }
 
-  const writeEnd = (entry: HeldItem, end: FinalEnd): ReturnType<typeof finishItem> => {
+  const writeEnd = (entry: ClaimedItem, end: FinalEnd): ReturnType<typeof finishItem> => {
     if (end.end === 'failed') return failItem(parts, entry.jobId, entry.item)
     if (end.end === 'impossible') return finishItem(parts, entry.jobId, entry.item, 'dead_letter', '')
     return finishItem(parts, entry.jobId, entry.item, 'completed', end.text)
   }
 
-  const onEvent = (entry: HeldItem): void => {
-    entry.refusals.onEvent()
-    parts.engineRefusals.onEvent()
+  const onEvent = (entry: ClaimedItem): void => {
+    entry.backoff.onEvent()
+    parts.engineBackoff.onEvent()
   }
 
-  const onRunEnd = (entry: HeldItem, end: RunEnd, fromEventId: number): void => {
+  const onRunEnd = (entry: ClaimedItem, end: RunEnd, fromEventId: number): void => {
     entry.run = undefined
     parts.onSlotFreed()
     parts.metrics.itemRuns.inc({ outcome: end.end })
@@ -153,7 +153,7 @@
       onInterrupted(entry, end.reason, fromEventId)
       return
     }
-    if (end.end === 'completed') parts.pace.onItem(entry.tokens, entry.text.lastEventId)
+    if (end.end === 'completed') parts.runTimeEstimator.onItemCompleted(entry.tokens, entry.text.lastEventId)
     entry.state = 'finishing'
     runInBackground(log, 'settle item', () => settle(entry, end))
   }
@@ -162,15 +162,15 @@
    * An engine may answer a second time where the next answer on a connection is expected. Runs of an item bear the same id, so
    * that the failure of an earlier one would count for the next.
    */
-  const poolFor = (entry: HeldItem, job: JobRecord): Pool => job.failures[entry.item] === undefined ? parts.pool : parts.freshPool
+  const poolFor = (entry: ClaimedItem, job: JobRecord): Pool => job.failures[entry.item] === undefined ? parts.pool : parts.freshPool
 
-  const run = (entry: HeldItem, job: JobRecord, item: JobItem, endpoint: Endpoint): void => {
+  const run = (entry: ClaimedItem, job: JobRecord, item: JobItem, endpoint: Endpoint): void => {
     const nowMs = clock.nowMs()
     entry.state = 'running'
     entry.startedAtMs = nowMs
     entry.savedAtMs = nowMs
-    entry.pacedAtMs = nowMs
-    entry.pacedEventId = entry.text.lastEventId
+    entry.sampledAtMs = nowMs
+    entry.sampledEventId = entry.text.lastEventId
     const fromEventId = entry.text.lastEventId
     log.info('item run started', { jobId: entry.jobId, itemId: entry.itemId, endpoint: endpoint.startId, fromEventId })
     entry.run = runItem({
@@ -189,7 +189,7 @@
     })
   }
 
-  const resume = async (entry: HeldItem): Promise<void> => {
+  const resume = async (entry: ClaimedItem): Promise<void> => {
     const items = await parts.submissions.items(entry.jobId)
     const item = items.ok ? items.val?.[entry.item] : undefined
     const job = parts.work.job(entry.jobId)?.record
@@ -211,7 +211,7 @@
     const heldBefore = parts.work.claim(job.jobId, place) !== undefined
     const [claimed, items] = await Promise.all([claimItem(parts, job.jobId, place), parts.submissions.items(job.jobId)])
     if (!claimed) {
-      held.leaveToOthers(entry)
+      held.startCooldown(entry)
       held.drop(entry)
       parts.onSlotFreed()
       return
@@ -224,7 +224,7 @@
     }
     const progress = heldBefore ? await readProgress(parts, job.jobId, place) : undefined
     if (progress !== undefined) {
-      entry.text = { lastEventId: progress.lastEventId, pieces: progress.text.split('\n') }
+      entry.text = { lastEventId: progress.lastEventId, eventData: progress.text.split('\n') }
       entry.savedEventId = progress.lastEventId
     }
     log.info('item claimed', {
@@ -232,10 +232,10 @@
       itemId: entry.itemId,
       fromEventId: entry.text.lastEventId,
       dueInMs: Math.round(job.dueAtMs - (parts.store.storeNowMs() ?? 0)),
-      expectedMs: Math.round(parts.pace.remainingMs(entry.tokens, entry.text.lastEventId))
+      expectedMs: Math.round(parts.runTimeEstimator.remainingMs(entry.tokens, entry.text.lastEventId))
     })
     await resume(entry)
   }
 
-  return { begin, resume, pause, release }
+  return { claimAndRun: begin, resume, pause, release }
 }
--- a/packages/anvilarch-serving/src/runner/itemRun.ts
+++ b/packages/anvilarch-serving/src/runner/itemRun.ts
@@ -17,7 +17,7 @@
 export interface ItemText {
   lastEventId: number
   /** Data of all events so far, in order. */
-  pieces: string[]
+  eventData: string[]
 }
 
 /** What a run needs and whom it tells. */
@@ -90,7 +90,7 @@
       // No event, but a block of comments.
       if (id === undefined) return
       text.lastEventId = id
-      text.pieces.push(data)
+      text.eventData.push(data)
       options.onEvent()
     },
     onEventsEnd: () => finish(endOfEvents(text)),
@@ -117,5 +117,5 @@
 /** A run that goes on after the last event has none left to give; one from the start has at least one. */
 function endOfEvents (text: ItemText): RunEnd {
   if (text.lastEventId === 0) return { end: 'interrupted', reason: 'no_events' }
-  return { end: 'completed', text: text.pieces.join('\n') }
+  return { end: 'completed', text: text.eventData.join('\n') }
 }
--- a/packages/anvilarch-serving/src/runner/upkeep.ts
+++ b/packages/anvilarch-serving/src/runner/jobMaintenance.ts
@@ -5,10 +5,10 @@
 import type { JobRecord } from '../jobs/types'
 import type { EventLog } from '../telemetry/events'
 import { type ClaimParts, claimItem, finishItem } from './claims'
-import { chooseItems, type ItemChoiceInput, livingRunners } from './itemChoice'
+import { chooseItems, type ItemChoiceInput, liveRunners } from './itemChoice'
 
 /** Parts of the upkeep. */
-export interface UpkeepParts extends ClaimParts {
+export interface JobMaintenanceParts extends ClaimParts {
   log: EventLog
   /** How long results are promised, from the submission on. */
   retentionMs: number
@@ -16,7 +16,7 @@
 }
 
 /** What is done from time to time. */
-export interface Upkeep {
+export interface JobMaintenance {
   /** Gives up what is past its age and held by nobody. */
   expire: () => Promise<void>
   /** Removes jobs past their retention. */
@@ -27,7 +27,7 @@
  * @param parts - store, work and identity
  * @returns the upkeep
  */
-export function createUpkeep (parts: UpkeepParts): Upkeep {
+export function createJobMaintenance (parts: JobMaintenanceParts): JobMaintenance {
   const { work, store, log } = parts
   const jobsThat = (holds: (job: JobRecord) => boolean): JobRecord[] => [...work.jobs()].map(entry => entry.record).filter(holds)
 
@@ -48,7 +48,7 @@
     retire: async () => {
       const storeNowMs = store.storeNowMs()
       if (storeNowMs === undefined) return
-      const runners = livingRunners(work, storeNowMs)
+      const runners = liveRunners(work, storeNowMs)
       for (const job of jobsThat(job => isRetired(job, storeNowMs, parts.retentionMs))) {
         // Each job falls on one runner by its id, so that they do not all try.
         if (runners[murmurhash(job.jobId) % runners.length] === parts.runner) await removeJob(parts, job, log)
--- a/packages/anvilarch-serving/src/runner/onlineUse.ts
+++ b/packages/anvilarch-serving/src/runner/onlineUsage.ts
@@ -6,11 +6,11 @@
 import { USE_REPEAT_MS } from '../endpoints/useNotices'
 
 /** Online requests at the engine. */
-export interface OnlineUse {
+export interface OnlineUsage {
   /** A gateway has told how many of its requests are in progress at this start of the engine. */
-  onNotice: (gateway: string, startId: string, inProgress: number) => void
+  onUsageReport: (gateway: string, startId: string, inProgress: number) => void
   /** The engine has been looked at. `online` counts its requests that are not batch items. */
-  onLook: (startId: string, online: number) => void
+  onPoll: (startId: string, online: number) => void
   /** @returns online requests now, as far as is known */
   online: () => number
 }
@@ -27,7 +27,7 @@
  * @param clock - local clock
  * @returns nothing in progress
  */
-export function createOnlineUse (clock: Clock): OnlineUse {
+export function createOnlineUsage (clock: Clock): OnlineUsage {
   const gateways = new Map<string, GatewayUse>()
   let startId: string | undefined
   let seenOnline = 0
@@ -53,13 +53,13 @@
   }
 
   return {
-    onNotice: (gateway, noticedStartId, inProgress) => {
+    onUsageReport: (gateway, noticedStartId, inProgress) => {
       // A notice about another start says nothing of this one.
       if (noticedStartId !== startId) return
       if (inProgress === 0) gateways.delete(gateway)
       else gateways.set(gateway, { inProgress, toldAtMs: clock.nowMs() })
     },
-    onLook: (seenStartId, online) => {
+    onPoll: (seenStartId, online) => {
       followStart(seenStartId)
       seenOnline = online
       toldAtLook = told()
--- a/packages/anvilarch-serving/src/runner/lookSchedule.ts
+++ b/packages/anvilarch-serving/src/runner/pollSchedule.ts
@@ -2,15 +2,15 @@
 import { type Clock, sleep } from 'anvilarch-utils'
 
 /** The schedule of looks. */
-export interface LookSchedule {
+export interface PollSchedule {
   /** Something has changed: look as soon as the shortest pause allows. */
   request: () => void
   /** @returns a promise that resolves when it is time for the next look, or the signal aborts */
   next: (signal: AbortSignal) => Promise<void>
 }
 
-/** Options of `createLookSchedule`. */
-export interface LookScheduleOptions {
+/** Options of `createPollSchedule`. */
+export interface PollScheduleOptions {
   clock: Clock
   /** Shortest pause between two looks. */
   minPauseMs: number
@@ -22,7 +22,7 @@
  * @param options - clock and pauses
  * @returns a schedule whose first look is due at once
  */
-export function createLookSchedule (options: LookScheduleOptions): LookSchedule {
+export function createPollSchedule (options: PollScheduleOptions): PollSchedule {
   const { clock } = options
   let lastLookMs = -Infinity
   let requested = true
--- a/packages/anvilarch-serving/src/runner/slack.ts
+++ b/packages/anvilarch-serving/src/runner/slotPlan.ts
@@ -7,20 +7,20 @@
  */
 
 /** What the engine reports and what the agent runs there. */
-export interface SlackInput {
+export interface SlotPlanInput {
   slots: number
   running: number
   waiting: number
   /** Batch items of this agent that the engine runs or is about to run. */
   ownItems: number
   /** Items that are about to start, or have started too lately for the report to count them. */
-  ownUnseen: number
+  ownUnreported: number
 }
 
 /** What to do now; at most one of both is above zero. */
-export interface SlackPlan {
+export interface SlotPlan {
   start: number
-  stop: number
+  preempt: number
 }
 
 /**
@@ -33,11 +33,11 @@
  * @param input - report and own items
  * @returns how many items to start or to stop
  */
-export function planSlack (input: SlackInput): SlackPlan {
+export function planBatchSlots (input: SlotPlanInput): SlotPlan {
   const reportedFree = input.slots - input.running - input.waiting
   // An item that has just started may be in the report already; to stop for it would break off what has hardly begun.
-  if (reportedFree < RESERVED_SLOTS) return { start: 0, stop: Math.min(input.ownItems, RESERVED_SLOTS - reportedFree) }
-  return { start: Math.max(0, reportedFree - input.ownUnseen - RESERVED_SLOTS), stop: 0 }
+  if (reportedFree < RESERVED_SLOTS) return { start: 0, preempt: Math.min(input.ownItems, RESERVED_SLOTS - reportedFree) }
+  return { start: Math.max(0, reportedFree - input.ownUnreported - RESERVED_SLOTS), preempt: 0 }
 }
 
 /** Of the slots to spare, this many are left to items that cannot wait while requests have lately taken slots from items. */
@@ -51,11 +51,11 @@
   /** Slots into which an item may start. */
   count: number
   /** Items that want a slot, the most urgent first. */
-  items: ReadonlyArray<{ pressing: boolean }>
+  items: ReadonlyArray<{ tightDeadline: boolean }>
   /** Online requests at the engine. */
   online: number
   /** Time since an item here gave way to a request. */
-  sinceCutMs: number
+  sincePreemptionMs: number
 }
 
 /**
@@ -66,12 +66,12 @@
  * @param input - slots and items
  * @returns how many of the items start
  */
-export function countToStart ({ count, items, online, sinceCutMs }: StartInput): number {
+export function countToStart ({ count, items, online, sincePreemptionMs: sinceCutMs }: StartInput): number {
   const most = Math.min(count, items.length)
   const inBurst = online > 0 && sinceCutMs < RECENT_CUT_MS
   const forAny = inBurst ? Math.max(0, count - SPARE_SLOTS) : most
   let starting = 0
-  while (starting < most && (starting < forAny || items[starting].pressing)) starting++
+  while (starting < most && (starting < forAny || items[starting].tightDeadline)) starting++
   return starting
 }
 
@@ -83,7 +83,7 @@
  * @param ownItems - batch items that run
  * @returns how many items give way
  */
-export function itemsToStop (slots: number, online: number, ownItems: number): number {
+export function countToPreempt (slots: number, online: number, ownItems: number): number {
   const free = slots - online - ownItems
   return Math.max(0, Math.min(ownItems, RESERVED_SLOTS - free))
 }
@@ -96,6 +96,6 @@
  * @param reportAskedAtMs - when the report was asked for
  * @returns how many items the report may not count yet
  */
-export function unseenItems (startedAtMs: readonly number[], reportAskedAtMs: number): number {
+export function countUnreported (startedAtMs: readonly number[], reportAskedAtMs: number): number {
   return startedAtMs.filter(atMs => atMs > reportAskedAtMs - UNSEEN_MS).length
 }
--- a/packages/anvilarch-serving/src/runner/slotBalance.ts
+++ b/packages/anvilarch-serving/src/runner/slotScheduler.ts
@@ -2,20 +2,20 @@
 import { runInBackground } from 'anvilarch-utils'
 import type { Endpoint } from '../model/types'
 import type { EngineReport } from '../roles/types'
-import type { HeldItem } from './heldItems'
-import { chooseItems, isPressing, urgency } from './itemChoice'
-import { isWorkFresh } from './itemSteps'
-import { countToStart, itemsToStop, planSlack, unseenItems } from './slack'
+import type { ClaimedItem } from './claimedItems'
+import { chooseItems, hasTightDeadline, itemSortKey } from './itemChoice'
+import { isWorkFresh } from './itemLifecycle'
+import { countToStart, countToPreempt, planBatchSlots, countUnreported } from './slotPlan'
 import type { RunnerParts, RunnerState } from './types'
 
 /** Starts and stops items. */
-export interface SlotBalance {
+export interface SlotScheduler {
   /** After a look at the engine. */
-  onLook: (report: EngineReport, endpoint: Endpoint, askedAtMs: number) => void
+  onPoll: (report: EngineReport, endpoint: Endpoint, askedAtMs: number) => void
   /** @returns whether slots were to spare at the last look for which no item was found */
-  wantsItems: () => boolean
+  hasUnfilledSlots: () => boolean
   /** After a gateway has told of its requests, between two looks: items only stop. */
-  onOnline: (online: number, endpoint: Endpoint) => void
+  onOnlineIncrease: (online: number, endpoint: Endpoint) => void
 }
 
 /**
@@ -23,13 +23,13 @@
  * @param state - items of the runner
  * @returns the balance
  */
-export function createSlotBalance (parts: RunnerParts, state: RunnerState): SlotBalance {
+export function createSlotScheduler (parts: RunnerParts, state: RunnerState): SlotScheduler {
   const { log } = parts
-  const { held, steps, engineRefusals } = state
+  const { claimedItems: held, lifecycle: steps, engineBackoff: engineRefusals } = state
 
-  const remainingMsOf = (entry: HeldItem): number => parts.pace.remainingMs(entry.tokens, entry.text.lastEventId)
+  const remainingMsOf = (entry: ClaimedItem): number => parts.runTimeEstimator.remainingMs(entry.tokens, entry.text.lastEventId)
 
-  const urgencyOf = (entry: HeldItem, storeNowMs: number): number => urgency(entry.dueAtMs - storeNowMs, remainingMsOf(entry))
+  const urgencyOf = (entry: ClaimedItem, storeNowMs: number): number => itemSortKey(entry.dueAtMs - storeNowMs, remainingMsOf(entry))
 
   let wantsItems = false
   /** When an item last gave way to a request. */
@@ -38,24 +38,24 @@
   const startItems = (count: number, online: number): void => {
     const storeNowMs = parts.store.storeNowMs()
     if (storeNowMs === undefined || !engineRefusals.mayStart()) return
-    const resumable = held.inState('paused').filter(entry => entry.refusals.mayStart())
+    const resumable = held.inState('paused').filter(entry => entry.backoff.mayStart())
     const paused = resumable.map(entry => ({
       entry,
-      urgency: urgencyOf(entry, storeNowMs),
-      pressing: isPressing(entry.dueAtMs - storeNowMs, remainingMsOf(entry))
+      sortKey: urgencyOf(entry, storeNowMs),
+      tightDeadline: hasTightDeadline(entry.dueAtMs - storeNowMs, remainingMsOf(entry))
     }))
     // A claim names the incarnation of its holder, which others know by its heartbeat.
     const mayClaim = parts.work.member(parts.runner)?.record.incarnation === parts.incarnation
     const fresh = mayClaim ? chooseItems(state.choiceInput(storeNowMs), count) : []
-    const chosen = [...paused, ...fresh].sort((a, b) => a.urgency - b.urgency).slice(0, count)
+    const chosen = [...paused, ...fresh].sort((a, b) => a.sortKey - b.sortKey).slice(0, count)
     wantsItems = chosen.length < count
-    const startCount = countToStart({ count, items: chosen, online, sinceCutMs: parts.clock.nowMs() - cutAtMs })
+    const startCount = countToStart({ count, items: chosen, online, sincePreemptionMs: parts.clock.nowMs() - cutAtMs })
     for (const next of chosen.slice(0, startCount)) {
       if ('entry' in next) {
         next.entry.state = 'claiming'
         runInBackground(log, 'resume item', () => steps.resume(next.entry))
       } else {
-        runInBackground(log, 'begin item', () => steps.begin(next.job, next.item))
+        runInBackground(log, 'begin item', () => steps.claimAndRun(next.job, next.item))
       }
     }
   }
@@ -68,23 +68,23 @@
   }
 
   return {
-    onLook: (report, endpoint, askedAtMs) => {
+    onPoll: (report, endpoint, askedAtMs) => {
       const running = held.inState('running')
-      const plan = planSlack({
+      const plan = planBatchSlots({
         slots: endpoint.slots,
         running: report.running,
         waiting: report.waiting,
         ownItems: running.length,
-        ownUnseen: held.inState('claiming').length + unseenItems(running.map(entry => entry.startedAtMs), askedAtMs)
+        ownUnreported: held.inState('claiming').length + countUnreported(running.map(entry => entry.startedAtMs), askedAtMs)
       })
       wantsItems = false
       const online = Math.max(0, report.running + report.waiting - running.length)
-      if (plan.stop > 0) stopItems(plan.stop)
+      if (plan.preempt > 0) stopItems(plan.preempt)
       if (plan.start > 0 && endpoint.state === 'ready' && isWorkFresh(parts)) startItems(plan.start, online)
     },
-    wantsItems: () => wantsItems,
-    onOnline: (online, endpoint) => {
-      const count = itemsToStop(endpoint.slots, online, held.inState('running').length)
+    hasUnfilledSlots: () => wantsItems,
+    onOnlineIncrease: (online, endpoint) => {
+      const count = countToPreempt(endpoint.slots, online, held.inState('running').length)
       if (count > 0) stopItems(count)
     }
   }
--- a/packages/anvilarch-serving/src/runner/types.ts
+++ b/packages/anvilarch-serving/src/runner/types.ts
@@ -5,11 +5,11 @@
 import type { EngineReport, PlatformWire } from '../roles/types'
 import type { ServingMetrics } from '../telemetry/metrics'
 import type { ClaimParts } from './claims'
-import type { HeldItems } from './heldItems'
+import type { ClaimedItems } from './claimedItems'
 import type { ItemChoiceInput } from './itemChoice'
-import type { ItemSteps } from './itemSteps'
-import type { Pace } from './pace'
-import type { Refusals } from './refusals'
+import type { ItemLifecycle } from './itemLifecycle'
+import type { RunTimeEstimator } from './runTimeEstimator'
+import type { StartBackoff } from './startBackoff'
 
 /** Parts of a runner. */
 export interface RunnerParts extends ClaimParts {
@@ -28,15 +28,15 @@
   /** Local time at which the daemons were last listed; undefined before. */
   membersListedAtMs: () => number | undefined
   readReport: () => Promise<EngineReport | undefined>
-  pace: Pace
+  runTimeEstimator: RunTimeEstimator
 }
 
 /** What the parts of one runner share. */
 export interface RunnerState {
-  held: HeldItems
-  steps: ItemSteps
+  claimedItems: ClaimedItems
+  lifecycle: ItemLifecycle
   /** Sends of any item that made no event. */
-  engineRefusals: Refusals
+  engineBackoff: StartBackoff
   /** @returns what the choice of items depends on */
   choiceInput: (storeNowMs: number) => ItemChoiceInput
 }
