--- a/packages/anvilarch-bench/src/experiments/placement.ts
+++ b/packages/anvilarch-bench/src/experiments/placement.ts
@@ -28,7 +28,7 @@
     variant('as built', {}),
     variant('items cost a quarter', { batchItem: 0.25 }),
     variant('no idle connections', { idleConnection: 0 }),
-    variant('no shared parts', { sharedPart: 0 }),
+    variant('no shared parts', { cachedPrefix: 0 }),
     variant('no own domain', { sameDomain: 0 })
   ],
   aims: [
--- a/packages/anvilarch-bench/src/model/limits/limitWays.ts
+++ b/packages/anvilarch-bench/src/model/limits/limitWays.ts
@@ -70,11 +70,11 @@
     onMessage: (received, from) => {
       const message = received as PeerMessage
       const sender = { ip: String(from), port: PEER_PORT }
-      if (message.message === 'permit_answer') asker.onAnswer(message, sender)
-      else if (message.message === 'permit_return') limits.onReturn(message)
-      else if (message.message === 'permit_question') {
+      if (message.message === 'permit_response') asker.onAnswer(message, sender)
+      else if (message.message === 'permit_refund') limits.onReturn(message)
+      else if (message.message === 'permit_request') {
         const grant = limits.onQuestion(message)
-        if (grant !== undefined) sendMessage({ message: 'permit_answer', number: message.number, ...grant, configurationVersion: 1 }, sender)
+        if (grant !== undefined) sendMessage({ message: 'permit_response', correlationId: message.correlationId, ...grant, configurationVersion: 1 }, sender)
       }
     }
   }
--- a/packages/anvilarch-bench/src/model/modelGateway.ts
+++ b/packages/anvilarch-bench/src/model/modelGateway.ts
@@ -1,6 +1,6 @@
 /** A gateway of the model: the daemon's own knowledge of loads and its placement, over a modelled network. */
 import type { Clock, Random } from 'anvilarch-utils'
-import { createLoadAsker, createLoadTable, createPlacement, type Endpoint, type PeerMessage, type PlacementWeights } from 'anvilarch-serving'
+import { createLoadProber, createLoadTable, createPlacement, type Endpoint, type PeerMessage, type PlacementWeights } from 'anvilarch-serving'
 import type { ModelEngine } from './modelEngine'
 
 /** A gateway that places requests. */
@@ -56,13 +56,13 @@
   const send = (message: PeerMessage, to: { ip: string, port: number }): void => {
     const endpoint = endpointByIp.get(to.ip)
     const engine = endpoint === undefined ? undefined : engineAt.get(endpoint.id)
-    if (endpoint === undefined || engine === undefined || message.message !== 'load_question') return
+    if (endpoint === undefined || engine === undefined || message.message !== 'load_probe') return
     clock.after(LINK_MS, () => {
       const report = { startId: endpoint.startId, online: engine.online(), batchRunning: engine.batchRunning(), reachable: true }
-      clock.after(LINK_MS, () => asker.onAnswer({ message: 'load_answer', number: message.number, report }, to))
+      clock.after(LINK_MS, () => asker.onResponse({ message: 'load_response', correlationId: message.correlationId, report }, to))
     })
   }
-  const asker = createLoadAsker({ clock, send, peerPort: PEER_PORT, onReport: loads.onReport })
+  const asker = createLoadProber({ clock, send, peerPort: PEER_PORT, onReport: loads.onReport })
 
   const connectionsTo = (endpoint: Endpoint): { inUse: number, idleSinceMs: number[] } => {
     const known = connections.get(endpoint.id) ?? { inUse: 0, idleSinceMs: [] }
@@ -74,7 +74,7 @@
   const placement = createPlacement({
     endpoints: { usable: () => endpoints },
     loads,
-    asker,
+    prober: asker,
     ownFailureDomain: endpoints[0].failureDomain,
     gatewayCount: () => options.gatewayCount,
     openConnections: endpoint => {
@@ -82,7 +82,7 @@
       return inUse + idleSinceMs.length
     },
     weights: options.weights,
-    draw: () => random.next()
+    random: () => random.next()
   })
 
   /** @returns the time that it takes to have a connection */
@@ -116,7 +116,7 @@
     counts,
     onArrival: () => {
       const arrivedAtMs = clock.nowMs()
-      const terms = { service: 's', sharedParts: [`p${random.between(1, PREFIXES)}`], excluded: new Set<string>() }
+      const terms = { service: 's', sharedPrefixes: [`p${random.between(1, PREFIXES)}`], excluded: new Set<string>() }
       placement.prepare(terms).then(() => {
         const endpoint = placement.choose(terms)
         if (endpoint !== undefined) sendRequest(endpoint, arrivedAtMs)
--- a/packages/anvilarch-serving/src/accounts/__tests__/limits.test.ts
+++ b/packages/anvilarch-serving/src/accounts/__tests__/limits.test.ts
@@ -80,9 +80,9 @@
     const meters = createAccountMeters({ clock, bounds: BOUNDS, account: name => name === 'a' ? ACCOUNT : undefined, gatewayCount: () => 10 })
     const homes = homeNames.map(name => ({ name, peerAddress: `${OTHER.ip}:${OTHER.port}` }))
     const limits = createRateLimits({ clock, log: SILENT_LOGGER as EventLog, ownName: 'own', meters, asker, homesOf: () => homes })
-    const questions = (): Array<PeerMessage & { message: 'permit_question' }> => sent.filter(message => message.message === 'permit_question')
+    const questions = (): Array<PeerMessage & { message: 'permit_request' }> => sent.filter(message => message.message === 'permit_request')
     const answer = (granted: number, retryAfterMs = 0, index = questions().length - 1): void =>
-      asker.onAnswer({ message: 'permit_answer', number: questions()[index].number, granted, retryAfterMs, configurationVersion: 1 }, OTHER)
+      asker.onAnswer({ message: 'permit_response', correlationId: questions()[index].correlationId, granted, retryAfterMs, configurationVersion: 1 }, OTHER)
     return { clock, limits, sent, answer }
   }
 
@@ -91,7 +91,7 @@
     const asked = Array.from({ length: 4 }, () => limits.ask(CALLER))
     answer(1)
     await clock.advanceAsync(0)
-    expect(sent.map(message => message.message === 'permit_question' && message.wanted)).toEqual([1, 3])
+    expect(sent.map(message => message.message === 'permit_request' && message.wanted)).toEqual([1, 3])
     answer(2, 250)
     const permits = await Promise.all(asked)
     expect(permits.map(permit => permit.granted)).toEqual([true, true, true, false])
@@ -123,7 +123,7 @@
     const { clock, limits, sent } = setUp(['home', 'deputy'])
     const asked: Array<Promise<Permit>> = [limits.ask(CALLER)]
     await clock.advanceAsync(PERMIT_PATIENCE_MS)
-    expect(sent.map(message => message.message === 'permit_question' && message.granter)).toEqual(['home', 'deputy'])
+    expect(sent.map(message => message.message === 'permit_request' && message.granter)).toEqual(['home', 'deputy'])
     await clock.advanceAsync(PERMIT_PATIENCE_MS)
     expect((await asked[0]).granted).toBe(true)
     // Both share an address here: two silences in a row, and it is passed over.
@@ -150,19 +150,19 @@
     await clock.advanceAsync(PERMIT_PATIENCE_MS)
     await late
     answer(1, 0, 0)
-    expect(sent.at(-1)).toMatchObject({ message: 'permit_return', accountName: 'a', granter: 'home', count: 1 })
+    expect(sent.at(-1)).toMatchObject({ message: 'permit_refund', accountName: 'a', granter: 'home', count: 1 })
     const again = limits.ask(CALLER)
     answer(1)
     const permit = await again
     if (permit.granted) permit.giveBack()
-    expect(sent.filter(message => message.message === 'permit_return')).toHaveLength(2)
+    expect(sent.filter(message => message.message === 'permit_refund')).toHaveLength(2)
   })
 
   it('takes no answer from another address than the one it has asked', async () => {
     const clock = createFakeClock()
     const asker = createPermitAsker({ clock, send: () => {}, configurationVersion: () => 1 })
     const asked = asker.ask(OTHER, { accountName: 'a', granter: 'home', wanted: 1 })
-    asker.onAnswer({ message: 'permit_answer', number: 1, granted: 1, retryAfterMs: 0, configurationVersion: 1 }, { ip: '10.0.0.3', port: 7000 })
+    asker.onAnswer({ message: 'permit_response', correlationId: 1, granted: 1, retryAfterMs: 0, configurationVersion: 1 }, { ip: '10.0.0.3', port: 7000 })
     await clock.advanceAsync(PERMIT_PATIENCE_MS)
     expect(await asked).toBeUndefined()
   })
--- a/packages/anvilarch-serving/src/accounts/limits/permitAsker.ts
+++ b/packages/anvilarch-serving/src/accounts/limits/permitAsker.ts
@@ -1,6 +1,6 @@
 /** Asks other gateways for permits, by datagrams of which any may be lost. */
 import type { Clock, Timer } from 'anvilarch-utils'
-import type { PeerMessage, PermitAnswer } from '../../endpoints/peerMessages'
+import type { PeerMessage, PermitResponseMessage } from '../../endpoints/peerMessages'
 import type { PeerAddress } from '../../endpoints/peerSocket'
 import type { Grant } from './accountMeter'
 import type { Granter } from './limitBounds'
@@ -17,7 +17,7 @@
   /** @returns what is granted; undefined when there is no answer in time */
   ask: (to: PeerAddress, request: PermitRequest) => Promise<Grant | undefined>
   /** Takes an answer, if it comes from the address that was asked. */
-  onAnswer: (answer: PermitAnswer, from: PeerAddress) => void
+  onAnswer: (answer: PermitResponseMessage, from: PeerAddress) => void
   giveBack: (to: PeerAddress, accountName: string, granter: Exclude<Granter, 'self'>, count: number) => void
 }
 
@@ -65,7 +65,7 @@
   let lastNumber = 0
 
   const giveBack: PermitAsker['giveBack'] = (to, accountName, granter, count) => {
-    send({ message: 'permit_return', accountName, granter, count }, to)
+    send({ message: 'permit_refund', accountName, granter, count }, to)
   }
 
   const mayAsk = (key: string): boolean => {
@@ -94,10 +94,10 @@
       return await new Promise(resolve => {
         const timer = clock.after(PERMIT_PATIENCE_MS, () => onSilent(number, key))
         questions.set(number, { to, request, settle: resolve, timer })
-        send({ message: 'permit_question', number, ...request, configurationVersion: options.configurationVersion() }, to)
+        send({ message: 'permit_request', correlationId: number, ...request, configurationVersion: options.configurationVersion() }, to)
       })
     },
-    onAnswer: ({ number, granted, retryAfterMs }, from) => {
+    onAnswer: ({ correlationId: number, granted, retryAfterMs }, from) => {
       const question = questions.get(number)
       if (question === undefined || question.to.ip !== from.ip || question.to.port !== from.port) return
       questions.delete(number)
--- a/packages/anvilarch-serving/src/accounts/limits/rateLimits.ts
+++ b/packages/anvilarch-serving/src/accounts/limits/rateLimits.ts
@@ -5,7 +5,7 @@
  * not grow with the number of gateways, and callers that reach a few of them only may use the whole limit there.
  */
 import { type Clock, runInBackground, sleep } from 'anvilarch-utils'
-import type { PermitQuestion, PermitReturn } from '../../endpoints/peerMessages'
+import type { PermitRequestMessage, PermitRefundMessage } from '../../endpoints/peerMessages'
 import type { PeerAddress } from '../../endpoints/peerSocket'
 import type { EventLog } from '../../telemetry/events'
 import type { Caller, ClientAccount } from '../types'
@@ -22,8 +22,8 @@
 export interface RateLimits {
   ask: (caller: Caller) => Promise<Permit>
   /** @returns the answer to another gateway; undefined when the account is not known here */
-  onQuestion: (question: PermitQuestion) => Grant | undefined
-  onReturn: (message: PermitReturn) => void
+  onQuestion: (question: PermitRequestMessage) => Grant | undefined
+  onReturn: (message: PermitRefundMessage) => void
 }
 
 /** Options of `createRateLimits`. */
--- a/packages/anvilarch-serving/src/endpoints/__tests__/chooseEndpoint.test.ts
+++ b/packages/anvilarch-serving/src/endpoints/__tests__/chooseEndpoint.test.ts
@@ -10,13 +10,13 @@
   return chooseEndpoint({
     candidates,
     loadOf: ({ id }) => ({ online: 0, batchRunning: 0, ownInProgress: 0, suspected: false, ageMs: 0, ...loads[id] }),
-    answers: () => true,
+    isResponsive: () => true,
     gatewayCount: 4,
-    sharedParts: [],
+    sharedPrefixes: [],
     ownFailureDomain: 'a',
     hasIdleConnection: () => false,
     weights: DEFAULT_PLACEMENT_WEIGHTS,
-    draw: () => 0,
+    random: () => 0,
     ...change
   })?.id
 }
@@ -49,10 +49,10 @@
   })
 
   it('keeps requests with a shared part together while loads are alike', () => {
-    const chosen = ['p1', 'p2', 'p3', 'p4', 'p5', 'p6'].map(part => choose(TWO, {}, { sharedParts: [part] }))
-    expect(chosen).toEqual(['p1', 'p2', 'p3', 'p4', 'p5', 'p6'].map(part => choose([TWO[1], TWO[0]], {}, { sharedParts: [part], draw: () => 0.9 })))
+    const chosen = ['p1', 'p2', 'p3', 'p4', 'p5', 'p6'].map(part => choose(TWO, {}, { sharedPrefixes: [part] }))
+    expect(chosen).toEqual(['p1', 'p2', 'p3', 'p4', 'p5', 'p6'].map(part => choose([TWO[1], TWO[0]], {}, { sharedPrefixes: [part], random: () => 0.9 })))
     expect(new Set(chosen).size).toBe(2)
-    expect(choose(TWO, { [chosen[0] ?? '']: { online: 1 } }, { sharedParts: ['p1'] })).not.toBe(chosen[0])
+    expect(choose(TWO, { [chosen[0] ?? '']: { online: 1 } }, { sharedPrefixes: ['p1'] })).not.toBe(chosen[0])
   })
 
   it('stays in its failure domain between equals only', () => {
@@ -77,7 +77,7 @@
 
   // Guards against this: engines whose agents are lost stand idle while requests queue at the others.
   it('uses an endpoint whose agent is lost when those that are known are busier than it probably is', () => {
-    const lost = { answers: (candidate: Endpoint) => candidate.id !== 'e2' }
+    const lost = { isResponsive: (candidate: Endpoint) => candidate.id !== 'e2' }
     expect(choose(TWO, { e1: { online: 0 }, e2: { ownInProgress: 0, ageMs: Infinity } }, lost)).toBe('e1')
     expect(choose(TWO, { e1: { online: 6 }, e2: { ownInProgress: 1, ageMs: Infinity } }, lost)).toBe('e2')
   })
--- a/packages/anvilarch-serving/src/endpoints/__tests__/endpointTable.test.ts
+++ b/packages/anvilarch-serving/src/endpoints/__tests__/endpointTable.test.ts
@@ -1,7 +1,7 @@
 import { createFakeClock, type FakeClock, SILENT_LOGGER } from 'anvilarch-utils'
 import { type Endpoint, startIdOf } from '../../model/types'
 import { createEndpointTable, type EndpointTable } from '../endpointTable'
-import { LAPSE_HOLD_MS, LAST_RESORT_MS, MIN_LAPSE_OUTAGE_MS } from '../entryLife'
+import { EXPIRED_RETENTION_MS, LAST_RESORT_MS, MIN_EXPIRY_OUTAGE_MS } from '../entryStatus'
 
 const ENDPOINT: Endpoint = { id: 'e1', startId: 'e1', bornAtMs: undefined, service: 's', address: '10.0.0.1:80', failureDomain: 'a', slots: 8, state: 'ready', coldLeftMs: 0, listedVersion: 1 }
 
@@ -20,13 +20,13 @@
 beforeEach(() => {
   clock = createFakeClock(100_000)
   lastFailureMs = undefined
-  lastOutageMs = MIN_LAPSE_OUTAGE_MS
+  lastOutageMs = MIN_EXPIRY_OUTAGE_MS
   services = ['s']
   table = createEndpointTable({
     clock,
     log: SILENT_LOGGER,
-    contact: { lastFailureMs: () => lastFailureMs, lastOutageMs: () => lastOutageMs },
-    knowsService: service => services.includes(service)
+    storeFailureTimes: { lastFailureMs: () => lastFailureMs, lastOutageMs: () => lastOutageMs },
+    isConfiguredService: service => services.includes(service)
   })
   table.onListing([rowOf(), rowOf({ id: 'e2', address: '10.0.0.2:80' })])
 })
@@ -63,7 +63,7 @@
     lastFailureMs = clock.nowMs() - 500
     table.onListing([])
     expect(usableIds()).toEqual(['e1', 'e2'])
-    clock.advance(LAPSE_HOLD_MS - 1)
+    clock.advance(EXPIRED_RETENTION_MS - 1)
     table.onRow(rowOf())
     clock.advance(2)
     expect(usableIds()).toEqual(['e1'])
@@ -74,7 +74,7 @@
   // Guards against this: requests reach an endpoint more than two seconds after the store has said that it leaves.
   it('is left alone if the store has failed for too short a time for entries to lapse', () => {
     lastFailureMs = clock.nowMs() - 1800
-    lastOutageMs = MIN_LAPSE_OUTAGE_MS - 1
+    lastOutageMs = MIN_EXPIRY_OUTAGE_MS - 1
     table.onRemoved('e1')
     expect(usableIds()).toEqual(['e2'])
   })
@@ -117,7 +117,7 @@
     lastFailureMs = clock.nowMs()
     table.onRemoved('e1')
     expect(table.atAddress(ENDPOINT.address)?.id).toBe('e1')
-    clock.advance(LAPSE_HOLD_MS)
+    clock.advance(EXPIRED_RETENTION_MS)
     expect(table.atAddress(ENDPOINT.address)).toBeUndefined()
   })
 })
@@ -127,7 +127,7 @@
 
   beforeEach(() => {
     gone.length = 0
-    table.onGone(endpoint => gone.push(endpoint.startId))
+    table.onEvicted(endpoint => gone.push(endpoint.startId))
     table.onListing([rowOf({ bornAtMs: 1000 }), rowOf({ id: 'e2', address: '10.0.0.2:80', bornAtMs: 1000 })])
     gone.length = 0
   })
--- a/packages/anvilarch-serving/src/endpoints/__tests__/exchange.test.ts
+++ b/packages/anvilarch-serving/src/endpoints/__tests__/exchange.test.ts
@@ -44,7 +44,7 @@
     const first = send('/1', end => ends.push(`1 ${end}`))
     await until(() => reached.length === 1)
     const second = send('/2', end => ends.push(`2 ${end}`))
-    expect([first.mayBeSent(), second.mayBeSent()]).toEqual([true, false])
+    expect([first.mayHaveBeenSent(), second.mayHaveBeenSent()]).toEqual([true, false])
     second.abort()
     reached[0].response.end()
     await until(() => ends.length > 0)
--- a/packages/anvilarch-serving/src/endpoints/__tests__/loadTable.test.ts
+++ b/packages/anvilarch-serving/src/endpoints/__tests__/loadTable.test.ts
@@ -1,5 +1,5 @@
 import { createFakeClock, type FakeClock } from 'anvilarch-utils'
-import { createLoadTable, type LoadTable, MAX_SUSPECT_MS, REPORT_MAX_AGE_MS, REPORT_TRANSIT_MS, SUSPECT_MS } from '../loadTable'
+import { createLoadTable, type LoadTable, MAX_SUSPECT_MS, REPORT_MAX_AGE_MS, REPORT_ROUND_TRIP_MS, INITIAL_SUSPECT_MS } from '../loadTable'
 
 let clock: FakeClock
 let table: LoadTable
@@ -13,7 +13,7 @@
   // Guards against this: the memory of a gateway grows with each endpoint that is replaced.
   it('is not known again by the end of a request', () => {
     table.onSent('e')
-    table.forget('e')
+    table.remove('e')
     table.onEnded('e')
     table.onFailure('e')
     expect(table.loadOf('e')).toEqual({ online: 0, batchRunning: 0, ownInProgress: 0, suspected: false, ageMs: Infinity })
@@ -34,7 +34,7 @@
     table.onReport({ startId: 'e', online: 0, batchRunning: 0, reachable: true })
     clock.advance(100)
     table.onSent('e')
-    clock.advance(REPORT_TRANSIT_MS / 2)
+    clock.advance(REPORT_ROUND_TRIP_MS / 2)
     table.onReport({ startId: 'e', online: 0, batchRunning: 0, reachable: true })
     expect(table.loadOf('e').online).toBe(1)
   })
@@ -54,7 +54,7 @@
   it('passes an endpoint over for longer with each failure in a row, and not at all after a success', () => {
     table.onSent('e')
     table.onFailure('e')
-    clock.advance(SUSPECT_MS + 1)
+    clock.advance(INITIAL_SUSPECT_MS + 1)
     expect(table.loadOf('e').suspected).toBe(false)
     for (let index = 0; index < 10; index++) table.onFailure('e')
     clock.advance(MAX_SUSPECT_MS - 1)
--- a/packages/anvilarch-serving/src/endpoints/__tests__/peerMessages.test.ts
+++ b/packages/anvilarch-serving/src/endpoints/__tests__/peerMessages.test.ts
@@ -2,10 +2,10 @@
 import { decodePeerMessage, encodePeerMessage, type PeerMessage } from '../peerMessages'
 
 const MESSAGES: PeerMessage[] = [
-  { message: 'load_question', number: 7 },
-  { message: 'load_answer', number: 7, report: undefined },
-  { message: 'load_answer', number: 7, report: { startId: 'e1@5', online: 3, batchRunning: 2, reachable: true } },
-  { message: 'use', startId: 'e1@5', inProgress: 4 }
+  { message: 'load_probe', correlationId: 7 },
+  { message: 'load_response', correlationId: 7, report: undefined },
+  { message: 'load_response', correlationId: 7, report: { startId: 'e1@5', online: 3, batchRunning: 2, reachable: true } },
+  { message: 'usage_report', startId: 'e1@5', inProgress: 4 }
 ]
 
 describe('messages of peers', () => {
--- a/packages/anvilarch-serving/src/endpoints/__tests__/whomToAsk.test.ts
+++ b/packages/anvilarch-serving/src/endpoints/__tests__/probeTargets.test.ts
@@ -1,54 +1,54 @@
 import { createRandom } from 'anvilarch-utils'
 import type { Endpoint } from '../../model/types'
 import type { EndpointLoad } from '../loadTable'
-import { CONNECTED_QUESTIONS, FIRST_QUESTIONS, FRESH_MS, MORE_QUESTIONS, type QuestionInput, whomToAsk } from '../whomToAsk'
+import { MAX_CONNECTED_PROBES, INITIAL_PROBES, MAX_FRESH_AGE_MS, ADDITIONAL_PROBES, type ProbeTargetInput, probeTargets } from '../probeTargets'
 
 const ENDPOINTS: Endpoint[] = Array.from({ length: 40 }, (_, index) => ({
   id: `e${index}`, startId: `e${index}`, bornAtMs: undefined, service: 's', address: 'a', failureDomain: 'a', slots: 8, state: 'ready', coldLeftMs: 0, listedVersion: 1
 }))
 
-function input (loads: Record<string, Partial<EndpointLoad>>, change: Partial<QuestionInput> = {}): QuestionInput {
+function input (loads: Record<string, Partial<EndpointLoad>>, change: Partial<ProbeTargetInput> = {}): ProbeTargetInput {
   const random = createRandom(5)
   return {
     candidates: ENDPOINTS,
     preferred: undefined,
     loadOf: ({ id }) => ({ online: 4, batchRunning: 0, ownInProgress: 0, suspected: false, ageMs: 500, ...loads[id] }),
     hasIdleConnection: () => false,
-    answers: () => true,
-    draw: () => random.next(),
+    isResponsive: () => true,
+    random: () => random.next(),
     ...change
   }
 }
 
-describe('whomToAsk', () => {
+describe('probeTargets', () => {
   it('asks a few, whatever the size of the fleet: the preferred one, the one that seems least loaded, and some by chance', () => {
-    const asked = whomToAsk.first(input({ e9: { online: 1 } }, { preferred: ENDPOINTS[17] })).map(endpoint => endpoint.id)
-    expect(asked).toHaveLength(FIRST_QUESTIONS)
+    const asked = probeTargets.initial(input({ e9: { online: 1 } }, { preferred: ENDPOINTS[17] })).map(endpoint => endpoint.id)
+    expect(asked).toHaveLength(INITIAL_PROBES)
     expect(asked).toEqual(expect.arrayContaining(['e17', 'e9']))
-    expect(new Set(asked).size).toBe(FIRST_QUESTIONS)
+    expect(new Set(asked).size).toBe(INITIAL_PROBES)
   })
 
   it('asks some to which a connection is open, and still some by chance', () => {
     const connected = new Set(['e1', 'e2', 'e3', 'e4', 'e5'])
-    const asked = whomToAsk.first(input({ e9: { online: 1 } }, { hasIdleConnection: ({ id }) => connected.has(id) })).map(endpoint => endpoint.id)
-    expect(asked.filter(id => connected.has(id))).toHaveLength(CONNECTED_QUESTIONS)
-    expect(asked).toHaveLength(FIRST_QUESTIONS)
+    const asked = probeTargets.initial(input({ e9: { online: 1 } }, { hasIdleConnection: ({ id }) => connected.has(id) })).map(endpoint => endpoint.id)
+    expect(asked.filter(id => connected.has(id))).toHaveLength(MAX_CONNECTED_PROBES)
+    expect(asked).toHaveLength(INITIAL_PROBES)
   })
 
   it('does not ask again what it has just been told', () => {
-    expect(whomToAsk.first(input({ e9: { online: 1, ageMs: FRESH_MS } }, { candidates: ENDPOINTS.slice(8, 12) })).map(endpoint => endpoint.id)).not.toContain('e9')
+    expect(probeTargets.initial(input({ e9: { online: 1, ageMs: MAX_FRESH_AGE_MS } }, { candidates: ENDPOINTS.slice(8, 12) })).map(endpoint => endpoint.id)).not.toContain('e9')
   })
 
   it('asks everyone on a small fleet', () => {
-    expect(whomToAsk.first(input({}, { candidates: ENDPOINTS.slice(0, 3) }))).toHaveLength(3)
+    expect(probeTargets.initial(input({}, { candidates: ENDPOINTS.slice(0, 3) }))).toHaveLength(3)
   })
 
   it('asks more only when all that are known are full', () => {
     const asked = ENDPOINTS.slice(0, 4)
     const full = Object.fromEntries(asked.map(({ id }) => [id, { online: 8, ageMs: 1 }]))
-    const more = whomToAsk.more(input(full), asked)
-    expect(more).toHaveLength(MORE_QUESTIONS)
+    const more = probeTargets.additional(input(full), asked)
+    expect(more).toHaveLength(ADDITIONAL_PROBES)
     expect(more.some(endpoint => asked.includes(endpoint))).toBe(false)
-    expect(whomToAsk.more(input({ ...full, e2: { online: 7, ageMs: 1 } }), asked)).toEqual([])
+    expect(probeTargets.additional(input({ ...full, e2: { online: 7, ageMs: 1 } }), asked)).toEqual([])
   })
 })
--- a/packages/anvilarch-serving/src/endpoints/chooseEndpoint.ts
+++ b/packages/anvilarch-serving/src/endpoints/chooseEndpoint.ts
@@ -7,23 +7,23 @@
 import { v3 as murmurhash } from 'murmurhash'
 import type { Endpoint } from '../model/types'
 import type { EndpointLoad } from './loadTable'
-import { isFresh } from './whomToAsk'
+import { isFresh } from './probeTargets'
 
 /** What the choice depends on. */
 export interface ChoiceInput {
   candidates: readonly Endpoint[]
   loadOf: (endpoint: Endpoint) => EndpointLoad
   /** @returns whether the agent of the endpoint answers, as far as is known */
-  answers: (endpoint: Endpoint) => boolean
+  isResponsive: (endpoint: Endpoint) => boolean
   /** Parts of the prompt that other requests share, outermost first. */
-  sharedParts: readonly string[]
+  sharedPrefixes: readonly string[]
   ownFailureDomain: string
   /** Gateways that send to the same endpoints. */
   gatewayCount: number
   /** @returns whether this process has a connection to the endpoint on which no request is in progress */
   hasIdleConnection: (endpoint: Endpoint) => boolean
   weights: PlacementWeights
-  draw: () => number
+  random: () => number
 }
 
 /** What counts for and against an endpoint, each in requests of load. */
@@ -31,7 +31,7 @@
   /** A batch item beside the request. */
   batchItem: number
   /** Taken off where a shared part of the prompt is probably cached. */
-  sharedPart: number
+  cachedPrefix: number
   /** Taken off where a connection is open and idle and the load is known. */
   idleConnection: number
   /** Taken off in the own failure domain. */
@@ -47,7 +47,7 @@
   // It gives way, but its claim is saved and its prompt read again: cutting it is not free.
   batchItem: 1,
   // A warm prefix saves the prefill of some hundred tokens, about 2 ms; more than half a request of load is not worth that.
-  sharedPart: 0.4,
+  cachedPrefix: 0.4,
   // A new connection takes a round trip and work of both hosts, and briefly a slot.
   idleConnection: 1,
   // Another failure domain costs a millisecond and bytes between domains; it decides only between equals.
@@ -64,10 +64,10 @@
  */
 export function chooseEndpoint (input: ChoiceInput): Endpoint | undefined {
   const pool = trustedAmong(comparableAmong(input), input)
-  const preferred = preferredEndpoint(pool, input.sharedParts)
+  const preferred = preferredEndpoint(pool, input.sharedPrefixes)
   let best: Endpoint | undefined
   let bestScore = Infinity
-  const offset = Math.floor(input.draw() * pool.length)
+  const offset = Math.floor(input.random() * pool.length)
   for (let index = 0; index < pool.length; index++) {
     const candidate = pool[(index + offset) % pool.length]
     const score = scoreOf(candidate, input, preferred)
@@ -82,7 +82,7 @@
 function comparableAmong (input: ChoiceInput): readonly Endpoint[] {
   const { candidates } = input
   if (!candidates.some(candidate => isFresh(input.loadOf(candidate)))) return candidates
-  return candidates.filter(candidate => isFresh(input.loadOf(candidate)) || !input.answers(candidate))
+  return candidates.filter(candidate => isFresh(input.loadOf(candidate)) || !input.isResponsive(candidate))
 }
 
 function trustedAmong (candidates: readonly Endpoint[], input: ChoiceInput): readonly Endpoint[] {
@@ -100,7 +100,7 @@
   const online = onlineAt(load, input)
   let score = online + weights.batchItem * load.batchRunning
   if (online >= slots) score += online - slots + 1
-  if (candidate === preferred) score -= weights.sharedPart
+  if (candidate === preferred) score -= weights.cachedPrefix
   if (isTold(load) && input.hasIdleConnection(candidate)) score -= weights.idleConnection
   if (candidate.failureDomain === input.ownFailureDomain) score -= weights.sameDomain
   if (candidate.coldLeftMs > 0) score += weights.cold
--- a/packages/anvilarch-serving/src/endpoints/connectionPools.ts
+++ b/packages/anvilarch-serving/src/endpoints/connectionPools.ts
@@ -6,9 +6,9 @@
 export interface ConnectionPools {
   poolOf: (endpoint: Endpoint) => Pool
   /** @returns connections to the endpoint that are open, in use or not */
-  openTo: (endpoint: Endpoint) => number
+  openConnections: (endpoint: Endpoint) => number
   /** Lets requests in progress end, then closes the connections. */
-  release: (endpoint: Endpoint) => void
+  drain: (endpoint: Endpoint) => void
   closeAll: () => Promise<void>
 }
 
@@ -67,8 +67,8 @@
       pools.set(id, opened)
       return opened.pool
     },
-    openTo: endpoint => pools.get(idOf(endpoint))?.openCount ?? 0,
-    release: endpoint => {
+    openConnections: endpoint => pools.get(idOf(endpoint))?.openCount ?? 0,
+    drain: endpoint => {
       const known = pools.get(idOf(endpoint))
       if (known === undefined) return
       pools.delete(idOf(endpoint))
--- a/packages/anvilarch-serving/src/endpoints/endpointTable.ts
+++ b/packages/anvilarch-serving/src/endpoints/endpointTable.ts
@@ -3,7 +3,7 @@
 import type { Endpoint, EndpointRow, UnusableRow } from '../model/types'
 import type { EventLog } from '../telemetry/events'
 import { createLineBudget } from '../telemetry/lineBudget'
-import { type EntryLife, lastResort, LAPSE_HOLD_MS, mayHaveLapsed, type StoreContact, takesRequests, untilNextChangeMs } from './entryLife'
+import { type EntryStatus, isLastResort, EXPIRED_RETENTION_MS, mayHaveExpired, type StoreFailureTimes, acceptsRequests, timeToNextChangeMs } from './entryStatus'
 
 /** Endpoints by service. */
 export interface EndpointTable {
@@ -23,19 +23,19 @@
   all: () => Endpoint[]
   hasListing: () => boolean
   /** Calls the listener once for each start of an endpoint, when nothing may be sent to it any more. */
-  onGone: (listener: (endpoint: Endpoint) => void) => void
+  onEvicted: (listener: (endpoint: Endpoint) => void) => void
 }
 
 /** Options of `createEndpointTable`. */
 export interface EndpointTableOptions {
   clock: Clock
   log: EventLog
-  contact: StoreContact
+  storeFailureTimes: StoreFailureTimes
   /** @returns whether the configuration names the service; an entry of any other service is no endpoint */
-  knowsService: (service: string) => boolean
+  isConfiguredService: (service: string) => boolean
 }
 
-interface Entry extends EntryLife {
+interface Entry extends EntryStatus {
   endpoint: Endpoint
 }
 
@@ -47,7 +47,7 @@
  * @returns a table without endpoints
  */
 export function createEndpointTable (options: EndpointTableOptions): EndpointTable {
-  const { clock, log, contact } = options
+  const { clock, log, storeFailureTimes: contact } = options
   const entries = new Map<string, Entry>()
   /** Why the row with an id names no endpoint, as it was last logged. */
   const unusableReasons = new Map<string, string>()
@@ -74,7 +74,7 @@
     const known = entries.get(row.id)
     const reason = `${row.field}: ${row.reason}`
     if (unusableReasons.get(row.id) !== reason && unusableLines.take()) {
-      log.warn('endpoint entry not usable', { endpoint: row.id, field: row.field, reason: row.reason, replacedGood: known !== undefined && !known.gone })
+      log.warn('endpoint entry not usable', { endpoint: row.id, field: row.field, reason: row.reason, replacedGood: known !== undefined && !known.unlisted })
     }
     unusableReasons.set(row.id, reason)
     if (known !== undefined) drop(row.id, known)
@@ -92,15 +92,15 @@
     const restarted = known !== undefined && known.endpoint.startId !== endpoint.startId
     if (restarted) drop(endpoint.id, known)
     const same = restarted ? undefined : known
-    if (same === undefined || same.endpoint.state !== endpoint.state || same.gone) {
+    if (same === undefined || same.endpoint.state !== endpoint.state || same.unlisted) {
       log.info('endpoint listed', { endpoint: endpoint.startId, service: endpoint.service, address: endpoint.address, state: endpoint.state, restarted })
     }
     entries.set(endpoint.id, {
       endpoint,
       state: endpoint.state,
-      gone: false,
+      unlisted: false,
       leavingSinceMs: endpoint.state === 'draining' ? same?.leavingSinceMs ?? clock.nowMs() : undefined,
-      heldUntilMs: undefined
+      retainedUntilMs: undefined
     })
   }
 
@@ -113,32 +113,32 @@
   const remove = (id: string): void => {
     unusableReasons.delete(id)
     const entry = entries.get(id)
-    if (entry === undefined || entry.gone) return
+    if (entry === undefined || entry.unlisted) return
     forgetAnswers()
     const nowMs = clock.nowMs()
-    const lapsed = entry.state === 'ready' && mayHaveLapsed(contact, nowMs)
-    entry.gone = true
+    const lapsed = entry.state === 'ready' && mayHaveExpired(contact, nowMs)
+    entry.unlisted = true
     entry.leavingSinceMs ??= nowMs
-    if (lapsed) entry.heldUntilMs = nowMs + LAPSE_HOLD_MS
+    if (lapsed) entry.retainedUntilMs = nowMs + EXPIRED_RETENTION_MS
     log.info('endpoint removed from the list', { endpoint: entry.endpoint.startId, service: entry.endpoint.service, held: lapsed })
   }
 
   const namesEndpoint = (entry: Entry): boolean => {
-    standing ??= standingOf(entries.values(), options.knowsService)
+    standing ??= standingOf(entries.values(), options.isConfiguredService)
     return standing.names(entry)
   }
 
   const sweep = (nowMs: number): void => {
     for (const [id, entry] of entries) {
-      if (entry.gone && !takesRequests(entry, nowMs) && !lastResort(entry, nowMs)) drop(id, entry)
+      if (entry.unlisted && !acceptsRequests(entry, nowMs) && !isLastResort(entry, nowMs)) drop(id, entry)
     }
   }
 
   const findUsable = (service: string, nowMs: number): Endpoint[] => {
     sweep(nowMs)
     const ofService = [...entries.values()].filter(entry => entry.endpoint.service === service && namesEndpoint(entry))
-    const ready = ofService.filter(entry => takesRequests(entry, nowMs))
-    const chosen = ready.length > 0 ? ready : ofService.filter(entry => lastResort(entry, nowMs))
+    const ready = ofService.filter(entry => acceptsRequests(entry, nowMs))
+    const chosen = ready.length > 0 ? ready : ofService.filter(entry => isLastResort(entry, nowMs))
     return chosen.map(entry => entry.endpoint)
   }
 
@@ -158,19 +158,19 @@
       const known = usableByService.get(service)
       if (known !== undefined && nowMs < known.untilMs) return known.endpoints
       const endpoints = findUsable(service, nowMs)
-      usableByService.set(service, { endpoints, untilMs: nowMs + untilNextChangeMs(entries.values(), nowMs) })
+      usableByService.set(service, { endpoints, untilMs: nowMs + timeToNextChangeMs(entries.values(), nowMs) })
       return endpoints
     },
     atAddress: address => {
       const nowMs = clock.nowMs()
       sweep(nowMs)
       const there = [...entries.values()].filter(entry => entry.endpoint.address === address && namesEndpoint(entry))
-      return (there.find(entry => !entry.gone) ?? there.find(entry => takesRequests(entry, nowMs)))?.endpoint
+      return (there.find(entry => !entry.unlisted) ?? there.find(entry => acceptsRequests(entry, nowMs)))?.endpoint
     },
     hasStart: startId => [...entries.values()].some(entry => entry.endpoint.startId === startId),
-    all: () => [...entries.values()].filter(entry => !entry.gone && namesEndpoint(entry)).map(entry => entry.endpoint),
+    all: () => [...entries.values()].filter(entry => !entry.unlisted && namesEndpoint(entry)).map(entry => entry.endpoint),
     hasListing: () => listed,
-    onGone: listener => { goneListeners.push(listener) }
+    onEvicted: listener => { goneListeners.push(listener) }
   }
 }
 
@@ -199,7 +199,7 @@
   const counted = named.filter(entry => !startsAreTold || entry.endpoint.bornAtMs !== undefined)
   const countedEntries = new Set(counted)
   const newestAt = new Map<string, number>()
-  for (const { endpoint, gone } of counted) {
+  for (const { endpoint, unlisted: gone } of counted) {
     if (!gone) newestAt.set(endpoint.address, Math.max(newestAt.get(endpoint.address) ?? 0, endpoint.listedVersion))
   }
   return { names: entry => countedEntries.has(entry) && (newestAt.get(entry.endpoint.address) ?? 0) <= entry.endpoint.listedVersion }
--- a/packages/anvilarch-serving/src/endpoints/entryLife.ts
+++ b/packages/anvilarch-serving/src/endpoints/entryStatus.ts
@@ -2,18 +2,18 @@
 import type { EndpointState } from '../model/types'
 
 /** How far an entry has come. */
-export interface EntryLife {
+export interface EntryStatus {
   state: EndpointState
   /** Whether the store no longer lists it. */
-  gone: boolean
+  unlisted: boolean
   /** Local time at which the entry began to leave: it drains or is gone. */
   leavingSinceMs: number | undefined
   /** An entry that may only have lapsed counts as there until this local time. */
-  heldUntilMs: number | undefined
+  retainedUntilMs: number | undefined
 }
 
 /** When the store last failed a call of this process. */
-export interface StoreContact {
+export interface StoreFailureTimes {
   lastFailureMs: () => number | undefined
   /** How long calls had failed, one after another, when the store last failed. */
   lastOutageMs: () => number
@@ -23,39 +23,39 @@
 export const LAST_RESORT_MS = 1000
 
 /** An entry that goes this soon after a failed call may have lapsed: with the store back, it comes back within two seconds. */
-export const LAPSE_GRACE_MS = 2200
+export const EXPIRY_WINDOW_MS = 2200
 
 /**
  * Entries lapse after three heartbeats of 1.2 s that cannot be written. A shorter outage, seen from here, lets none lapse;
  * a connection that was reset costs a call or two.
  */
-export const MIN_LAPSE_OUTAGE_MS = 800
+export const MIN_EXPIRY_OUTAGE_MS = 800
 
 /**
  * An entry that may have lapsed counts as there for this long. An endpoint that has really left must get nothing
  * 2 s after the store has said so; the rest is for the way of the word here and of the request there.
  */
-export const LAPSE_HOLD_MS = 1700
+export const EXPIRED_RETENTION_MS = 1700
 
 /**
  * @param contact - how the store has answered this process
  * @param nowMs - local time
  * @returns whether an entry that goes now may be one whose heartbeat could not be written
  */
-export function mayHaveLapsed (contact: StoreContact, nowMs: number): boolean {
+export function mayHaveExpired (contact: StoreFailureTimes, nowMs: number): boolean {
   const failedAtMs = contact.lastFailureMs()
-  if (failedAtMs === undefined || nowMs - failedAtMs >= LAPSE_GRACE_MS) return false
-  return contact.lastOutageMs() >= MIN_LAPSE_OUTAGE_MS
+  if (failedAtMs === undefined || nowMs - failedAtMs >= EXPIRY_WINDOW_MS) return false
+  return contact.lastOutageMs() >= MIN_EXPIRY_OUTAGE_MS
 }
 
 /** @returns whether the endpoint takes new requests like any other */
-export function takesRequests (life: EntryLife, nowMs: number): boolean {
-  if (!life.gone) return life.state === 'ready'
-  return life.heldUntilMs !== undefined && nowMs < life.heldUntilMs
+export function acceptsRequests (life: EntryStatus, nowMs: number): boolean {
+  if (!life.unlisted) return life.state === 'ready'
+  return life.retainedUntilMs !== undefined && nowMs < life.retainedUntilMs
 }
 
 /** @returns whether an endpoint that leaves may be used while there is no other */
-export function lastResort (life: EntryLife, nowMs: number): boolean {
+export function isLastResort (life: EntryStatus, nowMs: number): boolean {
   return life.leavingSinceMs !== undefined && nowMs - life.leavingSinceMs < LAST_RESORT_MS
 }
 
@@ -64,11 +64,11 @@
  * @param nowMs - local time
  * @returns how long what follows from the entries stays the same if the list does not change, in milliseconds
  */
-export function untilNextChangeMs (lives: Iterable<EntryLife>, nowMs: number): number {
+export function timeToNextChangeMs (lives: Iterable<EntryStatus>, nowMs: number): number {
   let nextMs = Infinity
   for (const life of lives) {
-    if (life.heldUntilMs !== undefined && life.heldUntilMs > nowMs) nextMs = Math.min(nextMs, life.heldUntilMs)
-    if (lastResort(life, nowMs) && life.leavingSinceMs !== undefined) nextMs = Math.min(nextMs, life.leavingSinceMs + LAST_RESORT_MS)
+    if (life.retainedUntilMs !== undefined && life.retainedUntilMs > nowMs) nextMs = Math.min(nextMs, life.retainedUntilMs)
+    if (isLastResort(life, nowMs) && life.leavingSinceMs !== undefined) nextMs = Math.min(nextMs, life.leavingSinceMs + LAST_RESORT_MS)
   }
   return nextMs - nowMs
 }
--- a/packages/anvilarch-serving/src/endpoints/exchange.ts
+++ b/packages/anvilarch-serving/src/endpoints/exchange.ts
@@ -28,7 +28,7 @@
 /** An exchange in progress. */
 export interface Exchange {
   /** @returns whether a byte of the request may have left */
-  mayBeSent: () => boolean
+  mayHaveBeenSent: () => boolean
   /** Closes the connection, by which the endpoint drops the request. Nothing is heard afterwards. */
   abort: () => void
 }
@@ -86,7 +86,7 @@
   }
   dispatched = true
   return {
-    mayBeSent: () => abortUpstream !== undefined,
+    mayHaveBeenSent: () => abortUpstream !== undefined,
     abort: () => {
       aborted = true
       ended = true
--- a/packages/anvilarch-serving/src/endpoints/loadAsker.ts
+++ b/packages/anvilarch-serving/src/endpoints/loadProber.ts
@@ -7,25 +7,25 @@
  */
 import type { Clock } from 'anvilarch-utils'
 import type { Endpoint } from '../model/types'
-import type { LoadAnswer, LoadReport, PeerMessage } from './peerMessages'
+import type { LoadResponse, LoadReport, PeerMessage } from './peerMessages'
 import type { PeerAddress } from './peerSocket'
 
 /** Asks agents. */
-export interface LoadAsker {
+export interface LoadProber {
   /**
    * @param endpoints - whose agents are asked; those that have lately not answered are left out
    * @returns a promise that resolves when enough have answered, or when waiting longer would cost more than the answers are worth
    */
-  ask: (endpoints: readonly Endpoint[]) => Promise<void>
+  probe: (endpoints: readonly Endpoint[]) => Promise<void>
   /** Takes an answer, if it comes from the address that was asked: whoever can send a datagram can guess a number. */
-  onAnswer: (answer: LoadAnswer, from: PeerAddress) => void
+  onResponse: (answer: LoadResponse, from: PeerAddress) => void
   /** @returns whether the agent of the endpoint answers, as far as is known */
-  answers: (endpoint: Endpoint) => boolean
-  forget: (endpoint: Endpoint) => void
+  isResponsive: (endpoint: Endpoint) => boolean
+  remove: (endpoint: Endpoint) => void
 }
 
-/** Options of `createLoadAsker`. */
-export interface LoadAskerOptions {
+/** Options of `createLoadProber`. */
+export interface LoadProberOptions {
   clock: Clock
   send: (message: PeerMessage, to: PeerAddress) => void
   peerPort: number
@@ -33,18 +33,18 @@
 }
 
 /** No request waits longer than this for answers: agents answer within 2 to 3 ms, and the shortest objective is some 120 ms. */
-export const ANSWER_PATIENCE_MS = 8
+export const PROBE_TIMEOUT_MS = 8
 
 /** Once two have answered, the others have until this long after the question: one that is slow to answer is slow to serve. */
-export const ENOUGH_AFTER_MS = 4
+export const QUORUM_WAIT_MS = 4
 
 const ENOUGH_ANSWERS = 2
 
 /** An agent that has left so many questions in a row without an answer is not waited for. */
-export const MAX_UNANSWERED = 2
+export const MAX_CONSECUTIVE_TIMEOUTS = 2
 
 /** One that does not answer is asked again after this, so that it is noticed when it comes back. */
-export const RETRY_AFTER_MS = 500
+export const REPROBE_INTERVAL_MS = 500
 
 interface AgentState {
   /** Questions in a row whose patience is over. One that is still open says nothing: in a burst, several are at any time. */
@@ -69,7 +69,7 @@
  * @param options - clock and sender
  * @returns an asker that has asked nobody
  */
-export function createLoadAsker (options: LoadAskerOptions): LoadAsker {
+export function createLoadProber (options: LoadProberOptions): LoadProber {
   const { clock } = options
   const agents = new Map<string, AgentState>()
   /** Questions that may still be answered in time, oldest first. */
@@ -86,7 +86,7 @@
 
   const countOverdue = (nowMs: number): void => {
     for (const [number, question] of open) {
-      if (nowMs - question.round.askedAtMs < ANSWER_PATIENCE_MS) return
+      if (nowMs - question.round.askedAtMs < PROBE_TIMEOUT_MS) return
       open.delete(number)
       overdue.set(number, question)
       const state = agents.get(question.startId)
@@ -96,28 +96,28 @@
 
   const answersNow = (startId: string): boolean => {
     countOverdue(clock.nowMs())
-    return stateOf(startId).unanswered < MAX_UNANSWERED
+    return stateOf(startId).unanswered < MAX_CONSECUTIVE_TIMEOUTS
   }
 
   const mayAsk = (startId: string, nowMs: number): boolean => {
     const state = stateOf(startId)
-    return state.unanswered < MAX_UNANSWERED || nowMs - state.lastAskedMs > RETRY_AFTER_MS
+    return state.unanswered < MAX_CONSECUTIVE_TIMEOUTS || nowMs - state.lastAskedMs > REPROBE_INTERVAL_MS
   }
 
   const put = (endpoint: Endpoint, round: Round): void => {
     const state = stateOf(endpoint.startId)
     // One that is asked only to see whether it is back holds nobody up.
-    if (state.unanswered < MAX_UNANSWERED) round.waitingFor++
+    if (state.unanswered < MAX_CONSECUTIVE_TIMEOUTS) round.waitingFor++
     state.lastAskedMs = round.askedAtMs
     lastNumber++
     const to = { ip: endpoint.address.split(':')[0], port: options.peerPort }
     open.set(lastNumber, { startId: endpoint.startId, to, round })
-    options.send({ message: 'load_question', number: lastNumber }, to)
+    options.send({ message: 'load_probe', correlationId: lastNumber }, to)
   }
 
   const forgetOld = (nowMs: number): void => {
     for (const [number, { round }] of overdue) {
-      if (nowMs - round.askedAtMs < RETRY_AFTER_MS) return
+      if (nowMs - round.askedAtMs < REPROBE_INTERVAL_MS) return
       overdue.delete(number)
     }
   }
@@ -132,7 +132,7 @@
   }
 
   return {
-    ask: async endpoints => {
+    probe: async endpoints => {
       const nowMs = clock.nowMs()
       countOverdue(nowMs)
       forgetOld(nowMs)
@@ -145,8 +145,8 @@
           resolve()
           return
         }
-        const enough = clock.after(ENOUGH_AFTER_MS, () => { if (round.answered >= ENOUGH_ANSWERS) round.settle() })
-        const patience = clock.after(ANSWER_PATIENCE_MS, () => round.settle())
+        const enough = clock.after(QUORUM_WAIT_MS, () => { if (round.answered >= ENOUGH_ANSWERS) round.settle() })
+        const patience = clock.after(PROBE_TIMEOUT_MS, () => round.settle())
         round.settle = () => {
           enough.cancel()
           patience.cancel()
@@ -154,17 +154,17 @@
         }
       })
     },
-    onAnswer: ({ number, report }, from) => {
+    onResponse: ({ correlationId: number, report }, from) => {
       const question = takeQuestion(number, from)
       if (question === undefined) return
       stateOf(question.startId).unanswered = 0
       if (report !== undefined) options.onReport(report)
       const { round } = question
       round.answered++
-      const late = clock.nowMs() - round.askedAtMs >= ENOUGH_AFTER_MS
+      const late = clock.nowMs() - round.askedAtMs >= QUORUM_WAIT_MS
       if (round.answered >= round.waitingFor || (late && round.answered >= ENOUGH_ANSWERS)) round.settle()
     },
-    answers: endpoint => answersNow(endpoint.startId),
-    forget: endpoint => { agents.delete(endpoint.startId) }
+    isResponsive: endpoint => answersNow(endpoint.startId),
+    remove: endpoint => { agents.delete(endpoint.startId) }
   }
 }
--- a/packages/anvilarch-serving/src/endpoints/loadTable.ts
+++ b/packages/anvilarch-serving/src/endpoints/loadTable.ts
@@ -24,17 +24,17 @@
   onFailure: (startId: string) => void
   onSuccess: (startId: string) => void
   loadOf: (startId: string) => EndpointLoad
-  forget: (startId: string) => void
+  remove: (startId: string) => void
 }
 
 /** An older report than this says nothing, and own counts alone are used. */
 export const REPORT_MAX_AGE_MS = 600
 
 /** A report does not show what was sent this shortly before it came: the way to the agent and back. */
-export const REPORT_TRANSIT_MS = 3
+export const REPORT_ROUND_TRIP_MS = 3
 
 /** First time that an endpoint is passed over after a failure, doubled by each further one. */
-export const SUSPECT_MS = 300
+export const INITIAL_SUSPECT_MS = 300
 
 /** Longest time that an endpoint is passed over before it is tried again. */
 export const MAX_SUSPECT_MS = 4000
@@ -74,8 +74,8 @@
       const nowMs = clock.nowMs()
       entry.report = report
       entry.reportedAtMs = nowMs
-      entry.sentAtMs = entry.sentAtMs.filter(atMs => atMs > nowMs - REPORT_TRANSIT_MS)
-      entry.endedAtMs = entry.endedAtMs.filter(atMs => atMs > nowMs - REPORT_TRANSIT_MS)
+      entry.sentAtMs = entry.sentAtMs.filter(atMs => atMs > nowMs - REPORT_ROUND_TRIP_MS)
+      entry.endedAtMs = entry.endedAtMs.filter(atMs => atMs > nowMs - REPORT_ROUND_TRIP_MS)
     },
     onSent: startId => {
       const entry = entryOf(startId)
@@ -92,7 +92,7 @@
       const entry = entries.get(startId)
       if (entry === undefined) return
       entry.failures++
-      const passOverMs = Math.min(MAX_SUSPECT_MS, SUSPECT_MS * 2 ** (entry.failures - 1))
+      const passOverMs = Math.min(MAX_SUSPECT_MS, INITIAL_SUSPECT_MS * 2 ** (entry.failures - 1))
       entry.suspectedUntilMs = clock.nowMs() + passOverMs
     },
     onSuccess: startId => {
@@ -118,6 +118,6 @@
         ageMs
       }
     },
-    forget: startId => { entries.delete(startId) }
+    remove: startId => { entries.delete(startId) }
   }
 }
--- a/packages/anvilarch-serving/src/endpoints/peerMessages.ts
+++ b/packages/anvilarch-serving/src/endpoints/peerMessages.ts
@@ -5,16 +5,16 @@
 import type { Granter } from '../accounts/limits/limitBounds'
 
 /** A gateway asks an agent how busy its engine is. */
-export interface LoadQuestion {
-  message: 'load_question'
+export interface LoadProbe {
+  message: 'load_probe'
   /** Returned with the answer. */
-  number: number
+  correlationId: number
 }
 
 /** An agent answers. */
-export interface LoadAnswer {
-  message: 'load_answer'
-  number: number
+export interface LoadResponse {
+  message: 'load_response'
+  correlationId: number
   /** Undefined while the agent does not know which start its engine is. */
   report: LoadReport | undefined
 }
@@ -32,17 +32,17 @@
 }
 
 /** A gateway tells an agent how many of its requests are in progress at the engine. */
-export interface UseNotice {
-  message: 'use'
+export interface UsageReport {
+  message: 'usage_report'
   startId: string
   inProgress: number
 }
 
 /** A gateway asks another one that keeps an account's meter. */
-export interface PermitQuestion {
-  message: 'permit_question'
+export interface PermitRequestMessage {
+  message: 'permit_request'
   /** Returned with the answer. */
-  number: number
+  correlationId: number
   accountName: string
   /** In which place the other gateway is asked. */
   granter: Exclude<Granter, 'self'>
@@ -53,9 +53,9 @@
 }
 
 /** The gateway that keeps the meter answers. */
-export interface PermitAnswer {
-  message: 'permit_answer'
-  number: number
+export interface PermitResponseMessage {
+  message: 'permit_response'
+  correlationId: number
   granted: number
   /** When there is room for one that was not granted; 0 when all were. */
   retryAfterMs: number
@@ -64,15 +64,15 @@
 }
 
 /** Requests that were granted and have not run. */
-export interface PermitReturn {
-  message: 'permit_return'
+export interface PermitRefundMessage {
+  message: 'permit_refund'
   accountName: string
   granter: Exclude<Granter, 'self'>
   count: number
 }
 
 /** Any of them. */
-export type PeerMessage = LoadQuestion | LoadAnswer | UseNotice | PermitQuestion | PermitAnswer | PermitReturn
+export type PeerMessage = LoadProbe | LoadResponse | UsageReport | PermitRequestMessage | PermitResponseMessage | PermitRefundMessage
 
 /** On the wire a message is a list, its kind first: names would be two thirds of its bytes. */
 type WireMessage =
@@ -97,19 +97,19 @@
 
 function toWire (message: PeerMessage): WireMessage {
   switch (message.message) {
-    case 'load_question':
-      return ['q', message.number]
-    case 'load_answer': {
-      const { number, report } = message
+    case 'load_probe':
+      return ['q', message.correlationId]
+    case 'load_response': {
+      const { correlationId: number, report } = message
       return report === undefined ? ['a', number] : ['a', number, report.startId, report.online, report.batchRunning, report.reachable]
     }
-    case 'use':
+    case 'usage_report':
       return ['u', message.startId, message.inProgress]
-    case 'permit_question':
-      return ['p', message.number, message.accountName, GRANTER_CODES[message.granter], message.wanted, message.configurationVersion]
-    case 'permit_answer':
-      return ['g', message.number, message.granted, message.retryAfterMs, message.configurationVersion]
-    case 'permit_return':
+    case 'permit_request':
+      return ['p', message.correlationId, message.accountName, GRANTER_CODES[message.granter], message.wanted, message.configurationVersion]
+    case 'permit_response':
+      return ['g', message.correlationId, message.granted, message.retryAfterMs, message.configurationVersion]
+    case 'permit_refund':
       return ['r', message.accountName, GRANTER_CODES[message.granter], message.count]
   }
 }
@@ -128,25 +128,25 @@
 type Decoder = (fields: readonly unknown[]) => PeerMessage | undefined
 
 const DECODERS: ReadonlyMap<string, Decoder> = new Map<string, Decoder>([
-  ['q', ([number]) => isCount(number) ? { message: 'load_question', number } : undefined],
+  ['q', ([number]) => isCount(number) ? { message: 'load_probe', correlationId: number } : undefined],
   ['a', ([number, startId, online, batchRunning, reachable]) => {
     if (!isCount(number)) return undefined
-    if (startId === undefined) return { message: 'load_answer', number, report: undefined }
+    if (startId === undefined) return { message: 'load_response', correlationId: number, report: undefined }
     if (typeof startId !== 'string' || !isCount(online) || !isCount(batchRunning) || typeof reachable !== 'boolean') return undefined
-    return { message: 'load_answer', number, report: { startId, online, batchRunning, reachable } }
+    return { message: 'load_response', correlationId: number, report: { startId, online, batchRunning, reachable } }
   }],
-  ['u', ([startId, inProgress]) => typeof startId === 'string' && isCount(inProgress) ? { message: 'use', startId, inProgress } : undefined],
+  ['u', ([startId, inProgress]) => typeof startId === 'string' && isCount(inProgress) ? { message: 'usage_report', startId, inProgress } : undefined],
   ['p', ([number, accountName, code, wanted, configurationVersion]) => {
     if (!isCount(number) || typeof accountName !== 'string' || !isGranterCode(code) || !isCount(wanted) || !isCount(configurationVersion)) return undefined
-    return { message: 'permit_question', number, accountName, granter: GRANTERS[code], wanted, configurationVersion }
+    return { message: 'permit_request', correlationId: number, accountName, granter: GRANTERS[code], wanted, configurationVersion }
   }],
   ['g', ([number, granted, retryAfterMs, configurationVersion]) => {
     if (!isCount(number) || !isCount(granted) || !isCount(retryAfterMs) || !isCount(configurationVersion)) return undefined
-    return { message: 'permit_answer', number, granted, retryAfterMs, configurationVersion }
+    return { message: 'permit_response', correlationId: number, granted, retryAfterMs, configurationVersion }
   }],
   ['r', ([accountName, code, count]) => {
     if (typeof accountName !== 'string' || !isGranterCode(code) || !isCount(count)) return undefined
-    return { message: 'permit_return', accountName, granter: GRANTERS[code], count }
+    return { message: 'permit_refund', accountName, granter: GRANTERS[code], count }
   }]
 ])
 
--- a/packages/anvilarch-serving/src/endpoints/whomToAsk.ts
+++ b/packages/anvilarch-serving/src/endpoints/probeTargets.ts
@@ -8,7 +8,7 @@
 import type { EndpointLoad } from './loadTable'
 
 /** What the decision depends on. */
-export interface QuestionInput {
+export interface ProbeTargetInput {
   candidates: readonly Endpoint[]
   /** Where a shared part of the prompt is probably cached. */
   preferred: Endpoint | undefined
@@ -16,41 +16,41 @@
   /** @returns whether this process has a connection to the endpoint on which no request is in progress */
   hasIdleConnection: (endpoint: Endpoint) => boolean
   /** @returns whether the agent of the endpoint answers, as far as is known */
-  answers: (endpoint: Endpoint) => boolean
-  draw: () => number
+  isResponsive: (endpoint: Endpoint) => boolean
+  random: () => number
 }
 
 /** Agents asked at first. */
-export const FIRST_QUESTIONS = 4
+export const INITIAL_PROBES = 4
 
 /** Of the first, this many at most are drawn from those to which a connection is open and idle. */
-export const CONNECTED_QUESTIONS = 2
+export const MAX_CONNECTED_PROBES = 2
 
 /** Agents asked when the first are all full. */
-export const MORE_QUESTIONS = 8
+export const ADDITIONAL_PROBES = 8
 
 /** A load that was told this long ago is as good as one just asked for: a gateway sends some ten requests a second. */
-export const FRESH_MS = 40
+export const MAX_FRESH_AGE_MS = 40
 
 /** @returns whether the load is known well enough to choose by */
 export function isFresh (load: EndpointLoad): boolean {
-  return load.ageMs <= FRESH_MS
+  return load.ageMs <= MAX_FRESH_AGE_MS
 }
 
 /** The two rounds of questions. */
-export const whomToAsk = {
+export const probeTargets = {
   /**
    * @param input - candidates and what is known of them
    * @returns the preferred endpoint, the one that seemed the least loaded, some with an idle connection, and some by chance
    */
-  first: (input: QuestionInput): Endpoint[] => {
+  initial: (input: ProbeTargetInput): Endpoint[] => {
     const { candidates, preferred } = input
     const asked = new Set<Endpoint>()
     if (preferred !== undefined) asked.add(preferred)
     const least = leastLoaded(input)
     if (least !== undefined) asked.add(least)
-    addByChance(asked, candidates.filter(input.hasIdleConnection), Math.min(FIRST_QUESTIONS, asked.size + CONNECTED_QUESTIONS), input.draw)
-    addByChance(asked, candidates, FIRST_QUESTIONS, input.draw)
+    addByChance(asked, candidates.filter(input.hasIdleConnection), Math.min(INITIAL_PROBES, asked.size + MAX_CONNECTED_PROBES), input.random)
+    addByChance(asked, candidates, INITIAL_PROBES, input.random)
     return [...asked].filter(endpoint => !isFresh(input.loadOf(endpoint)))
   },
 
@@ -59,12 +59,12 @@
    * @param asked - who was asked first
    * @returns further endpoints, if none whose load is known has a free slot
    */
-  more: (input: QuestionInput, asked: readonly Endpoint[]): Endpoint[] => {
+  additional: (input: ProbeTargetInput, asked: readonly Endpoint[]): Endpoint[] => {
     if (asked.length === 0 || input.candidates.some(endpoint => hasFreeSlot(endpoint, input.loadOf(endpoint)))) return []
     const first = new Set(asked)
     const rest = input.candidates.filter(endpoint => !first.has(endpoint) && !isFresh(input.loadOf(endpoint)))
     const more = new Set<Endpoint>()
-    addByChance(more, rest, MORE_QUESTIONS, input.draw)
+    addByChance(more, rest, ADDITIONAL_PROBES, input.random)
     return [...more]
   }
 }
@@ -73,11 +73,11 @@
   return isFresh(load) && !load.suspected && load.online < endpoint.slots
 }
 
-function leastLoaded (input: QuestionInput): Endpoint | undefined {
+function leastLoaded (input: ProbeTargetInput): Endpoint | undefined {
   let least: Endpoint | undefined
   let leastOnline = Infinity
   for (const candidate of input.candidates) {
-    if (!input.answers(candidate)) continue
+    if (!input.isResponsive(candidate)) continue
     const load = input.loadOf(candidate)
     if (load.suspected || load.online >= leastOnline) continue
     least = candidate
--- a/packages/anvilarch-serving/src/endpoints/useNotices.ts
+++ b/packages/anvilarch-serving/src/endpoints/usageReporter.ts
@@ -5,15 +5,15 @@
 import type { PeerAddress } from './peerSocket'
 
 /** Counts of requests in progress, by start of an endpoint. */
-export interface UseNotices {
+export interface UsageReporter {
   onSent: (endpoint: Endpoint) => void
   onEnded: (endpoint: Endpoint) => void
-  forget: (endpoint: Endpoint) => void
+  remove: (endpoint: Endpoint) => void
   close: () => void
 }
 
 /** Options of `createUseNotices`. */
-export interface UseNoticeOptions {
+export interface UsageReporterOptions {
   clock: Clock
   send: (message: PeerMessage, to: PeerAddress) => void
   peerPort: number
@@ -22,18 +22,18 @@
 }
 
 /** Counts above zero are told again this often, in case a datagram was lost; an agent forgets them after three times as long. */
-export const USE_REPEAT_MS = 1000
+export const USAGE_REPORT_INTERVAL_MS = 1000
 
 /**
  * @param options - clock and sender
  * @returns notices without counts
  */
-export function createUseNotices (options: UseNoticeOptions): UseNotices {
+export function createUsageReporter (options: UsageReporterOptions): UsageReporter {
   const counts = new Map<string, { endpoint: Endpoint, inProgress: number }>()
 
   const tell = (endpoint: Endpoint, inProgress: number): void => {
     if (!options.hasAgent(endpoint)) return
-    options.send({ message: 'use', startId: endpoint.startId, inProgress }, { ip: endpoint.address.split(':')[0], port: options.peerPort })
+    options.send({ message: 'usage_report', startId: endpoint.startId, inProgress }, { ip: endpoint.address.split(':')[0], port: options.peerPort })
   }
 
   const change = (endpoint: Endpoint, by: number): void => {
@@ -43,7 +43,7 @@
     tell(endpoint, inProgress)
   }
 
-  const repeat = (): Timer => options.clock.after(USE_REPEAT_MS, () => {
+  const repeat = (): Timer => options.clock.after(USAGE_REPORT_INTERVAL_MS, () => {
     for (const { endpoint, inProgress } of counts.values()) tell(endpoint, inProgress)
     timer = repeat()
   })
@@ -52,7 +52,7 @@
   return {
     onSent: endpoint => change(endpoint, 1),
     onEnded: endpoint => change(endpoint, -1),
-    forget: endpoint => { counts.delete(endpoint.startId) },
+    remove: endpoint => { counts.delete(endpoint.startId) },
     close: () => timer.cancel()
   }
 }
--- a/packages/anvilarch-serving/src/model/types.ts
+++ b/packages/anvilarch-serving/src/model/types.ts
@@ -128,7 +128,7 @@
   /** Last event that the client already has. */
   lastEventId: number | undefined
   /** Shared parts of the prompt, outermost first; the last one belongs to the request or its session. */
-  promptParts: string[]
+  promptPrefixes: string[]
   promptTokens: number
   maxOutputTokens: number
 }
--- a/packages/anvilarch-serving/src/peers/peerDirectory.ts
+++ b/packages/anvilarch-serving/src/peers/peerDirectory.ts
@@ -6,7 +6,7 @@
 export interface PeerDirectory {
   addresses: () => string[]
   /** Adds what the store has told of other daemons. */
-  use: (view: { work: WorkTable, endpoints: EndpointTable }) => void
+  setView: (view: { work: WorkTable, endpoints: EndpointTable }) => void
 }
 
 /**
@@ -24,6 +24,6 @@
       const known = members.length > 1 ? members : [...members, ...seeds, ...besideEndpoints]
       return [...new Set(known)].filter(address => address !== own)
     },
-    use: next => { view = next }
+    setView: next => { view = next }
   }
 }
--- a/packages/anvilarch-serving/src/peers/relayServer.ts
+++ b/packages/anvilarch-serving/src/peers/relayServer.ts
@@ -63,7 +63,7 @@
  * @param transport - straight to a peer's relay
  * @returns a transport that tells the relay's own failures from answers of the store
  */
-export function throughRelay (transport: StoreTransport): StoreTransport {
+export function createRelayClient (transport: StoreTransport): StoreTransport {
   return async call => {
     const answer = await transport({ ...call, headers: [...call.headers, RELAY_TIMEOUT_HEADER, String(call.timeoutMs)] })
     if (answer.outcome !== 'answered') return answer
--- a/packages/anvilarch-serving/src/requests/__fixtures__/forwardHarness.ts
+++ b/packages/anvilarch-serving/src/requests/__fixtures__/forwardHarness.ts
@@ -234,19 +234,19 @@
     clock,
     log: SILENT_LOGGER as EventLog,
     metrics,
-    loads: { onReport: () => {}, onSent: () => { inProgress.loads++ }, onEnded: () => { inProgress.loads-- }, onFailure: () => {}, onSuccess: () => {}, loadOf: () => load, forget: () => {} },
+    loads: { onReport: () => {}, onSent: () => { inProgress.loads++ }, onEnded: () => { inProgress.loads-- }, onFailure: () => {}, onSuccess: () => {}, loadOf: () => load, remove: () => {} },
     placement: {
       prepare: async () => {
         if (options.holdsPlacement === true) await new Promise<void>(resolve => { placed = resolve })
         if (options.placementMs !== undefined) await sleep(clock, options.placementMs())
       },
       choose: ({ excluded }) => endpoints.find(endpoint => !excluded.has(endpoint.startId)),
-      known: () => endpoints,
+      candidates: () => endpoints,
       count: () => endpoints.length,
       loadOf: () => load
     },
-    use: { onSent: () => { inProgress.notices++ }, onEnded: () => { inProgress.notices-- }, forget: () => {}, close: () => {} },
-    pools: { poolOf, openTo: () => 0, release: () => {}, closeAll: async () => {} },
+    use: { onSent: () => { inProgress.notices++ }, onEnded: () => { inProgress.notices-- }, remove: () => {}, close: () => {} },
+    pools: { poolOf, openConnections: () => 0, drain: () => {}, closeAll: async () => {} },
     wire: {
       decodeCredential: () => ({ credential: 'none' }),
       credentialScheme: 'Key',
@@ -270,7 +270,7 @@
     request: { method: 'GET', url: '/', headers: {}, rawHeaders: [] } as unknown as IncomingMessage,
     response: response as unknown as ServerResponse,
     body: Buffer.alloc(0),
-    metadata: { requestId: REQUEST_ID, deadlineMs: timeoutMs, lastEventId: options.lastEventId, promptParts: [], promptTokens: 1, maxOutputTokens: 1 },
+    metadata: { requestId: REQUEST_ID, deadlineMs: timeoutMs, lastEventId: options.lastEventId, promptPrefixes: [], promptTokens: 1, maxOutputTokens: 1 },
     route,
     caller: { caller: 'unchecked' },
     configurationVersion: 1,
--- a/packages/anvilarch-serving/src/requests/forwardRequest.ts
+++ b/packages/anvilarch-serving/src/requests/forwardRequest.ts
@@ -86,7 +86,7 @@
 }
 
 function refuse (parts: ForwardParts, client: ClientRequest, state: RequestState, end: RequestEnd, overload: Refusal): void {
-  const known = state.service === undefined ? [] : parts.placement.known(state.service)
+  const known = state.service === undefined ? [] : parts.placement.candidates(state.service)
   const loads = known.map(parts.placement.loadOf)
   parts.log.info('request refused', {
     requestId: client.metadata.requestId,
@@ -127,7 +127,7 @@
 function overloadOf (parts: ForwardParts, { route, caller }: ClientRequest, state: RequestState): Overload {
   if (state.service === undefined) return { refused: false }
   return checkOverload({
-    candidates: parts.placement.known(state.service),
+    candidates: parts.placement.candidates(state.service),
     loadOf: parts.placement.loadOf,
     holdMs: parts.holdTimes.holdMs(state.service),
     latencyObjectiveMs: route.latencyObjectiveMs,
--- a/packages/anvilarch-serving/src/requests/forwardTypes.ts
+++ b/packages/anvilarch-serving/src/requests/forwardTypes.ts
@@ -7,8 +7,8 @@
 import type { RepeatedRequest } from '../crashes/fingerprint'
 import type { ConnectionPools } from '../endpoints/connectionPools'
 import type { LoadTable } from '../endpoints/loadTable'
-import type { Placement, PlacementTerms } from '../endpoints/placement'
-import type { UseNotices } from '../endpoints/useNotices'
+import type { Placement, PlacementCriteria } from '../endpoints/placement'
+import type { UsageReporter } from '../endpoints/usageReporter'
 import type { RequestMetadata, Route } from '../model/types'
 import type { LineBudget } from '../telemetry/lineBudget'
 import type { TrafficTally } from '../telemetry/trafficTally'
@@ -27,7 +27,7 @@
   metrics: ServingMetrics
   loads: LoadTable
   placement: Placement
-  use: UseNotices
+  use: UsageReporter
   pools: ConnectionPools
   wire: RequestWire
   notice: ClosingNotice
@@ -66,8 +66,8 @@
  * @param service - where it goes
  * @returns what its place depends on
  */
-export function placementTerms (client: ClientRequest, state: RequestState, service: string): PlacementTerms {
-  return { service, sharedParts: client.metadata.promptParts.slice(0, -1), excluded: state.tried }
+export function placementTerms (client: ClientRequest, state: RequestState, service: string): PlacementCriteria {
+  return { service, sharedPrefixes: client.metadata.promptPrefixes.slice(0, -1), excluded: state.tried }
 }
 
 /** How far a request has come. */
--- a/packages/anvilarch-serving/src/requests/runAttempt.ts
+++ b/packages/anvilarch-serving/src/requests/runAttempt.ts
@@ -226,7 +226,7 @@
     onFailure: failure => fail(failure.notSent ? 'not_run' : 'may_have_run', failure.reason)
   })
   return {
-    mayHaveRun: exchange.mayBeSent,
+    mayHaveRun: exchange.mayHaveBeenSent,
     abort: () => {
       ended = true
       exchange.abort()
--- a/packages/anvilarch-serving/src/roles/agentRole.ts
+++ b/packages/anvilarch-serving/src/roles/agentRole.ts
@@ -80,8 +80,8 @@
   othersHoldItems = runner.watchesOthers
   wantsItems = runner.wantsItems
   const onMessage = (message: PeerMessage, from: PeerAddress): void => {
-    if (message.message === 'load_question') peers.send({ message: 'load_answer', number: message.number, report: runner.load() }, from)
-    else if (message.message === 'use') runner.onUse(`${from.ip}:${from.port}`, message.startId, message.inProgress)
+    if (message.message === 'load_probe') peers.send({ message: 'load_response', correlationId: message.correlationId, report: runner.load() }, from)
+    else if (message.message === 'usage_report') runner.onUse(`${from.ip}:${from.port}`, message.startId, message.inProgress)
   }
   const peers = openPeerSocket({ clock, log, own: { ip: settings.ip, port: settings.peerPort }, onMessage })
   logEachSecond({ clock, log, event: 'engine use', read: runner.use, signal: closing.signal })
--- a/packages/anvilarch-serving/src/roles/followPlatform.ts
+++ b/packages/anvilarch-serving/src/roles/followPlatform.ts
@@ -59,8 +59,8 @@
   const endpoints = createEndpointTable({
     clock,
     log,
-    contact: store,
-    knowsService: service => configuration.current()?.services.has(service) ?? true
+    storeFailureTimes: store,
+    isConfiguredService: service => configuration.current()?.services.has(service) ?? true
   })
   configuration.onChange(endpoints.onServicesChanged)
   const work = createWorkTable()
@@ -126,7 +126,7 @@
     listener: work.listeners.members,
     intervalMs: options.membersIntervalMs
   }))
-  context.peers.use({ work, endpoints })
+  context.peers.setView({ work, endpoints })
   registerStateMetrics(context.metrics.registry, { clock, work, tableAnsweredAtMs })
   return {
     configuration,
--- a/packages/anvilarch-serving/src/roles/gatewayAccounts.ts
+++ b/packages/anvilarch-serving/src/roles/gatewayAccounts.ts
@@ -57,16 +57,16 @@
   }
 
   const handlers: Partial<{ [Kind in PeerMessage['message']]: (message: Extract<PeerMessage, { message: Kind }>, from: PeerAddress) => void }> = {
-    permit_question: (question, from) => {
+    permit_request: (question, from) => {
       onVersion(question.configurationVersion)
       const grant = limits.onQuestion(question)
-      if (grant !== undefined) send({ message: 'permit_answer', number: question.number, ...grant, configurationVersion: currentVersion() }, from)
+      if (grant !== undefined) send({ message: 'permit_response', correlationId: question.correlationId, ...grant, configurationVersion: currentVersion() }, from)
     },
-    permit_answer: (answer, from) => {
+    permit_response: (answer, from) => {
       onVersion(answer.configurationVersion)
       asker.onAnswer(answer, from)
     },
-    permit_return: limits.onReturn
+    permit_refund: limits.onReturn
   }
 
   return {
--- a/packages/anvilarch-serving/src/roles/gatewayRole.ts
+++ b/packages/anvilarch-serving/src/roles/gatewayRole.ts
@@ -5,12 +5,12 @@
 import { shareSuspects, SUSPECT_TABLE } from '../crashes/shareSuspects'
 import { createSuspectTable } from '../crashes/suspectTable'
 import { createConnectionPools } from '../endpoints/connectionPools'
-import { createLoadAsker } from '../endpoints/loadAsker'
+import { createLoadProber } from '../endpoints/loadProber'
 import { createLoadTable } from '../endpoints/loadTable'
 import type { LoadReport } from '../endpoints/peerMessages'
 import { openPeerSocket } from '../endpoints/peerSocket'
 import { createPlacement } from '../endpoints/placement'
-import { createUseNotices } from '../endpoints/useNotices'
+import { createUsageReporter } from '../endpoints/usageReporter'
 import { createJobCache } from '../jobs/jobCache'
 import { createJobCalls } from '../jobs/jobCalls'
 import { createResultReader } from '../jobs/resultReader'
@@ -74,27 +74,27 @@
     log,
     own: { ip: settings.ip, port: settings.peerPort },
     onMessage: (message, from) => {
-      if (message.message === 'load_answer') asker.onAnswer(message, from)
+      if (message.message === 'load_response') asker.onResponse(message, from)
       else accounts.onMessage(message, from)
     }
   })
   const accounts = createGatewayAccounts({ context, view, send: peers.send })
-  const asker = createLoadAsker({ clock, send: peers.send, peerPort: settings.peerPort, onReport })
-  const use = createUseNotices({ clock, send: peers.send, peerPort: settings.peerPort, hasAgent: asker.answers })
+  const asker = createLoadProber({ clock, send: peers.send, peerPort: settings.peerPort, onReport })
+  const use = createUsageReporter({ clock, send: peers.send, peerPort: settings.peerPort, hasAgent: asker.isResponsive })
   const placement = createPlacement({
     endpoints: view.endpoints,
     loads,
-    asker,
+    prober: asker,
     ownFailureDomain: settings.failureDomain,
     gatewayCount: () => gatewayCount(view.work, context.store.storeNowMs()),
-    openConnections: pools.openTo,
-    draw: () => context.random.next()
+    openConnections: pools.openConnections,
+    random: () => context.random.next()
   })
-  view.endpoints.onGone(endpoint => {
-    pools.release(endpoint)
-    loads.forget(endpoint.startId)
-    asker.forget(endpoint)
-    use.forget(endpoint)
+  view.endpoints.onEvicted(endpoint => {
+    pools.drain(endpoint)
+    loads.remove(endpoint.startId)
+    asker.remove(endpoint)
+    use.remove(endpoint)
     // One that drains ends by plan.
     if (endpoint.state === 'ready') crashes.onEndpointLost(endpoint.startId)
   })
--- a/packages/anvilarch-serving/src/runner/__tests__/onlineUse.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/onlineUse.test.ts
@@ -1,5 +1,5 @@
 import { createFakeClock, type FakeClock } from 'anvilarch-utils'
-import { USE_REPEAT_MS } from '../../endpoints/useNotices'
+import { USAGE_REPORT_INTERVAL_MS } from '../../endpoints/usageReporter'
 import { createOnlineUse, type OnlineUse } from '../onlineUse'
 
 let clock: FakeClock
@@ -33,7 +33,7 @@
   it('forgets a gateway that tells nothing any more', () => {
     use.onNotice('g1', 'e@1', 5)
     use.onLook('e@1', 5)
-    clock.advance(3 * USE_REPEAT_MS + 1)
+    clock.advance(3 * USAGE_REPORT_INTERVAL_MS + 1)
     expect(use.online()).toBe(0)
   })
 
--- a/packages/anvilarch-serving/src/runner/onlineUse.ts
+++ b/packages/anvilarch-serving/src/runner/onlineUse.ts
@@ -3,7 +3,7 @@
  * told since.
  */
 import type { Clock } from 'anvilarch-utils'
-import { USE_REPEAT_MS } from '../endpoints/useNotices'
+import { USAGE_REPORT_INTERVAL_MS } from '../endpoints/usageReporter'
 
 /** Online requests at the engine. */
 export interface OnlineUse {
@@ -16,7 +16,7 @@
 }
 
 /** A gateway that has told nothing for this long is gone, and with it its connections. */
-const FORGET_AFTER_MS = 3 * USE_REPEAT_MS
+const FORGET_AFTER_MS = 3 * USAGE_REPORT_INTERVAL_MS
 
 interface GatewayUse {
   inProgress: number
