--- a/packages/anvilarch-serving/src/runner/__fixtures__/jobRoute.ts
+++ b/packages/anvilarch-serving/src/runner/__fixtures__/jobRoute.ts
@@ -9,6 +9,6 @@
 
 /** Headers that name the item and the event after which a run goes on. */
 export const WIRE = {
-  request: { decodeAnswer: (headers: ReadonlyMap<string, string>) => ({ requestId: headers.get('x-id'), signed: true, notRun: false }) },
+  request: { decodeResponse: (headers: ReadonlyMap<string, string>) => ({ requestId: headers.get('x-id'), signed: true, notRun: false }) },
   engine: { encodeItem: (item: { id: string }, _host: string, terms: { lastEventId?: number }) => ['x-id', item.id, 'x-after', String(terms.lastEventId ?? 0)] }
 } as unknown as PlatformWire
--- a/packages/anvilarch-serving/src/runner/__tests__/itemRun.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/itemRun.test.ts
@@ -27,7 +27,7 @@
   runItem({
     clock: createFakeClock(),
     pool: { dispatch } as unknown as Pool,
-    requestWire: { decodeAnswer: () => ({ requestId: 'item', signed: true, notRun: false }) } as unknown as RequestWire,
+    requestWire: { decodeResponse: () => ({ requestId: 'item', signed: true, notRun: false }) } as unknown as RequestWire,
     engineWire: { encodeItem: () => [] } as unknown as EngineWire,
     item: { id: 'item', path: '/', headers: {}, body: Buffer.alloc(0), tokens: 10 },
     host: 'h',
