--- a/packages/anvilarch-serving/src/requests/forwardRequest.ts
+++ b/packages/anvilarch-serving/src/requests/forwardRequest.ts
@@ -1,5 +1,5 @@
 /** Runs the attempts of one client request until it has a response, its deadline passes or its client disconnects. */
-import type { Permit } from '../accounts/limits/rateLimits'
+import type { Permit } from '../accounts/limits/rateLimiter'
 import { accountNameOf } from '../accounts/types'
 import { chooseService } from '../routing/matchRoute'
 import type { GatewayResponse } from './clientResponse'
@@ -32,7 +32,7 @@
   let permit: Permit | undefined
   const end = createRequestCompletion(parts, client, state, () => {
     expiry.cancel()
-    if (permit?.granted === true && !mayHaveRun(state)) permit.giveBack()
+    if (permit?.granted === true && !mayHaveRun(state)) permit.refund()
   })
   const attempts = createAttempts(parts, client, state, end)
 
@@ -50,10 +50,10 @@
     end.respond(QUARANTINED_RESPONSE)
     return
   }
-  Promise.all([parts.limits.ask(client.caller), attempts.prepare()])
+  Promise.all([parts.limits.acquire(client.caller), attempts.prepare()])
     .then(([received]) => {
       if (end.hasEnded()) {
-        if (received.granted) received.giveBack()
+        if (received.granted) received.refund()
         return
       }
       permit = received
@@ -86,7 +86,7 @@
 }
 
 function refuseOverloaded (parts: ForwardParts, client: ClientRequest, state: RequestState, end: RequestCompletion, overload: Refusal): void {
-  const known = state.service === undefined ? [] : parts.placement.known(state.service)
+  const known = state.service === undefined ? [] : parts.placement.candidates(state.service)
   const loads = known.map(parts.placement.loadOf)
   parts.log.info('request refused', {
     requestId: client.metadata.requestId,
@@ -127,13 +127,13 @@
 function checkRequestOverload (parts: ForwardParts, { route, caller }: ClientRequest, state: RequestState): Overload {
   if (state.service === undefined) return { refused: false }
   return checkOverload({
-    candidates: parts.placement.known(state.service),
+    candidates: parts.placement.candidates(state.service),
     loadOf: parts.placement.loadOf,
     holdMs: parts.holdTimes.holdMs(state.service),
     latencyObjectiveMs: route.latencyObjectiveMs,
     remainingMs: state.deadlineAtMs - parts.clock.nowMs(),
     routeTimeoutMs: route.timeoutMs,
-    priorityRank: caller.caller === 'account' ? caller.account.ranksBehind : 0,
+    priorityRank: caller.caller === 'account' ? caller.account.priorityRank : 0,
     random: parts.random
   })
 }
--- a/packages/anvilarch-serving/src/requests/forwardTypes.ts
+++ b/packages/anvilarch-serving/src/requests/forwardTypes.ts
@@ -1,17 +1,17 @@
 /** Types for forwarding a client request. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { Clock } from 'anvilarch-utils'
-import type { RateLimits } from '../accounts/limits/rateLimits'
+import type { RateLimiter } from '../accounts/limits/rateLimiter'
 import type { Caller } from '../accounts/types'
 import type { CrashMonitor } from '../crashes/crashMonitor'
 import type { RequestIdentity } from '../crashes/fingerprint'
 import type { ConnectionPools } from '../endpoints/connectionPools'
 import type { LoadTable } from '../endpoints/loadTable'
-import type { Placement, PlacementTerms } from '../endpoints/placement'
-import type { UseNotices } from '../endpoints/useNotices'
+import type { Placement, PlacementCriteria } from '../endpoints/placement'
+import type { UsageReporter } from '../endpoints/usageReporter'
 import type { RequestMetadata, Route } from '../model/types'
-import type { LineBudget } from '../telemetry/lineBudget'
-import type { TrafficTally } from '../telemetry/trafficTally'
+import type { LogRateLimiter } from '../telemetry/logRateLimiter'
+import type { TrafficCounters } from '../telemetry/trafficCounters'
 import type { ServingMetrics } from '../telemetry/metrics'
 import type { DrainState } from './clientResponse'
 import type { HoldTimes } from './holdTimes'
@@ -27,18 +27,18 @@
   metrics: ServingMetrics
   loads: LoadTable
   placement: Placement
-  use: UseNotices
+  use: UsageReporter
   pools: ConnectionPools
   wire: RequestWire
   drainState: DrainState
   holdTimes: HoldTimes
   crashes: CrashMonitor
-  limits: Pick<RateLimits, 'ask'>
+  limits: Pick<RateLimiter, 'acquire'>
   /** @returns whether new work may still be started for the caller */
   isStillAllowed: (caller: Caller) => boolean
-  traffic: TrafficTally
+  traffic: TrafficCounters
   /** Limits the log lines about successful requests. */
-  logRateLimiter: LineBudget
+  logRateLimiter: LogRateLimiter
   /** @returns a random number in [0, 1) */
   random: () => number
 }
@@ -67,8 +67,8 @@
  * @param service - target service
  * @returns the criteria for the choice of an endpoint
  */
-export function placementCriteria (client: ClientRequest, state: RequestState, service: string): PlacementTerms {
-  return { service, sharedParts: client.metadata.promptParts.slice(0, -1), excluded: state.tried }
+export function placementCriteria (client: ClientRequest, state: RequestState, service: string): PlacementCriteria {
+  return { service, sharedPrefixes: client.metadata.promptPrefixes.slice(0, -1), excluded: state.tried }
 }
 
 /** Progress of a request. */
--- a/packages/anvilarch-serving/src/requests/requestCompletion.ts
+++ b/packages/anvilarch-serving/src/requests/requestCompletion.ts
@@ -4,7 +4,7 @@
 import { type DrainState, type GatewayResponse, sendGatewayResponse } from './clientResponse'
 import type { ClientRequest, ForwardParts, RequestState } from './forwardTypes'
 import type { AnswerEnd } from '../telemetry/events'
-import type { TrafficEnd } from '../telemetry/trafficTally'
+import type { TrafficOutcome } from '../telemetry/trafficCounters'
 import { elapsedMs } from './requestLog'
 import type { EndpointResponse } from './runAttempt'
 
@@ -35,7 +35,7 @@
 const FIRST_ERROR_STATUS = 400
 
 /** Outcomes that do not count as failures; `refused` means that the request has not run. */
-const TRAFFIC_ENDS: ReadonlyMap<string, TrafficEnd> = new Map([
+const TRAFFIC_ENDS: ReadonlyMap<string, TrafficOutcome> = new Map([
   ['overloaded', 'refused'], ['not_run', 'refused'], ['no_endpoint', 'refused'], ['quarantined', 'refused'], ['over_rate', 'refused'], ['unauthorized', 'refused'], ['client_left', 'left']
 ])
 
@@ -78,7 +78,7 @@
     return gapTooLong || (state.firstEventAtMs ?? clock.nowMs()) > onTimeMs
   }
 
-  const trafficEnd = (outcome: string): TrafficEnd => {
+  const trafficEnd = (outcome: string): TrafficOutcome => {
     if (outcome === 'answered') return isLate() ? 'late' : 'answered'
     return TRAFFIC_ENDS.get(outcome) ?? 'failed'
   }
@@ -99,7 +99,7 @@
     parts.traffic.onEnd(result)
     const succeeded = result === 'answered'
     if (!succeeded) state.requestLog.flush()
-    if (succeeded && !parts.logRateLimiter.take()) metrics.logLinesLeftOut.inc()
+    if (succeeded && !parts.logRateLimiter.tryAcquire()) metrics.logLinesLeftOut.inc()
     else logEnd(outcome, result === 'late' ? { ...fields, late: true } : fields)
     return true
   }
--- a/packages/anvilarch-serving/src/requests/sendAttempts.ts
+++ b/packages/anvilarch-serving/src/requests/sendAttempts.ts
@@ -1,6 +1,6 @@
 /** Sends one request to endpoints, one after another, until one responds or no further send is allowed. */
 import { createSilenceWatch, type SilenceWatch } from 'anvilarch-utils'
-import { callerTerms } from '../accounts/types'
+import { forwardedCallerOf } from '../accounts/types'
 import type { Endpoint } from '../model/types'
 import { createAttemptLog } from './attemptLog'
 import { type AttemptFailure, isRetryable, type NextStep, nextStep, silenceTimeoutMs } from './retryDecision'
@@ -208,7 +208,7 @@
         deadlineMs: Math.max(1, Math.floor(remainingMs())),
         expectedEndpointId: endpoint.id,
         lastEventId: state.lastEventId,
-        caller: callerTerms(client.caller)
+        caller: forwardedCallerOf(client.caller)
       }),
       body: client.body.length > 0 ? client.body : undefined
     },
--- a/packages/anvilarch-serving/src/requests/types.ts
+++ b/packages/anvilarch-serving/src/requests/types.ts
@@ -1,6 +1,6 @@
 /** Types for adapters, which read and write the headers of requests and responses. */
 import type { IncomingHttpHeaders } from 'node:http'
-import type { CallerTerms, Credential } from '../accounts/types'
+import type { ForwardedCaller, Credential } from '../accounts/types'
 import type { RequestMetadata } from '../model/types'
 
 /** Data that a send to an endpoint carries in addition to the client's own headers. */
@@ -11,7 +11,7 @@
   expectedEndpointId: string
   /** Id of the event after which the endpoint resumes the stream. */
   lastEventId: number | undefined
-  caller: CallerTerms
+  caller: ForwardedCaller
 }
 
 /** Metadata in the headers of an endpoint's response. */
