--- a/packages/anvilarch-serving/src/requests/__fixtures__/forwardHarness.ts
+++ b/packages/anvilarch-serving/src/requests/__fixtures__/forwardHarness.ts
@@ -79,8 +79,8 @@
   revokeKey: () => void
   /** Quarantines the request. */
   quarantine: () => void
-  /** @returns the numbers of requests in progress at endpoints according to the load table and to the usage notices */
-  inProgress: () => { loads: number, notices: number }
+  /** @returns the numbers of requests in progress at endpoints according to the load table and to the usage reporter */
+  inProgress: () => { loads: number, usageReports: number }
   /** @returns how often the permit was refunded */
   permitsRefunded: () => number
   /** Completes the pending placement. */
@@ -137,7 +137,7 @@
   let hasKey = true
   let isQuarantined = false
   let permitsRefunded = 0
-  const inProgress = { loads: 0, notices: 0 }
+  const inProgress = { loads: 0, usageReports: 0 }
 
   const poolOf = (endpoint: Endpoint): Pool => ({
     dispatch: ({ headers }: { headers: string[] }, handler: ExchangeHandler) => {
@@ -246,7 +246,7 @@
       count: () => endpoints.length,
       loadOf: () => load
     },
-    use: { onSent: () => { inProgress.notices++ }, onEnded: () => { inProgress.notices-- }, remove: () => {}, close: () => {} },
+    use: { onSent: () => { inProgress.usageReports++ }, onEnded: () => { inProgress.usageReports-- }, remove: () => {}, close: () => {} },
     pools: { poolOf, openConnections: () => 0, drain: () => {}, closeAll: async () => {} },
     wire: {
       decodeCredential: () => ({ credential: 'none' }),
--- a/packages/anvilarch-serving/src/requests/__tests__/requestHistories.test.ts
+++ b/packages/anvilarch-serving/src/requests/__tests__/requestHistories.test.ts
@@ -246,7 +246,7 @@
 /** After the end of a request nothing remains in progress for it. */
 function checkCleanup ({ harness, runs }: PlayedRequest): void {
   expect(runs.filter(run => !run.isOver() && run.request.connected)).toEqual([])
-  expect(harness.inProgress()).toEqual({ loads: 0, notices: 0 })
+  expect(harness.inProgress()).toEqual({ loads: 0, usageReports: 0 })
   expect({ heads: harness.client.headCount <= 1, writesAfterEnd: harness.client.writesAfterEnd }).toEqual({ heads: true, writesAfterEnd: 0 })
   expect(harness.clock.pendingCount()).toBe(0)
   expect(harness.permitsRefunded()).toBeLessThanOrEqual(runs.some(run => run.mayHaveRun()) ? 0 : 1)
