--- a/packages/anvilarch-serving/src/jobs/__tests__/acceptJob.test.ts
+++ b/packages/anvilarch-serving/src/jobs/__tests__/acceptJob.test.ts
@@ -10,7 +10,7 @@
 
 const ROUTE = { name: 'jobs', waitingTokenLimit: 1000, jobDueMs: 1, jobExpiryMs: 1, maxAttempts: 3 } as unknown as Route
 
-/** More than a gateway remembers. */
+/** More jobs than a gateway caches. */
 const MANY_JOBS = 1200
 
 let clock: FakeClock
@@ -21,7 +21,7 @@
   store = createMemoryStore(clock, () => 'done')
 })
 
-/** A gateway that has not been asked for any job yet. */
+/** Creates a gateway whose job cache is empty. */
 function createGateway (): JobParts {
   return { store: store.client, work: createJobCache(), clock, log: SILENT_LOGGER }
 }
@@ -33,7 +33,7 @@
   return await accepting
 }
 
-/** An old job in the partition of the first one. */
+/** Stores an ended job in the partition of the first one. */
 function putEndedJob (index: number): void {
   const key = { ...jobKey('first'), key: `old-${index}` }
   store.put(key, { ...createJobRecord([], { jobId: key.key, account: undefined, host: 'h', path: '/', nowMs: 0, dueMs: 1, expiryMs: 1, maxAttempts: 1 }), ended: true })
@@ -46,8 +46,8 @@
 }
 
 describe('the limit of waiting tokens', () => {
-  // Guards against this: a job that another gateway has accepted a while ago no longer counts, and more waits than the limit.
-  it('counts a job that waits for long when a gateway that does not know it accepts another', async () => {
+  // Guards against more waiting tokens than the limit: an older job that another gateway has accepted must still count.
+  it('counts a long-waiting job that the accepting gateway has not read', async () => {
     expect(await accept(createGateway(), 'first', 600)).toBe('accepted')
     await clock.advanceAsync(RESERVATION_GRACE_MS)
     const gateway = createGateway()
@@ -55,15 +55,15 @@
     expect(await accept(gateway, 'third', 600)).toBe('over_limit')
   })
 
-  // Guards against this: the jobs that count are pushed out of the memory of the gateway while it reads them.
-  it('counts a job that waits for long among more jobs than a gateway remembers', async () => {
+  // Guards against jobs that no longer count because they are evicted from the gateway's cache while it reads the others.
+  it('counts a long-waiting job among more jobs than a gateway caches', async () => {
     expect(await accept(createGateway(), 'first', 600)).toBe('accepted')
     for (let index = 0; index < MANY_JOBS; index++) putEndedJob(index)
     await clock.advanceAsync(RESERVATION_GRACE_MS)
     expect(await accept(createGateway(), 'second', 600)).toBe('over_limit')
   })
 
-  it('counts a job no more once it has ended', async () => {
+  it('does not count a job that has ended', async () => {
     const gateway = createGateway()
     expect(await accept(gateway, 'first', 600)).toBe('accepted')
     await end(gateway, 'first')
--- a/packages/anvilarch-serving/src/jobs/__tests__/jobRecord.test.ts
+++ b/packages/anvilarch-serving/src/jobs/__tests__/jobRecord.test.ts
@@ -29,7 +29,7 @@
 ), { maxLength: 40 })
 
 describe('a job', () => {
-  it('never changes or repeats a position, and lists nothing after its end', () => {
+  it('never changes a position or lists an item twice, and lists nothing after it has ended', () => {
     fc.assert(fc.property(STEPS, steps => {
       let job = JOB
       for (const step of steps) {
@@ -45,7 +45,7 @@
     }), { seed: 20261202, numRuns: 1000 })
   })
 
-  it('gives an item up after the attempts allowed', () => {
+  it('gives an item up after the last allowed attempt', () => {
     const twice = countFailure(countFailure(JOB, 2) ?? JOB, 2) ?? JOB
     expect(twice.listed).toEqual([])
     expect(countFailure(twice, 2)?.listed).toEqual([{ item: 2, outcome: 'dead_letter' }])
--- a/packages/anvilarch-serving/src/jobs/__tests__/quota.test.ts
+++ b/packages/anvilarch-serving/src/jobs/__tests__/quota.test.ts
@@ -13,32 +13,32 @@
 }
 
 const WANTED: Reservation = { jobId: 'new', tokens: 400, reservedAtMs: 100_000 }
-const HELD: Reservation = { jobId: 'old', tokens: 400, reservedAtMs: 99_000 }
+const EXISTING: Reservation = { jobId: 'old', tokens: 400, reservedAtMs: 99_000 }
 
 describe('planReservation', () => {
-  it('takes a job while all that waits stays within the limit', () => {
-    expect(planReservation([HELD], WANTED, 800, known(job('old', 0)))).toMatchObject({ plan: 'reserve', reservations: [HELD, WANTED] })
-    expect(planReservation([HELD], WANTED, 799, known(job('old', 0)))).toEqual({ plan: 'full', waitingTokens: 400 })
+  it('accepts a job while the waiting tokens stay within the limit', () => {
+    expect(planReservation([EXISTING], WANTED, 800, known(job('old', 0)))).toMatchObject({ plan: 'reserve', reservations: [EXISTING, WANTED] })
+    expect(planReservation([EXISTING], WANTED, 799, known(job('old', 0)))).toEqual({ plan: 'full', waitingTokens: 400 })
   })
 
-  it('counts only the items that still wait', () => {
-    expect(planReservation([HELD], WANTED, 600, known(job('old', 2))).plan).toBe('reserve')
-    expect(planReservation([HELD], WANTED, 400, known(job('old', 4)))).toEqual({ plan: 'reserve', reservations: [WANTED] })
+  it('counts only the items that are still waiting', () => {
+    expect(planReservation([EXISTING], WANTED, 600, known(job('old', 2))).plan).toBe('reserve')
+    expect(planReservation([EXISTING], WANTED, 400, known(job('old', 4)))).toEqual({ plan: 'reserve', reservations: [WANTED] })
   })
 
-  // Guards against this: two gateways together accept more than the limit allows.
-  it('counts a reservation whose job is not known yet, until it cannot come any more', () => {
-    expect(planReservation([HELD], WANTED, 700, known()).plan).toBe('full')
-    const old = { ...HELD, reservedAtMs: WANTED.reservedAtMs - RESERVATION_GRACE_MS - 1 }
+  // Guards against two gateways that together accept more than the limit allows.
+  it('counts a reservation whose job does not exist yet, until the grace period is over', () => {
+    expect(planReservation([EXISTING], WANTED, 700, known()).plan).toBe('full')
+    const old = { ...EXISTING, reservedAtMs: WANTED.reservedAtMs - RESERVATION_GRACE_MS - 1 }
     expect(planReservation([old], WANTED, 700, known()).plan).toBe('reserve')
   })
 
-  it('counts an old reservation whose job has not been looked for', () => {
-    const old = { ...HELD, reservedAtMs: WANTED.reservedAtMs - RESERVATION_GRACE_MS - 1 }
+  it('counts an old reservation if not all jobs have been read', () => {
+    const old = { ...EXISTING, reservedAtMs: WANTED.reservedAtMs - RESERVATION_GRACE_MS - 1 }
     expect(planReservation([old], WANTED, 700, { ...known(), isComplete: false }).plan).toBe('full')
   })
 
-  it('finds a job that has reserved already', () => {
+  it('detects a job that already has a reservation', () => {
     expect(planReservation([WANTED], WANTED, 0, known()).plan).toBe('already_reserved')
   })
 })
--- a/packages/anvilarch-serving/src/jobs/__tests__/workTable.test.ts
+++ b/packages/anvilarch-serving/src/jobs/__tests__/workTable.test.ts
@@ -9,8 +9,8 @@
 }
 
 describe('createWorkTable', () => {
-  // Guards against this: an ended job starts running again at one daemon.
-  it('never goes back to an older row', () => {
+  // Guards against an ended job that runs again at one daemon after an older row has replaced the newer one.
+  it('never replaces a row by an older one', () => {
     const table = createWorkTable()
     table.update(row(5, true))
     table.listeners.jobs.onChange({ change: 'put', row: row(4) })
@@ -20,7 +20,7 @@
     expect(table.job('j')).toBeUndefined()
   })
 
-  it('forgets what a listing no longer has', () => {
+  it('removes rows that a listing no longer contains', () => {
     const table = createWorkTable()
     table.update(row(5))
     const other = { ...row(9), ...jobKey('k') }
@@ -29,7 +29,7 @@
     expect(table.job('k')).toBeDefined()
   })
 
-  it('keeps what is newer than a listing, and forgets all else of an empty one', () => {
+  it('keeps rows that are newer than an empty listing, and removes all others', () => {
     const table = createWorkTable()
     table.update(row(5))
     table.listeners.jobs.onListing([], 4)
@@ -38,7 +38,7 @@
     expect(table.job('j')).toBeUndefined()
   })
 
-  it('ignores rows that it cannot read', () => {
+  it('ignores rows that it cannot decode', () => {
     const table = createWorkTable()
     table.update({ ...jobKey('j'), value: Buffer.from('{'), version: 1 })
     expect(table.job('j')).toBeUndefined()
--- a/packages/anvilarch-serving/src/jobs/acceptJob.ts
+++ b/packages/anvilarch-serving/src/jobs/acceptJob.ts
@@ -1,4 +1,4 @@
-/** Accepts a job: all of it is in the store before the client hears so. */
+/** Accepts a job: the whole job is stored before the client is notified. */
 import { sleep } from 'anvilarch-utils'
 import type { Route } from '../model/types'
 import { createJobRecord } from './jobRecord'
@@ -8,7 +8,7 @@
 import { encodeSubmission } from './submission'
 import type { JobItem, JobRecord } from './types'
 
-/** A job as a client hands it in. */
+/** A job as a client submits it. */
 export interface Submission {
   /** Id in the store; see `storedJobId`. */
   jobId: string
@@ -19,34 +19,34 @@
 }
 
 /**
- * How a submission ended. `refused` and `over_limit`: no part of this submission will ever run.
- * `unknown`: it may have been accepted, and only another submission of the same job can tell.
+ * Outcome of a submission. `refused` and `over_limit`: no part of this submission will ever run.
+ * `unknown`: it may have been accepted; only a repeated submission of the same job can determine that.
  */
 export type AcceptOutcome = 'accepted' | 'over_limit' | 'refused' | 'unknown'
 
-/** A row of so many reservations has some 30 KB. */
+/** Number of reservations at which finished jobs are looked up and removed; such a row has some 30 KB. */
 const MANY_RESERVATIONS = 300
 
-/** Pause between tries while the store refuses. */
+/** Pause between attempts while the store refuses calls. */
 const RETRY_PAUSE_MS = 120
 
 /**
- * @param parts - store and copy of the jobs
+ * @param parts - store and local copy of the jobs
  * @param route - the route of the submission
  * @param submission - the job
- * @param untilMs - local time until which an answer is of use
- * @returns how it ended
+ * @param untilMs - local time by which the client needs a response
+ * @returns the outcome
  */
 export async function acceptJob (parts: JobParts, route: Route, submission: Submission, untilMs: number): Promise<AcceptOutcome> {
   if (parts.work.job(submission.jobId) !== undefined) return 'accepted'
-  const prepared = await within(parts, untilMs, prepare(parts, route, submission, untilMs))
+  const prepared = await withDeadline(parts, untilMs, prepare(parts, route, submission, untilMs))
   if (prepared === 'ready') return await createJob(parts, route, submission, untilMs)
   return prepared ?? 'refused'
 }
 
-/** All that comes before the job exists: until then it cannot run, whatever of this is done late. */
+/** Stores the items and reserves the tokens. Until its row exists the job cannot run, however late these writes take effect. */
 async function prepare (parts: JobParts, route: Route, submission: Submission, untilMs: number): Promise<AcceptOutcome | 'ready'> {
-  // A repeat may come before the feed has told of the job: a limit that the job itself has filled must not turn it away.
+  // A repeated submission may arrive before the local copy has the job; a limit that the job itself has reached must not refuse it.
   const known = await readJob(parts, submission.jobId)
   if (known.ok && known.val !== undefined) return 'accepted'
   const [stored, reserved] = await Promise.all([
@@ -58,18 +58,18 @@
 }
 
 /**
- * Calls to a silent store last as long as their own timeouts, one after another. The client is answered when its time is up,
- * so that it can ask another gateway.
+ * Limits the time of the work. Calls to an unresponsive store last as long as their own timeouts, one after another; the client
+ * gets a response when its time is up, so that it can try another gateway.
  *
- * @returns what the work comes to, or undefined when the time is up first
+ * @returns the result of the work, or undefined when the time is up first
  */
-async function within<Value> (parts: JobParts, untilMs: number, work: Promise<Value>): Promise<Value | undefined> {
-  const ended = new AbortController()
-  const timeout = sleep(parts.clock, untilMs - parts.clock.nowMs(), ended.signal).then(() => undefined)
+async function withDeadline<Value> (parts: JobParts, untilMs: number, work: Promise<Value>): Promise<Value | undefined> {
+  const settled = new AbortController()
+  const timeout = sleep(parts.clock, untilMs - parts.clock.nowMs(), settled.signal).then(() => undefined)
   try {
     return await Promise.race([work, timeout])
   } finally {
-    ended.abort()
+    settled.abort()
   }
 }
 
@@ -93,7 +93,7 @@
       const row = read.val.rows.find(candidate => candidate.key === key.key)
       const current = row === undefined ? [] : JSON.parse(row.value.toString()) as Reservation[]
       const wanted = { jobId: submission.jobId, tokens, reservedAtMs: parts.store.storeNowMs() ?? 0 }
-      // Only a row that seems full or has grown long is worth finding out what of it still waits.
+      // Reading the jobs is worthwhile only if the row seems full or has grown long: it shows which tokens are still waiting.
       const seemsFull = reservedTokens(current) + tokens > route.waitingTokenLimit || current.length >= MANY_RESERVATIONS
       const known = seemsFull ? await readJobs(parts, current) : { job: parts.work.job, isComplete: false }
       if (known === undefined) {
@@ -120,7 +120,7 @@
   }
 }
 
-/** Reads the jobs of reservations, which may be more than the copy holds. @returns them all, or undefined if the store has not told of all */
+/** Reads the jobs of reservations, which may be more than the local copy holds. @returns the jobs, or undefined if a read failed */
 async function readJobs (parts: JobParts, reservations: readonly Reservation[]): Promise<JobLookup | undefined> {
   const partitions = new Set(reservations.map(reservation => jobKey(reservation.jobId).partition))
   const reads = await Promise.all([...partitions].map(partition => parts.store.readRows({ table: JOB_TABLE, partition })))
@@ -138,7 +138,7 @@
 
 async function createJob (parts: JobParts, route: Route, submission: Submission, untilMs: number): Promise<AcceptOutcome> {
   const key = jobKey(submission.jobId)
-  let doubtful = false
+  let mayBeStored = false
   for (;;) {
     const nowMs = parts.store.storeNowMs()
     if (nowMs !== undefined) {
@@ -158,9 +158,9 @@
         return 'accepted'
       }
       if (outcome.outcome === 'conflict') return 'accepted'
-      doubtful = doubtful || outcome.outcome === 'unknown'
+      mayBeStored = mayBeStored || outcome.outcome === 'unknown'
     }
-    if (parts.clock.nowMs() > untilMs) return doubtful ? 'unknown' : 'refused'
+    if (parts.clock.nowMs() > untilMs) return mayBeStored ? 'unknown' : 'refused'
     await sleep(parts.clock, RETRY_PAUSE_MS)
   }
 }
--- a/packages/anvilarch-serving/src/jobs/jobCache.ts
+++ b/packages/anvilarch-serving/src/jobs/jobCache.ts
@@ -1,16 +1,16 @@
-/** The jobs that clients of a gateway have lately asked for. */
+/** Cache of the jobs that a gateway's clients have recently requested. */
 import { LRUCache } from 'lru-cache'
 import type { Versioned } from '../store/rowCopy'
 import { decodeRecord, JOB_TABLE } from './jobRows'
 import type { JobCopy } from './jobStore'
 import type { JobRecord } from './types'
 
-/** A row of a job of ten items takes about 2 KB here. The smallest gateway has 178 MB, of which its process takes about 50. */
+/** The row of a job of ten items takes about 2 KB here. The smallest gateway has 178 MB, of which its process uses about 50 MB. */
 const MAX_JOBS = 1000
 
 /**
- * A gateway reads a job when a client asks for it. Did each gateway follow all jobs, the bytes that the store sends would grow
- * with the product of gateways and jobs.
+ * Creates the job cache of a gateway, which reads a job when a client requests it. If every gateway followed all jobs, the
+ * bytes that the store sends would grow with the product of gateways and jobs.
  *
  * @returns an empty cache
  */
--- a/packages/anvilarch-serving/src/jobs/jobCalls.ts
+++ b/packages/anvilarch-serving/src/jobs/jobCalls.ts
@@ -1,4 +1,4 @@
-/** The calls by which clients hand in, read and end jobs. */
+/** Handles the calls by which clients submit, read and end jobs. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { sleep } from 'anvilarch-utils'
 import findMyWay from 'find-my-way'
@@ -14,7 +14,7 @@
 import type { ResultReader } from './resultReader'
 import type { JobRecord } from './types'
 
-/** Parts of the job calls. */
+/** Dependencies of the job calls. */
 export interface JobCallParts extends JobParts {
   metrics: ServingMetrics
   results: ResultReader
@@ -22,7 +22,7 @@
   notice: ClosingNotice
 }
 
-/** A submission that has been read. */
+/** A submission whose body has been read. */
 export interface SubmitCall {
   request: IncomingMessage
   response: ServerResponse
@@ -33,7 +33,7 @@
   arrivedAtMs: number
 }
 
-/** A call about a job that has been handed in. */
+/** A call about a submitted job. */
 interface NamedJobCall {
   request: IncomingMessage
   response: ServerResponse
@@ -43,36 +43,36 @@
 
 type JobHandler = (call: NamedJobCall) => Promise<void>
 
-/** The router only finds the handler of a call, since it hands on no more than request and response. */
-const unused = (): void => {}
+/** The router only looks up the handler of a call, since it passes no more than request and response to its own handlers. */
+const placeholderHandler = (): void => {}
 
 /** Handles the calls about jobs. */
 export interface JobCalls {
-  /** @returns whether the request is a call about a job that has been handed in */
+  /** @returns whether the request is a call about a submitted job */
   isJobCall: (request: IncomingMessage) => boolean
   handle: (request: IncomingMessage, response: ServerResponse, caller: Caller) => Promise<void>
   submit: (call: SubmitCall) => Promise<void>
 }
 
-/** A gateway gives a submission back this long before the client would stop waiting. */
+/** A submission gets its response at least this long before the client's deadline. */
 const SUBMIT_MARGIN_MS = 500
 
 /** Longest time that one gateway tries to accept a job; another gateway may reach the store. */
 const MAX_SUBMIT_MS = 1500
 
-/** How long a read or an end of a job is tried. Clients send it again. */
+/** How long reading or ending a job is attempted. Clients retry the call. */
 const CALL_TIMEOUT_MS = 1200
 
-/** When an ended or refused call may come again. */
+/** Retry delay for a call that the store has not served. */
 const RETRY_AFTER_MS = 400
 
-/** Waiting tokens go down item by item; an item takes some seconds. */
+/** Retry delay for a job over the limit. Waiting tokens decrease item by item, and an item takes some seconds. */
 const OVER_LIMIT_RETRY_AFTER_MS = 1000
 
 /** Longest wait of a read for results. */
 const MAX_READ_WAIT_MS = 1000
 
-/** How often a job is read while its client waits for a result; items end some seconds apart. */
+/** Poll interval of a job while its client waits for a result; items end some seconds apart. */
 const RESULT_POLL_MS = 350
 
 const RETRY_PAUSE_MS = 120
@@ -83,13 +83,13 @@
  */
 export function createJobCalls (parts: JobCallParts): JobCalls {
   const router = findMyWay()
-  const on = (method: 'GET' | 'DELETE', path: string, answer: JobHandler): void => router.on(method, path, unused, answer)
-  on('GET', parts.wire.resultsPath, async ({ request, response, named, query }) => {
+  const register = (method: 'GET' | 'DELETE', path: string, handler: JobHandler): void => router.on(method, path, placeholderHandler, handler)
+  register('GET', parts.wire.resultsPath, async ({ request, response, named, query }) => {
     const position = Math.max(0, Number.parseInt(query[parts.wire.afterParameter] ?? '0', 10) || 0)
     await readResults(parts, request, response, named, position)
   })
-  on('GET', parts.wire.itemPath, async ({ response, named, query }) => await readItem(parts, response, named, query[parts.wire.itemParameter] ?? ''))
-  on('DELETE', parts.wire.resultsPath, async ({ response, named }) => await end(parts, response, named))
+  register('GET', parts.wire.itemPath, async ({ response, named, query }) => await readItem(parts, response, named, query[parts.wire.itemParameter] ?? ''))
+  register('DELETE', parts.wire.resultsPath, async ({ response, named }) => await end(parts, response, named))
 
   const find = ({ method, url }: IncomingMessage): ReturnType<typeof router.find> => router.find(method as 'GET', url ?? '/')
   return {
@@ -98,8 +98,8 @@
       const found = find(request)
       if (found === null) return
       request.resume()
-      const answer = found.store as JobHandler
-      await answer({ request, response, named: { caller, clientJobId: found.params.id ?? '' }, query: found.searchParams })
+      const handler = found.store as JobHandler
+      await handler({ request, response, named: { caller, clientJobId: found.params.id ?? '' }, query: found.searchParams })
     },
     submit: call => submit(parts, call)
   }
@@ -119,8 +119,8 @@
     path: call.request.url ?? '/',
     items
   }
-  const patienceMs = Math.min(MAX_SUBMIT_MS, (metadata.deadlineMs ?? Infinity) - SUBMIT_MARGIN_MS)
-  const outcome = await acceptJob(parts, route, submission, call.arrivedAtMs + patienceMs)
+  const timeoutMs = Math.min(MAX_SUBMIT_MS, (metadata.deadlineMs ?? Infinity) - SUBMIT_MARGIN_MS)
+  const outcome = await acceptJob(parts, route, submission, call.arrivedAtMs + timeoutMs)
   parts.metrics.jobCalls.inc({ call: 'submit', outcome })
   parts.log.info('job submitted', { jobId: metadata.requestId, account: accountNameOf(call.caller), route: route.name, itemCount: items.length, outcome, elapsedMs: Math.round(parts.clock.nowMs() - call.arrivedAtMs) })
   switch (outcome) {
@@ -142,45 +142,45 @@
   const untilMs = parts.clock.nowMs() + CALL_TIMEOUT_MS
   const job = await findJob(parts, named, isClosed, untilMs)
   if (job === 'unavailable') {
-    unavailable(parts, response, 'read')
+    sendUnavailable(parts, response, 'read')
     return
   }
   if (job === undefined) {
-    notFound(parts, response, 'read')
+    sendNotFound(parts, response, 'read')
     return
   }
   const waitMs = Math.min(MAX_READ_WAIT_MS, parts.wire.waitMs(request.headers))
   const current = await waitForResults(parts, job, position, waitMs, response)
   const page = await parts.results.page(current, position)
   if (page.err) {
-    unavailable(parts, response, 'read')
+    sendUnavailable(parts, response, 'read')
     return
   }
   parts.metrics.jobCalls.inc({ call: 'read', outcome: 'answered' })
   sendJson(response, 200, parts.wire.encodePage(page.val), parts.notice)
 }
 
-/** A job as a caller names it. */
+/** A job as identified by a call. */
 interface NamedJob {
   caller: Caller
   clientJobId: string
 }
 
 /**
- * Finds a job. One that was handed in before callers needed keys has the client's id alone, and belongs to nobody: any caller
- * with a key that knows the id may read and end it.
+ * Finds a job. A job submitted before callers needed keys is stored under the client's id alone and has no account: any caller
+ * that has a key and sends this id may read and end it.
  */
-async function findJob (parts: JobCallParts, { caller, clientJobId }: NamedJob, isEnough: (job: JobRecord) => boolean, untilMs: number): Promise<JobRecord | undefined | 'unavailable'> {
-  const own = await findStored(parts, storedJobId(caller, clientJobId), isEnough, untilMs)
+async function findJob (parts: JobCallParts, { caller, clientJobId }: NamedJob, isSufficient: (job: JobRecord) => boolean, untilMs: number): Promise<JobRecord | undefined | 'unavailable'> {
+  const own = await findStored(parts, storedJobId(caller, clientJobId), isSufficient, untilMs)
   if (own !== undefined || caller.caller === 'unchecked') return own
-  const unowned = await findStored(parts, clientJobId, isEnough, untilMs)
+  const unowned = await findStored(parts, clientJobId, isSufficient, untilMs)
   return unowned === 'unavailable' || unowned?.account === undefined ? unowned : undefined
 }
 
-/** What is known here may be older than what another gateway has told the client: unless it is enough, the store is read. */
-async function findStored (parts: JobCallParts, jobId: string, isEnough: (job: JobRecord) => boolean, untilMs: number): Promise<JobRecord | undefined | 'unavailable'> {
+/** Reads the job from the store unless the local copy suffices: the copy may be older than what another gateway has sent the client. */
+async function findStored (parts: JobCallParts, jobId: string, isSufficient: (job: JobRecord) => boolean, untilMs: number): Promise<JobRecord | undefined | 'unavailable'> {
   const known = parts.work.job(jobId)?.record
-  if (known !== undefined && isEnough(known)) return known
+  if (known !== undefined && isSufficient(known)) return known
   for (;;) {
     const read = await readJob(parts, jobId)
     if (read.ok) return read.val?.record
@@ -189,17 +189,17 @@
   }
 }
 
-/** Reads the job again and again while the client waits for a result. */
+/** Polls the job while the client waits for a result. */
 async function waitForResults (parts: JobCallParts, job: JobRecord, position: number, waitMs: number, response: ServerResponse): Promise<JobRecord> {
   const untilMs = parts.clock.nowMs() + waitMs
-  const left = new AbortController()
-  response.on('close', () => left.abort())
+  const closed = new AbortController()
+  response.on('close', () => closed.abort())
   let current = job
   for (;;) {
     if (current.listed.length > position || isClosed(current)) return current
     const pauseMs = Math.min(RESULT_POLL_MS, untilMs - parts.clock.nowMs())
-    if (pauseMs <= 0 || left.signal.aborted) return current
-    await sleep(parts.clock, pauseMs, left.signal)
+    if (pauseMs <= 0 || closed.signal.aborted) return current
+    await sleep(parts.clock, pauseMs, closed.signal)
     const read = await readJob(parts, job.jobId)
     if (read.ok && read.val !== undefined) current = read.val.record
   }
@@ -209,13 +209,13 @@
   const untilMs = parts.clock.nowMs() + CALL_TIMEOUT_MS
   const job = await findJob(parts, named, known => !known.ended, untilMs)
   if (job === undefined || (job !== 'unavailable' && !job.itemIds.includes(itemId))) {
-    notFound(parts, response, 'item')
+    sendNotFound(parts, response, 'item')
     return
   }
   const items = job === 'unavailable' ? undefined : await parts.results.items(job.jobId)
   const body = items?.ok === true ? items.val?.find(item => item.id === itemId)?.body : undefined
   if (body === undefined) {
-    unavailable(parts, response, 'item')
+    sendUnavailable(parts, response, 'item')
     return
   }
   parts.metrics.jobCalls.inc({ call: 'item', outcome: 'answered' })
@@ -229,11 +229,11 @@
   parts.metrics.jobCalls.inc({ call: 'end', outcome })
   parts.log.info('job ended by its client', { jobId: named.clientJobId, account: accountNameOf(named.caller), outcome })
   if (outcome === 'applied' || outcome === 'not_applicable') sendJson(response, 200, {}, parts.notice)
-  else if (outcome === 'no_such_job') notFound(parts, response, 'end')
-  else unavailable(parts, response, 'end')
+  else if (outcome === 'no_such_job') sendNotFound(parts, response, 'end')
+  else sendUnavailable(parts, response, 'end')
 }
 
-/** Ends the caller's job, or one that belongs to nobody. */
+/** Ends the caller's job, or a job without an account. */
 async function endStored (parts: JobCallParts, { caller, clientJobId }: NamedJob, untilMs: number): Promise<ChangeOutcome> {
   const outcome = await changeJob(parts, storedJobId(caller, clientJobId), job => job.ended ? undefined : { next: endJob(job) }, untilMs)
   if (outcome !== 'no_such_job' || caller.caller === 'unchecked') return outcome
@@ -243,12 +243,12 @@
   return await changeJob(parts, clientJobId, job => job.ended ? undefined : { next: endJob(job) }, untilMs)
 }
 
-function notFound (parts: JobCallParts, response: ServerResponse, call: string): void {
+function sendNotFound (parts: JobCallParts, response: ServerResponse, call: string): void {
   parts.metrics.jobCalls.inc({ call, outcome: 'not_found' })
   sendOwnAnswer(response, { status: 404, code: 'no_such_job', message: 'no such job or item' }, parts.notice)
 }
 
-function unavailable (parts: JobCallParts, response: ServerResponse, call: string): void {
+function sendUnavailable (parts: JobCallParts, response: ServerResponse, call: string): void {
   parts.metrics.jobCalls.inc({ call, outcome: 'unavailable' })
   sendOwnAnswer(response, { status: 503, code: 'store_unavailable', message: 'the store does not answer', retryAfterMs: RETRY_AFTER_MS }, parts.notice)
 }
--- a/packages/anvilarch-serving/src/jobs/jobRecord.ts
+++ b/packages/anvilarch-serving/src/jobs/jobRecord.ts
@@ -1,7 +1,7 @@
-/** What may happen to a job, as pure functions of its row. */
+/** State changes of a job, as pure functions of its row. */
 import type { ItemOutcome, JobItem, JobRecord } from './types'
 
-/** What a submission needs beyond its items. */
+/** Attributes of a new job other than its items. */
 export interface JobTerms {
   jobId: string
   /** Client account of the job, if callers need keys. */
@@ -17,7 +17,7 @@
 /**
  * @param items - as submitted
  * @param terms - route and time of the submission
- * @returns the first row of the job
+ * @returns the initial row of the job
  */
 export function createJobRecord (items: readonly JobItem[], terms: JobTerms): JobRecord {
   return {
@@ -37,35 +37,35 @@
   }
 }
 
-/** @returns whether the item already has a position */
+/** @returns whether the item already has an outcome */
 export function isFinished (job: JobRecord, item: number): boolean {
   return job.listed.some(entry => entry.item === item)
 }
 
-/** @returns places of the items without a position */
+/** @returns indexes of the items without an outcome; none once the job has ended */
 export function openItems (job: JobRecord): number[] {
   if (job.ended) return []
   const listed = new Set(job.listed.map(entry => entry.item))
   return job.itemIds.map((_, item) => item).filter(item => !listed.has(item))
 }
 
-/** @returns whether nothing is left to run */
+/** @returns whether no item is left to run */
 export function isClosed (job: JobRecord): boolean {
   return job.ended || job.listed.length >= job.itemIds.length
 }
 
-/** @returns tokens of the items that still wait or run */
+/** @returns tokens of the items that are waiting or running */
 export function waitingTokens (job: JobRecord): number {
   return openItems(job).reduce((sum, item) => sum + job.itemTokens[item], 0)
 }
 
 /**
- * Gives an item the next position.
+ * Appends an item's outcome to the listed items.
  *
  * @param job - the row as read
- * @param item - place of the item
- * @param outcome - how it ended
- * @returns the next row, or undefined when the job has ended or the item has a position already
+ * @param item - index of the item
+ * @param outcome - outcome of the item
+ * @returns the next row, or undefined when the job has ended or the item already has an outcome
  */
 export function recordOutcome (job: JobRecord, item: number, outcome: ItemOutcome): JobRecord | undefined {
   if (job.ended || isFinished(job, item)) return undefined
@@ -73,10 +73,10 @@
 }
 
 /**
- * Counts a failed attempt, and gives the item up after the last one allowed.
+ * Counts a failed attempt, and gives the item up after the last allowed attempt.
  *
  * @param job - the row as read
- * @param item - place of the item
+ * @param item - index of the item
  * @returns the next row, or undefined when the item is no longer open
  */
 export function countFailure (job: JobRecord, item: number): JobRecord | undefined {
@@ -91,7 +91,7 @@
   return { ...job, ended: true }
 }
 
-/** @returns whether an item may be given up for its age */
+/** @returns whether the items of the job have expired and may be given up */
 export function isExpired (job: JobRecord, storeNowMs: number): boolean {
   return storeNowMs > job.expiresAtMs
 }
--- a/packages/anvilarch-serving/src/jobs/jobStore.ts
+++ b/packages/anvilarch-serving/src/jobs/jobStore.ts
@@ -1,4 +1,4 @@
-/** Reads and writes jobs in the store. Every change of a job is a transaction on the version of its row. */
+/** Reads and writes jobs in the store. Every change of a job is a transaction conditional on the version of its row. */
 import { type Clock, sleep } from 'anvilarch-utils'
 import { Err, Ok, type Result } from 'ts-results'
 import type { MetadataStore, RowCondition, RowKey, RowWrite, StoreFailure, StoredRow, TransactionOutcome } from '../store/types'
@@ -8,10 +8,10 @@
 import type { WorkTable } from './workTable'
 import type { EventLog } from '../telemetry/events'
 
-/** What this process knows of jobs: a copy of all, or of those that it has lately read. */
+/** Local copy of jobs: of all, or of those recently read. */
 export type JobCopy = Pick<WorkTable, 'job' | 'update' | 'remove'>
 
-/** Parts that jobs need. */
+/** Dependencies of the job functions. */
 export interface JobParts {
   store: MetadataStore
   work: JobCopy
@@ -19,7 +19,7 @@
   log: EventLog
 }
 
-/** Rows that change together with the job's. */
+/** A change of a job, and the rows that change with it. */
 export interface JobChange {
   next: JobRecord
   conditions?: RowCondition[]
@@ -27,17 +27,17 @@
   removes?: RowKey[]
 }
 
-/** How a change of a job ended. `not_applicable`: the job, or a row that changes with it, no longer allows it. */
+/** Outcome of a change. `not_applicable`: the job, or a row that changes with it, no longer allows it. */
 export type ChangeOutcome = 'applied' | 'not_applicable' | 'no_such_job' | 'refused' | 'unknown'
 
-/** Tries of one change. Each conflict means that another daemon has made progress with the same job. */
+/** Maximum attempts of one change. Each conflict means that another daemon has made progress with the same job. */
 const MAX_CHANGE_TRIES = 30
 
-/** Pause after the store has refused a change. */
+/** Pause before the next attempt after the store has refused a change. */
 const REFUSED_PAUSE_MS = 150
 
 /**
- * Reads a job from the store and takes it into the copy.
+ * Reads a job from the store and updates the copy.
  *
  * @param parts - store and copy
  * @param jobId - id of the job
@@ -54,23 +54,23 @@
 }
 
 /**
- * Changes a job under the version of its row, again after each conflict with another change.
+ * Changes a job under the version of its row, and retries after each conflict with another change.
  *
  * @param parts - store and copy
  * @param jobId - id of the job
- * @param change - the next row and what changes with it; undefined when the job no longer allows the change
- * @param untilMs - local time after which the change is given up
- * @returns how it ended
+ * @param change - returns the next row and the rows that change with it; undefined when the job no longer allows the change
+ * @param untilMs - local time after which a refused change is not retried
+ * @returns the outcome
  */
 export async function changeJob (
   parts: JobParts, jobId: string, change: (job: JobRecord) => JobChange | undefined, untilMs: number
 ): Promise<ChangeOutcome> {
   let job = parts.work.job(jobId)
-  let doubtful = false
+  let mayBeStored = false
   for (let tries = 0; tries < MAX_CHANGE_TRIES; tries++) {
     if (job === undefined) {
       const read = await readJob(parts, jobId)
-      if (read.err) return doubtful ? 'unknown' : 'refused'
+      if (read.err) return mayBeStored ? 'unknown' : 'refused'
       if (read.val === undefined) return 'no_such_job'
       job = read.val
     }
@@ -87,22 +87,22 @@
         break
       }
       default:
-        doubtful = doubtful || outcome.outcome === 'unknown'
-        if (parts.clock.nowMs() > untilMs) return doubtful ? 'unknown' : 'refused'
+        mayBeStored = mayBeStored || outcome.outcome === 'unknown'
+        if (parts.clock.nowMs() > untilMs) return mayBeStored ? 'unknown' : 'refused'
         await sleep(parts.clock, REFUSED_PAUSE_MS)
-        // The state may have moved while the outcome is in doubt: the next try starts from the store's own row.
+        // The row may have changed while the outcome was unknown, so the next attempt reads it from the store.
         job = undefined
     }
   }
-  return doubtful ? 'unknown' : 'refused'
+  return mayBeStored ? 'unknown' : 'refused'
 }
 
 /**
- * Takes the rows that a conflict has shown into the copy. A row that is not among them no longer exists.
+ * Updates the copy with the rows that a conflict has returned. A row that is not among them no longer exists.
  *
- * @param parts - copy of the work
- * @param conditions - rows on which the transaction depended
- * @param rows - those that exist
+ * @param parts - local copy
+ * @param conditions - rows on which the transaction was conditional
+ * @param rows - those of them that exist
  */
 export function updateFromConflict (parts: Pick<JobParts, 'work'>, conditions: readonly RowKey[], rows: readonly StoredRow[]): void {
   for (const condition of conditions) {
--- a/packages/anvilarch-serving/src/jobs/partitions.ts
+++ b/packages/anvilarch-serving/src/jobs/partitions.ts
@@ -1,13 +1,13 @@
-/** Spreads jobs over partitions, since each partition carries a bounded rate of transactions. */
+/** Distributes jobs over partitions, since each partition has a bounded transaction rate. */
 import { v3 as murmurhash } from 'murmurhash'
 
-/** With 150 transactions a second each, these carry more than the 800 writes a second that the store takes in all. */
+/** At 150 transactions per second each, the partitions exceed the 800 writes per second that the whole store accepts. */
 const PARTITION_COUNT = 8
 
 /** Names of all partitions that hold jobs. */
 export const JOB_PARTITIONS: readonly string[] = Array.from({ length: PARTITION_COUNT }, (_, index) => `jobs-${index}`)
 
-/** Partition of the rows by which daemons tell of themselves. */
+/** Partition of the daemons' heartbeat rows. */
 export const MEMBER_PARTITION = 'members'
 
 /**
--- a/packages/anvilarch-serving/src/jobs/resultReader.ts
+++ b/packages/anvilarch-serving/src/jobs/resultReader.ts
@@ -1,4 +1,4 @@
-/** Reads results of jobs. A result never changes, so that one read of it can be kept. */
+/** Reads results of jobs. A result never changes, so it can be cached. */
 import { LRUCache } from 'lru-cache'
 import { Err, Ok, type Result } from 'ts-results'
 import type { MetadataStore, StoreFailure } from '../store/types'
@@ -7,7 +7,7 @@
 import { decodeSubmission } from './submission'
 import { submissionObject } from './jobRows'
 
-/** A result as a client reads it. */
+/** A result as it is returned to a client. */
 export interface JobResult {
   itemId: string
   outcome: ItemOutcome
@@ -21,13 +21,13 @@
   results: JobResult[]
 }
 
-/** Texts kept in memory. The smallest gateway has 178 MB, of which its process takes about 70. */
+/** Size of each cache. The smallest gateway has 178 MB, of which its process uses about 70 MB. */
 const CACHE_BYTES = 12 * 1024 * 1024
 
-/** Most bytes of text in one page; the answer holds them as JSON and stays under 1 MB. */
+/** Maximum bytes of text in one page. The response holds them as JSON and stays under 1 MB. */
 const PAGE_BYTES = 700 * 1024
 
-/** Marks a row whose text lies in an object. The byte cannot begin UTF-8 text. */
+/** Marks a row whose text is stored in an object. UTF-8 text cannot begin with this byte. */
 export const OBJECT_MARK = Buffer.from([0xff])
 
 /** Reads results and submissions through a cache. */
@@ -37,8 +37,8 @@
 }
 
 /**
- * @param store - where results lie
- * @returns a reader with an empty cache
+ * @param store - store of the results
+ * @returns a reader with empty caches
  */
 export function createResultReader (store: MetadataStore): ResultReader {
   const texts = new LRUCache<string, string>({ maxSize: CACHE_BYTES, sizeCalculation: text => text.length + 1 })
@@ -54,15 +54,15 @@
     const read = await store.readRows({ ...key, from: key.key, to: key.key + '\u0001' })
     if (read.err) return Err(read.val)
     const row = read.val.rows.find(candidate => candidate.key === key.key)
-    if (row === undefined) return Err({ reason: 'a listed result has no row' })
-    if (!row.value.subarray(0, 1).equals(OBJECT_MARK)) return Ok(keep(key.key, row.value.toString()))
+    if (row === undefined) return Err({ reason: 'the row of a listed result does not exist' })
+    if (!row.value.subarray(0, 1).equals(OBJECT_MARK)) return Ok(cacheText(key.key, row.value.toString()))
     const object = await store.readObject(resultObject(jobId, item))
     if (object.err) return Err(object.val)
-    if (object.val === undefined) return Err({ reason: 'a listed result has no object' })
-    return Ok(keep(key.key, object.val.toString()))
+    if (object.val === undefined) return Err({ reason: 'the object of a listed result does not exist' })
+    return Ok(cacheText(key.key, object.val.toString()))
   }
 
-  const keep = (key: string, text: string): string => {
+  const cacheText = (key: string, text: string): string => {
     texts.set(key, text)
     return text
   }
@@ -87,7 +87,7 @@
       if (read.err) return Err(read.val)
       if (read.val === undefined) return Ok(undefined)
       const items = decodeSubmission(read.val)
-      if (items === undefined) return Err({ reason: 'the items of a job are unreadable' })
+      if (items === undefined) return Err({ reason: 'the items of a job cannot be decoded' })
       submissions.set(jobId, items)
       return Ok(items)
     }
--- a/packages/anvilarch-serving/src/jobs/retention.ts
+++ b/packages/anvilarch-serving/src/jobs/retention.ts
@@ -1,4 +1,4 @@
-/** Removes jobs whose results nobody may ask for any more: the store's space for objects is bounded. */
+/** Removes jobs after the retention period of their results, since the store's space for objects is bounded. */
 import type { RowKey } from '../store/types'
 import { isClosed } from './jobRecord'
 import { claimKey, jobKey, progressKey, resultKey, resultObject, submissionObject } from './jobRows'
@@ -6,16 +6,16 @@
 import type { JobRecord } from './types'
 import type { EventLog } from '../telemetry/events'
 
-/** Results stay for this multiple of the time that is promised, so that a slow reader still finds them. */
+/** Results are kept for this multiple of the promised retention, so that slow readers still find them. */
 const RETENTION_FACTOR = 1.5
 
-/** A transaction holds at most 100 entries. */
+/** Rows removed by one transaction, which holds at most 100 entries. */
 const MAX_REMOVES = 90
 
 /**
- * @param job - the row
- * @param storeNowMs - the store's clock
- * @param retentionMs - how long results are promised, from the submission on
+ * @param job - row of the job
+ * @param storeNowMs - current store time
+ * @param retentionMs - promised retention of results, counted from the submission
  * @returns whether the job may be removed
  */
 export function isPastRetention (job: JobRecord, storeNowMs: number, retentionMs: number): boolean {
@@ -23,12 +23,12 @@
 }
 
 /**
- * Removes a job: objects and results first, its row last, so that a removal that breaks off is gone on with later.
+ * Removes a job: objects and results first, its row last, so that an interrupted removal is resumed later.
  *
- * @param parts - store and copy
- * @param job - a retired job
- * @param log - told of the removal
- * @returns whether all of it is gone
+ * @param parts - store and local copy
+ * @param job - a job past its retention
+ * @param log - log for the removal
+ * @returns whether the job has been removed completely
  */
 export async function removeJob (parts: JobParts, job: JobRecord, log: EventLog): Promise<boolean> {
   const items = job.itemIds.map((_, item) => item)
--- a/packages/anvilarch-serving/src/jobs/submission.ts
+++ b/packages/anvilarch-serving/src/jobs/submission.ts
@@ -1,4 +1,4 @@
-/** The object that holds the items of a job. */
+/** Encoding of the object that holds the items of a job. */
 import type { JobItem } from './types'
 
 interface EncodedItem extends Omit<JobItem, 'body'> {
@@ -11,13 +11,13 @@
   return Buffer.from(JSON.stringify(encoded))
 }
 
-/** @returns the items as they were encoded; undefined when the bytes are none, so that they are read again later */
+/** @returns the decoded items; undefined when the bytes cannot be decoded, so that they are read again later */
 export function decodeSubmission (bytes: Buffer): JobItem[] | undefined {
   try {
     const encoded = JSON.parse(bytes.toString()) as EncodedItem[]
     return encoded.map(item => ({ ...item, body: Buffer.from(item.body, 'base64') }))
   } catch {
-    // The reader tells which job it is.
+    // The caller reports which job is affected.
     return undefined
   }
 }
--- a/packages/anvilarch-serving/src/jobs/types.ts
+++ b/packages/anvilarch-serving/src/jobs/types.ts
@@ -1,4 +1,4 @@
-/** Jobs, their items and what the store keeps of them. */
+/** Jobs, their items and the records that the store holds of them. */
 
 /** One item as a client submits it. */
 export interface JobItem {
@@ -7,31 +7,31 @@
   path: string
   headers: Record<string, string>
   body: Buffer
-  /** Tokens of the prompt and the most that may be generated. */
+  /** Prompt tokens plus the maximum number of generated tokens. */
   tokens: number
 }
 
-/** How an item ended. A `dead_letter` item was given up. */
+/** Outcome of an item. A `dead_letter` item was given up. */
 export type ItemOutcome = 'completed' | 'dead_letter'
 
-/** A result at its position. */
+/** An item with an outcome. Its index in `JobRecord.listed` is the position of its result. */
 export interface FinishedItem {
-  /** Place of the item in the submission. */
+  /** Index of the item in the submission. */
   item: number
   outcome: ItemOutcome
 }
 
-/** The row of a job. Positions of results are the order of `listed`, which only grows. */
+/** Row of a job. Entries are only appended to `listed`, so that the position of a result never changes. */
 export interface JobRecord {
   jobId: string
-  /** Client account that has handed the job in; undefined where callers need no key. */
+  /** Client account that submitted the job; undefined where callers need no key. */
   account?: string
-  /** Host and path of the submission; they select the route for as long as the job is open. */
+  /** Host and path of the submission; they select the route while the job is open. */
   host: string
   path: string
   /** Store time of the submission, in milliseconds. */
   submittedAtMs: number
-  /** Store time until which all results are due. */
+  /** Store time by which all results are due. */
   dueAtMs: number
   /** Store time after which an item may be given up. */
   expiresAtMs: number
@@ -40,13 +40,13 @@
   itemIds: string[]
   itemTokens: number[]
   listed: FinishedItem[]
-  /** Failed attempts by item. */
+  /** Number of failed attempts by item index. */
   failures: Record<string, number>
   /** Set once a client has ended the job. */
   ended: boolean
 }
 
-/** The row by which a runner holds an item. Its version fences every write about the item. */
+/** Row by which a runner claims an item. Its version fences every write about the item. */
 export interface ClaimRecord {
   jobId: string
   item: number
@@ -54,13 +54,13 @@
   runner: string
   /** Incarnation of the runner's process. */
   incarnation: string
-  /** False once the runner has let go of the item. */
+  /** False once the runner has released the item. */
   held: boolean
-  /** Last event whose text was saved when the item was let go of; a holder saves more without changing this. */
+  /** Last event whose text was saved when the item was released; saves made during a claim do not change it. */
   savedEventId: number
 }
 
-/** What a daemon tells of itself, as a heartbeat. */
+/** Heartbeat of a daemon. */
 export interface MemberRecord {
   name: string
   role: 'gateway' | 'agent'
@@ -68,10 +68,10 @@
   /** Address of the peer port. */
   peerAddress: string
   failureDomain: string
-  /** Store time until which the daemon is taken to be alive. */
+  /** Store time until which the daemon counts as alive. */
   aliveUntilMs: number
-  /** Time between two events of batch items at the daemon's engine; left out until it is known. */
+  /** Time between two events of batch items at the daemon's engine; absent until it has been measured. */
   eventMs?: number
-  /** Store time since which the daemons know of one of this name, its restarts included; left out by those who need not tell. */
+  /** Store time since which a daemon of this name has been listed, across restarts; absent for daemons that need not report it. */
   knownSinceMs?: number
 }
--- a/packages/anvilarch-serving/src/jobs/workTable.ts
+++ b/packages/anvilarch-serving/src/jobs/workTable.ts
@@ -5,20 +5,20 @@
 import { CLAIM_TABLE, claimRowKey, decodeRecord, JOB_TABLE, MEMBER_TABLE } from './jobRows'
 import type { ClaimRecord, JobRecord, MemberRecord } from './types'
 
-/** What this process knows of all work. */
+/** Local copy of all jobs, claims and members. */
 export interface WorkTable {
   job: (jobId: string) => Versioned<JobRecord> | undefined
   jobs: () => Iterable<Versioned<JobRecord>>
   claim: (jobId: string, item: number) => Versioned<ClaimRecord> | undefined
   members: () => Iterable<Versioned<MemberRecord>>
   member: (name: string) => Versioned<MemberRecord> | undefined
-  /** @returns version of the store as of which the members were last listed; undefined before */
+  /** @returns store version of the last listing of the members; undefined before the first */
   membersListedAtVersion: () => number | undefined
-  /** Takes a row that this process has just written or read, if it is newer than the copy. */
+  /** Applies a row that this process has written or read, if it is newer than the copy. */
   update: (row: StoredRow) => void
-  /** Forgets a row that this process has just removed. */
+  /** Removes a row that this process has removed from the store. */
   remove: (key: RowKey, version: number) => void
-  /** Ends of the copy that hear of each table. */
+  /** Listeners that apply listings and changes of each table to the copy. */
   listeners: { jobs: TableListener, claims: TableListener, members: TableListener }
 }
 
