--- a/packages/anvilarch-serving/src/jobs/acceptJob.ts
+++ b/packages/anvilarch-serving/src/jobs/acceptJob.ts
@@ -31,7 +31,7 @@
 const RETRY_PAUSE_MS = 120
 
 /**
- * @param parts - store and local copy of the jobs
+ * @param parts - store and local cache of the jobs
  * @param route - the route of the submission
  * @param submission - the job
  * @param untilMs - local time by which the client needs a response
@@ -46,7 +46,7 @@
 
 /** Stores the items and reserves the tokens. Until its row exists the job cannot run, however late these writes take effect. */
 async function prepare (parts: JobParts, route: Route, submission: Submission, untilMs: number): Promise<AcceptOutcome | 'ready'> {
-  // A repeated submission may arrive before the local copy has the job; a limit that the job itself has reached must not refuse it.
+  // A repeated submission may arrive before the local cache has the job; a limit that the job itself has reached must not refuse it.
   const known = await readJob(parts, submission.jobId)
   if (known.ok && known.val !== undefined) return 'accepted'
   const [stored, reserved] = await Promise.all([
@@ -120,7 +120,7 @@
   }
 }
 
-/** Reads the jobs of reservations, which may be more than the local copy holds. @returns the jobs, or undefined if a read failed */
+/** Reads the jobs of reservations, which may be more than the local cache holds. @returns the jobs, or undefined if a read failed */
 async function readJobs (parts: JobParts, reservations: readonly Reservation[]): Promise<JobLookup | undefined> {
   const partitions = new Set(reservations.map(reservation => jobKey(reservation.jobId).partition))
   const reads = await Promise.all([...partitions].map(partition => parts.store.readRows({ table: JOB_TABLE, partition })))
--- a/packages/anvilarch-serving/src/jobs/jobCache.ts
+++ b/packages/anvilarch-serving/src/jobs/jobCache.ts
@@ -2,7 +2,7 @@
 import { LRUCache } from 'lru-cache'
 import type { Versioned } from '../store/tableCache'
 import { decodeRecord, JOB_TABLE } from './jobRows'
-import type { JobCopy } from './jobStore'
+import type { JobCache } from './jobStore'
 import type { JobRecord } from './types'
 
 /** The row of a job of ten items takes about 2 KB here. The smallest gateway has 178 MB, of which its process uses about 50 MB. */
@@ -14,7 +14,7 @@
  *
  * @returns an empty cache
  */
-export function createJobCache (): JobCopy {
+export function createJobCache (): JobCache {
   const jobs = new LRUCache<string, Versioned<JobRecord>>({ max: MAX_JOBS })
   return {
     job: jobId => jobs.get(jobId),
--- a/packages/anvilarch-serving/src/jobs/jobCalls.ts
+++ b/packages/anvilarch-serving/src/jobs/jobCalls.ts
@@ -177,7 +177,7 @@
   return unowned === 'unavailable' || unowned?.account === undefined ? unowned : undefined
 }
 
-/** Reads the job from the store unless the local copy suffices: the copy may be older than what another gateway has sent the client. */
+/** Reads the job from the store unless the local cache suffices: the cache may be older than what another gateway has sent the client. */
 async function findStored (parts: JobCallParts, jobId: string, isSufficient: (job: JobRecord) => boolean, untilMs: number): Promise<JobRecord | undefined | 'unavailable'> {
   const known = parts.work.job(jobId)?.record
   if (known !== undefined && isSufficient(known)) return known
--- a/packages/anvilarch-serving/src/jobs/jobStore.ts
+++ b/packages/anvilarch-serving/src/jobs/jobStore.ts
@@ -8,13 +8,13 @@
 import type { WorkTable } from './workTable'
 import type { EventLog } from '../telemetry/events'
 
-/** Local copy of jobs: of all, or of those recently read. */
-export type JobCopy = Pick<WorkTable, 'job' | 'update' | 'remove'>
+/** Local cache of jobs: of all, or of those recently read. */
+export type JobCache = Pick<WorkTable, 'job' | 'update' | 'remove'>
 
 /** Dependencies of the job functions. */
 export interface JobParts {
   store: MetadataStore
-  work: JobCopy
+  work: JobCache
   clock: Clock
   log: EventLog
 }
@@ -37,9 +37,9 @@
 const REFUSED_PAUSE_MS = 150
 
 /**
- * Reads a job from the store and updates the copy.
+ * Reads a job from the store and updates the cache.
  *
- * @param parts - store and copy
+ * @param parts - store and local cache
  * @param jobId - id of the job
  * @returns the job, or undefined when there is none
  */
@@ -56,7 +56,7 @@
 /**
  * Changes a job under the version of its row, and retries after each conflict with another change.
  *
- * @param parts - store and copy
+ * @param parts - store and local cache
  * @param jobId - id of the job
  * @param change - returns the next row and the rows that change with it; undefined when the job no longer allows the change
  * @param untilMs - local time after which a refused change is not retried
@@ -98,9 +98,9 @@
 }
 
 /**
- * Updates the copy with the rows that a conflict has returned. A row that is not among them no longer exists.
+ * Updates the cache with the rows that a conflict has returned. A row that is not among them no longer exists.
  *
- * @param parts - local copy
+ * @param parts - local cache
  * @param conditions - rows on which the transaction was conditional
  * @param rows - those of them that exist
  */
--- a/packages/anvilarch-serving/src/jobs/retention.ts
+++ b/packages/anvilarch-serving/src/jobs/retention.ts
@@ -25,7 +25,7 @@
 /**
  * Removes a job: objects and results first, its row last, so that an interrupted removal is resumed later.
  *
- * @param parts - store and local copy
+ * @param parts - store and local cache
  * @param job - a job past its retention
  * @param log - log for the removal
  * @returns whether the job has been removed completely
