--- a/packages/anvilarch-serving/src/jobs/workTable.ts
+++ b/packages/anvilarch-serving/src/jobs/workTable.ts
@@ -1,33 +1,33 @@
-/** This process's copy of the jobs, claims and members in the store. */
+/** This process's cache of the jobs, claims and members in the store. */
 import { createTableCache, type TableCache, type Versioned } from '../store/tableCache'
 import type { RowKey, StoredRow } from '../store/types'
 import type { TableListener } from '../store/tableFollower'
 import { CLAIM_TABLE, claimRowKey, decodeRecord, JOB_TABLE, MEMBER_TABLE } from './jobRows'
 import type { ClaimRecord, JobRecord, MemberRecord } from './types'
 
-/** What this process knows of all work. */
+/** Local cache of all jobs, claims and members. */
 export interface WorkTable {
   job: (jobId: string) => Versioned<JobRecord> | undefined
   jobs: () => Iterable<Versioned<JobRecord>>
   claim: (jobId: string, item: number) => Versioned<ClaimRecord> | undefined
   members: () => Iterable<Versioned<MemberRecord>>
   member: (name: string) => Versioned<MemberRecord> | undefined
-  /** @returns version of the store as of which the members were last listed; undefined before */
+  /** @returns store version of the last listing of the members; undefined before the first */
   membersListedAtVersion: () => number | undefined
-  /** Takes a row that this process has just written or read, if it is newer than the copy. */
+  /** Applies a row that this process has written or read, if it is newer than the cached one. */
   update: (row: StoredRow) => void
-  /** Forgets a row that this process has just removed. */
+  /** Removes a row that this process has removed from the store. */
   remove: (key: RowKey, version: number) => void
-  /** Ends of the copy that hear of each table. */
+  /** Listeners that apply listings and changes of each table to the cache. */
   listeners: { jobs: TableListener, claims: TableListener, members: TableListener }
 }
 
-/** @returns an empty copy */
+/** @returns an empty cache */
 export function createWorkTable (): WorkTable {
   const jobs = createTableCache<JobRecord>(decodeRecord)
   const claims = createTableCache<ClaimRecord>(decodeRecord)
   const members = createTableCache<MemberRecord>(decodeRecord)
-  const copies: ReadonlyMap<string, TableCache<unknown>> = new Map<string, TableCache<unknown>>([[JOB_TABLE, jobs], [CLAIM_TABLE, claims], [MEMBER_TABLE, members]])
+  const caches: ReadonlyMap<string, TableCache<unknown>> = new Map<string, TableCache<unknown>>([[JOB_TABLE, jobs], [CLAIM_TABLE, claims], [MEMBER_TABLE, members]])
 
   return {
     job: jobId => jobs.get(jobId),
@@ -36,8 +36,8 @@
     members: members.values,
     member: name => members.get(name),
     membersListedAtVersion: members.listedAtVersion,
-    update: row => copies.get(row.table)?.update(row),
-    remove: (key, version) => copies.get(key.table)?.remove(key, version),
+    update: row => caches.get(row.table)?.update(row),
+    remove: (key, version) => caches.get(key.table)?.remove(key, version),
     listeners: { jobs, claims, members }
   }
 }
