--- a/packages/anvilarch-serving/src/runner/__fixtures__/memoryStore.ts
+++ b/packages/anvilarch-serving/src/runner/__fixtures__/memoryStore.ts
@@ -45,17 +45,17 @@
  * @param nextFate - asked once for each write and each read of a row
  * @returns a store without rows
  */
-export function createMemoryStore (clock: FakeClock, nextFate: () => CallOutcome): MemoryStore {
+export function createMemoryStore (clock: FakeClock, nextOutcome: () => CallOutcome): MemoryStore {
   const rows = new Map<string, StoredRow>()
   const objects = new Map<string, Buffer>()
-  const followers: Array<(change: RowChange) => void> = []
+  const subscribers: Array<(change: RowChange) => void> = []
   const changes: RowChange[] = []
   let version = 0
   const idOf = (key: RowKey): string => `${key.table}|${key.partition}|${key.key}`
   const rowOf = (key: RowKey): StoredRow | undefined => rows.get(idOf(key))
-  const tell = (change: RowChange): void => {
+  const publish = (change: RowChange): void => {
     changes.push(change)
-    followers.forEach(follower => follower(change))
+    subscribers.forEach(subscriber => subscriber(change))
   }
   const after = async (delayMs: number): Promise<void> => await new Promise(resolve => { clock.after(delayMs, resolve) })
 
@@ -67,23 +67,23 @@
     for (const put of puts) {
       const row = { ...put, version }
       rows.set(idOf(put), row)
-      tell({ change: 'put', row })
+      publish({ change: 'put', row })
     }
-    for (const key of removes) if (rows.delete(idOf(key))) tell({ change: 'removed', key, version })
+    for (const key of removes) if (rows.delete(idOf(key))) publish({ change: 'removed', key, version })
     return { outcome: 'committed', version }
   }
 
   const commit = async (transaction: Transaction): Promise<TransactionOutcome> => {
-    const fate = nextFate()
+    const callOutcome = nextOutcome()
     await after(ANSWER_MS)
-    if (fate === 'done') {
+    if (callOutcome === 'done') {
       const outcome = apply(transaction)
       await after(ANSWER_MS)
       return outcome
     }
-    if (fate === 'refused') return { outcome: 'refused', reason: 'busy' }
-    if (fate === 'unanswered') apply(transaction)
-    if (fate === 'late') clock.after(LATE_MS, () => { apply(transaction) })
+    if (callOutcome === 'refused') return { outcome: 'refused', reason: 'busy' }
+    if (callOutcome === 'unanswered') apply(transaction)
+    if (callOutcome === 'late') clock.after(LATE_MS, () => { apply(transaction) })
     await after(TIMEOUT_MS)
     return { outcome: 'unknown', reason: 'timeout' }
   }
@@ -95,21 +95,21 @@
   const client: MetadataStore = {
     commit,
     readRows: async ({ table, partition, from = '', to = '\uffff' }) => {
-      const fate = nextFate()
+      const callOutcome = nextOutcome()
       await after(ANSWER_MS)
-      if (fate !== 'done') return Err({ reason: 'busy' })
+      if (callOutcome !== 'done') return Err({ reason: 'busy' })
       const found = [...rows.values()].filter(row => row.table === table && row.partition === partition && row.key >= from && row.key < to)
       return Ok({ rows: found, version })
     },
     readFeed: async () => Err({ reason: 'not served here' }),
     writeObject: async (name, bytes) => {
-      const fate = nextFate()
+      const callOutcome = nextOutcome()
       await after(ANSWER_MS)
-      if (fate === 'refused') return 'refused'
-      if (fate === 'lost' || fate === 'late') return 'unknown'
+      if (callOutcome === 'refused') return 'refused'
+      if (callOutcome === 'lost' || callOutcome === 'late') return 'unknown'
       const exists = objects.has(name)
       if (!exists) objects.set(name, bytes)
-      return fate === 'unanswered' ? 'unknown' : exists ? 'exists' : 'stored'
+      return callOutcome === 'unanswered' ? 'unknown' : exists ? 'exists' : 'stored'
     },
     readObject: async name => {
       await after(ANSWER_MS)
@@ -124,41 +124,41 @@
 
   const rowsOf = (table: string): StoredRow[] => [...rows.values()].filter(row => row.table === table)
 
-  const follow = (process: Pick<ProcessClock, 'whenRunning'>, lagMs: number): WorkReplica => {
+  const replicate = (process: Pick<ProcessClock, 'whenRunning'>, lagMs: number): WorkReplica => {
     const work = createWorkTable()
     const listeners = new Map([[JOB_TABLE, work.listeners.jobs], [CLAIM_TABLE, work.listeners.claims]])
-    let isLost = false
+    let isHistoryLost = false
     const listMembers = (): void => work.listeners.members.onListing(rowsOf(MEMBER_TABLE), version)
-    const later = (action: () => void): void => { clock.after(lagMs, () => process.whenRunning(action)) }
-    const hear = (change: RowChange): void => {
+    const afterLag = (action: () => void): void => { clock.after(lagMs, () => process.whenRunning(action)) }
+    const receive = (change: RowChange): void => {
       listeners.get(change.change === 'put' ? change.row.table : change.key.table)?.onChange(change)
       listMembers()
     }
     for (const row of rows.values()) listeners.get(row.table)?.onChange({ change: 'put', row })
     listMembers()
-    followers.push(change => { if (!isLost) later(() => hear(change)) })
+    subscribers.push(change => { if (!isHistoryLost) afterLag(() => receive(change)) })
     /** The rows are read some time after the version from which the changes are told again. */
-    const list = (): void => {
+    const relist = (): void => {
       const sinceVersion = version
       clock.after(ANSWER_MS, () => {
-        isLost = false
+        isHistoryLost = false
         for (const [table, listener] of listeners) {
           const listed = rowsOf(table)
-          later(() => listener.onListing(listed, sinceVersion))
+          afterLag(() => listener.onListing(listed, sinceVersion))
         }
-        for (const change of changes.filter(change => versionOf(change) > sinceVersion)) later(() => hear(change))
+        for (const change of changes.filter(change => versionOf(change) > sinceVersion)) afterLag(() => receive(change))
       })
     }
     return {
       work,
       loseHistory: durationMs => {
-        isLost = true
-        clock.after(durationMs, list)
+        isHistoryLost = true
+        clock.after(durationMs, relist)
       }
     }
   }
 
-  return { client, rows: () => [...rows.values()], row: rowOf, object: name => objects.get(name), putObject: (name, bytes) => { objects.set(name, bytes) }, put, replicate: follow }
+  return { client, rows: () => [...rows.values()], row: rowOf, object: name => objects.get(name), putObject: (name, bytes) => { objects.set(name, bytes) }, put, replicate }
 }
 
 function versionOf (change: RowChange): number {
--- a/packages/anvilarch-serving/src/runner/__fixtures__/processClock.ts
+++ b/packages/anvilarch-serving/src/runner/__fixtures__/processClock.ts
@@ -14,22 +14,22 @@
  * @returns the clock of one of them
  */
 export function createProcessClock (clock: Clock): ProcessClock {
-  let stillUntilMs = -Infinity
+  let frozenUntilMs = -Infinity
   const timers: Array<() => void> = []
   const arrivals: Array<() => void> = []
-  const isStill = (): boolean => clock.nowMs() < stillUntilMs
+  const isFrozen = (): boolean => clock.nowMs() < frozenUntilMs
 
   /** One at a time, so that promises settle in between. */
   const catchUp = (): void => {
-    if (isStill()) return
+    if (isFrozen()) return
     const action = timers.shift() ?? arrivals.shift()
     if (action === undefined) return
     action()
     clock.after(0, catchUp)
   }
 
-  const runOrKeep = (kept: Array<() => void>, action: () => void): void => {
-    if (isStill() || timers.length + arrivals.length > 0) kept.push(action)
+  const runOrQueue = (queue: Array<() => void>, action: () => void): void => {
+    if (isFrozen() || timers.length + arrivals.length > 0) queue.push(action)
     else action()
   }
 
@@ -38,7 +38,7 @@
     wallMs: clock.wallMs,
     after: (delayMs, onFire) => {
       let isCancelled = false
-      const timer = clock.after(delayMs, () => runOrKeep(timers, () => { if (!isCancelled) onFire() }))
+      const timer = clock.after(delayMs, () => runOrQueue(timers, () => { if (!isCancelled) onFire() }))
       return {
         cancel: () => {
           isCancelled = true
@@ -46,9 +46,9 @@
         }
       }
     },
-    whenRunning: action => runOrKeep(arrivals, action),
+    whenRunning: action => runOrQueue(arrivals, action),
     freeze: durationMs => {
-      stillUntilMs = Math.max(stillUntilMs, clock.nowMs() + durationMs)
+      frozenUntilMs = Math.max(frozenUntilMs, clock.nowMs() + durationMs)
       clock.after(durationMs, catchUp)
     }
   }
--- a/packages/anvilarch-serving/src/runner/__fixtures__/runnerFleet.ts
+++ b/packages/anvilarch-serving/src/runner/__fixtures__/runnerFleet.ts
@@ -33,12 +33,12 @@
   /** The process saves its items and ends; another takes its place. */
   stop: () => Promise<void>
   /** Whether the store takes the agent for alive; its process goes on all the same. */
-  setAlive: (heard: boolean) => void
+  setAlive: (alive: boolean) => void
   /** Requests of online clients at the engine. */
   setOnline: (requests: number) => void
   setReady: (ready: boolean) => void
   /** All runs at the engine go wrong so, before the script is asked; undefined follows the script again. */
-  setFault: (trouble: RunFault | undefined) => void
+  setFault: (fault: RunFault | undefined) => void
   /** The process stands still for so long, and the store takes it for dead meanwhile; its engine goes on. */
   freeze: (durationMs: number) => void
   /** What the process has copied is out of date for so long, and listed anew then. */
@@ -54,7 +54,7 @@
   /** A client ends the job. */
   endJob: () => void
   /** All calls of the store end so; undefined follows the script again. */
-  setCallOutcome: (fate: CallOutcome | undefined) => void
+  setCallOutcome: (outcome: CallOutcome | undefined) => void
   /** Nothing goes wrong any more. */
   clearFaults: () => void
   results: () => Promise<JobResult[]>
@@ -71,7 +71,7 @@
 const LAGS_MS = [15, 300, 1800]
 
 /** As long as a client waits for the end. */
-const END_PATIENCE_MS = 1200
+const END_TIMEOUT_MS = 1200
 
 /** Small, so that the longer texts do not fit into a row. */
 const MAX_ROW_BYTES = 400
@@ -86,8 +86,8 @@
  */
 export function createRunnerFleet (agentCount: number, script: FleetScript): RunnerFleet {
   const clock = createFakeClock()
-  let fateOfAll: CallOutcome | undefined
-  const store = createMemoryStore(clock, () => fateOfAll ?? script.calls.shift() ?? 'done')
+  let outcomeOfAllCalls: CallOutcome | undefined
+  const store = createMemoryStore(clock, () => outcomeOfAllCalls ?? script.calls.shift() ?? 'done')
   const statuses = new Map<string, number[]>()
   const items = script.eventCounts.map((_, index): JobItem => ({ id: `item${index}`, path: '/', headers: {}, body: Buffer.alloc(0), tokens: 100 }))
   const eventCount = (itemId: string): number => script.eventCounts[items.findIndex(item => item.id === itemId)]
@@ -95,10 +95,10 @@
   store.put(jobKey(JOB_ID), newJob(items, { jobId: JOB_ID, account: undefined, host: 'h', path: '/jobs', nowMs: 0, dueMs: 600_000, expiryMs: 900_000, maxAttempts: 3 }))
   const agents = Array.from({ length: agentCount }, (_, index) => {
     const process = createProcessClock(clock)
-    let troubleOfAll: RunFault | undefined
+    let faultOfAllRuns: RunFault | undefined
     return createAgent({
       clock: process,
-      setTrouble: trouble => { troubleOfAll = trouble },
+      setFault: fault => { faultOfAllRuns = fault },
       store,
       name: `agent${index}`,
       lagMs: LAGS_MS[index % LAGS_MS.length],
@@ -107,7 +107,7 @@
         toReader: process.whenRunning,
         eventIntervalMs: EVENT_INTERVAL_MS,
         eventCount,
-        nextFault: () => troubleOfAll ?? script.runs.shift() ?? { trouble: 'none' },
+        nextFault: () => faultOfAllRuns ?? script.runs.shift() ?? { fault: 'none' },
         onStatus: (itemId, status) => statuses.set(itemId, [...statuses.get(itemId) ?? [], status])
       })
     })
@@ -120,11 +120,11 @@
     job,
     endJob: () => {
       const parts = { store: store.client, work: createJobCache(), clock, log: SILENT_LOGGER }
-      changeJob(parts, JOB_ID, job => job.ended ? undefined : { next: endJob(job) }, clock.nowMs() + END_PATIENCE_MS).catch(() => {})
+      changeJob(parts, JOB_ID, job => job.ended ? undefined : { next: endJob(job) }, clock.nowMs() + END_TIMEOUT_MS).catch(() => {})
     },
-    setCallOutcome: fate => { fateOfAll = fate },
+    setCallOutcome: outcome => { outcomeOfAllCalls = outcome },
     clearFaults: () => {
-      fateOfAll = undefined
+      outcomeOfAllCalls = undefined
       script.calls.length = 0
       script.runs.length = 0
     },
@@ -150,28 +150,28 @@
   name: string
   lagMs: number
   engine: ScriptedEngine
-  setTrouble: FleetAgent['setFault']
+  setFault: FleetAgent['setFault']
 }
 
-function createAgent ({ clock, store, name, lagMs, engine, setTrouble }: AgentParts): FleetAgent {
+function createAgent ({ clock, store, name, lagMs, engine, setFault }: AgentParts): FleetAgent {
   const { work, loseHistory } = store.replicate(clock, lagMs)
   let incarnation = 0
   let online = 0
   let ready = true
-  let heard = true
-  let life = new AbortController()
-  const tellStore = (): void => store.put(memberKey(name), {
-    name, role: 'agent', incarnation: `life${incarnation}`, peerAddress: '', failureDomain: '', aliveUntilMs: heard ? NEVER_MS : clock.nowMs()
+  let alive = true
+  let lifetime = new AbortController()
+  const writeMember = (): void => store.put(memberKey(name), {
+    name, role: 'agent', incarnation: `life${incarnation}`, peerAddress: '', failureDomain: '', aliveUntilMs: alive ? NEVER_MS : clock.nowMs()
   })
   const endpoint = (): Endpoint => ({
     id: name, startId: `${name}@${engine.bornAtMs()}`, bornAtMs: engine.bornAtMs(), service: 'models', address: name, failureDomain: 'a', slots: SLOTS, state: ready ? 'ready' : 'draining', coldLeftMs: 0, listedVersion: 1
   })
   const start = (): BatchRunner => {
     incarnation++
-    tellStore()
-    life = new AbortController()
+    writeMember()
+    lifetime = new AbortController()
     return startBatchRunner({
-      store: endingWith(store.client, clock, life.signal),
+      store: withLifetime(store.client, clock, lifetime.signal),
       work,
       clock,
       log: SILENT_LOGGER,
@@ -196,7 +196,7 @@
     runner: start(),
     engine,
     replace: () => {
-      life.abort()
+      lifetime.abort()
       agent.runner.halt()
       agent.runner = start()
     },
@@ -205,9 +205,9 @@
       await runner.stop()
       if (agent.runner === runner) agent.replace()
     },
-    setAlive: nowHeard => {
-      heard = nowHeard
-      tellStore()
+    setAlive: nowAlive => {
+      alive = nowAlive
+      writeMember()
     },
     setOnline: requests => {
       online = requests
@@ -219,18 +219,18 @@
       agent.setAlive(false)
       clock.after(durationMs, () => agent.setAlive(true))
     },
-    setFault: setTrouble,
+    setFault,
     loseHistory
   }
   return agent
 }
 
 /** The store as a process has it: nothing is sent, and no answer is heard, once that process has ended or while it stands still. */
-function endingWith (client: MetadataStore, process: ProcessClock, life: AbortSignal): MetadataStore {
+function withLifetime (client: MetadataStore, process: ProcessClock, lifetime: AbortSignal): MetadataStore {
   const whileAlive = async <Answer>(call: () => Promise<Answer>): Promise<Answer> => {
-    const answer = life.aborted ? undefined : await call()
+    const answer = lifetime.aborted ? undefined : await call()
     await new Promise<void>(resolve => process.whenRunning(resolve))
-    return life.aborted || answer === undefined ? await new Promise<never>(() => {}) : answer
+    return lifetime.aborted || answer === undefined ? await new Promise<never>(() => {}) : answer
   }
   return {
     ...client,
--- a/packages/anvilarch-serving/src/runner/__fixtures__/runnerHarness.ts
+++ b/packages/anvilarch-serving/src/runner/__fixtures__/runnerHarness.ts
@@ -58,7 +58,7 @@
 export function createRunnerHarness (slots: number, itemCount: number, dueMs = 600_000): RunnerHarness {
   const clock = createFakeClock()
   const runs: EngineRun[] = []
-  const letGo: number[] = []
+  const released: number[] = []
   const online = { running: 0, waiting: 0 }
   const runningItems = (): EngineRun[] => runs.filter(run => run.abortedAtMs === undefined)
   const items = Array.from({ length: itemCount }, (_, index) => ({ id: `item${index}`, path: '/', headers: {}, body: Buffer.alloc(0), tokens: 1000 }))
@@ -76,7 +76,7 @@
       for (const { table, value } of puts) {
         if (table !== CLAIM_TABLE) continue
         const claim = JSON.parse(value.toString()) as ClaimRecord
-        if (!claim.held) letGo.push(claim.item)
+        if (!claim.held) released.push(claim.item)
       }
       return { outcome: 'committed', version: ++version }
     },
@@ -130,8 +130,8 @@
     readReport: async () => ({ running: runningItems().length + online.running, waiting: online.waiting, bornAtMs: undefined }),
     runTimeEstimator: createRunTimeEstimator()
   })
-  const tell = (inProgress: number): void => runner.onUsageReport('gateway', 'e1', inProgress)
-  return { clock, runner, runs, released: letGo, online, reportUsage: tell, runningItems }
+  const reportUsage = (inProgress: number): void => runner.onUsageReport('gateway', 'e1', inProgress)
+  return { clock, runner, runs, released, online, reportUsage, runningItems }
 }
 
 function endpointWith (slots: number): Endpoint {
--- a/packages/anvilarch-serving/src/runner/__fixtures__/scriptedEngine.ts
+++ b/packages/anvilarch-serving/src/runner/__fixtures__/scriptedEngine.ts
@@ -9,9 +9,9 @@
  * given up. `fail_twice`: 500, and once more on a kept connection, as if it were the answer to the next run of the item.
  */
 export type RunFault =
-  | { trouble: 'none' | 'from_start' | 'of_another' | 'no_stream' | 'empty' | 'fail_twice' }
-  | { trouble: 'status', status: number }
-  | { trouble: 'break' | 'silent' | 'without_id' | 'skip' | 'cut', atEvent: number }
+  | { fault: 'none' | 'from_start' | 'of_another' | 'no_stream' | 'empty' | 'fail_twice' }
+  | { fault: 'status', status: number }
+  | { fault: 'break' | 'silent' | 'without_id' | 'skip' | 'cut', atEvent: number }
 
 /** The engine. */
 export interface ScriptedEngine {
@@ -49,7 +49,7 @@
 }
 
 /** Longer than a runner waits for an event. */
-const SILENT_MS = 4000
+const STALL_MS = 4000
 
 const FAILED_STATUS = 500
 
@@ -94,12 +94,12 @@
     handler.onComplete()
   }
 
-  const stream = (handler: Handler, itemId: string, from: number, trouble: RunFault): void => {
-    const answeredId = trouble.trouble === 'of_another' ? 'another' : itemId
+  const stream = (handler: Handler, itemId: string, from: number, fault: RunFault): void => {
+    const answeredId = fault.fault === 'of_another' ? 'another' : itemId
     handler.onHeaders(200, ['x-id', answeredId, 'content-type', EVENT_STREAM_TYPE, 'transfer-encoding', 'chunked'].map(text => Buffer.from(text)))
-    const first = trouble.trouble === 'from_start' ? 1 : from + 1
-    const atEvent = 'atEvent' in trouble ? first + trouble.atEvent : undefined
-    let hasPaused = false
+    const first = fault.fault === 'from_start' ? 1 : from + 1
+    const atEvent = 'atEvent' in fault ? first + fault.atEvent : undefined
+    let hasStalled = false
     const next = (eventId: number): void => {
       if (!open.has(handler)) return
       if (eventId > options.eventCount(itemId)) {
@@ -108,41 +108,41 @@
         return
       }
       // Nothing tells a stream without its last event from a whole one.
-      const isHarmless = trouble.trouble === 'skip' && eventId === options.eventCount(itemId)
-      const troubled = eventId === atEvent && !isHarmless ? trouble.trouble : 'none'
-      if (troubled === 'silent' && !hasPaused) {
-        hasPaused = true
-        clock.after(SILENT_MS, () => next(eventId))
+      const isHarmless = fault.fault === 'skip' && eventId === options.eventCount(itemId)
+      const activeFault = eventId === atEvent && !isHarmless ? fault.fault : 'none'
+      if (activeFault === 'silent' && !hasStalled) {
+        hasStalled = true
+        clock.after(STALL_MS, () => next(eventId))
         return
       }
-      const bytes = eventBytes(answeredId, eventId, troubled !== 'without_id')
-      if (troubled === 'cut') handler.onData(bytes.subarray(0, bytes.length - 2))
-      if (troubled === 'break' || troubled === 'cut') {
+      const bytes = eventBytes(answeredId, eventId, activeFault !== 'without_id')
+      if (activeFault === 'cut') handler.onData(bytes.subarray(0, bytes.length - 2))
+      if (activeFault === 'break' || activeFault === 'cut') {
         end(handler)
         handler.onError(new Error('broken'))
         return
       }
-      if (troubled !== 'skip') handler.onData(bytes)
+      if (activeFault !== 'skip') handler.onData(bytes)
       clock.after(options.eventIntervalMs, () => next(eventId + 1))
     }
     clock.after(options.eventIntervalMs, () => next(first))
   }
 
-  const begin = (handler: Handler, itemId: string, from: number, isKept: boolean): void => {
+  const begin = (handler: Handler, itemId: string, from: number, isReusable: boolean): void => {
     if (!open.has(handler)) return
-    if (isKept && failsAgain.delete(itemId)) {
+    if (isReusable && failsAgain.delete(itemId)) {
       answer(handler, itemId, FAILED_STATUS, '')
       return
     }
-    const trouble = options.nextFault()
-    if (trouble.trouble === 'status' || trouble.trouble === 'fail_twice') {
-      const status = 'status' in trouble ? trouble.status : FAILED_STATUS
-      if (isKept && trouble.trouble === 'fail_twice') failsAgain.add(itemId)
+    const fault = options.nextFault()
+    if (fault.fault === 'status' || fault.fault === 'fail_twice') {
+      const status = 'status' in fault ? fault.status : FAILED_STATUS
+      if (isReusable && fault.fault === 'fail_twice') failsAgain.add(itemId)
       options.onStatus(itemId, status)
       answer(handler, itemId, status, '')
-    } else if (trouble.trouble === 'no_stream') answer(handler, itemId, 200, '{"error":"busy"}\n\n')
-    else if (trouble.trouble === 'empty' && from === 0) answer(handler, itemId, 200, '')
-    else stream(handler, itemId, from, trouble)
+    } else if (fault.fault === 'no_stream') answer(handler, itemId, 200, '{"error":"busy"}\n\n')
+    else if (fault.fault === 'empty' && from === 0) answer(handler, itemId, 200, '')
+    else stream(handler, itemId, from, fault)
   }
 
   /** What has come for a reader that has given the run up meanwhile is not read. */
@@ -161,13 +161,13 @@
     }
   }
 
-  const dispatch = (request: { headers: string[] }, reader: Handler, isKept: boolean): boolean => {
+  const dispatch = (request: { headers: string[] }, reader: Handler, isReusable: boolean): boolean => {
     const [, itemId, , from] = request.headers
     const handler = readerOf(reader)
     open.set(handler, () => { handler.onError(new Error('broken')) })
     queueMicrotask(() => {
       handler.onConnect(() => end(handler))
-      begin(handler, itemId, Number(from), isKept)
+      begin(handler, itemId, Number(from), isReusable)
     })
     return true
   }
@@ -181,7 +181,7 @@
       failsAgain.clear()
       const broken = [...open.values()]
       open.clear()
-      broken.forEach(breakOff => breakOff())
+      broken.forEach(breakConnection => breakConnection())
     },
     bornAtMs: () => bornAtMs
   }
--- a/packages/anvilarch-serving/src/runner/__tests__/batchRunner.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/batchRunner.test.ts
@@ -3,7 +3,7 @@
 const SLOTS = 4
 
 /** Time in which items give way to requests of which no gateway has told: the longest pause between two looks, and the report. */
-const UNTOLD_GIVES_WAY_WITHIN_MS = 130
+const UNREPORTED_PREEMPTION_MS = 130
 
 let harness: RunnerHarness
 
@@ -41,7 +41,7 @@
     await startRunner(10)
     harness.online.running = 1
     harness.online.waiting = waiting
-    await harness.clock.advanceAsync(UNTOLD_GIVES_WAY_WITHIN_MS)
+    await harness.clock.advanceAsync(UNREPORTED_PREEMPTION_MS)
     expect(harness.runs.filter(run => run.abortedAtMs !== undefined).length).toBeGreaterThanOrEqual(waiting)
   })
 
--- a/packages/anvilarch-serving/src/runner/__tests__/failedStarts.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/failedStarts.test.ts
@@ -8,16 +8,16 @@
 describe('an item whose runs bring nothing', () => {
   // Guards against this: an item waits for ever at an engine that cannot do it, beside engines that can.
   it.each<RunFault>([
-    { trouble: 'of_another' },
-    { trouble: 'no_stream' },
-    { trouble: 'break', atEvent: 0 },
-    { trouble: 'without_id', atEvent: 0 },
-    { trouble: 'status', status: 404 },
-    { trouble: 'status', status: 503 }
-  ])('goes to another engine: %j', async trouble => {
+    { fault: 'of_another' },
+    { fault: 'no_stream' },
+    { fault: 'break', atEvent: 0 },
+    { fault: 'without_id', atEvent: 0 },
+    { fault: 'status', status: 404 },
+    { fault: 'status', status: 503 }
+  ])('goes to another engine: %j', async fault => {
     fleet = createRunnerFleet(2, { eventCounts: [20, 20, 20], calls: [], runs: [] })
     const [broken, sound] = fleet.agents
-    broken.setFault(trouble)
+    broken.setFault(fault)
     sound.setOnline(3)
     await fleet.clock.advanceAsync(2000)
     sound.setOnline(0)
--- a/packages/anvilarch-serving/src/runner/__tests__/itemChoice.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/itemChoice.test.ts
@@ -55,8 +55,8 @@
 
   it('takes items of the more urgent accounts first, unless others are due more than a second sooner for each step', () => {
     const jobs = [job('less', 20_000), job('more', 20_900), job('soon', 18_000)]
-    const ranksBehind = ({ jobId }: JobRecord): number => jobId === 'more' ? 0 : 1
-    expect(chooseItems(input({ jobs }, { priorityRank: ranksBehind }), 6).map(candidate => candidate.job.jobId)).toEqual(['soon', 'soon', 'more', 'more', 'less', 'less'])
+    const priorityRank = ({ jobId }: JobRecord): number => jobId === 'more' ? 0 : 1
+    expect(chooseItems(input({ jobs }, { priorityRank }), 6).map(candidate => candidate.job.jobId)).toEqual(['soon', 'soon', 'more', 'more', 'less', 'less'])
   })
 
   // Guards against this: nearly all items of a busy hour end just after they were due.
--- a/packages/anvilarch-serving/src/runner/__tests__/itemHistories.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/itemHistories.test.ts
@@ -12,7 +12,7 @@
 
 type Step =
   | { type: 'wait', ms: number }
-  | { type: 'store', fate: CallOutcome, ms: number }
+  | { type: 'store', callOutcome: CallOutcome, ms: number }
   | { type: 'burst' | 'drain' | 'lapse' | 'freeze' | 'lose_history', agent: number, ms: number }
   | { type: 'replace' | 'stop' | 'restart', agent: number }
 
@@ -22,32 +22,32 @@
 const SEED = Number(process.env.ITEM_HISTORIES_SEED ?? 20_263)
 const MAX_STEPS = 40
 const RUNS = Number(process.env.ITEM_HISTORIES ?? 100)
-const HEAL_STEP_MS = 5000
-const HEAL_STEPS = 40
+const RECOVERY_STEP_MS = 5000
+const RECOVERY_STEPS = 40
 
 const agent = fc.nat({ max: AGENTS - 1 })
 
 const ms = fc.integer({ min: 10, max: 4500 })
 
-const fate = fc.constantFrom<CallOutcome>('done', 'done', 'done', 'refused', 'unanswered', 'late', 'lost')
+const callOutcome = fc.constantFrom<CallOutcome>('done', 'done', 'done', 'refused', 'unanswered', 'late', 'lost')
 
 const step: fc.Arbitrary<Step> = fc.oneof(
   { weight: 5, arbitrary: fc.record({ type: fc.constant('wait' as const), ms: fc.integer({ min: 10, max: 800 }) }) },
-  { weight: 2, arbitrary: fc.record({ type: fc.constant('store' as const), fate, ms }) },
+  { weight: 2, arbitrary: fc.record({ type: fc.constant('store' as const), callOutcome, ms }) },
   { weight: 4, arbitrary: fc.record({ type: fc.constantFrom('burst' as const, 'drain' as const, 'lapse' as const), agent, ms }) },
   { weight: 3, arbitrary: fc.record({ type: fc.constantFrom('freeze' as const, 'lose_history' as const), agent, ms: fc.integer({ min: 10, max: 9000 }) }) },
   { weight: 3, arbitrary: fc.record({ type: fc.constantFrom('replace' as const, 'stop' as const, 'restart' as const), agent }) }
 )
 
-const trouble: fc.Arbitrary<RunFault> = fc.oneof(
-  { weight: 2, arbitrary: fc.record({ trouble: fc.constant('none' as const) }) },
-  { weight: 4, arbitrary: fc.record({ trouble: fc.constantFrom('from_start' as const, 'of_another' as const, 'no_stream' as const, 'empty' as const) }) },
-  { weight: 2, arbitrary: fc.record({ trouble: fc.constant('fail_twice' as const) }) },
-  { weight: 2, arbitrary: fc.record({ trouble: fc.constant('status' as const), status: fc.constantFrom(500, 500, 422, 204, 206, 404, 421, 503, 504) }) },
+const fault: fc.Arbitrary<RunFault> = fc.oneof(
+  { weight: 2, arbitrary: fc.record({ fault: fc.constant('none' as const) }) },
+  { weight: 4, arbitrary: fc.record({ fault: fc.constantFrom('from_start' as const, 'of_another' as const, 'no_stream' as const, 'empty' as const) }) },
+  { weight: 2, arbitrary: fc.record({ fault: fc.constant('fail_twice' as const) }) },
+  { weight: 2, arbitrary: fc.record({ fault: fc.constant('status' as const), status: fc.constantFrom(500, 500, 422, 204, 206, 404, 421, 503, 504) }) },
   {
     weight: 6,
     arbitrary: fc.record({
-      trouble: fc.constantFrom('break' as const, 'break' as const, 'silent' as const, 'without_id' as const, 'skip' as const, 'cut' as const),
+      fault: fc.constantFrom('break' as const, 'break' as const, 'silent' as const, 'without_id' as const, 'skip' as const, 'cut' as const),
       atEvent: fc.oneof(fc.nat({ max: 5 }), fc.nat({ max: 50 }))
     })
   }
@@ -55,37 +55,37 @@
 
 const history = fc.record({
   eventCounts: fc.array(fc.oneof(fc.integer({ min: 1, max: 6 }), fc.integer({ min: 7, max: 70 })), { minLength: 1, maxLength: 14 }),
-  calls: fc.array(fate, { maxLength: 60 }),
-  runs: fc.array(trouble, { minLength: 5, maxLength: 40 }),
+  calls: fc.array(callOutcome, { maxLength: 60 }),
+  runs: fc.array(fault, { minLength: 5, maxLength: 40 }),
   steps: fc.array(step, { minLength: 5, maxLength: MAX_STEPS }),
   /** A client ends the job after so many steps. */
   endsAfter: fc.oneof({ weight: 4, arbitrary: fc.constant(undefined) }, { weight: 1, arbitrary: fc.nat({ max: MAX_STEPS }) })
 })
 
-async function take (fleet: RunnerFleet, step: Step): Promise<void> {
+async function applyStep (fleet: RunnerFleet, step: Step): Promise<void> {
   switch (step.type) {
     case 'wait':
       await fleet.clock.advanceAsync(step.ms)
       break
     case 'store':
-      fleet.setCallOutcome(step.fate)
+      fleet.setCallOutcome(step.callOutcome)
       fleet.clock.after(step.ms, () => fleet.setCallOutcome(undefined))
       break
     default:
-      disturb(fleet, step)
+      injectFault(fleet, step)
   }
 }
 
-function disturb (fleet: RunnerFleet, step: Exclude<Step, { type: 'wait' | 'store' }>): void {
+function injectFault (fleet: RunnerFleet, step: Exclude<Step, { type: 'wait' | 'store' }>): void {
   const target = fleet.agents[step.agent]
-  const forAWhile = (begin: () => void, end: () => void): void => {
+  const temporarily = (begin: () => void, end: () => void): void => {
     begin()
     fleet.clock.after('ms' in step ? step.ms : 0, end)
   }
   const actions: Record<typeof step.type, () => void> = {
-    burst: () => forAWhile(() => target.setOnline(SLOTS), () => target.setOnline(0)),
-    drain: () => forAWhile(() => target.setReady(false), () => target.setReady(true)),
-    lapse: () => forAWhile(() => target.setAlive(false), () => target.setAlive(true)),
+    burst: () => temporarily(() => target.setOnline(SLOTS), () => target.setOnline(0)),
+    drain: () => temporarily(() => target.setReady(false), () => target.setReady(true)),
+    lapse: () => temporarily(() => target.setAlive(false), () => target.setAlive(true)),
     freeze: () => 'ms' in step && target.freeze(step.ms),
     lose_history: () => 'ms' in step && target.loseHistory(step.ms),
     replace: target.replace,
@@ -95,25 +95,25 @@
   actions[step.type]()
 }
 
-async function heal (fleet: RunnerFleet, itemCount: number): Promise<void> {
-  await fleet.clock.advanceAsync(2 * HEAL_STEP_MS)
+async function recover (fleet: RunnerFleet, itemCount: number): Promise<void> {
+  await fleet.clock.advanceAsync(2 * RECOVERY_STEP_MS)
   fleet.clearFaults()
   for (const target of fleet.agents) {
     target.setAlive(true)
     target.setOnline(0)
     target.setReady(true)
   }
-  for (let count = 0; count < HEAL_STEPS && !fleet.job().ended && fleet.job().listed.length < itemCount; count++) await fleet.clock.advanceAsync(HEAL_STEP_MS)
+  for (let count = 0; count < RECOVERY_STEPS && !fleet.job().ended && fleet.job().listed.length < itemCount; count++) await fleet.clock.advanceAsync(RECOVERY_STEP_MS)
   // Writes that come late may still change something.
-  await fleet.clock.advanceAsync(HEAL_STEP_MS)
+  await fleet.clock.advanceAsync(RECOVERY_STEP_MS)
 }
 
 /** What has been listed once stays as it is. */
-function createPositionCheck (fleet: RunnerFleet): { look: () => void } {
+function createPositionCheck (fleet: RunnerFleet): { check: () => void } {
   const seen: Array<{ item: number, version: number | undefined }> = []
   const versionOf = (item: number): number | undefined => fleet.store.row(resultKey(fleet.job().jobId, item))?.version
   return {
-    look: () => {
+    check: () => {
       const now = fleet.job().listed.map(({ item }) => ({ item, version: versionOf(item) }))
       expect(now.slice(0, seen.length)).toEqual(seen)
       seen.push(...now.slice(seen.length))
@@ -136,11 +136,11 @@
         const positions = createPositionCheck(fleet)
         for (const [index, next] of steps.entries()) {
           if (index === endsAfter) fleet.endJob()
-          await take(fleet, next)
-          positions.look()
+          await applyStep(fleet, next)
+          positions.check()
         }
-        await heal(fleet, eventCounts.length)
-        positions.look()
+        await recover(fleet, eventCounts.length)
+        positions.check()
         const results = await fleet.results()
         const itemIds = results.map(result => result.itemId)
         const expectedIds = eventCounts.map((_, index) => `item${index}`)
--- a/packages/anvilarch-serving/src/runner/__tests__/pollSchedule.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/pollSchedule.test.ts
@@ -3,7 +3,7 @@
 
 let clock: FakeClock
 let schedule: PollSchedule
-let looksAtMs: number[]
+let pollsAtMs: number[]
 let stopping: AbortController
 
 async function settle (): Promise<void> {
@@ -20,15 +20,15 @@
 beforeEach(async () => {
   clock = createFakeClock(0)
   schedule = createPollSchedule({ clock, minPauseMs: 40, maxPauseMs: () => 200 })
-  looksAtMs = []
+  pollsAtMs = []
   stopping = new AbortController()
-  const look = async (): Promise<void> => {
+  const poll = async (): Promise<void> => {
     while (!stopping.signal.aborted) {
       await schedule.next(stopping.signal)
-      if (!stopping.signal.aborted) looksAtMs.push(clock.nowMs())
+      if (!stopping.signal.aborted) pollsAtMs.push(clock.nowMs())
     }
   }
-  look().catch(() => {})
+  poll().catch(() => {})
   await settle()
 })
 
@@ -40,7 +40,7 @@
 describe('createPollSchedule', () => {
   it('looks from time to time when nothing is told', async () => {
     await advance(410)
-    expect(looksAtMs).toEqual([0, 200, 400])
+    expect(pollsAtMs).toEqual([0, 200, 400])
   })
 
   it('looks soon after a request, but never more often than the shortest pause allows', async () => {
@@ -50,13 +50,13 @@
       schedule.request()
       await advance(5)
     }
-    expect(looksAtMs.slice(1, 4)).toEqual([105, 145, 185])
+    expect(pollsAtMs.slice(1, 4)).toEqual([105, 145, 185])
   })
 
   it('ends with its signal', async () => {
     stopping.abort()
     await settle()
     await advance(500)
-    expect(looksAtMs).toEqual([0])
+    expect(pollsAtMs).toEqual([0])
   })
 })
--- a/packages/anvilarch-serving/src/runner/__tests__/slotPlan.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/slotPlan.test.ts
@@ -36,27 +36,27 @@
 })
 
 describe('countToStart', () => {
-  const patient = { tightDeadline: false }
-  const pressing = { tightDeadline: true }
+  const canWait = { tightDeadline: false }
+  const cannotWait = { tightDeadline: true }
 
   // Guards against this: four runs of items are cut for each one that is done, while the engines have slots to spare on average.
   it('leaves the last slot to items that cannot wait while requests take slots from items', () => {
-    expect(countToStart({ count: 3, items: [patient, patient, patient, patient], online: 2, sincePreemptionMs: 100 })).toBe(2)
-    expect(countToStart({ count: 1, items: [patient], online: 2, sincePreemptionMs: 100 })).toBe(0)
-    expect(countToStart({ count: 1, items: [pressing, patient], online: 2, sincePreemptionMs: 100 })).toBe(1)
-    expect(countToStart({ count: 3, items: [pressing, pressing, pressing, patient], online: 2, sincePreemptionMs: 100 })).toBe(3)
+    expect(countToStart({ count: 3, items: [canWait, canWait, canWait, canWait], online: 2, sincePreemptionMs: 100 })).toBe(2)
+    expect(countToStart({ count: 1, items: [canWait], online: 2, sincePreemptionMs: 100 })).toBe(0)
+    expect(countToStart({ count: 1, items: [cannotWait, canWait], online: 2, sincePreemptionMs: 100 })).toBe(1)
+    expect(countToStart({ count: 3, items: [cannotWait, cannotWait, cannotWait, canWait], online: 2, sincePreemptionMs: 100 })).toBe(3)
   })
 
   it('fills all slots to spare when no request has taken one for a while', () => {
-    expect(countToStart({ count: 3, items: [patient, patient, patient, patient], online: 2, sincePreemptionMs: 5000 })).toBe(3)
+    expect(countToStart({ count: 3, items: [canWait, canWait, canWait, canWait], online: 2, sincePreemptionMs: 5000 })).toBe(3)
   })
 
   it('fills all slots to spare when the requests are gone', () => {
-    expect(countToStart({ count: 3, items: [patient, patient, patient], online: 0, sincePreemptionMs: 100 })).toBe(3)
+    expect(countToStart({ count: 3, items: [canWait, canWait, canWait], online: 0, sincePreemptionMs: 100 })).toBe(3)
   })
 
   it('starts no more than there is', () => {
-    expect(countToStart({ count: 5, items: [patient, patient], online: 2, sincePreemptionMs: Infinity })).toBe(2)
-    expect(countToStart({ count: 0, items: [pressing], online: 2, sincePreemptionMs: 0 })).toBe(0)
+    expect(countToStart({ count: 5, items: [canWait, canWait], online: 2, sincePreemptionMs: Infinity })).toBe(2)
+    expect(countToStart({ count: 0, items: [cannotWait], online: 2, sincePreemptionMs: 0 })).toBe(0)
   })
 })
--- a/packages/anvilarch-serving/src/runner/__tests__/startBackoff.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/startBackoff.test.ts
@@ -10,33 +10,33 @@
 describe('createStartBackoff', () => {
   it('lets something start only after the pause', () => {
     const clock = createFakeClock()
-    const refusals = createStartBackoff(clock)
-    expect(refusals.mayStart()).toBe(true)
-    refusals.onFailedStart()
+    const backoff = createStartBackoff(clock)
+    expect(backoff.mayStart()).toBe(true)
+    backoff.onFailedStart()
     clock.advance(MIN_BACKOFF_MS - 1)
-    expect(refusals.mayStart()).toBe(false)
+    expect(backoff.mayStart()).toBe(false)
     clock.advance(1)
-    expect(refusals.mayStart()).toBe(true)
+    expect(backoff.mayStart()).toBe(true)
     for (let run = 0; run < 10; run++) {
       clock.advance(MAX_BACKOFF_MS)
-      refusals.onFailedStart()
+      backoff.onFailedStart()
     }
     clock.advance(MAX_BACKOFF_MS - 1)
-    expect(refusals.mayStart()).toBe(false)
+    expect(backoff.mayStart()).toBe(false)
   })
 
   it('counts what fails together once', () => {
     const clock = createFakeClock()
-    const refusals = createStartBackoff(clock)
-    for (let run = 0; run < 7; run++) refusals.onFailedStart()
+    const backoff = createStartBackoff(clock)
+    for (let run = 0; run < 7; run++) backoff.onFailedStart()
     clock.advance(MIN_BACKOFF_MS)
-    expect(refusals.mayStart()).toBe(true)
+    expect(backoff.mayStart()).toBe(true)
   })
 
   it('forgets refusals after an event', () => {
-    const refusals = createStartBackoff(createFakeClock())
-    refusals.onFailedStart()
-    refusals.onEvent()
-    expect(refusals.mayStart()).toBe(true)
+    const backoff = createStartBackoff(createFakeClock())
+    backoff.onFailedStart()
+    backoff.onEvent()
+    expect(backoff.mayStart()).toBe(true)
   })
 })
--- a/packages/anvilarch-serving/src/runner/batchRunner.ts
+++ b/packages/anvilarch-serving/src/runner/batchRunner.ts
@@ -1,4 +1,4 @@
-/** Runs batch items in the slack of the engine beside the agent. */
+/** Runs batch items in the spare slots of the local engine. */
 import { runInBackground, sleep } from 'anvilarch-utils'
 import { createResultReader } from '../jobs/resultReader'
 import type { JobRecord } from '../jobs/types'
@@ -19,78 +19,78 @@
 import { createJobMaintenance } from './jobMaintenance'
 import { hasOpenJobs, liveRunners, othersHoldClaims } from './itemChoice'
 
-/** A batch runner at work. */
+/** A started batch runner. */
 export interface BatchRunner {
-  /** Saves and lets go of everything; resolves when that is done or the store has not taken it in time. */
+  /** Saves and releases all claimed items; resolves when none is left, or when the store has not accepted the writes in time. */
   stop: () => Promise<void>
-  /** Drops everything at once; the claims lapse. */
+  /** Drops all items immediately; their claims expire. */
   halt: () => void
-  /** A gateway has told how many of its requests are in progress at a start of the engine. */
+  /** Handles a gateway's report of how many of its requests are in progress at a start of the engine. */
   onUsageReport: (gateway: string, startId: string, inProgress: number) => void
-  /** @returns how busy the engine is; undefined while it is not known which start it is */
+  /** @returns the load of the engine; undefined while the store does not list the running start of the engine */
   load: () => LoadReport | undefined
-  /** @returns how the slots of the engine are used; undefined while there is no engine to tell of */
+  /** @returns how the slots of the engine are used; undefined while the store does not list the running start of the engine */
   slotUsage: () => EventFields['engine use'] | undefined
-  /** @returns whether the engine has slots to spare for which no item was found */
+  /** @returns whether the engine has spare slots for which no item was found */
   hasUnfilledSlots: () => boolean
-  /** @returns whether other runners hold items, so that it matters whether they are alive */
+  /** @returns whether other runners hold claims, so that it matters whether they are alive */
   othersHoldClaims: () => boolean
 }
 
-/** Longest pause between two looks at the engine while there is batch work: an item waits half of it for a slot that nobody has told of. */
-const BUSY_LOOK_MS = 120
+/** Longest interval between two polls of the engine while there is batch work: an item waits half of it for a free slot that no gateway has reported. */
+const BUSY_POLL_INTERVAL_MS = 120
 
-/** The same without batch work. Looks then only correct what gateways tell, and find an engine that does not answer. */
-const IDLE_LOOK_MS = 500
+/** The same without batch work. Polls then only correct the usage reports of gateways, and detect an engine that does not respond. */
+const IDLE_POLL_INTERVAL_MS = 500
 
-/** Shortest pause between two looks: a look costs some 0.4 ms of processor time, and requests end at an engine every 50 ms in a burst. */
-const MIN_LOOK_MS = 40
+/** Shortest interval between two polls: a poll takes about 0.4 ms of CPU time, and requests end at an engine every 50 ms in a burst. */
+const MIN_POLL_INTERVAL_MS = 40
 
-/** After an outage of the store, heartbeats of others have this long to come back before their claims are taken. */
+/** After an outage of the store, heartbeats of other runners have this long to resume before their claims are taken over. */
 const HEARTBEAT_GRACE_MS = 2500
 
-/** A heartbeat lasts 6 s and is renewed every 2 s: a listing of the daemons that is older than this may show a living one as lost. */
+/** A heartbeat is valid for 6 s and renewed every 2 s: a listing of daemons that is older than this may show a live one as dead. */
 const MEMBERS_MAX_AGE_MS = 3500
 
-/** How often jobs are looked through for items past their age. */
+/** Interval between two checks of jobs for expired items. */
 const EXPIRY_INTERVAL_MS = 2000
 
-/** How often jobs are looked through for those that are past their retention. */
+/** Interval between two checks for jobs past their retention. */
 const RETENTION_INTERVAL_MS = 10_000
 
-/** How long a stop tries to save items. */
-const STOP_PATIENCE_MS = 3000
+/** Time limit for saving items at a stop. */
+const STOP_TIMEOUT_MS = 3000
 
-/** Pause between two tries of a stop. */
-const STOP_RETRY_MS = 200
+/** Pause between two attempts to save items at a stop. */
+const STOP_RETRY_INTERVAL_MS = 200
 
 /**
  * @param parts - engine, store and work
- * @returns the runner, already at work
+ * @returns the runner, already started
  */
 export function startBatchRunner (parts: RunnerParts): BatchRunner {
   const { clock, log } = parts
   const controller = new AbortController()
-  const held = createClaimedItems(clock, parts.metrics)
-  const { runTimeEstimator: pace } = parts
-  const engineRefusals = createStartBackoff(clock)
+  const claimedItems = createClaimedItems(clock, parts.metrics)
+  const { runTimeEstimator } = parts
+  const engineBackoff = createStartBackoff(clock)
   const engine = createEngineView({
     log,
     listed: () => parts.endpoints.atAddress(parts.engineAddress),
     onRestart: () => {
-      pace.onEngineRestart()
-      engineRefusals.reset()
-      held.all().forEach(entry => entry.backoff.reset())
+      runTimeEstimator.onEngineRestart()
+      engineBackoff.reset()
+      claimedItems.all().forEach(entry => entry.backoff.reset())
     }
   })
-  const looks = createPollSchedule({ clock, minPauseMs: MIN_LOOK_MS, maxPauseMs: () => hasWork() ? BUSY_LOOK_MS : IDLE_LOOK_MS })
-  const use = createOnlineUsage(clock)
-  const steps = createItemLifecycle({
-    ...parts, engine, claimedItems: held, engineBackoff: engineRefusals, submissions: createResultReader(parts.store), stopping: controller.signal, onSlotFreed: looks.request
+  const pollSchedule = createPollSchedule({ clock, minPauseMs: MIN_POLL_INTERVAL_MS, maxPauseMs: () => hasWork() ? BUSY_POLL_INTERVAL_MS : IDLE_POLL_INTERVAL_MS })
+  const onlineUsage = createOnlineUsage(clock)
+  const lifecycle = createItemLifecycle({
+    ...parts, engine, claimedItems, engineBackoff, submissions: createResultReader(parts.store), stopping: controller.signal, onSlotFreed: pollSchedule.request
   })
   let reachable = false
-  /** Whether an item may want a slot that becomes free. */
-  const hasWork = (): boolean => held.all().length > 0 || hasOpenJobs(parts.work)
+  /** Whether an item may need a slot that becomes free. */
+  const hasWork = (): boolean => claimedItems.all().length > 0 || hasOpenJobs(parts.work)
 
   const mayRun = (job: JobRecord): boolean => {
     const configuration = parts.configuration()
@@ -98,7 +98,7 @@
     return route?.targets.some(target => target.service === parts.service && target.weight > 0) ?? false
   }
 
-  const ranksBehind = (job: JobRecord): number => {
+  const priorityRank = (job: JobRecord): number => {
     const account = job.account === undefined ? undefined : parts.configuration()?.accounts?.byName(job.account)
     return account?.ranksBehind ?? 0
   }
@@ -110,8 +110,8 @@
   }
 
   const choiceInput = (storeNowMs: number): ItemChoiceInput => {
-    // Found once for all items of a choice.
-    const elsewhereEventMs = medianEventIntervalMs(parts.work, storeNowMs)
+    // Computed once for all items of a choice.
+    const fleetEventIntervalMs = medianEventIntervalMs(parts.work, storeNowMs)
     return {
       work: parts.work,
       runner: parts.runner,
@@ -120,31 +120,31 @@
       storeNowMs,
       heartbeatsTrusted: heartbeatsTrusted(),
       mayRun,
-      priorityRank: ranksBehind,
-      remainingMs: pace.remainingMs,
-      remainingElsewhereMs: (tokens, lastEventId) => pace.remainingMs(tokens, lastEventId, elsewhereEventMs),
-      isSkipped: held.isClaimedOrCoolingDown
+      priorityRank,
+      remainingMs: runTimeEstimator.remainingMs,
+      remainingElsewhereMs: (tokens, lastEventId) => runTimeEstimator.remainingMs(tokens, lastEventId, fleetEventIntervalMs),
+      isSkipped: claimedItems.isClaimedOrCoolingDown
     }
   }
 
-  const state: RunnerState = { claimedItems: held, lifecycle: steps, engineBackoff: engineRefusals, choiceInput }
-  const balance = createSlotScheduler(parts, state)
-  const care = createClaimMaintenance(parts, state)
-  const upkeep = createJobMaintenance({ ...parts, choiceInput })
+  const state: RunnerState = { claimedItems, lifecycle, engineBackoff, choiceInput }
+  const slotScheduler = createSlotScheduler(parts, state)
+  const claimMaintenance = createClaimMaintenance(parts, state)
+  const jobMaintenance = createJobMaintenance({ ...parts, choiceInput })
 
-  const tick = async (): Promise<void> => {
-    const reportAskedAtMs = clock.nowMs()
+  const pollEngine = async (): Promise<void> => {
+    const reportRequestedAtMs = clock.nowMs()
     const report = await parts.readReport()
     const endpoint = engine.update(report)
-    care.dropLostItems()
+    claimMaintenance.dropLostItems()
     reachable = report !== undefined
     if (report !== undefined && endpoint !== undefined) {
-      use.onPoll(endpoint.startId, Math.max(0, report.running + report.waiting - held.inState('running').length))
-      balance.onPoll(report, endpoint, reportAskedAtMs)
+      onlineUsage.onPoll(endpoint.startId, Math.max(0, report.running + report.waiting - claimedItems.inState('running').length))
+      slotScheduler.onPoll(report, endpoint, reportRequestedAtMs)
     }
-    care.sampleEventIntervals()
-    care.saveRunning()
-    care.releaseUnwanted(endpoint)
+    claimMaintenance.sampleEventIntervals()
+    claimMaintenance.saveRunning()
+    claimMaintenance.releaseUnwanted(endpoint)
   }
 
   const repeat = async (pause: () => Promise<void>, action: () => Promise<void>): Promise<void> => {
@@ -157,18 +157,18 @@
       await pause()
     }
   }
-  runInBackground(log, 'runner', () => repeat(() => looks.next(controller.signal), tick))
-  runInBackground(log, 'retention', () => repeat(() => sleep(clock, RETENTION_INTERVAL_MS, controller.signal), upkeep.retire))
-  runInBackground(log, 'expiry', () => repeat(() => sleep(clock, EXPIRY_INTERVAL_MS, controller.signal), upkeep.expire))
+  runInBackground(log, 'runner', () => repeat(() => pollSchedule.next(controller.signal), pollEngine))
+  runInBackground(log, 'retention', () => repeat(() => sleep(clock, RETENTION_INTERVAL_MS, controller.signal), jobMaintenance.retire))
+  runInBackground(log, 'expiry', () => repeat(() => sleep(clock, EXPIRY_INTERVAL_MS, controller.signal), jobMaintenance.expire))
 
   return {
     onUsageReport: (gateway, startId, inProgress) => {
-      const before = use.online()
-      use.onUsageReport(gateway, startId, inProgress)
-      const now = use.online()
+      const before = onlineUsage.online()
+      onlineUsage.onUsageReport(gateway, startId, inProgress)
+      const now = onlineUsage.online()
       const endpoint = engine.current()
-      if (now > before && endpoint !== undefined) balance.onOnlineIncrease(now, endpoint)
-      if (now < before && hasWork()) looks.request()
+      if (now > before && endpoint !== undefined) slotScheduler.onOnlineIncrease(now, endpoint)
+      if (now < before && hasWork()) pollSchedule.request()
     },
     slotUsage: () => {
       const endpoint = engine.current()
@@ -176,32 +176,32 @@
       return {
         endpoint: endpoint.startId,
         slots: endpoint.slots,
-        online: use.online(),
-        batchRunning: held.inState('running').length,
-        batchPaused: held.inState('paused').length,
+        online: onlineUsage.online(),
+        batchRunning: claimedItems.inState('running').length,
+        batchPaused: claimedItems.inState('paused').length,
         reachable
       }
     },
     load: () => {
       const endpoint = engine.current()
       if (endpoint === undefined) return undefined
-      return { startId: endpoint.startId, online: use.online(), batchRunning: held.inState('running').length, reachable }
+      return { startId: endpoint.startId, online: onlineUsage.online(), batchRunning: claimedItems.inState('running').length, reachable }
     },
-    hasUnfilledSlots: balance.hasUnfilledSlots,
+    hasUnfilledSlots: slotScheduler.hasUnfilledSlots,
     othersHoldClaims: () => othersHoldClaims(parts.work, parts.runner),
     halt: () => {
       controller.abort()
-      held.all().forEach(held.drop)
+      claimedItems.all().forEach(claimedItems.drop)
     },
     stop: async () => {
       controller.abort()
-      const untilMs = clock.nowMs() + STOP_PATIENCE_MS
-      while (held.all().length > 0 && clock.nowMs() < untilMs) {
-        for (const entry of held.inState('running')) steps.pause(entry, 'stopping')
-        await Promise.all(held.inState('paused').map(entry => steps.release(entry, 'stopping')))
-        if (held.all().length > 0) await sleep(clock, STOP_RETRY_MS)
+      const untilMs = clock.nowMs() + STOP_TIMEOUT_MS
+      while (claimedItems.all().length > 0 && clock.nowMs() < untilMs) {
+        for (const entry of claimedItems.inState('running')) lifecycle.pause(entry, 'stopping')
+        await Promise.all(claimedItems.inState('paused').map(entry => lifecycle.release(entry, 'stopping')))
+        if (claimedItems.all().length > 0) await sleep(clock, STOP_RETRY_INTERVAL_MS)
       }
-      log.info('runner stopped', { unsavedItems: held.all().length })
+      log.info('runner stopped', { unsavedItems: claimedItems.all().length })
     }
   }
 }
--- a/packages/anvilarch-serving/src/runner/claimedItems.ts
+++ b/packages/anvilarch-serving/src/runner/claimedItems.ts
@@ -1,4 +1,4 @@
-/** The items that a runner holds, and those that it leaves to others for a while. */
+/** The items that a runner has claimed, and those that it leaves to other runners during a cooldown. */
 import type { Clock } from 'anvilarch-utils'
 import type { JobRecord } from '../jobs/types'
 import type { Attempt } from '../requests/runAttempt'
@@ -7,15 +7,15 @@
 import { createStartBackoff, type StartBackoff } from './startBackoff'
 
 /**
- * `claiming`: on the way into a run. `paused`: held without a run. `finishing`: ended, not yet in the store.
- * `saving`: its text is being written before the item is let go.
+ * `claiming`: being claimed or resumed, before its run starts. `paused`: claimed without a run. `finishing`: ended, but its
+ * outcome is not yet in the store. `saving`: its text is being written before the item is released.
  */
 export type ClaimedItemState = 'claiming' | 'running' | 'paused' | 'finishing' | 'saving'
 
-/** An item that this process holds or is about to. */
+/** An item that this process has claimed or is claiming. */
 export interface ClaimedItem {
   jobId: string
-  /** Place of the item in its job. */
+  /** Index of the item in its job. */
   item: number
   itemId: string
   tokens: number
@@ -26,43 +26,43 @@
   /** Last event whose text the store has. */
   savedEventId: number
   savedAtMs: number
-  /** When it was last paused; a run that its engine ended without an event leaves this as it is. */
+  /** Time of the last pause; a run that the engine ended without an event does not change it. */
   pausedAtMs: number
   startedAtMs: number
-  /** Up to where the pace of this run has been learned. */
+  /** Time and event up to which the event interval of this run has been sampled. */
   sampledAtMs: number
   sampledEventId: number
-  /** Sends of this item that made no event. */
+  /** Backoff for starts of this item. */
   backoff: StartBackoff
   run?: Attempt
 }
 
-/** All of them. */
+/** The claimed items of a runner. */
 export interface ClaimedItems {
   add: (job: JobRecord, item: number) => ClaimedItem
-  /** Ends the run and forgets the item. */
+  /** Aborts the run and removes the item. */
   drop: (entry: ClaimedItem) => void
-  /** Leaves the item to other runners for a while. */
+  /** Leaves the item to other runners for the cooldown. */
   startCooldown: (entry: ClaimedItem) => void
   isClaimedOrCoolingDown: (jobId: string, item: number) => boolean
   all: () => ClaimedItem[]
   inState: (state: ClaimedItemState) => ClaimedItem[]
 }
 
-/** An item that could not be claimed or run is left to others for this long. */
-const LEAVE_MS = 300
+/** An item that was released, or could not be claimed or run, is left to other runners for this long. */
+const COOLDOWN_MS = 300
 
 /**
  * @param clock - local clock
- * @param metrics - shows how many are held
- * @returns no items
+ * @param metrics - receives the number of claimed items
+ * @returns an empty collection
  */
 export function createClaimedItems (clock: Clock, metrics: ServingMetrics): ClaimedItems {
-  const held = new Map<string, ClaimedItem>()
-  const leftUntilMs = new Map<string, number>()
+  const claimed = new Map<string, ClaimedItem>()
+  const cooldownUntilMs = new Map<string, number>()
   const idOf = (jobId: string, item: number): string => `${jobId}/${item}`
-  const sweepLeft = (nowMs: number): void => {
-    for (const [id, untilMs] of leftUntilMs) if (untilMs <= nowMs) leftUntilMs.delete(id)
+  const removeExpiredCooldowns = (nowMs: number): void => {
+    for (const [id, untilMs] of cooldownUntilMs) if (untilMs <= nowMs) cooldownUntilMs.delete(id)
   }
   return {
     add: (job, item) => {
@@ -83,30 +83,30 @@
         sampledEventId: 0,
         backoff: createStartBackoff(clock)
       }
-      held.set(idOf(entry.jobId, item), entry)
-      metrics.itemsInHand.set(held.size)
+      claimed.set(idOf(entry.jobId, item), entry)
+      metrics.itemsInHand.set(claimed.size)
       return entry
     },
     drop: entry => {
       entry.run?.abort()
-      held.delete(idOf(entry.jobId, entry.item))
-      metrics.itemsInHand.set(held.size)
+      claimed.delete(idOf(entry.jobId, entry.item))
+      metrics.itemsInHand.set(claimed.size)
     },
     startCooldown: entry => {
       const nowMs = clock.nowMs()
-      sweepLeft(nowMs)
-      leftUntilMs.set(idOf(entry.jobId, entry.item), nowMs + LEAVE_MS)
+      removeExpiredCooldowns(nowMs)
+      cooldownUntilMs.set(idOf(entry.jobId, entry.item), nowMs + COOLDOWN_MS)
     },
     isClaimedOrCoolingDown: (jobId, item) => {
       const id = idOf(jobId, item)
-      return held.has(id) || (leftUntilMs.get(id) ?? -Infinity) > clock.nowMs()
+      return claimed.has(id) || (cooldownUntilMs.get(id) ?? -Infinity) > clock.nowMs()
     },
-    all: () => [...held.values()],
-    inState: state => [...held.values()].filter(entry => entry.state === state)
+    all: () => [...claimed.values()],
+    inState: state => [...claimed.values()].filter(entry => entry.state === state)
   }
 }
 
-/** @returns the text of an item so far, as it is saved */
+/** @returns the text of an item so far, in the form in which it is saved */
 export function progressOf (entry: ClaimedItem): { lastEventId: number, text: string } {
   return { lastEventId: entry.text.lastEventId, text: entry.text.eventData.join('\n') }
 }
--- a/packages/anvilarch-serving/src/runner/claims.ts
+++ b/packages/anvilarch-serving/src/runner/claims.ts
@@ -1,4 +1,4 @@
-/** Claims, saves and lets go of items. The version of the claim's row fences every write about the item. */
+/** Claims, saves and releases items. The version of the claim's row fences every write about the item. */
 import { claimKey, encodeProgress, jobKey, progressKey, recordRow, resultKey, resultObject, type SavedProgress, decodeProgress } from '../jobs/jobRows'
 import { countFailure, listItem, openItems } from '../jobs/jobRecord'
 import { changeJob, type ChangeOutcome, type JobParts, learnConflict } from '../jobs/jobStore'
@@ -13,19 +13,19 @@
   incarnation: string
 }
 
-/** Parts that claims need. */
+/** Dependencies of claims. */
 export interface ClaimParts extends JobParts, RunnerIdentity {
   work: WorkTable
   maxRowBytes: number
 }
 
-/** Rows carry a little less than the limit, which counts the value alone. */
-const ROW_SHARE = 0.95
+/** Share of the row size limit up to which rows are filled; the limit counts the value alone. */
+const MAX_ROW_FILL = 0.95
 
-/** How long one change of a job is tried before its caller looks again whether it still applies. */
-const CHANGE_PATIENCE_MS = 2000
+/** Time limit for one change of a job; its caller then checks again whether the change still applies. */
+const CHANGE_TIMEOUT_MS = 2000
 
-/** @returns version of the claim if this runner holds the item */
+/** @returns the version of the claim if this runner holds it; undefined otherwise */
 export function ownClaimVersion (parts: ClaimParts, jobId: string, item: number): number | undefined {
   const claim = parts.work.claim(jobId, item)
   if (claim === undefined || !claim.record.held) return undefined
@@ -34,27 +34,27 @@
 }
 
 /**
- * Takes an item. The version of the job's row is a condition too: an item of a job that has been ended must not start.
+ * Claims an item. The version of the job's row is a condition too, because an item of an ended job must not start.
  *
  * @param parts - store and identity
  * @param jobId - id of the job
- * @param item - place of the item
- * @returns whether this runner now holds the item
+ * @param item - index of the item
+ * @returns whether this runner now holds the claim
  */
 export async function claimItem (parts: ClaimParts, jobId: string, item: number): Promise<boolean> {
   const first = await tryClaim(parts, jobId, item)
   if (first !== 'conflict') return first === 'claimed'
-  // The copies lag behind the store; the conflict has brought them up to date. Nearly always another item of the job has ended.
+  // The local copies lag behind the store, and the conflict has updated them. Nearly always another item of the job has ended.
   const job = parts.work.job(jobId)?.record
-  const heldByOther = parts.work.claim(jobId, item)?.record.held === true
-  if (job === undefined || heldByOther || !openItems(job).includes(item)) return false
+  const claimedByOther = parts.work.claim(jobId, item)?.record.held === true
+  if (job === undefined || claimedByOther || !openItems(job).includes(item)) return false
   return await tryClaim(parts, jobId, item) === 'claimed'
 }
 
-/** `conflict`: the copies were behind, and hold now what the store has. */
-type ClaimTry = 'claimed' | 'conflict' | 'not_claimed'
+/** `conflict`: the local copies were out of date, and are now updated from the store. */
+type ClaimResult = 'claimed' | 'conflict' | 'not_claimed'
 
-async function tryClaim (parts: ClaimParts, jobId: string, item: number): Promise<ClaimTry> {
+async function tryClaim (parts: ClaimParts, jobId: string, item: number): Promise<ClaimResult> {
   const job = parts.work.job(jobId)
   if (job === undefined) return 'not_claimed'
   const previous = parts.work.claim(jobId, item)
@@ -69,14 +69,14 @@
 }
 
 /**
- * Saves the text of an item that runs, so that the loss of this process costs a resume. The claim stays as it is: its row goes
- * to all agents.
+ * Saves the text of a running item, so that the loss of this process costs only a resume. The claim is not written, because its
+ * row is sent to all agents.
  *
  * @param parts - store and identity
  * @param jobId - id of the job
- * @param item - place of the item
+ * @param item - index of the item
  * @param progress - text so far
- * @returns whether the store has taken it
+ * @returns whether the store accepted the write
  */
 export async function saveProgress (parts: ClaimParts, jobId: string, item: number, progress: SavedProgress): Promise<boolean> {
   const version = ownClaimVersion(parts, jobId, item)
@@ -89,13 +89,13 @@
 }
 
 /**
- * Lets go of an item, with the text that it has.
+ * Releases an item and saves its text.
  *
  * @param parts - store and identity
  * @param jobId - id of the job
- * @param item - place of the item
- * @param progress - text so far; undefined keeps what is saved
- * @returns whether the store has taken it
+ * @param item - index of the item
+ * @param progress - text so far; undefined keeps the saved text
+ * @returns whether the store accepted the write
  */
 export async function releaseClaim (parts: ClaimParts, jobId: string, item: number, progress: SavedProgress | undefined): Promise<boolean> {
   const version = ownClaimVersion(parts, jobId, item)
@@ -107,10 +107,10 @@
   return await writeClaim(parts, record, [{ ...claimKey(jobId, item), version }], row === undefined ? [] : [row]) === 'claimed'
 }
 
-/** @returns the row; undefined when the text is too large for one */
+/** @returns the row; undefined when the text is too large for a row */
 function progressRow (parts: ClaimParts, jobId: string, item: number, progress: SavedProgress): RowWrite | undefined {
   const value = encodeProgress(progress)
-  return value.length <= parts.maxRowBytes * ROW_SHARE ? { ...progressKey(jobId, item), value } : undefined
+  return value.length <= parts.maxRowBytes * MAX_ROW_FILL ? { ...progressKey(jobId, item), value } : undefined
 }
 
 /** @returns the saved text, or undefined when there is none or it cannot be read now */
@@ -123,14 +123,14 @@
 }
 
 /**
- * Gives an item its position. The text and the position are written together.
+ * Ends an item and assigns its position among the results of the job. The text and the position are written together.
  *
  * @param parts - store and identity
  * @param jobId - id of the job
- * @param item - place of the item
+ * @param item - index of the item
  * @param outcome - how the item ended
  * @param text - the whole output of a completed item
- * @returns how the change ended; `not_applicable` when the item is no longer this runner's
+ * @returns how the change ended; `not_applicable` when this runner no longer holds the claim
  */
 export async function finishItem (parts: ClaimParts, jobId: string, item: number, outcome: ItemOutcome, text: string): Promise<ChangeOutcome> {
   const stored = outcome === 'completed' ? await resultRow(parts, jobId, item, text) : undefined
@@ -138,7 +138,7 @@
   return await changeOwnItem(parts, jobId, item, job => listItem(job, item, outcome), stored)
 }
 
-/** Counts a failed attempt and lets go of the item. */
+/** Counts a failed attempt and removes the claim. */
 export async function failItem (parts: ClaimParts, jobId: string, item: number): Promise<ChangeOutcome> {
   return await changeOwnItem(parts, jobId, item, job => countFailure(job, item), undefined)
 }
@@ -156,17 +156,17 @@
       puts: extra === undefined ? [] : [extra],
       removes: [claimKey(jobId, item)]
     }
-  }, parts.clock.nowMs() + CHANGE_PATIENCE_MS)
+  }, parts.clock.nowMs() + CHANGE_TIMEOUT_MS)
 }
 
 async function resultRow (parts: ClaimParts, jobId: string, item: number, text: string): Promise<RowWrite | 'refused'> {
   const bytes = Buffer.from(text)
-  if (bytes.length <= parts.maxRowBytes * ROW_SHARE) return { ...resultKey(jobId, item), value: bytes }
+  if (bytes.length <= parts.maxRowBytes * MAX_ROW_FILL) return { ...resultKey(jobId, item), value: bytes }
   const written = await parts.store.writeObject(resultObject(jobId, item), bytes)
   return written === 'stored' || written === 'exists' ? { ...resultKey(jobId, item), value: OBJECT_MARK } : 'refused'
 }
 
-async function writeClaim (parts: ClaimParts, record: ClaimRecord, conditions: Array<ReturnType<typeof claimKey> & { version: number }>, puts: RowWrite[]): Promise<ClaimTry> {
+async function writeClaim (parts: ClaimParts, record: ClaimRecord, conditions: Array<ReturnType<typeof claimKey> & { version: number }>, puts: RowWrite[]): Promise<ClaimResult> {
   const row = recordRow(claimKey(record.jobId, record.item), record)
   const outcome = await parts.store.commit({ conditions, puts: [row, ...puts], removes: [] })
   if (outcome.outcome === 'committed') {
--- a/packages/anvilarch-serving/src/runner/engineView.ts
+++ b/packages/anvilarch-serving/src/runner/engineView.ts
@@ -1,47 +1,47 @@
-/** What an agent believes of the engine beside it: which start it is, and whether the store lists that start. */
+/** State of the local engine as an agent sees it: which start is running, and whether the store lists that start. */
 import { type Endpoint, startIdOf } from '../model/types'
 import type { EngineReport } from '../roles/types'
 import type { EventLog } from '../telemetry/events'
 
-/** The engine beside an agent. */
+/** The local engine of an agent. */
 export interface EngineView {
-  /** Takes a look at the engine into account. @returns the same as `current` */
+  /** Updates the view after a poll; the report is undefined if the engine did not respond. @returns the same as `current` */
   update: (report: EngineReport | undefined) => Endpoint | undefined
-  /** @returns the engine as it is listed; undefined while the start that answers is not the one that is listed */
+  /** @returns the engine as it is listed; undefined while the running start is not the one that is listed */
   current: () => Endpoint | undefined
 }
 
 /** Options of `createEngineView`. */
 export interface EngineViewOptions {
   log: EventLog
-  /** @returns what the store lists at the engine's address */
+  /** @returns the endpoint that the store lists at the engine's address */
   listed: () => Endpoint | undefined
-  /** Called when another start of the engine has been seen than before. */
+  /** Called when the engine has restarted. */
   onRestart: () => void
 }
 
 /**
- * An engine that starts again may bear the id that it had, so that the entry of its former start still fits by name, until
- * the first heartbeat replaces it. What was listed of the former start (that it takes requests, or that it leaves) does not
- * hold for the new one: nothing is sent to it before it is listed itself.
+ * A restarted engine may have the same id as before, so that the entry of its former start still matches by id until the first
+ * heartbeat replaces it. The listed state of the former start (accepting requests, or draining) does not apply to the new one:
+ * nothing is sent to the new start before it is listed itself.
  *
  * @param options - list and listener
- * @returns a view that has seen nothing
+ * @returns a view before the first poll
  */
 export function createEngineView (options: EngineViewOptions): EngineView {
-  let answeringBornAtMs: number | undefined
-  let seenStartId: string | undefined
+  let reportedBornAtMs: number | undefined
+  let lastStartId: string | undefined
 
   const current = (): Endpoint | undefined => {
     const listed = options.listed()
-    if (listed === undefined || answeringBornAtMs === undefined || listed.bornAtMs === undefined) return listed
-    return listed.bornAtMs === answeringBornAtMs ? listed : undefined
+    if (listed === undefined || reportedBornAtMs === undefined || listed.bornAtMs === undefined) return listed
+    return listed.bornAtMs === reportedBornAtMs ? listed : undefined
   }
 
-  const noteStart = (startId: string, bornAtMs: number | undefined): void => {
-    if (startId === seenStartId) return
-    const first = seenStartId === undefined
-    seenStartId = startId
+  const recordStart = (startId: string, bornAtMs: number | undefined): void => {
+    if (startId === lastStartId) return
+    const first = lastStartId === undefined
+    lastStartId = startId
     if (first) return
     if (bornAtMs !== undefined) options.log.info('engine started anew', { endpoint: startId, bornAtMs })
     options.onRestart()
@@ -49,9 +49,9 @@
 
   return {
     update: report => {
-      if (report?.bornAtMs !== undefined) answeringBornAtMs = report.bornAtMs
+      if (report?.bornAtMs !== undefined) reportedBornAtMs = report.bornAtMs
       const listed = options.listed()
-      if (listed !== undefined) noteStart(startIdOf(listed.id, answeringBornAtMs ?? listed.bornAtMs), answeringBornAtMs ?? listed.bornAtMs)
+      if (listed !== undefined) recordStart(startIdOf(listed.id, reportedBornAtMs ?? listed.bornAtMs), reportedBornAtMs ?? listed.bornAtMs)
       return current()
     },
     current
--- a/packages/anvilarch-serving/src/runner/fleetEventInterval.ts
+++ b/packages/anvilarch-serving/src/runner/fleetEventInterval.ts
@@ -1,16 +1,16 @@
-/** The pace of an ordinary engine of the fleet, from the heartbeats of its agents. */
+/** The event interval of a typical engine of the fleet, from the heartbeats of the agents. */
 import type { WorkTable } from '../jobs/workTable'
 
 /**
- * @param work - members and their pace
- * @param storeNowMs - the store's clock
- * @returns the median time between two events over all living agents that know theirs; undefined if none does
+ * @param work - members and their event intervals
+ * @param storeNowMs - current time of the store
+ * @returns the median time in ms between two events over all live agents that report one; undefined if none does
  */
 export function medianEventIntervalMs (work: Pick<WorkTable, 'members'>, storeNowMs: number): number | undefined {
-  const paces: number[] = []
+  const intervalsMs: number[] = []
   for (const { record } of work.members()) {
-    if (record.aliveUntilMs > storeNowMs && record.eventMs !== undefined) paces.push(record.eventMs)
+    if (record.aliveUntilMs > storeNowMs && record.eventMs !== undefined) intervalsMs.push(record.eventMs)
   }
-  paces.sort((a, b) => a - b)
-  return paces[Math.floor(paces.length / 2)]
+  intervalsMs.sort((a, b) => a - b)
+  return intervalsMs[Math.floor(intervalsMs.length / 2)]
 }
--- a/packages/anvilarch-serving/src/runner/itemChoice.ts
+++ b/packages/anvilarch-serving/src/runner/itemChoice.ts
@@ -1,4 +1,4 @@
-/** Chooses the next items of a runner. */
+/** Chooses the items that a runner claims next. */
 import { v3 as murmurhash } from 'murmurhash'
 import { mixHashes } from 'anvilarch-utils'
 import { isClosed, openItems } from '../jobs/jobRecord'
@@ -14,38 +14,38 @@
   tightDeadline: boolean
 }
 
-/** What the choice depends on. */
+/** Input of `chooseItems`. */
 export interface ItemChoiceInput {
   work: Pick<WorkTable, 'jobs' | 'claim' | 'member' | 'membersListedAtVersion'>
   runner: string
   incarnation: string
   storeNowMs: number
-  /** Whether the store has answered this process long enough for heartbeats of others to have come back after an outage. */
+  /** Whether the store has responded to this process long enough after an outage for heartbeats of other runners to have resumed. */
   heartbeatsTrusted: boolean
-  /** Names of all runners that are alive, this one among them. */
+  /** Names of all live runners, including this one. */
   runners: readonly string[]
   /** Whether this runner's endpoint may run items of the job. */
   mayRun: (job: JobRecord) => boolean
-  /** How many steps of priority lie between the account of the job and the most urgent ones. */
+  /** Number of priority steps between the account of the job and the most urgent accounts. */
   priorityRank: (job: JobRecord) => number
-  /** Items that this process has in hand or has just failed to run. */
+  /** Whether this process has claimed the item, or leaves it to other runners for the cooldown. */
   isSkipped: (jobId: string, item: number) => boolean
-  /** Estimate of the time that an item still runs here. */
+  /** Estimated remaining run time of an item at this engine. */
   remainingMs: (tokens: number, lastEventId: number) => number
-  /** The same at an ordinary engine of the fleet. */
+  /** The same at a typical engine of the fleet. */
   remainingElsewhereMs: (tokens: number, lastEventId: number) => number
 }
 
 /**
- * Whether an item is better left to other runners.
+ * Checks whether an item is better left to other runners.
  *
- * Answers engines that turn slow: one that runs at a fifth of its pace would hold items beyond the time they are due,
- * which the others could have done.
+ * An engine that slows down to a fifth of its speed would keep items past the time they are due, which other engines could have
+ * completed.
  *
  * @param dueInMs - time until the item is due
- * @param remainingMs - time that it still runs here
- * @param remainingElsewhereMs - the same at an ordinary engine
- * @returns whether it would be late here and in time there
+ * @param remainingMs - remaining run time at this engine
+ * @param remainingElsewhereMs - remaining run time at a typical engine
+ * @returns whether the item would be late at this engine and in time at a typical one
  */
 export function isBetterElsewhere (dueInMs: number, remainingMs: number, remainingElsewhereMs: number): boolean {
   return dueInMs < remainingMs && dueInMs >= remainingElsewhereMs + HANDOVER_MS
@@ -55,94 +55,94 @@
 const HANDOVER_MS = 500
 
 /**
- * Order of work, the smallest first: what can still be done in time, by when it is due, and then the rest.
+ * Computes the sort key of an item, the smallest first: items that can still end in time, by due time, and then the others.
  *
- * Answers jobs that come faster than the slack of the engines can do them. By due time alone, each item would be done
- * just after it was due; so the ones that are late already wait, and the others are in time.
+ * When jobs arrive faster than the spare slots of the engines can run them, sorting by due time alone would end each item just
+ * after it was due. With this order, items that are already late wait, and the others end in time.
  *
  * @param dueInMs - time until the item is due
- * @param remainingMs - time that it still runs
+ * @param remainingMs - remaining run time
  * @returns sort key
  */
 export function itemSortKey (dueInMs: number, remainingMs: number): number {
   return dueInMs >= remainingMs ? dueInMs : LATE_OFFSET_MS + dueInMs
 }
 
-/** An item whose time is less than this many times what it still runs cannot wait for two bursts more. */
-const PRESSING_FACTOR = 2
+/** An item that is due in less than this many times its remaining run time cannot wait for two more bursts. */
+const TIGHT_DEADLINE_FACTOR = 2
 
 /**
  * @param dueInMs - time until the item is due
- * @param remainingMs - time that it still runs
- * @returns whether it should take any slot that it can get
+ * @param remainingMs - remaining run time
+ * @returns whether the item should take any slot available
  */
 export function hasTightDeadline (dueInMs: number, remainingMs: number): boolean {
-  return dueInMs < PRESSING_FACTOR * remainingMs
+  return dueInMs < TIGHT_DEADLINE_FACTOR * remainingMs
 }
 
-/** An item is taken as if it were due this much later for each step of priority that its account is behind others. */
-const RANK_HANDICAP_MS = 1000
+/** An item is sorted as if it were due this much later for each priority step between its account and the most urgent ones. */
+const PRIORITY_STEP_MS = 1000
 
 /** Larger than any time until a job is due, so that late items come after all others. */
 const LATE_OFFSET_MS = 1e9
 
 /**
  * @param input - jobs, claims and members
- * @param limit - most items wanted
- * @returns unclaimed items, the most urgent in front
+ * @param limit - maximum number of items
+ * @returns free items, chosen from the most urgent ones
  */
 export function chooseItems (input: ItemChoiceInput, limit: number): Candidate[] {
   const open = [...input.work.jobs()]
     .map(entry => entry.record)
     .filter(job => !isClosed(job) && input.mayRun(job))
-    .sort((a, b) => rankedDueMs(a, input) - rankedDueMs(b, input))
+    .sort((a, b) => adjustedDueMs(a, input) - adjustedDueMs(b, input))
   const window = Math.max(1, input.runners.length) * limit
   const inTime: Candidate[] = []
   const late: Candidate[] = []
   for (const job of open) {
-    // What is in time comes in this order: no later job can add an item to the window.
-    if (inTime.length >= window && rankedDueMs(job, input) > rankedDueMs(inTime[window - 1].job, input)) break
+    // Items in time follow this order: no later job can add an item to the window.
+    if (inTime.length >= window && adjustedDueMs(job, input) > adjustedDueMs(inTime[window - 1].job, input)) break
     for (const candidate of candidatesOf(job, input)) (candidate.sortKey < LATE_OFFSET_MS / 2 ? inTime : late).push(candidate)
   }
-  const byUrgency = (a: Candidate, b: Candidate): number => a.sortKey - b.sortKey
-  const mostUrgent = [...inTime.sort(byUrgency), ...late.sort(byUrgency)].slice(0, window)
-  return spread(mostUrgent, input).slice(0, limit)
+  const bySortKey = (a: Candidate, b: Candidate): number => a.sortKey - b.sortKey
+  const mostUrgent = [...inTime.sort(bySortKey), ...late.sort(bySortKey)].slice(0, window)
+  return spreadOverRunners(mostUrgent, input).slice(0, limit)
 }
 
-function rankedDueMs (job: JobRecord, input: ItemChoiceInput): number {
-  return job.dueAtMs + RANK_HANDICAP_MS * input.priorityRank(job)
+function adjustedDueMs (job: JobRecord, input: ItemChoiceInput): number {
+  return job.dueAtMs + PRIORITY_STEP_MS * input.priorityRank(job)
 }
 
 /**
- * Orders the most urgent items so that runners with slots to spare seldom choose the same one.
+ * Orders the most urgent items so that runners with spare slots seldom choose the same one.
  *
- * Answers the end of a burst: all engines have room at once, and all their runners look for items. If each took the most urgent
- * ones, only a handful would be claimed at a time. The fleet as a whole takes the same items; which runner takes which does
+ * At the end of a burst, all engines have free slots at once, and all their runners choose items. If each chose the most urgent
+ * ones, only a handful would be claimed at a time. The fleet as a whole claims the same items; which runner claims which does
  * not matter.
  */
-function spread (candidates: readonly Candidate[], input: ItemChoiceInput): Candidate[] {
-  const own = murmurhash(input.runner)
-  const others = input.runners.filter(name => name !== input.runner).map(name => murmurhash(name))
-  const jobs = new Map<string, number>()
+function spreadOverRunners (candidates: readonly Candidate[], input: ItemChoiceInput): Candidate[] {
+  const ownHash = murmurhash(input.runner)
+  const otherHashes = input.runners.filter(name => name !== input.runner).map(name => murmurhash(name))
+  const jobHashes = new Map<string, number>()
   const hashOf = ({ job: { jobId }, item }: Candidate): number => {
-    const job = jobs.get(jobId) ?? murmurhash(jobId)
-    jobs.set(jobId, job)
-    return mixHashes(job, item)
+    const jobHash = jobHashes.get(jobId) ?? murmurhash(jobId)
+    jobHashes.set(jobId, jobHash)
+    return mixHashes(jobHash, item)
   }
-  const ranked = candidates.map((candidate, index) => ({ candidate, index, rank: rankOf(own, others, hashOf(candidate)) }))
+  const ranked = candidates.map((candidate, index) => ({ candidate, index, rank: rankOf(ownHash, otherHashes, hashOf(candidate)) }))
   return ranked.sort((a, b) => a.rank - b.rank || a.index - b.index).map(entry => entry.candidate)
 }
 
-/** Runners beyond this place are as good as any: the first three have nearly always had an item. */
-const LAST_RANK = 3
+/** Higher ranks are not distinguished: one of the first three runners has nearly always claimed the item. */
+const MAX_RANK = 3
 
-/** How many other runners come before this one for an item; each item ranks them in another order. All are given by hashes. */
-function rankOf (own: number, others: readonly number[], item: number): number {
-  const ownWeight = mixHashes(own, item)
+/** Counts the other runners that rank before this one for an item; each item ranks them in another order. All arguments are hashes. */
+function rankOf (ownHash: number, otherHashes: readonly number[], itemHash: number): number {
+  const ownWeight = mixHashes(ownHash, itemHash)
   let rank = 0
-  for (const other of others) {
-    if (mixHashes(other, item) > ownWeight) rank++
-    if (rank === LAST_RANK) break
+  for (const otherHash of otherHashes) {
+    if (mixHashes(otherHash, itemHash) > ownWeight) rank++
+    if (rank === MAX_RANK) break
   }
   return rank
 }
@@ -156,7 +156,7 @@
     const tokens = job.itemTokens[item]
     const remainingMs = input.remainingMs(tokens, savedEventId)
     if (isBetterElsewhere(dueInMs, remainingMs, input.remainingElsewhereMs(tokens, savedEventId))) continue
-    candidates.push({ job, item, sortKey: itemSortKey(dueInMs, remainingMs) + rankedDueMs(job, input) - job.dueAtMs, tightDeadline: hasTightDeadline(dueInMs, remainingMs) })
+    candidates.push({ job, item, sortKey: itemSortKey(dueInMs, remainingMs) + adjustedDueMs(job, input) - job.dueAtMs, tightDeadline: hasTightDeadline(dueInMs, remainingMs) })
   }
   return candidates
 }
@@ -165,16 +165,16 @@
   const claim = input.work.claim(jobId, item)
   if (claim === undefined || !claim.record.held) return true
   if (claim.record.runner === input.runner) return true
-  // Members are listed from time to time: a claim that is newer than the listing may be of a holder that has just started.
+  // Members are listed periodically: a claim that is newer than the listing may be of a holder that has just started.
   if (claim.version > (input.work.membersListedAtVersion() ?? -1)) return false
-  return isLapsed(claim.record, input.work.member(claim.record.runner)?.record, input)
+  return isClaimExpired(claim.record, input.work.member(claim.record.runner)?.record, input)
 }
 
 /**
- * A claim lapses when the process that made it has been replaced, or when its heartbeat has stopped.
- * Heartbeats also stop while the store is away; its return gives them time before the claims of others are taken.
+ * Checks whether the process that made a claim has been replaced, or its heartbeat has stopped. Heartbeats also stop during an
+ * outage of the store; after it, they have time to resume before the claims of other runners are taken over.
  */
-function isLapsed (claim: ClaimRecord, holder: MemberRecord | undefined, input: ItemChoiceInput): boolean {
+function isClaimExpired (claim: ClaimRecord, holder: MemberRecord | undefined, input: ItemChoiceInput): boolean {
   if (holder !== undefined && holder.incarnation !== claim.incarnation) return true
   if (!input.heartbeatsTrusted) return false
   return holder === undefined || holder.aliveUntilMs < input.storeNowMs
@@ -183,7 +183,7 @@
 /**
  * @param work - jobs and claims
  * @param runner - this runner
- * @returns whether another runner holds an item of a job that is open
+ * @returns whether another runner holds a claim on an item of an open job
  */
 export function othersHoldClaims (work: Pick<WorkTable, 'jobs' | 'claim'>, runner: string): boolean {
   for (const { record: job } of work.jobs()) {
@@ -203,8 +203,8 @@
 
 /**
  * @param work - daemons
- * @param storeNowMs - the store's clock
- * @returns names of the runners that are alive, in the same order at each of them
+ * @param storeNowMs - current time of the store
+ * @returns names of the live runners, in the same order at each of them
  */
 export function liveRunners (work: Pick<WorkTable, 'members'>, storeNowMs: number): string[] {
   return [...work.members()]
--- a/packages/anvilarch-serving/src/runner/itemLifecycle.ts
+++ b/packages/anvilarch-serving/src/runner/itemLifecycle.ts
@@ -1,4 +1,4 @@
-/** The steps of one item at a runner: claim, run, pause, release, settle. */
+/** Lifecycle of an item at a runner: claims, runs, pauses and releases it, and records its outcome. */
 import { runInBackground, sleep } from 'anvilarch-utils'
 import type { Pool } from '../endpoints/httpPool'
 import type { ResultReader } from '../jobs/resultReader'
@@ -13,65 +13,65 @@
 import type { RunTimeEstimator } from './runTimeEstimator'
 import type { StartBackoff } from './startBackoff'
 
-/** Parts of the steps. */
+/** Dependencies of the item lifecycle. */
 export interface ItemLifecycleParts extends ClaimParts {
   metrics: ServingMetrics
   wire: PlatformWire
   engine: EngineView
-  /** Connections to the engine beside the agent. */
+  /** Connections to the local engine. */
   pool: Pool
-  /** The same, each for one run only. */
+  /** Connections to the local engine, each used for one run only. */
   freshPool: Pool
   claimedItems: ClaimedItems
   runTimeEstimator: RunTimeEstimator
   submissions: ResultReader
-  /** Sends of any item that made no event. */
+  /** Backoff for starts of any item at this engine. */
   engineBackoff: StartBackoff
-  /** Aborted when nothing may start any more. */
+  /** Aborted when no further run may start. */
   stopping: AbortSignal
-  /** Called when an item no longer takes a slot of the engine. */
+  /** Called when an item no longer occupies a slot of the engine. */
   onSlotFreed: () => void
 }
 
-/** Why an item is let go of before it has ended. */
+/** Why an item is released before it has ended. */
 export type ReleaseReason = 'long_paused' | 'endpoint_not_ready' | 'better_elsewhere' | 'stopping'
 
-/** The steps. */
+/** Operations on items. */
 export interface ItemLifecycle {
   /** Claims an item and runs it. */
   claimAndRun: (job: JobRecord, item: number) => Promise<void>
-  /** Runs a held item on from where it is. */
+  /** Continues a claimed item after its last event. */
   resume: (entry: ClaimedItem) => Promise<void>
   pause: (entry: ClaimedItem, reason: string) => void
-  /** Saves the text and lets go of the item. @returns false if the store has not taken it */
+  /** Saves the text and releases the item. @returns false if the item stays claimed because the store did not accept the write */
   release: (entry: ClaimedItem, reason: ReleaseReason) => Promise<boolean>
 }
 
 /**
- * Without an answer of the store for this long, nothing starts or goes on after a pause: 6 s after the last heartbeat others
- * may take the item. Until then held items run on, so that an outage of some seconds costs no work.
+ * When the store has not responded for this long, no item starts or resumes: 6 s after the last heartbeat, other runners may
+ * take over the item. Until then claimed items keep running, so that an outage of some seconds costs no work.
  */
-const STALE_WORK_MS = 4500
+const MAX_WORK_AGE_MS = 4500
 
-/** Pause before the text of an ended item is offered to the store again. */
-const SETTLE_RETRY_MS = 200
+/** Pause before the outcome of an ended item is written to the store again. */
+const OUTCOME_RETRY_INTERVAL_MS = 200
 
-/** Deadline of an item that is past its age but still wanted. */
+/** Shortest deadline of a run, for an item that has expired but is still needed. */
 const MIN_DEADLINE_MS = 1000
 
 type FinalEnd = Exclude<RunEnd, { end: 'interrupted' }>
 
-/** @returns whether the store has answered lately enough to start something on what it told */
+/** @returns whether the store has responded recently enough to start items based on its data */
 export function isWorkFresh (parts: Pick<ItemLifecycleParts, 'clock' | 'store'>): boolean {
-  return parts.clock.nowMs() - (parts.store.lastSuccessMs() ?? -Infinity) < STALE_WORK_MS
+  return parts.clock.nowMs() - (parts.store.lastSuccessMs() ?? -Infinity) < MAX_WORK_AGE_MS
 }
 
 /**
- * @param parts - store, engine and held items
- * @returns the steps of items
+ * @param parts - store, engine and claimed items
+ * @returns the operations on items
  */
 export function createItemLifecycle (parts: ItemLifecycleParts): ItemLifecycle {
-  const { clock, log, claimedItems: held } = parts
+  const { clock, log, claimedItems } = parts
 
   const pauseSince = (entry: ClaimedItem, reason: string, pausedAtMs: number): void => {
     entry.run?.abort()
@@ -84,7 +84,10 @@
 
   const pause = (entry: ClaimedItem, reason: string): void => pauseSince(entry, reason, clock.nowMs())
 
-  /** An item that this engine does not bring on counts as paused all the while, so that others get it in the end. */
+  /**
+   * Pauses an interrupted item. An item without progress at this engine keeps the time of its earlier pause, so that it is
+   * released to other runners after the longest pause allowed.
+   */
   const onInterrupted = (entry: ClaimedItem, reason: string, fromEventId: number): void => {
     if (entry.text.lastEventId > fromEventId) {
       pause(entry, reason)
@@ -106,27 +109,27 @@
       entry.pausedAtMs = clock.nowMs()
       return false
     }
-    held.startCooldown(entry)
-    held.drop(entry)
+    claimedItems.startCooldown(entry)
+    claimedItems.drop(entry)
     log.info('item released', { jobId: entry.jobId, itemId: entry.itemId, reason, saved, lastEventId: entry.text.lastEventId })
     return true
   }
 
-  /** The text of an ended item is kept until the store has it, or the item is another runner's. */
-  const settle = async (entry: ClaimedItem, end: FinalEnd): Promise<void> => {
+  /** Keeps an ended item, and retries, until the store has its outcome or another runner holds the item. */
+  const recordOutcome = async (entry: ClaimedItem, end: FinalEnd): Promise<void> => {
     for (;;) {
-      const outcome = await writeEnd(entry, end)
+      const outcome = await writeOutcome(entry, end)
       if (outcome === 'applied' || outcome === 'not_applicable' || outcome === 'no_such_job') {
         log.info('item settled', { jobId: entry.jobId, itemId: entry.itemId, end: end.end, outcome })
-        if (end.end === 'failed') held.startCooldown(entry)
-        held.drop(entry)
+        if (end.end === 'failed') claimedItems.startCooldown(entry)
+        claimedItems.drop(entry)
         return
       }
-      await sleep(clock, SETTLE_RETRY_MS)
+      await sleep(clock, OUTCOME_RETRY_INTERVAL_MS)
     }
   }
 
-  const writeEnd = (entry: ClaimedItem, end: FinalEnd): ReturnType<typeof finishItem> => {
+  const writeOutcome = (entry: ClaimedItem, end: FinalEnd): ReturnType<typeof finishItem> => {
     if (end.end === 'failed') return failItem(parts, entry.jobId, entry.item)
     if (end.end === 'impossible') return finishItem(parts, entry.jobId, entry.item, 'dead_letter', '')
     return finishItem(parts, entry.jobId, entry.item, 'completed', end.text)
@@ -155,12 +158,12 @@
     }
     if (end.end === 'completed') parts.runTimeEstimator.onItemCompleted(entry.tokens, entry.text.lastEventId)
     entry.state = 'finishing'
-    runInBackground(log, 'settle item', () => settle(entry, end))
+    runInBackground(log, 'settle item', () => recordOutcome(entry, end))
   }
 
   /**
-   * An engine may answer a second time where the next answer on a connection is expected. Runs of an item bear the same id, so
-   * that the failure of an earlier one would count for the next.
+   * An engine may send a second response where the next response on a connection is expected. Runs of an item have the same id,
+   * so the failure of an earlier run would count for the next one. After a failure, each run gets a connection of its own.
    */
   const poolFor = (entry: ClaimedItem, job: JobRecord): Pool => job.failures[entry.item] === undefined ? parts.pool : parts.freshPool
 
@@ -194,7 +197,7 @@
     const item = items.ok ? items.val?.[entry.item] : undefined
     const job = parts.work.job(entry.jobId)?.record
     if (job === undefined || job.ended || ownClaimVersion(parts, entry.jobId, entry.item) === undefined) {
-      held.drop(entry)
+      claimedItems.drop(entry)
       return
     }
     const endpoint = parts.engine.current()
@@ -205,24 +208,24 @@
     run(entry, job, item, endpoint)
   }
 
-  const begin = async (job: JobRecord, place: number): Promise<void> => {
-    const entry = held.add(job, place)
-    // Whoever held the item before may have saved text of it, also without saying so in the claim.
-    const heldBefore = parts.work.claim(job.jobId, place) !== undefined
-    const [claimed, items] = await Promise.all([claimItem(parts, job.jobId, place), parts.submissions.items(job.jobId)])
+  const claimAndRun = async (job: JobRecord, itemIndex: number): Promise<void> => {
+    const entry = claimedItems.add(job, itemIndex)
+    // A previous holder may have saved text of the item without recording it in the claim.
+    const claimedBefore = parts.work.claim(job.jobId, itemIndex) !== undefined
+    const [claimed, items] = await Promise.all([claimItem(parts, job.jobId, itemIndex), parts.submissions.items(job.jobId)])
     if (!claimed) {
-      held.startCooldown(entry)
-      held.drop(entry)
+      claimedItems.startCooldown(entry)
+      claimedItems.drop(entry)
       parts.onSlotFreed()
       return
     }
     entry.pausedAtMs = clock.nowMs()
-    if (items.err || items.val?.[place] === undefined) {
+    if (items.err || items.val?.[itemIndex] === undefined) {
       log.warn('items of a job cannot be read', { jobId: job.jobId, reason: items.err ? items.val.reason : 'no object' })
       entry.state = 'paused'
       return
     }
-    const progress = heldBefore ? await readProgress(parts, job.jobId, place) : undefined
+    const progress = claimedBefore ? await readProgress(parts, job.jobId, itemIndex) : undefined
     if (progress !== undefined) {
       entry.text = { lastEventId: progress.lastEventId, eventData: progress.text.split('\n') }
       entry.savedEventId = progress.lastEventId
@@ -237,5 +240,5 @@
     await resume(entry)
   }
 
-  return { claimAndRun: begin, resume, pause, release }
+  return { claimAndRun, resume, pause, release }
 }
--- a/packages/anvilarch-serving/src/runner/itemRun.ts
+++ b/packages/anvilarch-serving/src/runner/itemRun.ts
@@ -1,4 +1,4 @@
-/** Runs one item at the engine beside the agent, with pauses, until it has ended. */
+/** Runs one item at the local engine, starting after the last event that it has produced. */
 import { type Clock, createSilenceWatch } from 'anvilarch-utils'
 import type { Pool } from '../endpoints/httpPool'
 import type { JobItem } from '../jobs/types'
@@ -6,7 +6,7 @@
 import type { RequestWire } from '../requests/types'
 import type { EngineWire } from '../roles/types'
 
-/** How a run ended. `interrupted`: without a whole answer, to be gone on with. */
+/** How a run ended. `interrupted`: without a complete response; a later run continues the item. */
 export type RunEnd =
   | { end: 'completed', text: string }
   | { end: 'failed' }
@@ -20,7 +20,7 @@
   eventData: string[]
 }
 
-/** What a run needs and whom it tells. */
+/** Options of `runItem`. */
 export interface ItemRunOptions {
   clock: Clock
   pool: Pool
@@ -32,21 +32,21 @@
   account: string | undefined
   endpointId: string
   deadlineMs: number
-  /** Grows as events come; a later run goes on from it. */
+  /** Extended by each event; a later run continues from it. */
   text: ItemText
   onEvent: () => void
   onEnd: (end: RunEnd) => void
 }
 
-/** An engine that makes no event for this long has lost the item; its events come every 25 ms, a few times that on a slow one. */
-const SILENCE_MS = 2500
+/** An engine that sends no event for this long has lost the item. Events arrive every 25 ms, and at a few times that interval from a slow engine. */
+const EVENT_TIMEOUT_MS = 2500
 
 const IMPOSSIBLE_STATUS = 422
 const FAILED_STATUS = 500
 
 /**
  * @param options - engine, item and text so far
- * @returns the run; aborting it closes the connection and reports nothing
+ * @returns the run; aborting it closes the connection without a call of `onEnd`
  */
 export function runItem (options: ItemRunOptions): Attempt {
   const { clock, text, item } = options
@@ -59,7 +59,7 @@
   }
   const silence = createSilenceWatch({
     clock,
-    boundMs: SILENCE_MS,
+    boundMs: EVENT_TIMEOUT_MS,
     onSilence: () => {
       attempt.abort()
       finish({ end: 'interrupted', reason: 'silent' })
@@ -87,14 +87,14 @@
     onHead: silence.heard,
     onEvent: (_bytes, id, data) => {
       silence.heard()
-      // No event, but a block of comments.
+      // A block of comments, not an event.
       if (id === undefined) return
       text.lastEventId = id
       text.eventData.push(data)
       options.onEvent()
     },
     onEventsEnd: () => finish(endOfEvents(text)),
-    onAnswer: answer => finish(endOfAnswer(answer.status)),
+    onAnswer: answer => finish(endOfResponse(answer.status)),
     onFailure: (_failure, reason) => finish({ end: 'interrupted', reason })
   })
   return {
@@ -107,14 +107,14 @@
   }
 }
 
-/** @returns what an answer that is no stream of events says of the item */
-function endOfAnswer (status: number): RunEnd {
+/** @returns how a run ends after a response that is not a stream of events */
+function endOfResponse (status: number): RunEnd {
   if (status === IMPOSSIBLE_STATUS) return { end: 'impossible' }
   if (status === FAILED_STATUS) return { end: 'failed' }
   return { end: 'interrupted', reason: `status ${status}` }
 }
 
-/** A run that goes on after the last event has none left to give; one from the start has at least one. */
+/** A run that resumes after the last event of its item receives no further event; a run from the start receives at least one. */
 function endOfEvents (text: ItemText): RunEnd {
   if (text.lastEventId === 0) return { end: 'interrupted', reason: 'no_events' }
   return { end: 'completed', text: text.eventData.join('\n') }
--- a/packages/anvilarch-serving/src/runner/jobMaintenance.ts
+++ b/packages/anvilarch-serving/src/runner/jobMaintenance.ts
@@ -1,4 +1,4 @@
-/** Gives up items past their age, and removes jobs past their retention. */
+/** Gives up expired items, and removes jobs past their retention. */
 import { v3 as murmurhash } from 'murmurhash'
 import { isClosed, isExpired } from '../jobs/jobRecord'
 import { isRetired, removeJob } from '../jobs/retention'
@@ -7,17 +7,17 @@
 import { type ClaimParts, claimItem, finishItem } from './claims'
 import { chooseItems, type ItemChoiceInput, liveRunners } from './itemChoice'
 
-/** Parts of the upkeep. */
+/** Dependencies of job maintenance. */
 export interface JobMaintenanceParts extends ClaimParts {
   log: EventLog
-  /** How long results are promised, from the submission on. */
+  /** Guaranteed retention of results, counted from submission. */
   retentionMs: number
   choiceInput: (storeNowMs: number) => ItemChoiceInput
 }
 
-/** What is done from time to time. */
+/** Periodic maintenance of jobs. */
 export interface JobMaintenance {
-  /** Gives up what is past its age and held by nobody. */
+  /** Gives up expired items that no runner has claimed. */
   expire: () => Promise<void>
   /** Removes jobs past their retention. */
   retire: () => Promise<void>
@@ -25,11 +25,11 @@
 
 /**
  * @param parts - store, work and identity
- * @returns the upkeep
+ * @returns the maintenance
  */
 export function createJobMaintenance (parts: JobMaintenanceParts): JobMaintenance {
   const { work, store, log } = parts
-  const jobsThat = (holds: (job: JobRecord) => boolean): JobRecord[] => [...work.jobs()].map(entry => entry.record).filter(holds)
+  const jobsWhere = (predicate: (job: JobRecord) => boolean): JobRecord[] => [...work.jobs()].map(entry => entry.record).filter(predicate)
 
   const expireJob = async (job: JobRecord, storeNowMs: number): Promise<void> => {
     const input = parts.choiceInput(storeNowMs)
@@ -43,14 +43,14 @@
     expire: async () => {
       const storeNowMs = store.storeNowMs()
       if (storeNowMs === undefined) return
-      for (const job of jobsThat(job => !isClosed(job) && isExpired(job, storeNowMs))) await expireJob(job, storeNowMs)
+      for (const job of jobsWhere(job => !isClosed(job) && isExpired(job, storeNowMs))) await expireJob(job, storeNowMs)
     },
     retire: async () => {
       const storeNowMs = store.storeNowMs()
       if (storeNowMs === undefined) return
       const runners = liveRunners(work, storeNowMs)
-      for (const job of jobsThat(job => isRetired(job, storeNowMs, parts.retentionMs))) {
-        // Each job falls on one runner by its id, so that they do not all try.
+      for (const job of jobsWhere(job => isRetired(job, storeNowMs, parts.retentionMs))) {
+        // Each job is assigned to one runner by the hash of its id, so that not all runners try to remove it.
         if (runners[murmurhash(job.jobId) % runners.length] === parts.runner) await removeJob(parts, job, log)
       }
     }
--- a/packages/anvilarch-serving/src/runner/onlineUsage.ts
+++ b/packages/anvilarch-serving/src/runner/onlineUsage.ts
@@ -1,69 +1,69 @@
 /**
- * Online requests at the engine beside the agent, between two looks at it: what the last look showed, and what gateways have
- * told since.
+ * Online requests at the local engine between two polls: the count of the last poll, and the usage reports of gateways since
+ * then.
  */
 import type { Clock } from 'anvilarch-utils'
 import { USE_REPEAT_MS } from '../endpoints/useNotices'
 
 /** Online requests at the engine. */
 export interface OnlineUsage {
-  /** A gateway has told how many of its requests are in progress at this start of the engine. */
+  /** Handles a gateway's report of how many of its requests are in progress at a start of the engine. */
   onUsageReport: (gateway: string, startId: string, inProgress: number) => void
-  /** The engine has been looked at. `online` counts its requests that are not batch items. */
+  /** Handles a poll of the engine. `online` counts its requests that are not batch items. */
   onPoll: (startId: string, online: number) => void
-  /** @returns online requests now, as far as is known */
+  /** @returns the current number of online requests, as far as reported */
   online: () => number
 }
 
-/** A gateway that has told nothing for this long is gone, and with it its connections. */
-const FORGET_AFTER_MS = 3 * USE_REPEAT_MS
+/** A gateway that has sent no report for this long is considered dead, and its connections closed. */
+const USAGE_TTL_MS = 3 * USE_REPEAT_MS
 
-interface GatewayUse {
+interface GatewayUsage {
   inProgress: number
-  toldAtMs: number
+  reportedAtMs: number
 }
 
 /**
  * @param clock - local clock
- * @returns nothing in progress
+ * @returns usage without requests in progress
  */
 export function createOnlineUsage (clock: Clock): OnlineUsage {
-  const gateways = new Map<string, GatewayUse>()
+  const gateways = new Map<string, GatewayUsage>()
   let startId: string | undefined
-  let seenOnline = 0
-  /** What gateways had told when the engine was last looked at. */
-  let toldAtLook = 0
+  let polledOnline = 0
+  /** Requests in progress by the reports of gateways, at the time of the last poll. */
+  let reportedAtPoll = 0
 
-  const told = (): number => {
+  const reportedInProgress = (): number => {
     const nowMs = clock.nowMs()
     let sum = 0
-    for (const [gateway, use] of gateways) {
-      if (nowMs - use.toldAtMs > FORGET_AFTER_MS) gateways.delete(gateway)
-      else sum += use.inProgress
+    for (const [gateway, usage] of gateways) {
+      if (nowMs - usage.reportedAtMs > USAGE_TTL_MS) gateways.delete(gateway)
+      else sum += usage.inProgress
     }
     return sum
   }
 
-  const followStart = (next: string): void => {
+  const resetOnNewStart = (next: string): void => {
     if (next === startId) return
     startId = next
-    seenOnline = 0
-    toldAtLook = 0
+    polledOnline = 0
+    reportedAtPoll = 0
     gateways.clear()
   }
 
   return {
-    onUsageReport: (gateway, noticedStartId, inProgress) => {
-      // A notice about another start says nothing of this one.
-      if (noticedStartId !== startId) return
+    onUsageReport: (gateway, reportedStartId, inProgress) => {
+      // A report about another start does not apply to this one.
+      if (reportedStartId !== startId) return
       if (inProgress === 0) gateways.delete(gateway)
-      else gateways.set(gateway, { inProgress, toldAtMs: clock.nowMs() })
+      else gateways.set(gateway, { inProgress, reportedAtMs: clock.nowMs() })
     },
-    onPoll: (seenStartId, online) => {
-      followStart(seenStartId)
-      seenOnline = online
-      toldAtLook = told()
+    onPoll: (polledStartId, online) => {
+      resetOnNewStart(polledStartId)
+      polledOnline = online
+      reportedAtPoll = reportedInProgress()
     },
-    online: () => Math.max(0, seenOnline + told() - toldAtLook)
+    online: () => Math.max(0, polledOnline + reportedInProgress() - reportedAtPoll)
   }
 }
--- a/packages/anvilarch-serving/src/runner/pollSchedule.ts
+++ b/packages/anvilarch-serving/src/runner/pollSchedule.ts
@@ -1,30 +1,30 @@
-/** When an agent looks at the engine beside it: soon after something has changed there, and else from time to time. */
+/** Schedules the polls of the local engine: soon after a change at the engine, and otherwise periodically. */
 import { type Clock, sleep } from 'anvilarch-utils'
 
-/** The schedule of looks. */
+/** Schedule of polls. */
 export interface PollSchedule {
-  /** Something has changed: look as soon as the shortest pause allows. */
+  /** Requests a poll, after a change at the engine, as soon as the shortest pause allows. */
   request: () => void
-  /** @returns a promise that resolves when it is time for the next look, or the signal aborts */
+  /** @returns a promise that resolves when the next poll is due, or the signal aborts */
   next: (signal: AbortSignal) => Promise<void>
 }
 
 /** Options of `createPollSchedule`. */
 export interface PollScheduleOptions {
   clock: Clock
-  /** Shortest pause between two looks. */
+  /** Shortest pause between two polls. */
   minPauseMs: number
-  /** Asked after each look: longest pause until the next one. */
+  /** Called after each poll. @returns the longest pause until the next one */
   maxPauseMs: () => number
 }
 
 /**
  * @param options - clock and pauses
- * @returns a schedule whose first look is due at once
+ * @returns a schedule whose first poll is due immediately
  */
 export function createPollSchedule (options: PollScheduleOptions): PollSchedule {
   const { clock } = options
-  let lastLookMs = -Infinity
+  let lastPollMs = -Infinity
   let requested = true
   let wake = (): void => {}
 
@@ -42,11 +42,11 @@
       wake()
     },
     next: async signal => {
-      if (!requested) await waitUntilRequested(lastLookMs + options.maxPauseMs(), signal)
-      const tooEarlyMs = lastLookMs + options.minPauseMs - clock.nowMs()
-      if (tooEarlyMs > 0) await sleep(clock, tooEarlyMs, signal)
+      if (!requested) await waitUntilRequested(lastPollMs + options.maxPauseMs(), signal)
+      const remainingPauseMs = lastPollMs + options.minPauseMs - clock.nowMs()
+      if (remainingPauseMs > 0) await sleep(clock, remainingPauseMs, signal)
       requested = false
-      lastLookMs = clock.nowMs()
+      lastPollMs = clock.nowMs()
     }
   }
 }
--- a/packages/anvilarch-serving/src/runner/runTimeEstimator.ts
+++ b/packages/anvilarch-serving/src/runner/runTimeEstimator.ts
@@ -1,43 +1,43 @@
-/** Learns how long items take, to tell which can still be done in time. */
+/** Estimates how long items run, to decide which can still end in time. */
 
-/** What is learned from items that have ended. */
+/** Estimates run times from the event intervals of runs and the event counts of completed items. */
 export interface RunTimeEstimator {
-  /** A run has made so many events in this time. */
+  /** Records that a run has produced `events` events in `elapsedMs`. */
   onRun: (events: number, elapsedMs: number) => void
-  /** An item of so many tokens has ended with this many events in all. */
+  /** Records that an item of `tokens` tokens has completed with `events` events in total. */
   onItemCompleted: (tokens: number, events: number) => void
-  /** The engine holds nothing of before, and may be faster or slower: its pace is to be learned anew. */
+  /** Discards the event interval: a restarted engine has lost its state and may be faster or slower. */
   onEngineRestart: () => void
-  /** @returns time between two events; undefined until something has been learned */
+  /** @returns the time between two events in ms; undefined before the first sample */
   eventIntervalMs: () => number | undefined
-  /** @returns estimate of the time that is left to run, here or at an engine of another pace; 0 until something has been learned */
-  remainingMs: (tokens: number, lastEventId: number, eventMs?: number) => number
+  /** @returns the estimated remaining run time in ms, at this engine or at one with another event interval; 0 before the first samples */
+  remainingMs: (tokens: number, lastEventId: number, intervalMs?: number) => number
 }
 
-/** Weight of the newest item. An engine's pace changes within seconds, but single items differ by a quarter. */
+/** Weight of the newest sample. The event interval of an engine changes within seconds, but single items differ by a quarter. */
 const SMOOTHING = 0.2
 
-/** Fewer events than this say little: their time is mostly that of reading the prompt. */
+/** Samples with fewer events are ignored: most of their time goes into reading the prompt. */
 const MIN_EVENTS = 3
 
-/** @returns a pace that has learned nothing */
+/** @returns an estimator without samples */
 export function createRunTimeEstimator (): RunTimeEstimator {
-  let ownEventMs: number | undefined
+  let ownIntervalMs: number | undefined
   let eventsPerToken: number | undefined
   const smooth = (previous: number | undefined, next: number): number =>
     previous === undefined ? next : previous + SMOOTHING * (next - previous)
   return {
     onRun: (events, elapsedMs) => {
-      if (events >= MIN_EVENTS) ownEventMs = smooth(ownEventMs, elapsedMs / events)
+      if (events >= MIN_EVENTS) ownIntervalMs = smooth(ownIntervalMs, elapsedMs / events)
     },
     onItemCompleted: (tokens, events) => {
       if (tokens > 0) eventsPerToken = smooth(eventsPerToken, events / tokens)
     },
-    onEngineRestart: () => { ownEventMs = undefined },
-    eventIntervalMs: () => ownEventMs,
-    remainingMs: (tokens, lastEventId, eventMs = ownEventMs) => {
-      if (eventMs === undefined || eventsPerToken === undefined) return 0
-      return Math.max(0, tokens * eventsPerToken - lastEventId) * eventMs
+    onEngineRestart: () => { ownIntervalMs = undefined },
+    eventIntervalMs: () => ownIntervalMs,
+    remainingMs: (tokens, lastEventId, intervalMs = ownIntervalMs) => {
+      if (intervalMs === undefined || eventsPerToken === undefined) return 0
+      return Math.max(0, tokens * eventsPerToken - lastEventId) * intervalMs
     }
   }
 }
--- a/packages/anvilarch-serving/src/runner/slotPlan.ts
+++ b/packages/anvilarch-serving/src/runner/slotPlan.ts
@@ -1,101 +1,101 @@
 /**
  * Decides how many batch items an engine may run beside its online requests.
  *
- * Answers bursts of online requests: the engine admits in order of arrival and knows no priorities, so that a request
- * which finds all slots taken waits for a batch item of several seconds. Batch items leave one slot free,
- * and give way as soon as none is.
+ * The engine admits requests in order of arrival and has no priorities: in a burst of online requests, one that finds all slots
+ * occupied waits several seconds for a batch item. Batch items therefore leave one slot free, and are preempted as soon as none
+ * is free.
  */
 
-/** What the engine reports and what the agent runs there. */
+/** Report of the engine, and the batch items of the agent. */
 export interface SlotPlanInput {
   slots: number
   running: number
   waiting: number
   /** Batch items of this agent that the engine runs or is about to run. */
   ownItems: number
-  /** Items that are about to start, or have started too lately for the report to count them. */
+  /** Items that are about to start, or have started too recently for the report to count them. */
   ownUnreported: number
 }
 
-/** What to do now; at most one of both is above zero. */
+/** Number of items to start and to preempt; at most one of the two is above zero. */
 export interface SlotPlan {
   start: number
   preempt: number
 }
 
 /**
- * Free slots that batch leaves. Online requests come to an engine about every 100 ms in a burst; the free slot takes one of
- * them while the item that gives way for it is still being dropped by the engine.
+ * Slots that batch items leave free. In a burst, an online request arrives at an engine about every 100 ms; the free slot takes
+ * it while the engine is still dropping the item that is preempted for it.
  */
 export const RESERVED_SLOTS = 1
 
 /**
  * @param input - report and own items
- * @returns how many items to start or to stop
+ * @returns how many items to start or to preempt
  */
 export function planBatchSlots (input: SlotPlanInput): SlotPlan {
   const reportedFree = input.slots - input.running - input.waiting
-  // An item that has just started may be in the report already; to stop for it would break off what has hardly begun.
+  // An item that has just started may be in the report already; counting it again would preempt items right after their start.
   if (reportedFree < RESERVED_SLOTS) return { start: 0, preempt: Math.min(input.ownItems, RESERVED_SLOTS - reportedFree) }
   return { start: Math.max(0, reportedFree - input.ownUnreported - RESERVED_SLOTS), preempt: 0 }
 }
 
-/** Of the slots to spare, this many are left to items that cannot wait while requests have lately taken slots from items. */
-const SPARE_SLOTS = 1
+/** Spare slots that are reserved for items with a tight deadline while requests have recently preempted items. */
+const TIGHT_DEADLINE_SLOTS = 1
 
-/** In a burst, requests come to an engine every 100 ms and hold a slot for 700; without a cut for this long there is none. */
-const RECENT_CUT_MS = 800
+/** In a burst, requests arrive at an engine every 100 ms and occupy a slot for 700 ms; without a preemption for this long, there is no burst. */
+const RECENT_PREEMPTION_MS = 800
 
-/** What decides how many items start. */
+/** Input of `countToStart`. */
 export interface StartInput {
-  /** Slots into which an item may start. */
+  /** Slots in which an item may start. */
   count: number
-  /** Items that want a slot, the most urgent first. */
+  /** Items that wait for a slot, the most urgent first. */
   items: ReadonlyArray<{ tightDeadline: boolean }>
   /** Online requests at the engine. */
   online: number
-  /** Time since an item here gave way to a request. */
+  /** Time since an item at this engine was last preempted for a request. */
   sincePreemptionMs: number
 }
 
 /**
- * Answers load that goes up and down within a burst: an item in the last slot gives way to the next request, starts again
- * when that one has ended, and so on; each time its claim is saved and its prompt read again. Experiment `placement` says
- * how many cuts this saves.
+ * Limits the starts within a burst, where the load rises and falls: an item in the last slot would be preempted for the next
+ * request, start again when that request has ended, and so on; each time its claim is saved and its prompt read again. The
+ * experiment `placement` shows how many preemptions this saves.
  *
  * @param input - slots and items
- * @returns how many of the items start
+ * @returns how many of the items to start
  */
-export function countToStart ({ count, items, online, sincePreemptionMs: sinceCutMs }: StartInput): number {
-  const most = Math.min(count, items.length)
-  const inBurst = online > 0 && sinceCutMs < RECENT_CUT_MS
-  const forAny = inBurst ? Math.max(0, count - SPARE_SLOTS) : most
+export function countToStart ({ count, items, online, sincePreemptionMs }: StartInput): number {
+  const maxCount = Math.min(count, items.length)
+  const inBurst = online > 0 && sincePreemptionMs < RECENT_PREEMPTION_MS
+  const countForAny = inBurst ? Math.max(0, count - TIGHT_DEADLINE_SLOTS) : maxCount
   let starting = 0
-  while (starting < most && (starting < forAny || items[starting].tightDeadline)) starting++
+  while (starting < maxCount && (starting < countForAny || items[starting].tightDeadline)) starting++
   return starting
 }
 
 /**
- * Decides between two looks at the engine, when a gateway has just sent a request there.
+ * Decides between two polls of the engine, when a gateway has just sent a request to it, how many items to preempt.
  *
  * @param slots - of the engine
- * @param online - requests that do not give way
- * @param ownItems - batch items that run
- * @returns how many items give way
+ * @param online - requests that cannot be preempted
+ * @param ownItems - running batch items
+ * @returns how many items to preempt
  */
 export function countToPreempt (slots: number, online: number, ownItems: number): number {
   const free = slots - online - ownItems
   return Math.max(0, Math.min(ownItems, RESERVED_SLOTS - free))
 }
 
-/** A request reaches the engine beside the agent, and its report, within this time. */
-const UNSEEN_MS = 15
+/** A request reaches the local engine, and its report, within this time. */
+const REPORT_LAG_MS = 15
 
 /**
  * @param startedAtMs - when each running item was sent
- * @param reportAskedAtMs - when the report was asked for
+ * @param reportRequestedAtMs - when the report was requested
  * @returns how many items the report may not count yet
  */
-export function countUnreported (startedAtMs: readonly number[], reportAskedAtMs: number): number {
-  return startedAtMs.filter(atMs => atMs > reportAskedAtMs - UNSEEN_MS).length
+export function countUnreported (startedAtMs: readonly number[], reportRequestedAtMs: number): number {
+  return startedAtMs.filter(atMs => atMs > reportRequestedAtMs - REPORT_LAG_MS).length
 }
--- a/packages/anvilarch-serving/src/runner/startBackoff.ts
+++ b/packages/anvilarch-serving/src/runner/startBackoff.ts
@@ -1,50 +1,50 @@
-/** Spaces out what is sent to an engine that refuses, or breaks off before the first event. */
+/** Backs off from an engine that refuses requests, or fails before the first event. */
 import type { Clock } from 'anvilarch-utils'
 
 /**
- * Counts sends in a row that made no event.
+ * Counts consecutive starts of items that produced no event.
  *
- * Answers an engine that refuses all it gets, as one does that has restarted and is not listed yet, or is full:
- * sent at each look at the engine, an item costs fifty messages a second, and others are claimed only to be refused too.
+ * An engine refuses all requests when it is full, or when it has restarted and is not listed yet. Without a backoff, an item
+ * sent at each poll of the engine costs fifty messages a second, and further items are claimed only to be refused too.
  */
 export interface StartBackoff {
   onFailedStart: () => void
   onEvent: () => void
-  /** Forgets the sends so far, as when the engine has been started anew. */
+  /** Resets the count, for example after a restart of the engine. */
   reset: () => void
-  /** @returns whether something may be sent again */
+  /** @returns whether an item may be started now */
   mayStart: () => boolean
 }
 
-/** First pause: two looks at the engine. */
+/** First backoff: two polls of the engine. */
 export const MIN_BACKOFF_MS = 40
 
-/** Longest pause; an engine that has restarted is listed within about a second. */
+/** Longest backoff; a restarted engine is listed within about a second. */
 export const MAX_BACKOFF_MS = 640
 
 /**
- * @param fruitlessRuns - sends in a row without an event
- * @returns pause before the next one
+ * @param failedStarts - consecutive starts without an event
+ * @returns time in ms until the next start
  */
-export function backoffMs (fruitlessRuns: number): number {
-  return fruitlessRuns === 0 ? 0 : Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2 ** (fruitlessRuns - 1))
+export function backoffMs (failedStarts: number): number {
+  return failedStarts === 0 ? 0 : Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2 ** (failedStarts - 1))
 }
 
 /**
  * @param clock - local clock
- * @returns no refusals yet
+ * @returns a backoff without failed starts
  */
 export function createStartBackoff (clock: Clock): StartBackoff {
-  let fruitlessRuns = 0
-  let lastAtMs = -Infinity
-  const mayStart = (): boolean => clock.nowMs() >= lastAtMs + backoffMs(fruitlessRuns)
-  const reset = (): void => { fruitlessRuns = 0 }
+  let failedStarts = 0
+  let lastFailureAtMs = -Infinity
+  const mayStart = (): boolean => clock.nowMs() >= lastFailureAtMs + backoffMs(failedStarts)
+  const reset = (): void => { failedStarts = 0 }
   return {
     onFailedStart: () => {
-      // Items that were sent together fail together, and tell no more than one of them.
+      // Items that were started together fail together, and count as one failed start.
       if (!mayStart()) return
-      fruitlessRuns++
-      lastAtMs = clock.nowMs()
+      failedStarts++
+      lastFailureAtMs = clock.nowMs()
     },
     onEvent: reset,
     reset,
--- a/packages/anvilarch-serving/src/runner/types.ts
+++ b/packages/anvilarch-serving/src/runner/types.ts
@@ -1,4 +1,4 @@
-/** What the parts of a batch runner work with. */
+/** Types shared by the parts of a batch runner. */
 import type { Pool } from '../endpoints/httpPool'
 import type { EndpointTable } from '../endpoints/endpointTable'
 import type { Configuration } from '../model/types'
@@ -11,32 +11,32 @@
 import type { RunTimeEstimator } from './runTimeEstimator'
 import type { StartBackoff } from './startBackoff'
 
-/** Parts of a runner. */
+/** Dependencies of a batch runner. */
 export interface RunnerParts extends ClaimParts {
   metrics: ServingMetrics
   endpoints: EndpointTable
   configuration: () => Configuration | undefined
   wire: PlatformWire
-  /** Connections to the engine beside the agent. */
+  /** Connections to the local engine. */
   pool: Pool
-  /** The same, each for one run only. */
+  /** Connections to the local engine, each used for one run only. */
   freshPool: Pool
   engineAddress: string
   service: string
-  /** How long results are promised, from the submission on. */
+  /** Guaranteed retention of results, counted from submission. */
   retentionMs: number
-  /** Local time at which the daemons were last listed; undefined before. */
+  /** Local time of the last listing of daemons; undefined before the first one. */
   membersListedAtMs: () => number | undefined
   readReport: () => Promise<EngineReport | undefined>
   runTimeEstimator: RunTimeEstimator
 }
 
-/** What the parts of one runner share. */
+/** State shared by the parts of one runner. */
 export interface RunnerState {
   claimedItems: ClaimedItems
   lifecycle: ItemLifecycle
-  /** Sends of any item that made no event. */
+  /** Backoff for starts of any item at this engine. */
   engineBackoff: StartBackoff
-  /** @returns what the choice of items depends on */
+  /** @returns the input for choosing items */
   choiceInput: (storeNowMs: number) => ItemChoiceInput
 }
