--- a/packages/anvilarch-serving/src/runner/__fixtures__/jobRoute.ts
+++ b/packages/anvilarch-serving/src/runner/__fixtures__/jobRoute.ts
@@ -1,13 +1,13 @@
-/** The configuration and the wire of runners under test: one route of jobs. */
+/** The configuration and the wire format for runners under test, with a single route for jobs. */
 import type { Configuration, Route } from '../../model/types'
 import type { PlatformWire } from '../../roles/types'
 
 const ROUTE = { name: 'jobs', host: 'h', pathPrefix: '/jobs', kind: 'batch', targets: [{ service: 'models', weight: 1 }] } as unknown as Route
 
-/** What is in force. */
+/** The configuration in force. */
 export const CONFIGURATION = { version: 1, routes: [ROUTE], services: new Map() } as unknown as Configuration
 
-/** Headers that name the item and the event after which a run goes on. */
+/** Wire format whose headers name the item and the event after which a run continues. */
 export const WIRE = {
   request: { decodeAnswer: (headers: ReadonlyMap<string, string>) => ({ requestId: headers.get('x-id'), signed: true, notRun: false }) },
   engine: { encodeItem: (item: { id: string }, _host: string, terms: { lastEventId?: number }) => ['x-id', item.id, 'x-after', String(terms.lastEventId ?? 0)] }
--- a/packages/anvilarch-serving/src/runner/__fixtures__/memoryStore.ts
+++ b/packages/anvilarch-serving/src/runner/__fixtures__/memoryStore.ts
@@ -1,4 +1,4 @@
-/** A metadata store in memory, on a fake clock, whose answers may be lost and whose writes may come late. */
+/** An in-memory metadata store on a fake clock, whose responses may be lost and whose writes may be applied late. */
 import type { FakeClock } from 'anvilarch-utils'
 import { Err, Ok } from 'ts-results'
 import { createWorkTable, type WorkTable } from '../../jobs/workTable'
@@ -8,12 +8,12 @@
 import type { ProcessClock } from './processClock'
 
 /**
- * What becomes of a call. `unanswered`: done, without an answer. `late`: the same, seconds after it. `lost`: neither done nor
- * answered.
+ * Outcome of a call. `unanswered`: applied, without a response. `late`: applied seconds later, without a response. `lost`: neither
+ * applied nor answered.
  */
 export type CallOutcome = 'done' | 'refused' | 'unanswered' | 'late' | 'lost'
 
-/** The store. */
+/** The in-memory store. */
 export interface MemoryStore {
   client: MetadataStore
   rows: () => StoredRow[]
@@ -21,28 +21,28 @@
   object: (name: string) => Buffer | undefined
   putObject: (name: string, bytes: Buffer) => void
   put: (key: RowKey, record: JobRecord | MemberRecord) => void
-  /** @returns a copy of the work that hears of each change after the lag */
+  /** @returns a local copy of the work that receives each change after the lag */
   replicate: (process: Pick<ProcessClock, 'whenRunning'>, lagMs: number) => WorkReplica
 }
 
-/** A copy of the work. */
+/** A local copy of the work. */
 export interface WorkReplica {
   work: WorkTable
-  /** The copy hears of no change for so long; then the store has forgotten what it missed, and the copy is listed anew. */
+  /** The copy receives no changes for this long; the store no longer has those that it missed, so the copy is listed again. */
   loseHistory: (durationMs: number) => void
 }
 
 const ANSWER_MS = 20
 
-/** A call without an answer is given up after this. */
+/** Timeout of a call without a response. */
 const TIMEOUT_MS = 1000
 
-/** Later than that, so that the caller may have written anew by then. */
+/** Longer than the timeout, so that the caller may have written again by then. */
 const LATE_MS = 2500
 
 /**
- * @param clock - of the test
- * @param nextFate - asked once for each write and each read of a row
+ * @param clock - clock of the test
+ * @param nextOutcome - called once for each write and each read of a row
  * @returns a store without rows
  */
 export function createMemoryStore (clock: FakeClock, nextOutcome: () => CallOutcome): MemoryStore {
@@ -137,7 +137,7 @@
     for (const row of rows.values()) listeners.get(row.table)?.onChange({ change: 'put', row })
     listMembers()
     subscribers.push(change => { if (!isHistoryLost) afterLag(() => receive(change)) })
-    /** The rows are read some time after the version from which the changes are told again. */
+    /** The rows are read some time after the version from which the changes are sent again. */
     const relist = (): void => {
       const sinceVersion = version
       clock.after(ANSWER_MS, () => {
--- a/packages/anvilarch-serving/src/runner/__fixtures__/processClock.ts
+++ b/packages/anvilarch-serving/src/runner/__fixtures__/processClock.ts
@@ -1,27 +1,27 @@
-/** The clock of a process that may stand still while the time of all others goes on. */
+/** The clock of a process that may be paused while the time of all others continues. */
 import type { Clock } from 'anvilarch-utils'
 
-/** The clock, and what else wakes the process. */
+/** The clock, with the other events that wake the process. */
 export interface ProcessClock extends Clock {
-  /** Runs something that comes from outside: now, or as soon as the process goes on. */
+  /** Runs an action that comes from outside the process: now, or as soon as the process continues. */
   whenRunning: (action: () => void) => void
-  /** Nothing of the process runs for so long. Then timers that have come due run first, and what has come from outside next. */
-  freeze: (durationMs: number) => void
+  /** Pauses the process for this long. Then timers that are due run first, and actions from outside next. */
+  pause: (durationMs: number) => void
 }
 
 /**
- * @param clock - of all processes
- * @returns the clock of one of them
+ * @param clock - clock shared by all processes
+ * @returns the clock of one process
  */
 export function createProcessClock (clock: Clock): ProcessClock {
-  let frozenUntilMs = -Infinity
+  let pausedUntilMs = -Infinity
   const timers: Array<() => void> = []
   const arrivals: Array<() => void> = []
-  const isFrozen = (): boolean => clock.nowMs() < frozenUntilMs
+  const isPaused = (): boolean => clock.nowMs() < pausedUntilMs
 
-  /** One at a time, so that promises settle in between. */
+  /** Runs one queued action at a time, so that promises settle in between. */
   const catchUp = (): void => {
-    if (isFrozen()) return
+    if (isPaused()) return
     const action = timers.shift() ?? arrivals.shift()
     if (action === undefined) return
     action()
@@ -29,7 +29,7 @@
   }
 
   const runOrQueue = (queue: Array<() => void>, action: () => void): void => {
-    if (isFrozen() || timers.length + arrivals.length > 0) queue.push(action)
+    if (isPaused() || timers.length + arrivals.length > 0) queue.push(action)
     else action()
   }
 
@@ -47,8 +47,8 @@
       }
     },
     whenRunning: action => runOrQueue(arrivals, action),
-    freeze: durationMs => {
-      frozenUntilMs = Math.max(frozenUntilMs, clock.nowMs() + durationMs)
+    pause: durationMs => {
+      pausedUntilMs = Math.max(pausedUntilMs, clock.nowMs() + durationMs)
       clock.after(durationMs, catchUp)
     }
   }
--- a/packages/anvilarch-serving/src/runner/__fixtures__/runnerFleet.ts
+++ b/packages/anvilarch-serving/src/runner/__fixtures__/runnerFleet.ts
@@ -1,4 +1,4 @@
-/** Batch runners side by side on a fake clock, each with a scripted engine, with one store. */
+/** Several batch runners on a fake clock, each with a scripted engine, sharing one store. */
 import { createFakeClock, type FakeClock, SILENT_LOGGER } from 'anvilarch-utils'
 import { createJobCache } from '../../jobs/jobCache'
 import { endJob, newJob } from '../../jobs/jobRecord'
@@ -17,31 +17,31 @@
 import { createProcessClock, type ProcessClock } from './processClock'
 import { createScriptedEngine, type RunFault, type ScriptedEngine, wholeTextOf } from './scriptedEngine'
 
-/** What goes wrong; each entry is used up by one call or run, and nothing goes wrong after the last. */
+/** Faults of calls and runs; each entry applies to one call or run, and there are no faults after the last. */
 export interface FleetScript {
   eventCounts: readonly number[]
   calls: CallOutcome[]
   runs: RunFault[]
 }
 
-/** A runner and the engine beside it. */
+/** A runner and its local engine. */
 export interface FleetAgent {
   runner: BatchRunner
   engine: ScriptedEngine
-  /** The process ends at once; another takes its place. */
+  /** Ends the process immediately and starts another in its place. */
   replace: () => void
-  /** The process saves its items and ends; another takes its place. */
+  /** Stops the process, which saves its items, and starts another in its place. */
   stop: () => Promise<void>
-  /** Whether the store takes the agent for alive; its process goes on all the same. */
+  /** Sets whether the store considers the agent alive; its process runs in either case. */
   setAlive: (alive: boolean) => void
-  /** Requests of online clients at the engine. */
+  /** Sets the number of online requests at the engine. */
   setOnline: (requests: number) => void
   setReady: (ready: boolean) => void
-  /** All runs at the engine go wrong so, before the script is asked; undefined follows the script again. */
+  /** Sets a fault for all runs at the engine that overrides the script; undefined returns to the script. */
   setFault: (fault: RunFault | undefined) => void
-  /** The process stands still for so long, and the store takes it for dead meanwhile; its engine goes on. */
-  freeze: (durationMs: number) => void
-  /** What the process has copied is out of date for so long, and listed anew then. */
+  /** Pauses the process for this long; meanwhile the store considers it dead, and its engine keeps running. */
+  pauseProcess: (durationMs: number) => void
+  /** The local copy of the process receives no changes for this long, and is then listed again. */
   loseHistory: (durationMs: number) => void
 }
 
@@ -51,15 +51,15 @@
   store: MemoryStore
   agents: FleetAgent[]
   job: () => JobRecord
-  /** A client ends the job. */
+  /** Ends the job as a client does. */
   endJob: () => void
-  /** All calls of the store end so; undefined follows the script again. */
+  /** Sets an outcome for all calls of the store that overrides the script; undefined returns to the script. */
   setCallOutcome: (outcome: CallOutcome | undefined) => void
-  /** Nothing goes wrong any more. */
+  /** Ends all faults of the script and of the store. */
   clearFaults: () => void
   results: () => Promise<JobResult[]>
   expectedText: (itemId: string) => string
-  /** Answers 500 and 422 by item. */
+  /** Statuses that engines sent in place of a stream, by item. */
   statuses: Map<string, number[]>
   close: () => void
 }
@@ -67,22 +67,22 @@
 const JOB_ID = 'job'
 const SLOTS = 3
 const EVENT_INTERVAL_MS = 60
-/** The longest outlasts a write that is given up. */
+/** The longest exceeds the timeout of a write. */
 const LAGS_MS = [15, 300, 1800]
 
-/** As long as a client waits for the end. */
+/** As long as a client waits for the job to end. */
 const END_TIMEOUT_MS = 1200
 
-/** Small, so that the longer texts do not fit into a row. */
+/** Small, so that longer texts do not fit into a row. */
 const MAX_ROW_BYTES = 400
 
 /** Store time that no test reaches. */
 const NEVER_MS = 1e12
 
 /**
- * @param agentCount - agents
- * @param script - items and troubles
- * @returns a fleet at work
+ * @param agentCount - number of agents
+ * @param script - items and faults
+ * @returns a started fleet
  */
 export function createRunnerFleet (agentCount: number, script: FleetScript): RunnerFleet {
   const clock = createFakeClock()
@@ -135,7 +135,7 @@
   }
 }
 
-/** As a gateway reads them that has just started. */
+/** Reads the results as a gateway does that has just started. */
 async function readResults (clock: FakeClock, store: MemoryStore, job: JobRecord): Promise<JobResult[]> {
   const reading = createResultReader(store.client).page(job, 0)
   await clock.advanceAsync(10_000)
@@ -214,8 +214,8 @@
       agent.runner.onUsageReport('gateway', endpoint().startId, requests)
     },
     setReady: nowReady => { ready = nowReady },
-    freeze: durationMs => {
-      clock.freeze(durationMs)
+    pauseProcess: durationMs => {
+      clock.pause(durationMs)
       agent.setAlive(false)
       clock.after(durationMs, () => agent.setAlive(true))
     },
@@ -225,7 +225,7 @@
   return agent
 }
 
-/** The store as a process has it: nothing is sent, and no answer is heard, once that process has ended or while it stands still. */
+/** The store as one process sees it: no call is sent and no response is received after the process has ended or while it is paused. */
 function withLifetime (client: MetadataStore, process: ProcessClock, lifetime: AbortSignal): MetadataStore {
   const whileAlive = async <Answer>(call: () => Promise<Answer>): Promise<Answer> => {
     const answer = lifetime.aborted ? undefined : await call()
--- a/packages/anvilarch-serving/src/runner/__fixtures__/runnerHarness.ts
+++ b/packages/anvilarch-serving/src/runner/__fixtures__/runnerHarness.ts
@@ -21,16 +21,16 @@
   abortedAtMs: number | undefined
 }
 
-/** The runner and what is around it. */
+/** The runner and its environment. */
 export interface RunnerHarness {
   clock: FakeClock
   runner: BatchRunner
   runs: EngineRun[]
-  /** Items whose claims were given back, in order. */
+  /** Items whose claims were released, in order. */
   released: number[]
-  /** Requests of online clients, which the engine runs or lets wait. */
+  /** Online requests that the engine runs or queues. */
   online: { running: number, waiting: number }
-  /** A gateway tells how many of its requests are in progress. */
+  /** Sends a usage report of a gateway: how many of its requests are in progress. */
   reportUsage: (inProgress: number) => void
   runningItems: () => EngineRun[]
 }
@@ -50,10 +50,10 @@
 }
 
 /**
- * @param slots - of the engine
+ * @param slots - slots of the engine
  * @param itemCount - items of the only job, each of which runs for longer than a test
  * @param dueMs - time until the job is due
- * @returns a runner at work
+ * @returns a started runner
  */
 export function createRunnerHarness (slots: number, itemCount: number, dueMs = 600_000): RunnerHarness {
   const clock = createFakeClock()
--- a/packages/anvilarch-serving/src/runner/__fixtures__/scriptedEngine.ts
+++ b/packages/anvilarch-serving/src/runner/__fixtures__/scriptedEngine.ts
@@ -1,43 +1,43 @@
-/** A model engine on a fake clock whose runs go wrong as a script says. */
+/** A model engine on a fake clock whose runs fail as scripted. */
 import type { FakeClock } from 'anvilarch-utils'
 import type { Pool } from 'undici'
 
 /**
- * How a run goes wrong; `atEvent` counts the events of the run, from 0. `from_start`: does not go on after the event that it
- * was asked to, but starts anew. `no_stream`: a whole body that holds no event. `empty`: a whole answer without an event, given
- * to runs from the start only, since it is right for one that goes on after the last event. `silent`: goes on when it has been
- * given up. `fail_twice`: 500, and once more on a kept connection, as if it were the answer to the next run of the item.
+ * Fault of a run; `atEvent` counts the events of the run, from 0. `from_start`: does not continue after the requested event, but
+ * starts over. `no_stream`: a complete body without an event. `empty`: a complete response without an event, only for runs from
+ * the start, since it is correct for one that continues after the last event. `silent`: continues after the run has timed out.
+ * `fail_twice`: 500, and once more on a reused connection, as if it were the response to the next run of the item.
  */
 export type RunFault =
   | { fault: 'none' | 'from_start' | 'of_another' | 'no_stream' | 'empty' | 'fail_twice' }
   | { fault: 'status', status: number }
   | { fault: 'break' | 'silent' | 'without_id' | 'skip' | 'cut', atEvent: number }
 
-/** The engine. */
+/** The scripted engine. */
 export interface ScriptedEngine {
   pool: Pool
-  /** Connections that each take one run. */
+  /** Connections that are each used for one run. */
   freshPool: Pool
   running: () => number
-  /** Breaks all connections; the next start bears another time. */
+  /** Breaks all connections; the next start has another start time. */
   restart: () => void
   bornAtMs: () => number
 }
 
-/** What an engine needs. */
+/** Options of `createScriptedEngine`. */
 export interface ScriptedEngineOptions {
   clock: FakeClock
   eventIntervalMs: number
   eventCount: (itemId: string) => number
-  /** Asked once for each run. */
+  /** Called once for each run. */
   nextFault: () => RunFault
-  /** Carries what the engine sends to the process that reads it. */
+  /** Delivers what the engine sends to the process that reads it. */
   toReader: (action: () => void) => void
-  /** Told of each answer to a run that is not a stream, repeated ones left out. */
+  /** Called for each response to a run that is not a stream, except repeated ones. */
   onStatus: (itemId: string, status: number) => void
 }
 
-/** Also of answers that hold no event: the type alone is not to tell them. */
+/** Also the type of responses without an event, so that a reader cannot tell them apart by the type alone. */
 const EVENT_STREAM_TYPE = 'text/event-stream'
 
 interface Handler {
@@ -48,7 +48,7 @@
   onError: (error: Error) => void
 }
 
-/** Longer than a runner waits for an event. */
+/** Longer than the event timeout of a runner. */
 const STALL_MS = 4000
 
 const FAILED_STATUS = 500
@@ -56,7 +56,7 @@
 const LINE_BREAK_EVERY = 3
 const EMPTY_EVERY = 7
 
-/** @returns data of an event: some hold a line break, some are empty */
+/** @returns the data of an event; some events contain a line break, and some are empty */
 export function dataOf (itemId: string, eventId: number): string {
   if (eventId % EMPTY_EVERY === 0) return ''
   return eventId % LINE_BREAK_EVERY === 0 ? `${itemId}.${eventId}\nnext line` : `${itemId}.${eventId}`
@@ -73,13 +73,13 @@
 }
 
 /**
- * @param options - clock, pace and script
+ * @param options - clock, event interval and script
  * @returns an engine without runs
  */
 export function createScriptedEngine (options: ScriptedEngineOptions): ScriptedEngine {
   const { clock } = options
   const open = new Map<Handler, () => void>()
-  /** Items whose failure comes once more on a kept connection. */
+  /** Items whose failure is sent once more on a reused connection. */
   const failsAgain = new Set<string>()
   let bornAtMs = 1
 
@@ -88,7 +88,7 @@
   const answer = (handler: Handler, itemId: string, status: number, body: string): void => {
     handler.onHeaders(status, ['x-id', itemId, 'content-type', EVENT_STREAM_TYPE, 'content-length', String(body.length)].map(text => Buffer.from(text)))
     if (body !== '') handler.onData(Buffer.from(body))
-    // A listener that has given the answer up has closed the connection.
+    // A reader that has rejected the response has closed the connection.
     if (!open.has(handler)) return
     end(handler)
     handler.onComplete()
@@ -107,7 +107,7 @@
         handler.onComplete()
         return
       }
-      // Nothing tells a stream without its last event from a whole one.
+      // A stream without its last event cannot be told from a complete one.
       const isHarmless = fault.fault === 'skip' && eventId === options.eventCount(itemId)
       const activeFault = eventId === atEvent && !isHarmless ? fault.fault : 'none'
       if (activeFault === 'silent' && !hasStalled) {
@@ -145,7 +145,7 @@
     else stream(handler, itemId, from, fault)
   }
 
-  /** What has come for a reader that has given the run up meanwhile is not read. */
+  /** Wraps a reader so that it receives nothing after it has aborted the run. */
   const readerOf = (reader: Handler): Handler => {
     let isAborted = false
     const unlessAborted = (action: () => void): void => options.toReader(() => { if (!isAborted) action() })
--- a/packages/anvilarch-serving/src/runner/__tests__/batchRunner.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/batchRunner.test.ts
@@ -2,7 +2,7 @@
 
 const SLOTS = 4
 
-/** Time in which items give way to requests of which no gateway has told: the longest pause between two looks, and the report. */
+/** Time in which items are preempted for requests that no gateway has reported: the longest interval between two polls, and the report. */
 const UNREPORTED_PREEMPTION_MS = 130
 
 let harness: RunnerHarness
@@ -15,7 +15,7 @@
 afterEach(() => { harness.runner.halt() })
 
 describe('startBatchRunner', () => {
-  it('takes all slots but the one that is reserved', async () => {
+  it('uses all slots except the reserved one', async () => {
     await startRunner(10)
     expect(harness.runningItems()).toHaveLength(SLOTS - 1)
   })
@@ -26,8 +26,8 @@
     expect(harness.runs).toHaveLength(SLOTS - 1)
   })
 
-  // Guards against this: first events of online requests come late while a job runs.
-  it.each([1, 2, 3])('gives way at once when a gateway tells that the requests exceed the free slots by %i', async excess => {
+  // Guards against late first events of online requests while a job runs.
+  it.each([1, 2, 3])('preempts items immediately when a gateway reports requests that exceed the free slots by %i', async excess => {
     await startRunner(10)
     harness.reportUsage(excess)
     expect(harness.runs.filter(run => run.abortedAtMs === harness.clock.nowMs())).toHaveLength(excess)
@@ -36,8 +36,8 @@
     expect(harness.runs.filter(run => run.abortedAtMs !== undefined)).toHaveLength(excess)
   })
 
-  // Guards against this: requests wait behind items for as long as those run.
-  it.each([1, 2, 3])('gives way to %i waiting requests of which nobody has told', async waiting => {
+  // Guards against requests that wait behind items for as long as those run.
+  it.each([1, 2, 3])('preempts items for %i waiting requests that no gateway has reported', async waiting => {
     await startRunner(10)
     harness.online.running = 1
     harness.online.waiting = waiting
@@ -45,7 +45,7 @@
     expect(harness.runs.filter(run => run.abortedAtMs !== undefined).length).toBeGreaterThanOrEqual(waiting)
   })
 
-  it('goes on with the items it has broken off once the requests are gone', async () => {
+  it('resumes the preempted items once the requests have ended', async () => {
     await startRunner(3)
     harness.online.running = SLOTS
     harness.reportUsage(SLOTS)
@@ -58,15 +58,15 @@
     expect(new Set(harness.runs.map(run => run.itemId)).size).toBe(3)
   })
 
-  it('breaks nothing off for requests that find a free slot', async () => {
+  it('preempts no item for requests that find a free slot', async () => {
     await startRunner(2)
     harness.online.running = 1
     await harness.clock.advanceAsync(200)
     expect(harness.runs.every(run => run.abortedAtMs === undefined)).toBe(true)
   })
 
-  // Guards against this: after each burst a hundred items are claimed anew; with the store away meanwhile, none goes on.
-  it('keeps paused items that can wait for as long as a burst usually lasts', async () => {
+  // Guards against a hundred items being claimed again after each burst, of which none could resume during an outage of the store.
+  it('keeps paused items without a tight deadline for as long as a burst usually lasts', async () => {
     await startRunner(3)
     harness.online.running = SLOTS
     harness.reportUsage(SLOTS)
@@ -78,7 +78,7 @@
     expect(harness.runningItems()).toHaveLength(3)
   })
 
-  it('lets go of items that wait longer', async () => {
+  it('releases items that are paused for longer', async () => {
     await startRunner(3)
     harness.online.running = SLOTS
     harness.reportUsage(SLOTS)
@@ -86,7 +86,7 @@
     expect([...harness.released].sort()).toEqual([0, 1, 2])
   })
 
-  it('lets go of items that cannot wait within a second', async () => {
+  it('releases items with a tight deadline within a second', async () => {
     harness = createRunnerHarness(SLOTS, 3, 500)
     await harness.clock.advanceAsync(1000)
     harness.online.running = SLOTS
--- a/packages/anvilarch-serving/src/runner/__tests__/engineView.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/engineView.test.ts
@@ -17,8 +17,8 @@
 })
 
 describe('createEngineView', () => {
-  // Guards against this: items are sent to an engine on the word of an entry that its former start wrote.
-  it('knows no engine between a restart and the entry of the new start', () => {
+  // Guards against items being sent to a restarted engine because of the entry of its former start.
+  it('has no engine between a restart and the listing of the new start', () => {
     expect(view.update({ running: 0, waiting: 0, bornAtMs: 1000 })).toBe(listed)
     expect(view.update({ running: 0, waiting: 0, bornAtMs: 2000 })).toBeUndefined()
     expect(view.current()).toBeUndefined()
@@ -27,7 +27,7 @@
     expect(restarts).toBe(1)
   })
 
-  it('goes by the list where engines do not say when they were started', () => {
+  it('uses the list where engines do not report when they were started', () => {
     listed = endpoint(undefined)
     expect(view.update({ running: 0, waiting: 0, bornAtMs: undefined })).toBe(listed)
     listed = { ...endpoint(undefined), id: 'e2', startId: 'e2' }
@@ -35,7 +35,7 @@
     expect(restarts).toBe(1)
   })
 
-  it('sees no restart in an engine that does not answer for a while', () => {
+  it('detects no restart when an engine does not respond for a while', () => {
     view.update({ running: 0, waiting: 0, bornAtMs: 1000 })
     view.update(undefined)
     listed = undefined
--- a/packages/anvilarch-serving/src/runner/__tests__/failedStarts.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/failedStarts.test.ts
@@ -5,8 +5,8 @@
 
 afterEach(() => fleet.close())
 
-describe('an item whose runs bring nothing', () => {
-  // Guards against this: an item waits for ever at an engine that cannot do it, beside engines that can.
+describe('an item whose runs produce no event', () => {
+  // Guards against an item that stays forever at an engine that cannot run it, while other engines could.
   it.each<RunFault>([
     { fault: 'of_another' },
     { fault: 'no_stream' },
@@ -14,7 +14,7 @@
     { fault: 'without_id', atEvent: 0 },
     { fault: 'status', status: 404 },
     { fault: 'status', status: 503 }
-  ])('goes to another engine: %j', async fault => {
+  ])('moves to another engine: %j', async fault => {
     fleet = createRunnerFleet(2, { eventCounts: [20, 20, 20], calls: [], runs: [] })
     const [broken, sound] = fleet.agents
     broken.setFault(fault)
--- a/packages/anvilarch-serving/src/runner/__tests__/itemChoice.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/itemChoice.test.ts
@@ -48,50 +48,50 @@
 }
 
 describe('chooseItems', () => {
-  it('takes what is due first', () => {
+  it('chooses the items that are due first', () => {
     const chosen = chooseItems(input({ jobs: [job('later', 30_000), job('first', 20_000)] }), 3)
     expect(chosen.map(candidate => candidate.job.jobId)).toEqual(['first', 'first', 'later'])
   })
 
-  it('takes items of the more urgent accounts first, unless others are due more than a second sooner for each step', () => {
+  it('chooses items of the more urgent accounts first, unless others are due more than a second sooner for each priority step', () => {
     const jobs = [job('less', 20_000), job('more', 20_900), job('soon', 18_000)]
     const priorityRank = ({ jobId }: JobRecord): number => jobId === 'more' ? 0 : 1
     expect(chooseItems(input({ jobs }, { priorityRank }), 6).map(candidate => candidate.job.jobId)).toEqual(['soon', 'soon', 'more', 'more', 'less', 'less'])
   })
 
-  // Guards against this: nearly all items of a busy hour end just after they were due.
-  it('leaves what is late behind what can still be in time', () => {
+  // Guards against nearly all items of a busy hour ending just after they were due.
+  it('chooses late items after those that can still end in time', () => {
     const chosen = chooseItems(input({ jobs: [job('late', 14_000), job('possible', 16_000)] }), 2)
     expect(chosen.map(candidate => candidate.job.jobId)).toEqual(['possible', 'possible'])
   })
 
-  // Guards against this: items that a slow engine has taken end long after they are due, while others have room.
-  it('leaves to others what only they can do in time', () => {
+  // Guards against items at a slow engine that end long after they are due, while other engines have free slots.
+  it('leaves items to other runners if only those can complete them in time', () => {
     const jobs = [job('a', NOW_MS + 8000, 1)]
     expect(chooseItems(input({ jobs }, { remainingMs: () => 20_000 }), 1)).toHaveLength(0)
     expect(chooseItems(input({ jobs }, { remainingMs: () => 20_000, remainingElsewhereMs: () => 20_000 }), 1)).toHaveLength(1)
   })
 
-  it('leaves ended jobs and listed items alone', () => {
+  it('skips ended jobs and listed items', () => {
     const partly = { ...job('a', 20_000), listed: [{ item: 0, outcome: 'completed' as const }] }
     const chosen = chooseItems(input({ jobs: [partly, { ...job('b', 20_000), ended: true }] }), 9)
     expect(chosen.map(candidate => [candidate.job.jobId, candidate.item])).toEqual([['a', 1]])
   })
 
   it.each([
-    ['a living holder keeps its item', claim(), member(), true, false],
-    ['one that was let go is free', claim({ held: false }), member(), true, true],
-    ['one of an earlier life of its holder is free', claim({ incarnation: 'before' }), member(), true, true],
-    ['one whose holder has stopped its heartbeat is free', claim(), member({ aliveUntilMs: NOW_MS - 1 }), true, true],
-    ['one of an unknown holder is free', claim(), undefined, true, true],
-    ['a stopped heartbeat says nothing just after an outage of the store', claim(), member({ aliveUntilMs: NOW_MS - 1 }), false, false]
+    ['a live holder keeps its claim', claim(), member(), true, false],
+    ['a released claim is free', claim({ held: false }), member(), true, true],
+    ['a claim of an earlier incarnation of its holder is free', claim({ incarnation: 'before' }), member(), true, true],
+    ['a claim whose holder has stopped its heartbeat is free', claim(), member({ aliveUntilMs: NOW_MS - 1 }), true, true],
+    ['a claim of an unknown holder is free', claim(), undefined, true, true],
+    ['a stopped heartbeat does not free a claim just after an outage of the store', claim(), member({ aliveUntilMs: NOW_MS - 1 }), false, false]
   ])('%s', (_name, claimed, holder, heartbeatsTrusted, free) => {
     const world = { jobs: [job('a', 20_000, 1)], claims: [claimed], members: holder === undefined ? [] : [holder] }
     expect(chooseItems(input(world, { heartbeatsTrusted }), 1)).toHaveLength(free ? 1 : 0)
   })
 })
 
-describe('runners that look for items at the same time', () => {
+describe('runners that choose items at the same time', () => {
   const RUNNERS = Array.from({ length: 20 }, (_, index) => `runner${index}`)
   const jobs = Array.from({ length: 10 }, (_, index) => job(`j${index}`, 20_000 + index, 10))
 
@@ -99,14 +99,14 @@
     return chooseItems(input({ jobs }, { runner, runners }), 5).map(candidate => `${candidate.job.jobId}/${candidate.item}`)
   }
 
-  // Guards against this: after a burst items wait for seconds although half of the slots are free.
-  it('seldom choose the same ones', () => {
-    // 20 runners with 5 free slots each, 100 items: 10 different items were chosen when each took the most urgent ones.
+  // Guards against items that wait for seconds after a burst although half of the slots are free.
+  it('seldom choose the same items', () => {
+    // 20 runners with 5 free slots each and 100 items: if each chose the most urgent ones, 10 different items would be chosen.
     expect(new Set(RUNNERS.flatMap(runner => chosenBy(runner, RUNNERS))).size).toBeGreaterThan(75)
   })
 
-  // Guards against this: at a fleet of 65 runners each choice costs milliseconds, 25 times a second at each of them.
-  it('hash each runner and each job once in a choice', () => {
+  // Guards against choices that take milliseconds in a fleet of 65 runners, where each runner chooses 25 times a second.
+  it('hash each runner and each job once per choice', () => {
     const hash = jest.spyOn(hashes, 'v3')
     const runners = Array.from({ length: 65 }, (_, index) => `side-${index}`)
     expect(chosenBy('side-3', runners)).toHaveLength(5)
@@ -114,16 +114,16 @@
     hash.mockRestore()
   })
 
-  it('choose among the most urgent ones only', () => {
+  it('choose only among the most urgent items', () => {
     const chosen = chooseItems(input({ jobs }, { runner: 'runner1', runners: RUNNERS.slice(0, 4) }), 5)
-    // Four runners with five slots each take the twenty most urgent items, of the first two jobs.
+    // Four runners with five slots each choose among the twenty most urgent items, which belong to the first two jobs.
     expect(chosen.every(candidate => ['j0', 'j1'].includes(candidate.job.jobId))).toBe(true)
   })
 })
 
-describe('a claim of a holder that is not in the last listing of daemons', () => {
-  // Guards against this: items run twice when an agent has just started.
-  it('is left alone when it is newer than the listing', () => {
+describe('a claim of a holder that is missing from the last listing of daemons', () => {
+  // Guards against items that run twice when an agent has just started.
+  it('is not taken over when it is newer than the listing', () => {
     const world = { jobs: [job('a', 20_000, 1)], claims: [claim()], members: [] }
     const listed = input(world)
     expect(chooseItems({ ...listed, work: { ...listed.work, membersListedAtVersion: () => 0 } }, 1)).toHaveLength(0)
@@ -131,8 +131,8 @@
   })
 })
 
-describe('urgency', () => {
-  it('orders by due time, what is late last', () => {
+describe('itemSortKey', () => {
+  it('sorts items by due time, and late ones last', () => {
     const keys = [itemSortKey(8000, 5000), itemSortKey(9000, 5000), itemSortKey(-2000, 5000), itemSortKey(3000, 5000)]
     expect([...keys].sort((a, b) => a - b)).toEqual(keys)
   })
--- a/packages/anvilarch-serving/src/runner/__tests__/itemHistories.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/itemHistories.test.ts
@@ -1,8 +1,9 @@
 /**
- * Symptoms looked for: a completed text that lacks an event, has one twice or joins runs that do not fit, an item listed twice or
- * never, a position that is written anew, an item that runs on after its job. Sequences: runners claim, run, pause, save, release and take over items while engines answer wrongly, fall silent and
- * restart, writes are refused, lost or late, copies of the work are out of date and listed anew, and agents are replaced, stopped,
- * stand still and go on, or are taken for dead though they go on. In some histories a client ends the job.
+ * Guards against completed texts that lack an event, contain one twice or join runs that do not fit, items listed twice or never,
+ * positions that are rewritten, and items that keep running after their job has ended. In random histories, runners claim, run,
+ * pause, save, release and take over items while engines send wrong responses, stop responding and restart; writes are refused,
+ * lost or late; local copies of the work are outdated and listed again; and agents are replaced, stopped, paused and resumed, or
+ * considered dead while they run. In some histories a client ends the job.
  */
 import fc from 'fast-check'
 import { resultKey } from '../../jobs/jobRows'
@@ -13,7 +14,7 @@
 type Step =
   | { type: 'wait', ms: number }
   | { type: 'store', callOutcome: CallOutcome, ms: number }
-  | { type: 'burst' | 'drain' | 'lapse' | 'freeze' | 'lose_history', agent: number, ms: number }
+  | { type: 'burst' | 'drain' | 'heartbeat_loss' | 'pause' | 'lose_history', agent: number, ms: number }
   | { type: 'replace' | 'stop' | 'restart', agent: number }
 
 const AGENTS = 3
@@ -34,8 +35,8 @@
 const step: fc.Arbitrary<Step> = fc.oneof(
   { weight: 5, arbitrary: fc.record({ type: fc.constant('wait' as const), ms: fc.integer({ min: 10, max: 800 }) }) },
   { weight: 2, arbitrary: fc.record({ type: fc.constant('store' as const), callOutcome, ms }) },
-  { weight: 4, arbitrary: fc.record({ type: fc.constantFrom('burst' as const, 'drain' as const, 'lapse' as const), agent, ms }) },
-  { weight: 3, arbitrary: fc.record({ type: fc.constantFrom('freeze' as const, 'lose_history' as const), agent, ms: fc.integer({ min: 10, max: 9000 }) }) },
+  { weight: 4, arbitrary: fc.record({ type: fc.constantFrom('burst' as const, 'drain' as const, 'heartbeat_loss' as const), agent, ms }) },
+  { weight: 3, arbitrary: fc.record({ type: fc.constantFrom('pause' as const, 'lose_history' as const), agent, ms: fc.integer({ min: 10, max: 9000 }) }) },
   { weight: 3, arbitrary: fc.record({ type: fc.constantFrom('replace' as const, 'stop' as const, 'restart' as const), agent }) }
 )
 
@@ -58,7 +59,7 @@
   calls: fc.array(callOutcome, { maxLength: 60 }),
   runs: fc.array(fault, { minLength: 5, maxLength: 40 }),
   steps: fc.array(step, { minLength: 5, maxLength: MAX_STEPS }),
-  /** A client ends the job after so many steps. */
+  /** Number of steps after which a client ends the job. */
   endsAfter: fc.oneof({ weight: 4, arbitrary: fc.constant(undefined) }, { weight: 1, arbitrary: fc.nat({ max: MAX_STEPS }) })
 })
 
@@ -85,8 +86,8 @@
   const actions: Record<typeof step.type, () => void> = {
     burst: () => temporarily(() => target.setOnline(SLOTS), () => target.setOnline(0)),
     drain: () => temporarily(() => target.setReady(false), () => target.setReady(true)),
-    lapse: () => temporarily(() => target.setAlive(false), () => target.setAlive(true)),
-    freeze: () => 'ms' in step && target.freeze(step.ms),
+    heartbeat_loss: () => temporarily(() => target.setAlive(false), () => target.setAlive(true)),
+    pause: () => 'ms' in step && target.pauseProcess(step.ms),
     lose_history: () => 'ms' in step && target.loseHistory(step.ms),
     replace: target.replace,
     stop: () => { target.stop().catch(() => {}) },
@@ -104,11 +105,11 @@
     target.setReady(true)
   }
   for (let count = 0; count < RECOVERY_STEPS && !fleet.job().ended && fleet.job().listed.length < itemCount; count++) await fleet.clock.advanceAsync(RECOVERY_STEP_MS)
-  // Writes that come late may still change something.
+  // Late writes may still change something.
   await fleet.clock.advanceAsync(RECOVERY_STEP_MS)
 }
 
-/** What has been listed once stays as it is. */
+/** Checks that listed items keep their position and result. */
 function createPositionCheck (fleet: RunnerFleet): { check: () => void } {
   const seen: Array<{ item: number, version: number | undefined }> = []
   const versionOf = (item: number): number | undefined => fleet.store.row(resultKey(fleet.job().jobId, item))?.version
@@ -127,8 +128,8 @@
 }
 
 describe('batch runners', () => {
-  // Guards against this: a result is listed as completed and its text is not the data of all events, once and in order.
-  it('list each item once, with its whole text', async () => {
+  // Guards against a completed result whose text is not the data of all events, each once and in order.
+  it('list each item once, with its complete text', async () => {
     await fc.assert(fc.asyncProperty(history, async ({ eventCounts, calls, runs, steps, endsAfter }) => {
       const fleet = createRunnerFleet(AGENTS, { eventCounts, calls: [...calls], runs: [...runs] })
       try {
--- a/packages/anvilarch-serving/src/runner/__tests__/itemRun.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/itemRun.test.ts
@@ -4,14 +4,14 @@
 import type { RequestWire } from '../../requests/types'
 import { type ItemText, type RunEnd, runItem } from '../itemRun'
 
-/** What an engine answers; a stream of events where no type is given. */
+/** Response of an engine; an event stream unless a type is given. */
 interface Answer {
   status: number
   body: string
   type?: string
 }
 
-/** Runs an item on from a text at an engine that gives one whole answer. */
+/** Continues an item from a text at an engine that sends one complete response. */
 async function endOfRun (answer: Answer, text: ItemText): Promise<RunEnd | undefined> {
   const ends: RunEnd[] = []
   const dispatch = (_options: unknown, handler: Record<'onConnect' | 'onHeaders' | 'onData' | 'onComplete', (...args: unknown[]) => void>): boolean => {
@@ -56,41 +56,41 @@
     expect(await endOfRun(answer, startOfText())).toEqual({ end: 'completed', text: 'a\nb\nc' })
   })
 
-  it('completes an item that is asked to go on after its last event', async () => {
+  it('completes an item that is resumed after its last event', async () => {
     expect(await endOfRun({ status: 200, body: '' }, textUpToSecondEvent())).toEqual({ end: 'completed', text: 'a\nb' })
   })
 
-  it('takes comments between events for no part of the text', async () => {
+  it('does not add comments between events to the text', async () => {
     const answer = { status: 200, body: ': alive\n\nid: 3\ndata: c\n\n: alive\n\n' }
     expect(await endOfRun(answer, textUpToSecondEvent())).toEqual({ end: 'completed', text: 'a\nb\nc' })
   })
 
-  // Guards against this: an item without any output is listed as completed.
-  it('goes on later when the first run ends before its first event', async () => {
+  // Guards against an item without any output that is listed as completed.
+  it('is interrupted when the first run ends before its first event', async () => {
     expect(await endOfRun({ status: 200, body: '' }, startOfText())).toMatchObject({ end: 'interrupted' })
   })
 
-  // Guards against this: an item is listed as completed and lacks the data that came without an id.
+  // Guards against an item that is listed as completed without the data of events that had no id.
   it.each([
     ['a middle event has no id', 'id: 3\ndata: c\n\ndata: d\n\nid: 4\ndata: e\n\n'],
     ['the last event has no id', 'id: 3\ndata: c\n\ndata: d\n\n'],
     ['no event has an id', 'data: c\n\n'],
-    ['the id of an event is no number', 'id: x\ndata: c\n\n'],
-    ['the body holds something else', '{"error":"busy"}\n\n']
-  ])('goes on later when %s', async (_name, body) => {
+    ['the id of an event is not a number', 'id: x\ndata: c\n\n'],
+    ['the body contains something else', '{"error":"busy"}\n\n']
+  ])('is interrupted when %s', async (_name, body) => {
     expect(await endOfRun({ status: 200, body }, textUpToSecondEvent())).toMatchObject({ end: 'interrupted' })
   })
 
-  // Guards against this: a part of a text is listed as completed since the engine answered something else.
-  it.each(['', '{"error":"busy"}\n\n', 'id: 3\ndata: c\n\n'])('goes on later when the body %j is not declared as a stream of events', async body => {
+  // Guards against a partial text that is listed as completed because the engine sent another kind of response.
+  it.each(['', '{"error":"busy"}\n\n', 'id: 3\ndata: c\n\n'])('is interrupted when the body %j is not declared as a stream of events', async body => {
     expect(await endOfRun({ status: 200, body, type: 'application/json' }, textUpToSecondEvent())).toMatchObject({ end: 'interrupted', reason: 'status 200' })
   })
 
-  it.each([201, 202, 203, 204, 205, 206, 404, 408, 421, 429, 503, 504])('goes on later after status %i', async status => {
+  it.each([201, 202, 203, 204, 205, 206, 404, 408, 421, 429, 503, 504])('is interrupted by status %i', async status => {
     expect(await endOfRun({ status, body: '' }, textUpToSecondEvent())).toMatchObject({ end: 'interrupted' })
   })
 
-  it.each([[500, 'failed'], [422, 'impossible']])('ends the run of an item at status %i also when it was to go on', async (status, end) => {
+  it.each([[500, 'failed'], [422, 'impossible']])('ends the run of a resumed item at status %i as %s', async (status, end) => {
     expect(await endOfRun({ status, body: '' }, textUpToSecondEvent())).toEqual({ end })
   })
 })
--- a/packages/anvilarch-serving/src/runner/__tests__/onlineUsage.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/onlineUsage.test.ts
@@ -12,7 +12,7 @@
 })
 
 describe('createOnlineUsage', () => {
-  it('adds what gateways have told since the last look, each by its own count', () => {
+  it('adds the reports of gateways since the last poll, each with its own count', () => {
     usage.onUsageReport('g1', 'e@1', 1)
     usage.onUsageReport('g2', 'e@1', 2)
     usage.onUsageReport('g1', 'e@1', 2)
@@ -21,7 +21,7 @@
     expect(usage.online()).toBe(2)
   })
 
-  it('goes by the look: it also shows requests of which no notice has come', () => {
+  it('uses the count of a poll, which includes requests without a usage report', () => {
     usage.onUsageReport('g1', 'e@1', 1)
     usage.onPoll('e@1', 3)
     expect(usage.online()).toBe(3)
@@ -29,15 +29,15 @@
     expect(usage.online()).toBe(2)
   })
 
-  // Guards against this: batch items give way at an engine that nobody uses.
-  it('forgets a gateway that tells nothing any more', () => {
+  // Guards against batch items being preempted at an engine without online requests.
+  it('removes a gateway that sends no more reports', () => {
     usage.onUsageReport('g1', 'e@1', 5)
     usage.onPoll('e@1', 5)
     clock.advance(3 * USE_REPEAT_MS + 1)
     expect(usage.online()).toBe(0)
   })
 
-  it('starts anew with another start of the engine, and takes no notice about the former one', () => {
+  it('resets with another start of the engine, and ignores reports about the former one', () => {
     usage.onUsageReport('g1', 'e@1', 5)
     usage.onPoll('e@2', 0)
     usage.onUsageReport('g1', 'e@1', 6)
--- a/packages/anvilarch-serving/src/runner/__tests__/pollSchedule.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/pollSchedule.test.ts
@@ -38,14 +38,14 @@
 })
 
 describe('createPollSchedule', () => {
-  it('looks from time to time when nothing is told', async () => {
+  it('polls periodically without requests', async () => {
     await advance(410)
     expect(pollsAtMs).toEqual([0, 200, 400])
   })
 
-  it('looks soon after a request, but never more often than the shortest pause allows', async () => {
+  it('polls soon after a request, but never more often than the shortest pause allows', async () => {
     await advance(100)
-    // Time goes on in steps of 5 ms here.
+    // Time advances in steps of 5 ms here.
     for (let index = 0; index < 20; index++) {
       schedule.request()
       await advance(5)
--- a/packages/anvilarch-serving/src/runner/__tests__/runTimeEstimator.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/runTimeEstimator.test.ts
@@ -1,7 +1,7 @@
 import { createRunTimeEstimator } from '../runTimeEstimator'
 
 describe('createRunTimeEstimator', () => {
-  it('tells the time left from events and tokens of items that have ended', () => {
+  it('estimates the remaining time from the events and tokens of completed items', () => {
     const estimator = createRunTimeEstimator()
     expect(estimator.remainingMs(2000, 0)).toBe(0)
     estimator.onRun(200, 4000)
@@ -13,7 +13,7 @@
     expect(estimator.eventIntervalMs()).toBe(20)
   })
 
-  it('learns nothing from runs of a few events', () => {
+  it('ignores runs with few events', () => {
     const estimator = createRunTimeEstimator()
     estimator.onRun(2, 1000)
     estimator.onItemCompleted(100, 10)
--- a/packages/anvilarch-serving/src/runner/__tests__/startBackoff.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/startBackoff.test.ts
@@ -8,7 +8,7 @@
 })
 
 describe('createStartBackoff', () => {
-  it('lets something start only after the pause', () => {
+  it('allows a start only after the backoff', () => {
     const clock = createFakeClock()
     const backoff = createStartBackoff(clock)
     expect(backoff.mayStart()).toBe(true)
@@ -25,7 +25,7 @@
     expect(backoff.mayStart()).toBe(false)
   })
 
-  it('counts what fails together once', () => {
+  it('counts starts that fail together once', () => {
     const clock = createFakeClock()
     const backoff = createStartBackoff(clock)
     for (let run = 0; run < 7; run++) backoff.onFailedStart()
@@ -33,7 +33,7 @@
     expect(backoff.mayStart()).toBe(true)
   })
 
-  it('forgets refusals after an event', () => {
+  it('resets after an event', () => {
     const backoff = createStartBackoff(createFakeClock())
     backoff.onFailedStart()
     backoff.onEvent()
--- a/packages/anvilarch-serving/src/runner/__tests__/takeOver.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/takeOver.test.ts
@@ -5,7 +5,7 @@
 
 let fleet: RunnerFleet
 
-/** Loses the runner after its item has been saved, with this as what was saved. */
+/** Replaces the runner after its item has been saved, with `saved` as the saved progress. */
 async function takeOverWith (saved: string): Promise<void> {
   fleet = createRunnerFleet(1, { eventCounts: [EVENT_COUNT], calls: [], runs: [] })
   await fleet.clock.advanceAsync(2200)
@@ -19,21 +19,21 @@
 afterEach(() => fleet.close())
 
 describe('an item that is taken over', () => {
-  // Guards against this: the item never ends, and the runner keeps a slot free for it for ever.
+  // Guards against an item that never ends while the runner keeps a slot free for it.
   it.each([
-    ['is cut', '{"lastEventId":10,"te'],
-    ['is no record', 'null'],
+    ['is truncated', '{"lastEventId":10,"te'],
+    ['is not a record', 'null'],
     ['has no text', '{"lastEventId":10}'],
     ['has no event', '{"lastEventId":0,"text":""}'],
-    ['has no whole number as event', '{"lastEventId":"10","text":"a"}']
-  ])('is run from the start when what was saved %s', async (_name, saved) => {
+    ['has no integer as its event', '{"lastEventId":"10","text":"a"}']
+  ])('is run from the start when the saved progress %s', async (_name, saved) => {
     await takeOverWith(saved)
     expect(await fleet.results()).toEqual([{ itemId: 'item0', outcome: 'completed', output: fleet.expectedText('item0') }])
   })
 })
 
 describe('an item that is claimed', () => {
-  // Guards against this: an answer with other bytes than the items of the job keeps the item from ever running.
+  // Guards against an item that never runs because a response once contained other bytes than the items of the job.
   it.each(['', '[{"id":"item0"', 'null'])('is run once the items of its job can be read, after %j', async bytes => {
     fleet = createRunnerFleet(1, { eventCounts: [EVENT_COUNT], calls: [], runs: [] })
     const whole = fleet.store.object(submissionObject('job'))
