--- a/packages/anvilarch-serving/src/runner/__fixtures__/memoryStore.ts
+++ b/packages/anvilarch-serving/src/runner/__fixtures__/memoryStore.ts
@@ -32,7 +32,7 @@
   loseHistory: (durationMs: number) => void
 }
 
-const ANSWER_MS = 20
+const RESPONSE_DELAY_MS = 20
 
 /** Timeout of a call without a response. */
 const TIMEOUT_MS = 1000
@@ -75,10 +75,10 @@
 
   const commit = async (transaction: Transaction): Promise<TransactionOutcome> => {
     const callOutcome = nextOutcome()
-    await after(ANSWER_MS)
+    await after(RESPONSE_DELAY_MS)
     if (callOutcome === 'done') {
       const outcome = apply(transaction)
-      await after(ANSWER_MS)
+      await after(RESPONSE_DELAY_MS)
       return outcome
     }
     if (callOutcome === 'refused') return { outcome: 'refused', reason: 'busy' }
@@ -96,7 +96,7 @@
     commit,
     readRows: async ({ table, partition, from = '', to = '\uffff' }) => {
       const callOutcome = nextOutcome()
-      await after(ANSWER_MS)
+      await after(RESPONSE_DELAY_MS)
       if (callOutcome !== 'done') return Err({ reason: 'busy' })
       const found = [...rows.values()].filter(row => row.table === table && row.partition === partition && row.key >= from && row.key < to)
       return Ok({ rows: found, version })
@@ -104,7 +104,7 @@
     readFeed: async () => Err({ reason: 'not served here' }),
     writeObject: async (name, bytes) => {
       const callOutcome = nextOutcome()
-      await after(ANSWER_MS)
+      await after(RESPONSE_DELAY_MS)
       if (callOutcome === 'refused') return 'refused'
       if (callOutcome === 'lost' || callOutcome === 'late') return 'unknown'
       const exists = objects.has(name)
@@ -112,7 +112,7 @@
       return callOutcome === 'unanswered' ? 'unknown' : exists ? 'exists' : 'stored'
     },
     readObject: async name => {
-      await after(ANSWER_MS)
+      await after(RESPONSE_DELAY_MS)
       return Ok(objects.get(name))
     },
     removeObject: async name => objects.delete(name),
@@ -140,7 +140,7 @@
     /** The rows are read some time after the version from which the changes are sent again. */
     const relist = (): void => {
       const sinceVersion = version
-      clock.after(ANSWER_MS, () => {
+      clock.after(RESPONSE_DELAY_MS, () => {
         isHistoryLost = false
         for (const [table, listener] of listeners) {
           const listed = rowsOf(table)
--- a/packages/anvilarch-serving/src/runner/itemLifecycle.ts
+++ b/packages/anvilarch-serving/src/runner/itemLifecycle.ts
@@ -49,7 +49,7 @@
 
 /**
  * When the store has not responded for this long, no item starts or resumes: 6 s after the last heartbeat, other runners may
- * take over the item. Until then claimed items keep running, so that an outage of some seconds costs no work.
+ * take over the item. Until then claimed items keep running, so that an outage of a few seconds loses no work.
  */
 const MAX_WORK_AGE_MS = 4500
 
--- a/packages/anvilarch-serving/src/runner/slotPlan.ts
+++ b/packages/anvilarch-serving/src/runner/slotPlan.ts
@@ -78,7 +78,7 @@
 /**
  * Decides between two polls of the engine, when a gateway has just sent a request to it, how many items to preempt.
  *
- * @param slots - of the engine
+ * @param slots - slots of the engine
  * @param online - requests that cannot be preempted
  * @param ownItems - running batch items
  * @returns how many items to preempt
