--- a/packages/anvilarch-serving/src/roles/gatewayRole.ts
+++ b/packages/anvilarch-serving/src/roles/gatewayRole.ts
@@ -1,32 +1,32 @@
 /** The gateway: takes requests and job calls from clients. */
 import { createServer, type Server } from 'node:http'
-import { isStillAllowed } from '../accounts/identifyCaller'
-import { createCrashWatch } from '../crashes/crashWatch'
+import { isStillAuthorized } from '../accounts/identifyCaller'
+import { createCrashMonitor } from '../crashes/crashMonitor'
 import { shareSuspects, SUSPECT_TABLE } from '../crashes/shareSuspects'
 import { createSuspectTable } from '../crashes/suspectTable'
 import { createConnectionPools } from '../endpoints/connectionPools'
-import { createLoadAsker } from '../endpoints/loadAsker'
+import { createLoadProber } from '../endpoints/loadProber'
 import { createLoadTable } from '../endpoints/loadTable'
 import type { LoadReport } from '../endpoints/peerMessages'
 import { openPeerSocket } from '../endpoints/peerSocket'
 import { createPlacement } from '../endpoints/placement'
-import { createUseNotices } from '../endpoints/useNotices'
+import { createUsageReporter } from '../endpoints/usageReporter'
 import { createJobCache } from '../jobs/jobCache'
 import { createJobCalls } from '../jobs/jobCalls'
 import { createResultReader } from '../jobs/resultReader'
 import type { WorkTable } from '../jobs/workTable'
-import type { ClosingNotice } from '../requests/clientAnswer'
+import type { DrainState } from '../requests/clientResponse'
 import type { ForwardParts } from '../requests/forwardTypes'
 import { createHoldTimes } from '../requests/holdTimes'
-import { createLineBudget } from '../telemetry/lineBudget'
-import { logEachSecond } from '../telemetry/secondLines'
-import { createTrafficTally } from '../telemetry/trafficTally'
+import { createLogRateLimiter } from '../telemetry/logRateLimiter'
+import { startPeriodicLog } from '../telemetry/periodicLog'
+import { createTrafficCounters } from '../telemetry/trafficCounters'
 import { startHeartbeat } from '../peers/heartbeat'
 import { handleClient } from './clientCalls'
 import { createClientServer } from './clientServer'
 import { drainClients } from './drainClients'
 import { createGatewayAccounts } from './gatewayAccounts'
-import { followPlatform, SHARED_PARTITIONS } from './followPlatform'
+import { followPlatform, DEFAULT_PARTITIONS } from './followPlatform'
 import { once } from './once'
 import type { RoleContext, RunningRole } from './types'
 
@@ -51,8 +51,8 @@
   const gateway = settings.gateway
   if (gateway === undefined) throw new Error('the gateway role needs an address for clients and one for readiness')
   let leaving = false
-  const notice: ClosingNotice = { isLeaving: () => leaving }
-  const view = followPlatform(context, { membersIntervalMs: () => MEMBERS_INTERVAL_MS })
+  const notice: DrainState = { isDraining: () => leaving }
+  const view = followPlatform(context, { memberListingIntervalMs: () => MEMBERS_INTERVAL_MS })
   const loads = createLoadTable(clock)
   const limitOf = (service: string): number => {
     const limit = view.configuration.current()?.services.get(service)?.maxConnections
@@ -61,8 +61,8 @@
   const pools = createConnectionPools({ limitOf })
   const suspects = createSuspectTable(clock, context.store.storeNowMs)
   const shared = shareSuspects(context, suspects)
-  const crashes = createCrashWatch(suspects, shared.publish)
-  view.follow({ table: SUSPECT_TABLE, partitions: SHARED_PARTITIONS, listener: shared.listener })
+  const crashes = createCrashMonitor(suspects, shared.publish)
+  view.follow({ table: SUSPECT_TABLE, partitions: DEFAULT_PARTITIONS, listener: shared.listener })
   const onReport = (report: LoadReport): void => {
     // A report about a start that is not listed yet comes again; kept, it would stay for ever if that start never is.
     if (!view.endpoints.hasStart(report.startId)) return
@@ -74,32 +74,32 @@
     log,
     own: { ip: settings.ip, port: settings.peerPort },
     onMessage: (message, from) => {
-      if (message.message === 'load_answer') asker.onAnswer(message, from)
+      if (message.message === 'load_response') asker.onResponse(message, from)
       else accounts.onMessage(message, from)
     }
   })
   const accounts = createGatewayAccounts({ context, view, send: peers.send })
-  const asker = createLoadAsker({ clock, send: peers.send, peerPort: settings.peerPort, onReport })
-  const use = createUseNotices({ clock, send: peers.send, peerPort: settings.peerPort, hasAgent: asker.answers })
+  const asker = createLoadProber({ clock, send: peers.send, peerPort: settings.peerPort, onReport })
+  const use = createUsageReporter({ clock, send: peers.send, peerPort: settings.peerPort, hasAgent: asker.isResponsive })
   const placement = createPlacement({
     endpoints: view.endpoints,
     loads,
-    asker,
+    prober: asker,
     ownFailureDomain: settings.failureDomain,
     gatewayCount: () => gatewayCount(view.work, context.store.storeNowMs()),
-    openConnections: pools.openTo,
-    draw: () => context.random.next()
+    openConnections: pools.openConnections,
+    random: () => context.random.next()
   })
-  view.endpoints.onGone(endpoint => {
-    pools.release(endpoint)
-    loads.forget(endpoint.startId)
-    asker.forget(endpoint)
-    use.forget(endpoint)
+  view.endpoints.onEvicted(endpoint => {
+    pools.drain(endpoint)
+    loads.remove(endpoint.startId)
+    asker.remove(endpoint)
+    use.remove(endpoint)
     // One that drains ends by plan.
     if (endpoint.state === 'ready') crashes.onEndpointLost(endpoint.startId)
   })
   const closing = new AbortController()
-  const traffic = createTrafficTally()
+  const traffic = createTrafficCounters()
   const ageMs = (table: string): number | undefined => {
     const answeredAtMs = view.answeredAtMs(table)
     return answeredAtMs === undefined ? undefined : Math.round(clock.nowMs() - answeredAtMs)
@@ -113,14 +113,14 @@
     use,
     pools,
     wire: wire.request,
-    notice,
+    drainState: notice,
     holdTimes: createHoldTimes(),
     crashes,
     limits: accounts.limits,
-    isStillAllowed: caller => isStillAllowed(view.configuration.current(), caller),
+    isStillAllowed: caller => isStillAuthorized(view.configuration.current(), caller),
     traffic,
-    lines: createLineBudget(clock, GOOD_LINES_PER_SECOND),
-    draw: () => context.random.next()
+    logRateLimiter: createLogRateLimiter(clock, GOOD_LINES_PER_SECOND),
+    random: () => context.random.next()
   }
   const jobs = createJobCalls({
     store: context.store,
@@ -132,17 +132,17 @@
     wire: wire.job,
     notice
   })
-  logEachSecond({
+  startPeriodicLog({
     clock,
     log,
     event: 'traffic',
     read: () => {
-      const counts = traffic.take()
+      const counts = traffic.readAndReset()
       return counts === undefined ? undefined : { ...counts, configurationAgeMs: ageMs(wire.operator.configurationTable), endpointsAgeMs: ageMs(wire.operator.endpointTable) }
     },
     signal: closing.signal
   })
-  const heartbeat = startHeartbeat(context, { role: 'gateway', onWritten: view.work.learn, details: accounts.heartbeatDetails })
+  const heartbeat = startHeartbeat(context, { role: 'gateway', onWritten: view.work.update, details: accounts.heartbeatDetails })
 
   const clients = createClientServer({
     log,
@@ -158,7 +158,7 @@
         endpoints: view.endpoints,
         callers: accounts.callers,
         isConfigurationStale: accounts.isConfigurationStale,
-        mayMissVersions: () => view.mayMissChanges(wire.operator.configurationTable),
+        isConfigurationFeedOverdue: () => view.isFeedOverdue(wire.operator.configurationTable),
         notice
       })
         .catch(error => {
--- a/packages/anvilarch-serving/src/roles/types.ts
+++ b/packages/anvilarch-serving/src/roles/types.ts
@@ -7,7 +7,7 @@
 import type { JobResult, ResultPage } from '../jobs/resultReader'
 import type { EndpointRow, ListedConfiguration } from '../model/types'
 import type { PeerDirectory } from '../peers/peerDirectory'
-import type { RequestWire, SendTerms } from '../requests/types'
+import type { RequestWire, SendOptions } from '../requests/types'
 import type { MetadataStore, RowChange, StoredRow } from '../store/types'
 import type { ServingMetrics } from '../telemetry/metrics'
 import type { EventLog } from '../telemetry/events'
@@ -28,10 +28,10 @@
   retentionMs: number
   /** How closely limits of rate are to be kept. */
   limitBounds: LimitBounds
-  /** Whether a gateway that has not heard of the store for `revokedKeyMs` refuses callers with keys. */
+  /** Whether a gateway that has not heard of the store for `maxRevocationDelayMs` refuses callers with keys. */
   failsClosed: boolean
   /** How long a key may still be good after it was taken away. */
-  revokedKeyMs: number
+  maxRevocationDelayMs: number
   /** Configured for the gateway only. */
   gateway: GatewaySettings | undefined
   /** Configured for the agent only. */
@@ -80,7 +80,7 @@
   reportPath: string
   decodeReport: (body: Buffer) => EngineReport | undefined
   /** @returns the wire headers of an item's run */
-  encodeItem: (item: JobItem, host: string, terms: SendTerms) => string[]
+  encodeItem: (item: JobItem, host: string, terms: SendOptions) => string[]
 }
 
 /** How the store tells of endpoints and the configuration. */
--- a/packages/anvilarch-serving/src/runner/__tests__/onlineUsage.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/onlineUsage.test.ts
@@ -1,5 +1,5 @@
 import { createFakeClock, type FakeClock } from 'anvilarch-utils'
-import { USE_REPEAT_MS } from '../../endpoints/useNotices'
+import { USAGE_REPORT_INTERVAL_MS } from '../../endpoints/usageReporter'
 import { createOnlineUsage, type OnlineUsage } from '../onlineUsage'
 
 let clock: FakeClock
@@ -33,7 +33,7 @@
   it('removes a gateway that sends no more reports', () => {
     usage.onUsageReport('g1', 'e@1', 5)
     usage.onPoll('e@1', 5)
-    clock.advance(3 * USE_REPEAT_MS + 1)
+    clock.advance(3 * USAGE_REPORT_INTERVAL_MS + 1)
     expect(usage.online()).toBe(0)
   })
 
--- a/packages/anvilarch-serving/src/runner/itemLifecycle.ts
+++ b/packages/anvilarch-serving/src/runner/itemLifecycle.ts
@@ -116,7 +116,7 @@
   }
 
   /** Keeps an ended item, and retries, until the store has its outcome or another runner holds the item. */
-  const recordOutcome = async (entry: ClaimedItem, end: FinalEnd): Promise<void> => {
+  const persistOutcome = async (entry: ClaimedItem, end: FinalEnd): Promise<void> => {
     for (;;) {
       const outcome = await writeOutcome(entry, end)
       if (outcome === 'applied' || outcome === 'not_applicable' || outcome === 'no_such_job') {
@@ -158,7 +158,7 @@
     }
     if (end.end === 'completed') parts.runTimeEstimator.onItemCompleted(entry.tokens, entry.text.lastEventId)
     entry.state = 'finishing'
-    runInBackground(log, 'settle item', () => recordOutcome(entry, end))
+    runInBackground(log, 'settle item', () => persistOutcome(entry, end))
   }
 
   /**
--- a/packages/anvilarch-serving/src/runner/itemRun.ts
+++ b/packages/anvilarch-serving/src/runner/itemRun.ts
@@ -54,10 +54,10 @@
   const finish = (end: RunEnd): void => {
     if (ended) return
     ended = true
-    silence.cancel()
+    eventTimeout.cancel()
     options.onEnd(end)
   }
-  const silence = createSilenceWatch({
+  const eventTimeout = createSilenceWatch({
     clock,
     boundMs: EVENT_TIMEOUT_MS,
     onSilence: () => {
@@ -77,16 +77,16 @@
         deadlineMs: options.deadlineMs,
         expectedEndpointId: options.endpointId,
         lastEventId: resumesAfter,
-        caller: { accountName: options.account, hidesCredential: true }
+        caller: { accountName: options.account, stripsCredential: true }
       }),
       body: item.body
     },
     streams: true,
     afterEventId: text.lastEventId,
     resumable: true,
-    onHead: silence.heard,
+    onHead: eventTimeout.heard,
     onEvent: (_bytes, id, data) => {
-      silence.heard()
+      eventTimeout.heard()
       // A block of comments, not an event.
       if (id === undefined) return
       text.lastEventId = id
@@ -101,7 +101,7 @@
     ...attempt,
     abort: () => {
       ended = true
-      silence.cancel()
+      eventTimeout.cancel()
       attempt.abort()
     }
   }
--- a/packages/anvilarch-serving/src/runner/jobMaintenance.ts
+++ b/packages/anvilarch-serving/src/runner/jobMaintenance.ts
@@ -1,7 +1,7 @@
 /** Gives up expired items, and removes jobs past their retention. */
 import { v3 as murmurhash } from 'murmurhash'
 import { isClosed, isExpired } from '../jobs/jobRecord'
-import { isRetired, removeJob } from '../jobs/retention'
+import { isPastRetention, removeJob } from '../jobs/retention'
 import type { JobRecord } from '../jobs/types'
 import type { EventLog } from '../telemetry/events'
 import { type ClaimParts, claimItem, finishItem } from './claims'
@@ -49,7 +49,7 @@
       const storeNowMs = store.storeNowMs()
       if (storeNowMs === undefined) return
       const runners = liveRunners(work, storeNowMs)
-      for (const job of jobsWhere(job => isRetired(job, storeNowMs, parts.retentionMs))) {
+      for (const job of jobsWhere(job => isPastRetention(job, storeNowMs, parts.retentionMs))) {
         // Each job is assigned to one runner by the hash of its id, so that not all runners try to remove it.
         if (runners[murmurhash(job.jobId) % runners.length] === parts.runner) await removeJob(parts, job, log)
       }
--- a/packages/anvilarch-serving/src/runner/onlineUsage.ts
+++ b/packages/anvilarch-serving/src/runner/onlineUsage.ts
@@ -3,7 +3,7 @@
  * then.
  */
 import type { Clock } from 'anvilarch-utils'
-import { USE_REPEAT_MS } from '../endpoints/useNotices'
+import { USAGE_REPORT_INTERVAL_MS } from '../endpoints/usageReporter'
 
 /** Online requests at the engine. */
 export interface OnlineUsage {
@@ -16,7 +16,7 @@
 }
 
 /** A gateway that has sent no report for this long is considered dead, and its connections closed. */
-const USAGE_TTL_MS = 3 * USE_REPEAT_MS
+const USAGE_TTL_MS = 3 * USAGE_REPORT_INTERVAL_MS
 
 interface GatewayUsage {
   inProgress: number
