--- a/packages/anvilarch-serving/src/runner/__fixtures__/memoryStore.ts
+++ b/packages/anvilarch-serving/src/runner/__fixtures__/memoryStore.ts
@@ -1,4 +1,4 @@
-/** A metadata store in memory, on a fake clock, whose answers may be lost and whose writes may come late. */
+/** An in-memory metadata store on a fake clock, whose responses may be lost and whose writes may be applied late. */
 import type { FakeClock } from 'anvilarch-utils'
 import { Err, Ok } from 'ts-results'
 import { createWorkTable, type WorkTable } from '../../jobs/workTable'
@@ -8,12 +8,12 @@
 import type { ProcessClock } from './processClock'
 
 /**
- * What becomes of a call. `unanswered`: done, without an answer. `late`: the same, seconds after it. `lost`: neither done nor
- * answered.
+ * Outcome of a call. `unanswered`: applied, without a response. `late`: applied seconds later, without a response. `lost`: neither
+ * applied nor answered.
  */
 export type CallOutcome = 'done' | 'refused' | 'unanswered' | 'late' | 'lost'
 
-/** The store. */
+/** The in-memory store. */
 export interface MemoryStore {
   client: MetadataStore
   rows: () => StoredRow[]
@@ -21,41 +21,41 @@
   object: (name: string) => Buffer | undefined
   putObject: (name: string, bytes: Buffer) => void
   put: (key: RowKey, record: JobRecord | MemberRecord) => void
-  /** @returns a copy of the work that hears of each change after the lag */
+  /** @returns a local copy of the work that receives each change after the lag */
   replicate: (process: Pick<ProcessClock, 'whenRunning'>, lagMs: number) => WorkReplica
 }
 
-/** A copy of the work. */
+/** A local copy of the work. */
 export interface WorkReplica {
   work: WorkTable
-  /** The copy hears of no change for so long; then the store has forgotten what it missed, and the copy is listed anew. */
+  /** The copy receives no changes for this long; the store no longer has those that it missed, so the copy is listed again. */
   loseHistory: (durationMs: number) => void
 }
 
-const ANSWER_MS = 20
+const RESPONSE_DELAY_MS = 20
 
-/** A call without an answer is given up after this. */
+/** Timeout of a call without a response. */
 const TIMEOUT_MS = 1000
 
-/** Later than that, so that the caller may have written anew by then. */
+/** Longer than the timeout, so that the caller may have written again by then. */
 const LATE_MS = 2500
 
 /**
- * @param clock - of the test
- * @param nextFate - asked once for each write and each read of a row
+ * @param clock - clock of the test
+ * @param nextOutcome - called once for each write and each read of a row
  * @returns a store without rows
  */
-export function createMemoryStore (clock: FakeClock, nextFate: () => CallOutcome): MemoryStore {
+export function createMemoryStore (clock: FakeClock, nextOutcome: () => CallOutcome): MemoryStore {
   const rows = new Map<string, StoredRow>()
   const objects = new Map<string, Buffer>()
-  const followers: Array<(change: RowChange) => void> = []
+  const subscribers: Array<(change: RowChange) => void> = []
   const changes: RowChange[] = []
   let version = 0
   const idOf = (key: RowKey): string => `${key.table}|${key.partition}|${key.key}`
   const rowOf = (key: RowKey): StoredRow | undefined => rows.get(idOf(key))
-  const tell = (change: RowChange): void => {
+  const publish = (change: RowChange): void => {
     changes.push(change)
-    followers.forEach(follower => follower(change))
+    subscribers.forEach(subscriber => subscriber(change))
   }
   const after = async (delayMs: number): Promise<void> => await new Promise(resolve => { clock.after(delayMs, resolve) })
 
@@ -67,23 +67,23 @@
     for (const put of puts) {
       const row = { ...put, version }
       rows.set(idOf(put), row)
-      tell({ change: 'put', row })
+      publish({ change: 'put', row })
     }
-    for (const key of removes) if (rows.delete(idOf(key))) tell({ change: 'removed', key, version })
+    for (const key of removes) if (rows.delete(idOf(key))) publish({ change: 'removed', key, version })
     return { outcome: 'committed', version }
   }
 
   const commit = async (transaction: Transaction): Promise<TransactionOutcome> => {
-    const fate = nextFate()
-    await after(ANSWER_MS)
-    if (fate === 'done') {
+    const callOutcome = nextOutcome()
+    await after(RESPONSE_DELAY_MS)
+    if (callOutcome === 'done') {
       const outcome = apply(transaction)
-      await after(ANSWER_MS)
+      await after(RESPONSE_DELAY_MS)
       return outcome
     }
-    if (fate === 'refused') return { outcome: 'refused', reason: 'busy' }
-    if (fate === 'unanswered') apply(transaction)
-    if (fate === 'late') clock.after(LATE_MS, () => { apply(transaction) })
+    if (callOutcome === 'refused') return { outcome: 'refused', reason: 'busy' }
+    if (callOutcome === 'unanswered') apply(transaction)
+    if (callOutcome === 'late') clock.after(LATE_MS, () => { apply(transaction) })
     await after(TIMEOUT_MS)
     return { outcome: 'unknown', reason: 'timeout' }
   }
@@ -95,24 +95,24 @@
   const client: MetadataStore = {
     commit,
     readRows: async ({ table, partition, from = '', to = '\uffff' }) => {
-      const fate = nextFate()
-      await after(ANSWER_MS)
-      if (fate !== 'done') return Err({ reason: 'busy' })
+      const callOutcome = nextOutcome()
+      await after(RESPONSE_DELAY_MS)
+      if (callOutcome !== 'done') return Err({ reason: 'busy' })
       const found = [...rows.values()].filter(row => row.table === table && row.partition === partition && row.key >= from && row.key < to)
       return Ok({ rows: found, version })
     },
     readFeed: async () => Err({ reason: 'not served here' }),
     writeObject: async (name, bytes) => {
-      const fate = nextFate()
-      await after(ANSWER_MS)
-      if (fate === 'refused') return 'refused'
-      if (fate === 'lost' || fate === 'late') return 'unknown'
+      const callOutcome = nextOutcome()
+      await after(RESPONSE_DELAY_MS)
+      if (callOutcome === 'refused') return 'refused'
+      if (callOutcome === 'lost' || callOutcome === 'late') return 'unknown'
       const exists = objects.has(name)
       if (!exists) objects.set(name, bytes)
-      return fate === 'unanswered' ? 'unknown' : exists ? 'exists' : 'stored'
+      return callOutcome === 'unanswered' ? 'unknown' : exists ? 'exists' : 'stored'
     },
     readObject: async name => {
-      await after(ANSWER_MS)
+      await after(RESPONSE_DELAY_MS)
       return Ok(objects.get(name))
     },
     removeObject: async name => objects.delete(name),
@@ -124,41 +124,41 @@
 
   const rowsOf = (table: string): StoredRow[] => [...rows.values()].filter(row => row.table === table)
 
-  const follow = (process: Pick<ProcessClock, 'whenRunning'>, lagMs: number): WorkReplica => {
+  const replicate = (process: Pick<ProcessClock, 'whenRunning'>, lagMs: number): WorkReplica => {
     const work = createWorkTable()
     const listeners = new Map([[JOB_TABLE, work.listeners.jobs], [CLAIM_TABLE, work.listeners.claims]])
-    let isLost = false
+    let isHistoryLost = false
     const listMembers = (): void => work.listeners.members.onListing(rowsOf(MEMBER_TABLE), version)
-    const later = (action: () => void): void => { clock.after(lagMs, () => process.whenRunning(action)) }
-    const hear = (change: RowChange): void => {
+    const afterLag = (action: () => void): void => { clock.after(lagMs, () => process.whenRunning(action)) }
+    const receive = (change: RowChange): void => {
       listeners.get(change.change === 'put' ? change.row.table : change.key.table)?.onChange(change)
       listMembers()
     }
     for (const row of rows.values()) listeners.get(row.table)?.onChange({ change: 'put', row })
     listMembers()
-    followers.push(change => { if (!isLost) later(() => hear(change)) })
-    /** The rows are read some time after the version from which the changes are told again. */
-    const list = (): void => {
+    subscribers.push(change => { if (!isHistoryLost) afterLag(() => receive(change)) })
+    /** The rows are read some time after the version from which the changes are sent again. */
+    const relist = (): void => {
       const sinceVersion = version
-      clock.after(ANSWER_MS, () => {
-        isLost = false
+      clock.after(RESPONSE_DELAY_MS, () => {
+        isHistoryLost = false
         for (const [table, listener] of listeners) {
           const listed = rowsOf(table)
-          later(() => listener.onListing(listed, sinceVersion))
+          afterLag(() => listener.onListing(listed, sinceVersion))
         }
-        for (const change of changes.filter(change => versionOf(change) > sinceVersion)) later(() => hear(change))
+        for (const change of changes.filter(change => versionOf(change) > sinceVersion)) afterLag(() => receive(change))
       })
     }
     return {
       work,
       loseHistory: durationMs => {
-        isLost = true
-        clock.after(durationMs, list)
+        isHistoryLost = true
+        clock.after(durationMs, relist)
       }
     }
   }
 
-  return { client, rows: () => [...rows.values()], row: rowOf, object: name => objects.get(name), putObject: (name, bytes) => { objects.set(name, bytes) }, put, replicate: follow }
+  return { client, rows: () => [...rows.values()], row: rowOf, object: name => objects.get(name), putObject: (name, bytes) => { objects.set(name, bytes) }, put, replicate }
 }
 
 function versionOf (change: RowChange): number {
--- a/packages/anvilarch-serving/src/runner/__fixtures__/scriptedEngine.ts
+++ b/packages/anvilarch-serving/src/runner/__fixtures__/scriptedEngine.ts
@@ -1,43 +1,43 @@
-/** A model engine on a fake clock whose runs go wrong as a script says. */
+/** A model engine on a fake clock whose runs fail as scripted. */
 import type { FakeClock } from 'anvilarch-utils'
 import type { Pool } from 'undici'
 
 /**
- * How a run goes wrong; `atEvent` counts the events of the run, from 0. `from_start`: does not go on after the event that it
- * was asked to, but starts anew. `no_stream`: a whole body that holds no event. `empty`: a whole answer without an event, given
- * to runs from the start only, since it is right for one that goes on after the last event. `silent`: goes on when it has been
- * given up. `fail_twice`: 500, and once more on a kept connection, as if it were the answer to the next run of the item.
+ * Fault of a run; `atEvent` counts the events of the run, from 0. `from_start`: does not continue after the requested event, but
+ * starts over. `no_stream`: a complete body without an event. `empty`: a complete response without an event, only for runs from
+ * the start, since it is correct for one that continues after the last event. `silent`: continues after the run has timed out.
+ * `fail_twice`: 500, and once more on a reused connection, as if it were the response to the next run of the item.
  */
 export type RunFault =
-  | { trouble: 'none' | 'from_start' | 'of_another' | 'no_stream' | 'empty' | 'fail_twice' }
-  | { trouble: 'status', status: number }
-  | { trouble: 'break' | 'silent' | 'without_id' | 'skip' | 'cut', atEvent: number }
+  | { fault: 'none' | 'from_start' | 'of_another' | 'no_stream' | 'empty' | 'fail_twice' }
+  | { fault: 'status', status: number }
+  | { fault: 'break' | 'silent' | 'without_id' | 'skip' | 'cut', atEvent: number }
 
-/** The engine. */
+/** The scripted engine. */
 export interface ScriptedEngine {
   pool: Pool
-  /** Connections that each take one run. */
+  /** Connections that are each used for one run. */
   freshPool: Pool
   running: () => number
-  /** Breaks all connections; the next start bears another time. */
+  /** Breaks all connections; the next start has another start time. */
   restart: () => void
   bornAtMs: () => number
 }
 
-/** What an engine needs. */
+/** Options of `createScriptedEngine`. */
 export interface ScriptedEngineOptions {
   clock: FakeClock
   eventIntervalMs: number
   eventCount: (itemId: string) => number
-  /** Asked once for each run. */
+  /** Called once for each run. */
   nextFault: () => RunFault
-  /** Carries what the engine sends to the process that reads it. */
+  /** Delivers what the engine sends to the process that reads it. */
   toReader: (action: () => void) => void
-  /** Told of each answer to a run that is not a stream, repeated ones left out. */
+  /** Called for each response to a run that is not a stream, except repeated ones. */
   onStatus: (itemId: string, status: number) => void
 }
 
-/** Also of answers that hold no event: the type alone is not to tell them. */
+/** Also the type of responses without an event, so that a reader cannot tell them apart by the type alone. */
 const EVENT_STREAM_TYPE = 'text/event-stream'
 
 interface Handler {
@@ -48,15 +48,15 @@
   onError: (error: Error) => void
 }
 
-/** Longer than a runner waits for an event. */
-const SILENT_MS = 4000
+/** Longer than the event timeout of a runner. */
+const STALL_MS = 4000
 
 const FAILED_STATUS = 500
 
 const LINE_BREAK_EVERY = 3
 const EMPTY_EVERY = 7
 
-/** @returns data of an event: some hold a line break, some are empty */
+/** @returns the data of an event; some events contain a line break, and some are empty */
 export function dataOf (itemId: string, eventId: number): string {
   if (eventId % EMPTY_EVERY === 0) return ''
   return eventId % LINE_BREAK_EVERY === 0 ? `${itemId}.${eventId}\nnext line` : `${itemId}.${eventId}`
@@ -73,13 +73,13 @@
 }
 
 /**
- * @param options - clock, pace and script
+ * @param options - clock, event interval and script
  * @returns an engine without runs
  */
 export function createScriptedEngine (options: ScriptedEngineOptions): ScriptedEngine {
   const { clock } = options
   const open = new Map<Handler, () => void>()
-  /** Items whose failure comes once more on a kept connection. */
+  /** Items whose failure is sent once more on a reused connection. */
   const failsAgain = new Set<string>()
   let bornAtMs = 1
 
@@ -88,18 +88,18 @@
   const answer = (handler: Handler, itemId: string, status: number, body: string): void => {
     handler.onHeaders(status, ['x-id', itemId, 'content-type', EVENT_STREAM_TYPE, 'content-length', String(body.length)].map(text => Buffer.from(text)))
     if (body !== '') handler.onData(Buffer.from(body))
-    // A listener that has given the answer up has closed the connection.
+    // A reader that has rejected the response has closed the connection.
     if (!open.has(handler)) return
     end(handler)
     handler.onComplete()
   }
 
-  const stream = (handler: Handler, itemId: string, from: number, trouble: RunFault): void => {
-    const answeredId = trouble.trouble === 'of_another' ? 'another' : itemId
+  const stream = (handler: Handler, itemId: string, from: number, fault: RunFault): void => {
+    const answeredId = fault.fault === 'of_another' ? 'another' : itemId
     handler.onHeaders(200, ['x-id', answeredId, 'content-type', EVENT_STREAM_TYPE, 'transfer-encoding', 'chunked'].map(text => Buffer.from(text)))
-    const first = trouble.trouble === 'from_start' ? 1 : from + 1
-    const atEvent = 'atEvent' in trouble ? first + trouble.atEvent : undefined
-    let hasPaused = false
+    const first = fault.fault === 'from_start' ? 1 : from + 1
+    const atEvent = 'atEvent' in fault ? first + fault.atEvent : undefined
+    let hasStalled = false
     const next = (eventId: number): void => {
       if (!open.has(handler)) return
       if (eventId > options.eventCount(itemId)) {
@@ -107,45 +107,45 @@
         handler.onComplete()
         return
       }
-      // Nothing tells a stream without its last event from a whole one.
-      const isHarmless = trouble.trouble === 'skip' && eventId === options.eventCount(itemId)
-      const troubled = eventId === atEvent && !isHarmless ? trouble.trouble : 'none'
-      if (troubled === 'silent' && !hasPaused) {
-        hasPaused = true
-        clock.after(SILENT_MS, () => next(eventId))
+      // A stream without its last event cannot be told from a complete one.
+      const isHarmless = fault.fault === 'skip' && eventId === options.eventCount(itemId)
+      const activeFault = eventId === atEvent && !isHarmless ? fault.fault : 'none'
+      if (activeFault === 'silent' && !hasStalled) {
+        hasStalled = true
+        clock.after(STALL_MS, () => next(eventId))
         return
       }
-      const bytes = eventBytes(answeredId, eventId, troubled !== 'without_id')
-      if (troubled === 'cut') handler.onData(bytes.subarray(0, bytes.length - 2))
-      if (troubled === 'break' || troubled === 'cut') {
+      const bytes = eventBytes(answeredId, eventId, activeFault !== 'without_id')
+      if (activeFault === 'cut') handler.onData(bytes.subarray(0, bytes.length - 2))
+      if (activeFault === 'break' || activeFault === 'cut') {
         end(handler)
         handler.onError(new Error('broken'))
         return
       }
-      if (troubled !== 'skip') handler.onData(bytes)
+      if (activeFault !== 'skip') handler.onData(bytes)
       clock.after(options.eventIntervalMs, () => next(eventId + 1))
     }
     clock.after(options.eventIntervalMs, () => next(first))
   }
 
-  const begin = (handler: Handler, itemId: string, from: number, isKept: boolean): void => {
+  const begin = (handler: Handler, itemId: string, from: number, isReusable: boolean): void => {
     if (!open.has(handler)) return
-    if (isKept && failsAgain.delete(itemId)) {
+    if (isReusable && failsAgain.delete(itemId)) {
       answer(handler, itemId, FAILED_STATUS, '')
       return
     }
-    const trouble = options.nextFault()
-    if (trouble.trouble === 'status' || trouble.trouble === 'fail_twice') {
-      const status = 'status' in trouble ? trouble.status : FAILED_STATUS
-      if (isKept && trouble.trouble === 'fail_twice') failsAgain.add(itemId)
+    const fault = options.nextFault()
+    if (fault.fault === 'status' || fault.fault === 'fail_twice') {
+      const status = 'status' in fault ? fault.status : FAILED_STATUS
+      if (isReusable && fault.fault === 'fail_twice') failsAgain.add(itemId)
       options.onStatus(itemId, status)
       answer(handler, itemId, status, '')
-    } else if (trouble.trouble === 'no_stream') answer(handler, itemId, 200, '{"error":"busy"}\n\n')
-    else if (trouble.trouble === 'empty' && from === 0) answer(handler, itemId, 200, '')
-    else stream(handler, itemId, from, trouble)
+    } else if (fault.fault === 'no_stream') answer(handler, itemId, 200, '{"error":"busy"}\n\n')
+    else if (fault.fault === 'empty' && from === 0) answer(handler, itemId, 200, '')
+    else stream(handler, itemId, from, fault)
   }
 
-  /** What has come for a reader that has given the run up meanwhile is not read. */
+  /** Wraps a reader so that it receives nothing after it has aborted the run. */
   const readerOf = (reader: Handler): Handler => {
     let isAborted = false
     const unlessAborted = (action: () => void): void => options.toReader(() => { if (!isAborted) action() })
@@ -161,13 +161,13 @@
     }
   }
 
-  const dispatch = (request: { headers: string[] }, reader: Handler, isKept: boolean): boolean => {
+  const dispatch = (request: { headers: string[] }, reader: Handler, isReusable: boolean): boolean => {
     const [, itemId, , from] = request.headers
     const handler = readerOf(reader)
     open.set(handler, () => { handler.onError(new Error('broken')) })
     queueMicrotask(() => {
       handler.onConnect(() => end(handler))
-      begin(handler, itemId, Number(from), isKept)
+      begin(handler, itemId, Number(from), isReusable)
     })
     return true
   }
@@ -181,7 +181,7 @@
       failsAgain.clear()
       const broken = [...open.values()]
       open.clear()
-      broken.forEach(breakOff => breakOff())
+      broken.forEach(breakConnection => breakConnection())
     },
     bornAtMs: () => bornAtMs
   }
