--- a/packages/anvilarch-serving/src/roles/__tests__/clientServer.test.ts
+++ b/packages/anvilarch-serving/src/roles/__tests__/clientServer.test.ts
@@ -6,15 +6,15 @@
 import { type ClientServer, createClientServer } from '../clientServer'
 
 let clients: ClientServer
-let taken: Array<{ path: string, response: ServerResponse }>
-let onTaken: (path: string, response: ServerResponse) => void
+let handled: Array<{ path: string, response: ServerResponse }>
+let onHandled: (path: string, response: ServerResponse) => void
 
 beforeEach(async () => {
-  taken = []
-  onTaken = () => {}
+  handled = []
+  onHandled = () => {}
   const onRequest = ({ url = '' }: IncomingMessage, response: ServerResponse): void => {
-    taken.push({ path: url, response })
-    onTaken(url, response)
+    handled.push({ path: url, response })
+    onHandled(url, response)
   }
   clients = createClientServer({ log: SILENT_LOGGER as EventLog, clock: createSystemClock(), onRequest })
   await new Promise<void>(resolve => clients.server.listen(0, '127.0.0.1', resolve))
@@ -27,10 +27,10 @@
     if (condition()) return
     await new Promise(resolve => setTimeout(resolve, 5))
   }
-  throw new Error('the condition did not come true in time')
+  throw new Error('condition not met within 1 s')
 }
 
-/** @returns a client that has sent requests for these paths at once */
+/** @returns a client that has sent pipelined requests for these paths */
 async function openClient (...paths: string[]): Promise<{ socket: Socket, received: () => string, closed: () => boolean }> {
   const socket = connect((clients.server.address() as AddressInfo).port, '127.0.0.1')
   let text = ''
@@ -43,71 +43,71 @@
   return { socket, received: () => text, closed: () => isClosed }
 }
 
-describe('requests that a client sends at once', () => {
-  it('are taken one after another', async () => {
+describe('pipelined requests', () => {
+  it('are handled one after another', async () => {
     const { received } = await openClient('/1', '/2')
-    expect(taken.map(({ path }) => path)).toEqual(['/1'])
-    taken[0].response.end('first')
-    await until(() => taken.length === 2)
-    taken[1].response.end('second')
+    expect(handled.map(({ path }) => path)).toEqual(['/1'])
+    handled[0].response.end('first')
+    await until(() => handled.length === 2)
+    handled[1].response.end('second')
     await until(() => /first[^]*second/.test(received()))
     await until(() => clients.unfinishedRequests().length === 0)
   })
 
-  // Guards against this: endpoints work for a client that has left, and a stop waits for its requests to the end of the grace.
-  it('end with the client', async () => {
+  // Guards against endpoints working for a disconnected client, and against a stop that waits for its requests until the grace period ends.
+  it('end when the client disconnects', async () => {
     const { socket } = await openClient('/1', '/2', '/3')
     socket.destroy()
     await until(() => clients.unfinishedRequests().length === 0)
-    expect(taken.map(({ path }) => path)).toEqual(['/1'])
+    expect(handled.map(({ path }) => path)).toEqual(['/1'])
   })
 
-  it('have a connection that is closed when the second answer is cut', async () => {
-    onTaken = (path, response) => {
+  it('have their connection closed when the second response is cut', async () => {
+    onHandled = (path, response) => {
       if (path === '/1') return
       response.write('half of the second')
       cutAnswer(response)
     }
     const { received, closed } = await openClient('/1', '/2')
-    taken[0].response.end('first')
+    handled[0].response.end('first')
     await until(closed)
     expect(received()).toContain('first')
     expect(received()).not.toMatch(/second\r\n0\r\n/)
   })
 
-  it('are not taken after one whose answer closes the connection', async () => {
+  it('are not handled after a response that closes the connection', async () => {
     const { closed } = await openClient('/1', '/2')
-    taken[0].response.setHeader('Connection', 'close')
-    taken[0].response.end('first')
+    handled[0].response.setHeader('Connection', 'close')
+    handled[0].response.end('first')
     await until(closed)
     await until(() => clients.unfinishedRequests().length === 0)
-    expect(taken.map(({ path }) => path)).toEqual(['/1'])
+    expect(handled.map(({ path }) => path)).toEqual(['/1'])
   })
 
-  // Guards against this: a request behind one that is answered without being taken is never answered.
-  it('are taken after one whose expectation nobody meets', async () => {
+  // Guards against a request that never gets a response because Node.js itself responded to the request before it.
+  it('are handled after a request with an unsupported expectation', async () => {
     const socket = connect((clients.server.address() as AddressInfo).port, '127.0.0.1')
     socket.on('error', () => {})
     socket.write('GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\nExpect: other\r\n\r\nGET /3 HTTP/1.1\r\nHost: h\r\n\r\n')
     await until(() => clients.unfinishedRequests().length === 2)
-    taken[0].response.end('first')
-    await until(() => taken.length === 2)
-    expect(taken[1].path).toBe('/3')
+    handled[0].response.end('first')
+    await until(() => handled.length === 2)
+    expect(handled[1].path).toBe('/3')
     socket.destroy()
     await until(() => clients.unfinishedRequests().length === 0)
   })
 
-  // Guards against this: an endpoint gets a request of a client that has ended its side.
-  it('are not taken once the client has ended its side', async () => {
+  // Guards against sending an endpoint a request of a client that has half-closed its connection.
+  it('are not handled after the client has half-closed the connection', async () => {
     const { socket, closed } = await openClient('/1', '/2')
     socket.pause()
-    taken[0].response.end(Buffer.alloc(32 * 1024 * 1024))
-    const ended = once(taken[0].response.socket as Socket, 'end')
+    handled[0].response.end(Buffer.alloc(32 * 1024 * 1024))
+    const ended = once(handled[0].response.socket as Socket, 'end')
     socket.end()
     await ended
     socket.resume()
     await until(closed)
     await until(() => clients.unfinishedRequests().length === 0)
-    expect(taken.map(({ path }) => path)).toEqual(['/1'])
+    expect(handled.map(({ path }) => path)).toEqual(['/1'])
   })
 })
--- a/packages/anvilarch-serving/src/roles/agentRole.ts
+++ b/packages/anvilarch-serving/src/roles/agentRole.ts
@@ -1,4 +1,4 @@
-/** The agent: runs batch items at the engine beside it and tells gateways how busy that engine is. */
+/** The agent role: runs batch items on the engine of its host and reports the load of that engine to gateways. */
 import { openPeerSocket, type PeerAddress } from '../endpoints/peerSocket'
 import type { PeerMessage } from '../endpoints/peerMessages'
 import { startExchange } from '../endpoints/exchange'
@@ -14,39 +14,42 @@
 import { type Clock, createSilenceWatch } from 'anvilarch-utils'
 import { once } from './once'
 
-/** The engine is on the same host; one that takes longer for a report is down or silent. */
+/** The engine is on the same host; an engine that takes longer to report is down or unresponsive. */
 const REPORT_TIMEOUT_MS = 300
 
-/** While others hold items, an agent looks this often whether they are alive; a lost holder is noticed up to this much later. */
+/** Interval of member listings while other agents have claimed items. Delays the detection of a lost claim holder by up to this time. */
 const BUSY_MEMBERS_INTERVAL_MS = 2000
 
-/** The same while nobody holds an item. */
+/** Interval of member listings while no other agent has claimed an item. */
 const IDLE_MEMBERS_INTERVAL_MS = 10_000
 
 /**
- * Changes of jobs and claims are gathered for this long. An agent whose copy is older than a row is told the row by the store
- * when it claims an item; a job that has ended has to stop within seconds.
+ * Batching interval for changes of jobs and claims. A stale copy is safe: when an agent claims an item, the store returns any newer row
+ * as a conflict. The interval is limited because a job that has ended must stop within seconds.
  */
 const FEED_INTERVAL_MS = 800
 
-/** The same while the agent has slots to spare and no item for them: a new job is begun that much sooner. */
-const HUNGRY_FEED_INTERVAL_MS = 200
+/** Batching interval while the agent has free slots and no items for them, so that a new job starts sooner. */
+const SPARE_SLOTS_FEED_INTERVAL_MS = 200
 
-/** Items and reports each take a connection. */
+/** Connections to the engine. Each running item and each report takes one. */
 const ENGINE_CONNECTIONS = 32
 
 /**
+ * Starts the agent role.
+ *
  * @param context - settings, store and wire
  * @returns the running agent
+ * @throws Error if the settings contain no agent section
  */
 export async function startAgentRole (context: RoleContext): Promise<RunningRole> {
   const { settings, clock, log } = context
   const agent = settings.agent
-  if (agent === undefined) throw new Error('the agent role needs the address of an engine')
-  let othersHoldItems = (): boolean => false
-  const view = followPlatform(context, { memberListingIntervalMs: () => othersHoldItems() ? BUSY_MEMBERS_INTERVAL_MS : IDLE_MEMBERS_INTERVAL_MS })
+  if (agent === undefined) throw new Error('the agent role requires the address of an engine')
+  let othersHaveClaims = (): boolean => false
+  const view = followPlatform(context, { memberListingIntervalMs: () => othersHaveClaims() ? BUSY_MEMBERS_INTERVAL_MS : IDLE_MEMBERS_INTERVAL_MS })
   let wantsItems = (): boolean => false
-  const feedIntervalMs = (): number => wantsItems() ? HUNGRY_FEED_INTERVAL_MS : FEED_INTERVAL_MS
+  const feedIntervalMs = (): number => wantsItems() ? SPARE_SLOTS_FEED_INTERVAL_MS : FEED_INTERVAL_MS
   view.follow({ table: JOB_TABLE, partitions: JOB_PARTITIONS, listener: view.work.listeners.jobs, intervalMs: feedIntervalMs })
   view.follow({ table: CLAIM_TABLE, partitions: JOB_PARTITIONS, listener: view.work.listeners.claims, intervalMs: feedIntervalMs })
   const closing = new AbortController()
@@ -54,7 +57,7 @@
   const heartbeat = startHeartbeat(context, { role: 'agent', onWritten: view.work.learn, details: () => ({ eventMs: pace.eventMs() }) })
   const poolOptions = { connections: ENGINE_CONNECTIONS, connectTimeout: REPORT_TIMEOUT_MS, headersTimeout: 0, bodyTimeout: 0 }
   const pool = createPool(`http://${agent.engineAddress}`, { ...poolOptions, pipelining: 1 })
-  // Without pipelining, a connection is closed after its first answer.
+  // With `pipelining: 0`, undici closes a connection after its first response.
   const freshPool = createPool(`http://${agent.engineAddress}`, { ...poolOptions, pipelining: 0 })
   const runner = startBatchRunner({
     store: context.store,
@@ -77,7 +80,7 @@
     readReport: () => readReport(pool, context.wire.engine, clock),
     pace
   })
-  othersHoldItems = runner.watchesOthers
+  othersHaveClaims = runner.watchesOthers
   wantsItems = runner.wantsItems
   const onMessage = (message: PeerMessage, from: PeerAddress): void => {
     if (message.message === 'load_question') peers.send({ message: 'load_answer', number: message.number, report: runner.load() }, from)
@@ -107,7 +110,7 @@
     const chunks: Buffer[] = []
     let status = 0
     const exchange = startExchange(pool, { method: 'GET', path: wire.reportPath, headers: [], body: undefined }, {
-      onHead: answered => { status = answered },
+      onHead: responseStatus => { status = responseStatus },
       onData: chunk => { chunks.push(chunk) },
       onComplete: () => settle(status === 200 ? wire.decodeReport(Buffer.concat(chunks)) : undefined),
       onFailure: () => settle(undefined)
--- a/packages/anvilarch-serving/src/roles/clientCalls.ts
+++ b/packages/anvilarch-serving/src/roles/clientCalls.ts
@@ -1,4 +1,4 @@
-/** Takes what clients send to a gateway to where it is answered. */
+/** Dispatches client requests at a gateway to job calls, batch submission or forwarding. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { sleep } from 'anvilarch-utils'
 import type { CallerCheck } from '../accounts/callerCheck'
@@ -15,16 +15,16 @@
 import { isRouteHost, matchRoute } from '../routing/matchRoute'
 import { headBytes } from './clientServer'
 
-/** A client may send again at once to a gateway that has its configuration. */
+/** Retry delay while this gateway has no configuration. A gateway that has one can serve the request immediately. */
 const NOT_READY_RETRY_AFTER_MS = 500
 
-/** How long a client waits for a gateway that has just started: ten times what a start takes while the store answers. */
-const START_PATIENCE_MS = 300
+/** Longest wait of a request at a gateway that has just started: ten times the duration of a start while the store responds. */
+const START_WAIT_MS = 300
 
-/** How often a waiting client's request looks for the configuration. */
+/** Interval at which a waiting request checks for the configuration. */
 const START_POLL_MS = 10
 
-/** A gateway that cannot reach the store may reach it again soon, and another one may reach it now. */
+/** Retry delay when a route cannot be confirmed. This gateway may reach the store again soon, and another one may reach it now. */
 const UNCONFIRMED_RETRY_AFTER_MS = 300
 
 const NO_ROUTE: OwnAnswer = { status: 404, code: 'no_route', message: 'no route matches this host and path' }
@@ -36,28 +36,28 @@
   retryAfterMs: UNCONFIRMED_RETRY_AFTER_MS
 }
 
-/** A call of a client, and what answers it. */
+/** A client call and the dependencies that handle it. */
 export interface ClientCall {
   request: IncomingMessage
   response: ServerResponse
-  /** Local time at which the head of the request had arrived. */
+  /** Local time at which the head of the request was received. */
   arrivedAtMs: number
   forward: ForwardParts
   jobs: JobCalls
   configuration: ConfigurationHolder
   endpoints: EndpointTable
   callers: CallerCheck
-  /** @returns whether too little is known of keys that were taken away */
+  /** @returns whether this gateway may have missed revoked keys and must fail closed */
   isConfigurationStale: () => boolean
-  /** @returns whether there may be a version of the configuration of which this gateway has not heard */
+  /** @returns whether this gateway may have missed a version of the configuration */
   isConfigurationFeedOverdue: () => boolean
   notice: ClosingNotice
 }
 
 /**
- * Answers a call: one about jobs, a request to an endpoint, or bytes that are neither.
+ * Handles a client call: a job call, a job submission, a request to an endpoint, or a request that is rejected.
  *
- * @param call - as its head has come
+ * @param call - a call whose head has been received
  */
 export async function handleClient (call: ClientCall): Promise<void> {
   const { request, response, arrivedAtMs, forward, notice } = call
@@ -65,8 +65,8 @@
     sendOwnAnswer(response, { status: 503, code: 'not_ready', message: 'no configuration is known yet', retryAfterMs: NOT_READY_RETRY_AFTER_MS }, notice)
     return
   }
-  const caller = await letIn(call)
-  // Letting a caller in may bring a newer version.
+  const caller = await authenticate(call)
+  // Authentication may have loaded a newer version.
   const configuration = call.configuration.current()
   if (caller === undefined || configuration === undefined) return
   if (call.jobs.isJobCall(request)) {
@@ -105,7 +105,7 @@
 
 type FoundRoute = { route: Route, configurationVersion: number } | { route: undefined, refusal: OwnAnswer }
 
-/** Clients do not come back after 404: it is answered only by a gateway that knows all versions. */
+/** Clients do not retry after a 404, so it is sent only once this gateway is known to have the newest version. */
 async function findRoute (call: ClientCall, configuration: Configuration): Promise<FoundRoute> {
   const { request } = call
   const findIn = (searched: Configuration): FoundRoute | undefined => {
@@ -118,7 +118,7 @@
   return findIn(call.configuration.current() ?? configuration) ?? { route: undefined, refusal: isConfirmed ? NO_ROUTE : ROUTE_NOT_CONFIRMED }
 }
 
-/** Any client can ask for what is not there, as often as it likes. */
+/** Limits the rate of these lines, since any client can send any number of requests without a route. */
 function logNoRoute ({ request, forward, configuration }: ClientCall, refusal: OwnAnswer): void {
   if (!forward.lines.tryAcquire()) {
     forward.metrics.logLinesLeftOut.inc()
@@ -128,28 +128,28 @@
   forward.log.info('no route', { requestId, status: refusal.status, configurationVersion: configuration.current()?.version })
 }
 
-/** @returns whose the call is; undefined when it has been refused */
-async function letIn (call: ClientCall): Promise<Caller | undefined> {
+/** @returns the caller; undefined if the call has been refused */
+async function authenticate (call: ClientCall): Promise<Caller | undefined> {
   const { request, forward } = call
-  const verdict = await call.callers.identify({
+  const result = await call.callers.identify({
     credential: forward.wire.decodeCredential(request.rawHeaders),
     routeIn: configuration => routeOf(call, configuration)
   })
-  switch (verdict.caller) {
+  switch (result.caller) {
     case 'unknown':
     case 'unconfirmed':
-      refuseCaller(call, verdict.caller)
+      refuseCaller(call, result.caller)
       return undefined
     case 'account':
-      if (!call.isConfigurationStale()) return verdict
+      if (!call.isConfigurationStale()) return result
       refuseCaller(call, 'stale')
       return undefined
     default:
-      return verdict
+      return result
   }
 }
 
-/** A call about a job names no route: it is open to anybody where a job can be handed in by anybody. */
+/** A job call names no route. It needs no key on hosts with a public batch route, where anyone can submit a job. */
 function routeOf ({ request, jobs }: ClientCall, configuration: Configuration): Pick<Route, 'isPublic'> | undefined {
   const host = request.headers.host ?? ''
   if (!jobs.isJobCall(request)) return matchRoute(configuration, host, request.url ?? '/')
@@ -166,7 +166,7 @@
   sendOwnAnswer(response, refusalAnswer(refusal, forward.wire.credentialScheme), notice)
 }
 
-/** Answers a request that has not been read whole; what the client still sends cannot be told from its next request. */
+/** Rejects a request that has not been read completely. The rest of it could not be told apart from the next request, so the connection is closed. */
 function rejectClient ({ request, response, forward, notice }: ClientCall, status: number, code: string, message: string): void {
   forward.log.info('client bytes rejected', { requestId: forward.wire.decodeRequest(request.headers).requestId, status, reason: code })
   response.setHeader('Connection', 'close')
@@ -174,15 +174,15 @@
 }
 
 /**
- * A process that has just started knows configuration and endpoints some 30 ms after it listens. Clients who come
- * meanwhile wait for that; many have no further try after a refusal.
+ * Waits until the configuration and the endpoints are loaded, which takes some 30 ms after a process has started to listen.
+ * Requests are delayed instead of refused, since many clients do not retry after a refusal.
  */
 async function waitForConfiguration ({ configuration, endpoints, forward }: ClientCall): Promise<Configuration | undefined> {
-  const untilMs = forward.clock.nowMs() + START_PATIENCE_MS
+  const deadlineMs = forward.clock.nowMs() + START_WAIT_MS
   for (;;) {
     const current = configuration.current()
     if (current !== undefined && endpoints.hasListing()) return current
-    if (forward.clock.nowMs() > untilMs) return current
+    if (forward.clock.nowMs() > deadlineMs) return current
     await sleep(forward.clock, START_POLL_MS)
   }
 }
--- a/packages/anvilarch-serving/src/roles/drainClients.ts
+++ b/packages/anvilarch-serving/src/roles/drainClients.ts
@@ -1,41 +1,43 @@
-/** Ends the service of a gateway that leaves: clients still come for a while, and what is in progress is finished. */
+/** Drains a gateway before its shutdown: accepts requests for a short time, then finishes those in progress. */
 import { type Clock, sleep } from 'anvilarch-utils'
 import type { EventLog } from '../telemetry/events'
 import type { ClientServer } from './clientServer'
 
-/** Clients come for this long after the process has reported that it leaves: two missed questions, one a second, and a margin. */
+/** Clients keep sending for this long after readiness fails: two failed probes at one per second, and a margin. */
 const DRAIN_ACCEPT_MS = 2600
 
-/** The process is gone this long before it would be killed. */
+/** The drain ends this long before the process would be killed. */
 const STOP_MARGIN_MS = 700
 
-/** How often the end of the requests in progress is looked for. */
+/** Interval at which the drain checks for unfinished requests. */
 const STOP_POLL_MS = 50
 
-/** What a drain works with. */
+/** Dependencies of `drainClients`. */
 export interface DrainParts {
   clients: ClientServer
   log: EventLog
   clock: Clock
-  /** How long after the stop the process may live. */
+  /** Time from the stop signal until the process is killed, in milliseconds. */
   graceMs: number
 }
 
 /**
- * @param parts - listener, log and time
- * @returns a promise that resolves when nothing is in progress, or when no more time is left
+ * Drains the server for clients.
+ *
+ * @param parts - server, log, clock and grace period
+ * @returns a promise that resolves when all requests are finished or the grace period is nearly over
  */
 export async function drainClients ({ clients, log, clock, graceMs }: DrainParts): Promise<void> {
-  const untilMs = clock.nowMs() + graceMs - STOP_MARGIN_MS
+  const deadlineMs = clock.nowMs() + graceMs - STOP_MARGIN_MS
   await sleep(clock, DRAIN_ACCEPT_MS)
   clients.server.close()
   clients.server.closeIdleConnections()
   logUnfinished(clients, log, clock)
-  while (clients.unfinishedRequests().length > 0 && clock.nowMs() < untilMs) await sleep(clock, STOP_POLL_MS)
+  while (clients.unfinishedRequests().length > 0 && clock.nowMs() < deadlineMs) await sleep(clock, STOP_POLL_MS)
   log.info('gateway stopped', { unfinishedRequests: clients.unfinishedRequests().length })
 }
 
-/** Says for what a stop waits: a process that is killed at the end of its grace cannot say so any more. */
+/** Logs the requests that delay the stop before waiting for them: a process that is killed at the end of its grace period cannot log them. */
 function logUnfinished (clients: ClientServer, log: EventLog, clock: Clock): void {
   const unfinished = clients.unfinishedRequests()
   if (unfinished.length === 0) return
--- a/packages/anvilarch-serving/src/roles/followPlatform.ts
+++ b/packages/anvilarch-serving/src/roles/followPlatform.ts
@@ -1,4 +1,4 @@
-/** Keeps configuration, endpoints and work of the store at hand for either role. */
+/** Maintains local copies of the configuration, endpoints and work in the store, for both roles. */
 import { setImmediate as nextTurn } from 'node:timers/promises'
 import { runInBackground } from 'anvilarch-utils'
 import { buildAccountDirectory } from '../accounts/accountDirectory'
@@ -13,45 +13,47 @@
 import { registerStateMetrics } from '../telemetry/stateMetrics'
 import type { RoleContext } from './types'
 
-/** Copies of what the store tells. */
+/** Local copies of the state in the store. */
 export interface PlatformView {
   configuration: ConfigurationHolder
   endpoints: EndpointTable
   work: WorkTable
   /** Follows one more table until the view is closed. */
   follow: (table: FollowedTable) => void
-  /** Reads the configuration from the store and puts it in force. @returns whether the store has answered */
+  /** Reads the configuration from the store and applies it. @returns whether the store responded */
   refreshConfiguration: () => Promise<boolean>
-  /** @returns local time of the last answer about a followed table; undefined before the first */
+  /** @returns local time of the last response about a followed table; undefined before the first */
   answeredAtMs: (table: string) => number | undefined
-  /** @returns whether a followed table may have changes of which this process has not heard: its feed is overdue */
+  /** @returns whether the feed of a followed table is overdue, so that this process may have missed changes */
   isFeedOverdue: (table: string) => boolean
-  /** Ends the following. */
+  /** Stops following all tables. */
   close: () => void
 }
 
-/** Operators and endpoints write to one partition without a name. */
+/** Operators and endpoints write to a single partition with an empty name. */
 export const DEFAULT_PARTITIONS = ['']
 
 /** A table that is followed. */
 export type FollowedTable = Pick<FollowTableOptions, 'table' | 'partitions' | 'listener' | 'intervalMs'>
 
-/** Each endpoint's heartbeat is a change. An endpoint that drains must be left alone within 2 s, so that gathering them is no harm. */
+/** Every heartbeat of an endpoint is a change, so changes are batched. Draining endpoints must get no requests after 2 s, which allows the delay. */
 const ENDPOINT_FEED_INTERVAL_MS = 250
 
-/** The answer of a feed comes this much after the end of its wait at most while the store and its links are well. */
+/** Longest delay of a feed response after the end of its long poll while the store and the network work normally. */
 const OVERDUE_MS = 500
 
 /** Options of `followPlatform`. */
 export interface FollowPlatformOptions {
-  /** Asked after each listing of the daemons: time until the next one. */
+  /** Returns the time until the next listing of the daemons, in milliseconds. Called after each listing. */
   memberListingIntervalMs: () => number
 }
 
 /**
- * @param context - store and wire
- * @param options - what differs between the roles
- * @returns copies that follow the store until the process stops
+ * Starts to follow the tables that both roles need.
+ *
+ * @param context - store, wire, clock and log
+ * @param options - differences between the roles
+ * @returns copies that are updated until the view is closed
  */
 export function followPlatform (context: RoleContext, options: FollowPlatformOptions): PlatformView {
   const { store, clock, log, wire } = context
@@ -72,25 +74,25 @@
     runInBackground(log, `follow ${table.table}`, () => followTable({ store, clock, random: context.random, log, waitMs, signal: controller.signal, onAnswer, ...table }))
   }
 
-  const takeConfiguration = async (row: StoredRow): Promise<void> => {
-    const listed = wire.operator.decodeConfiguration(row)
-    if (listed === undefined || listed.version <= (configuration.current()?.version ?? -Infinity)) return
-    const accounts = listed.accounts && await buildAccountDirectory(listed.accounts, nextTurn)
-    const { version } = listed
-    if (!configuration.offer({ ...listed, accounts })) return
+  const applyConfiguration = async (row: StoredRow): Promise<void> => {
+    const decoded = wire.operator.decodeConfiguration(row)
+    if (decoded === undefined || decoded.version <= (configuration.current()?.version ?? -Infinity)) return
+    const accounts = decoded.accounts && await buildAccountDirectory(decoded.accounts, nextTurn)
+    const { version } = decoded
+    if (!configuration.offer({ ...decoded, accounts })) return
     context.metrics.configurationVersion.set(version)
-    log.info('configuration in force', { version, routeCount: listed.routes.length, accountCount: accounts?.accountCount ?? 0, keyCount: accounts?.keyCount ?? 0 })
+    log.info('configuration in force', { version, routeCount: decoded.routes.length, accountCount: accounts?.accountCount ?? 0, keyCount: accounts?.keyCount ?? 0 })
     if (accounts !== undefined && accounts.ambiguous.size > 0) log.error('key in two accounts', { version, accounts: [...accounts.ambiguous].join(', ') })
   }
 
-  const offerConfiguration = (row: StoredRow): void => {
-    runInBackground(log, 'take a configuration', () => takeConfiguration(row))
+  const applyInBackground = (row: StoredRow): void => {
+    runInBackground(log, 'apply configuration', () => applyConfiguration(row))
   }
 
   const refreshConfiguration = async (): Promise<boolean> => {
     const read = await store.readRows({ table: wire.operator.configurationTable, partition: DEFAULT_PARTITIONS[0] })
     if (read.err) return false
-    await Promise.all(read.val.rows.map(takeConfiguration))
+    await Promise.all(read.val.rows.map(applyConfiguration))
     return true
   }
 
@@ -98,8 +100,8 @@
     table: wire.operator.configurationTable,
     partitions: DEFAULT_PARTITIONS,
     listener: {
-      onListing: rows => rows.forEach(offerConfiguration),
-      onChange: change => { if (change.change === 'put') offerConfiguration(change.row) }
+      onListing: rows => rows.forEach(applyInBackground),
+      onChange: change => { if (change.change === 'put') applyInBackground(change.row) }
     }
   })
   follow({
--- a/packages/anvilarch-serving/src/roles/gatewayAccounts.ts
+++ b/packages/anvilarch-serving/src/roles/gatewayAccounts.ts
@@ -1,4 +1,4 @@
-/** What a gateway knows of callers: whose a key is, and how much of its limit an account has used over the fleet. */
+/** Authentication and rate limits at a gateway: maps keys to accounts and tracks the usage of each account across the fleet. */
 import { runInBackground } from 'anvilarch-utils'
 import { type CallerCheck, createCallerCheck } from '../accounts/callerCheck'
 import { createAccountMeters } from '../accounts/limits/accountMeters'
@@ -13,15 +13,15 @@
 import type { PlatformView } from './followPlatform'
 import type { RoleContext } from './types'
 
-/** Callers and limits at a gateway. */
+/** Authentication and rate limits at a gateway. */
 export interface GatewayAccounts {
   callers: CallerCheck
   limits: RateLimits
-  /** @returns whether keys may have been taken away of which this gateway has not heard, and it is not to serve then */
+  /** @returns whether this gateway may have missed revoked keys and must fail closed */
   isConfigurationStale: () => boolean
-  /** Takes a datagram about permits. */
+  /** Handles a permit message from another gateway. */
   onMessage: (message: PeerMessage, from: PeerAddress) => void
-  /** @returns what the heartbeat tells beside the fact that this gateway runs; undefined until the others are known */
+  /** @returns additional heartbeat fields; undefined until the members have been listed */
   heartbeatDetails: (storeNowMs: number) => HeartbeatDetails | undefined
 }
 
@@ -32,12 +32,14 @@
   send: (message: PeerMessage, to: PeerAddress) => void
 }
 
-/** The list of gateways changes every few seconds at most. */
+/** Refresh interval of the list of meter gateways, which changes every few seconds at most. */
 const PLACES_INTERVAL_MS = 1000
 
 /**
- * @param options - settings, copies of the store and sender
- * @returns callers and limits
+ * Creates authentication and rate limits for a gateway.
+ *
+ * @param options - context, copies of the state in the store, and sender of peer messages
+ * @returns authentication and rate limits
  */
 export function createGatewayAccounts ({ context, view, send }: GatewayAccountsOptions): GatewayAccounts {
   const { settings, clock, log } = context
@@ -51,7 +53,7 @@
   registerAccountUsage(context.metrics.registry, () => meters.busiest(MAX_REPORTED_ACCOUNTS))
   view.configuration.onChange(({ accounts }) => meters.retain(name => accounts?.byName(name) !== undefined))
 
-  /** The feed of the store may be cut off here while it reaches others. */
+  /** Refreshes the configuration if a peer has a newer version. This gateway may be cut off from the feed while others receive it. */
   const onVersion = (version: number): void => {
     if (version > currentVersion()) runInBackground(log, 'read a newer configuration', callers.confirm)
   }
@@ -87,16 +89,16 @@
   }
 }
 
-/** @returns a function that gives the gateways that keep meters, as of the last second */
+/** @returns a function that returns the gateways that keep meters, at most one second old */
 function createPlaces ({ clock, store }: RoleContext, { work }: PlatformView): () => readonly MeterPlace[] {
   let known: MeterPlace[] = []
   let readAtMs = -Infinity
   return () => {
     const nowMs = clock.nowMs()
-    // A process that has just started has not listed the gateways yet.
+    // An empty list is not reused: shortly after the start, the gateways have not been listed yet.
     if (known.length > 0 && nowMs - readAtMs < PLACES_INTERVAL_MS) return known
     readAtMs = nowMs
-    // While the store's clock is not known, those who were alive last stay the ones that are asked.
+    // While the store's clock is unknown, the last list of live gateways stays in use.
     const storeNowMs = store.storeNowMs()
     if (storeNowMs !== undefined) known = meterPlaces([...work.members()].map(member => member.record), storeNowMs)
     return known
--- a/packages/anvilarch-serving/src/roles/gatewayRole.ts
+++ b/packages/anvilarch-serving/src/roles/gatewayRole.ts
@@ -1,4 +1,4 @@
-/** The gateway: takes requests and job calls from clients. */
+/** The gateway role: serves requests and job calls of clients. */
 import { createServer, type Server } from 'node:http'
 import { isStillAllowed } from '../accounts/identifyCaller'
 import { createCrashWatch } from '../crashes/crashWatch'
@@ -30,28 +30,31 @@
 import { once } from './once'
 import type { RoleContext, RunningRole } from './types'
 
-/** A gateway needs the other daemons only as ways to the store, when the store turns it away. */
+/** Interval of member listings, which provide relays to the store, meter gateways and the number of gateways. */
 const MEMBERS_INTERVAL_MS = 10_000
 
-/** A few gateways share the connections that an endpoint takes; each keeps to this part of them. */
+/** Share of an endpoint's connection limit that one gateway uses, since several gateways connect to each endpoint. */
 const CONNECTION_SHARE = 0.25
 
-/** Lines about requests that went well; those about others are always written. A line is about 300 bytes. */
-const GOOD_LINES_PER_SECOND = 20
+/** Maximum rate of log lines about successful requests, about 300 bytes each. Lines about other requests are always written. */
+const SUCCESS_LINES_PER_SECOND = 20
 
-/** Used before the configuration names a limit. */
+/** Connection limit of a gateway until the configuration sets one. */
 const DEFAULT_CONNECTION_LIMIT = 16
 
 /**
+ * Starts the gateway role.
+ *
  * @param context - settings, store and wire
  * @returns the running gateway
+ * @throws Error if the settings contain no gateway section or a port is taken
  */
 export async function startGatewayRole (context: RoleContext): Promise<RunningRole> {
   const { settings, clock, log, wire } = context
   const gateway = settings.gateway
-  if (gateway === undefined) throw new Error('the gateway role needs an address for clients and one for readiness')
-  let leaving = false
-  const notice: ClosingNotice = { isLeaving: () => leaving }
+  if (gateway === undefined) throw new Error('the gateway role requires addresses for clients and for readiness')
+  let draining = false
+  const notice: ClosingNotice = { isLeaving: () => draining }
   const view = followPlatform(context, { memberListingIntervalMs: () => MEMBERS_INTERVAL_MS })
   const loads = createLoadTable(clock)
   const limitOf = (service: string): number => {
@@ -64,7 +67,7 @@
   const crashes = createCrashWatch(suspects, shared.publish)
   view.follow({ table: SUSPECT_TABLE, partitions: DEFAULT_PARTITIONS, listener: shared.listener })
   const onReport = (report: LoadReport): void => {
-    // A report about a start that is not listed yet comes again; kept, it would stay for ever if that start never is.
+    // Reports about a start that is not listed yet are repeated. A stored one would leak if the start is never listed.
     if (!view.endpoints.hasStart(report.startId)) return
     loads.onReport(report)
     if (!report.reachable) crashes.onEndpointLost(report.startId)
@@ -95,7 +98,7 @@
     loads.forget(endpoint.startId)
     asker.forget(endpoint)
     use.forget(endpoint)
-    // One that drains ends by plan.
+    // A draining endpoint stops as planned, which is not a crash.
     if (endpoint.state === 'ready') crashes.onEndpointLost(endpoint.startId)
   })
   const closing = new AbortController()
@@ -119,7 +122,7 @@
     limits: accounts.limits,
     isStillAllowed: caller => isStillAllowed(view.configuration.current(), caller),
     traffic,
-    lines: createLogRateLimiter(clock, GOOD_LINES_PER_SECOND),
+    lines: createLogRateLimiter(clock, SUCCESS_LINES_PER_SECOND),
     draw: () => context.random.next()
   }
   const jobs = createJobCalls({
@@ -169,7 +172,7 @@
   })
   view.configuration.onChange(configuration => clients.applyLimits(configuration.limits))
   const readiness = createServer((_request, response) => {
-    const ready = !leaving && view.configuration.current() !== undefined && view.endpoints.hasListing()
+    const ready = !draining && view.configuration.current() !== undefined && view.endpoints.hasListing()
     response.writeHead(ready ? 200 : 503, { 'Content-Length': 0 })
     response.end()
   })
@@ -185,7 +188,7 @@
     await pools.closeAll()
   })
 
-  // Whoever starts a gateway whose port is taken gets an error and no handle; the rest would go on without clients.
+  // If a port is taken, the caller gets an error and no handle, so the parts that are already running are closed here.
   try {
     await listen(clients.server, gateway.clients.ip, gateway.clients.port)
     await listen(readiness, gateway.readiness.ip, gateway.readiness.port)
@@ -197,7 +200,7 @@
   return {
     close,
     stop: async () => {
-      leaving = true
+      draining = true
       heartbeat.stop()
       await drainClients({ clients, log, clock, graceMs: settings.stopGraceMs })
       await close()
@@ -205,14 +208,14 @@
   }
 }
 
-/** Used until the daemons have been listed. */
-const USUAL_GATEWAY_COUNT = 4
+/** Assumed number of gateways until the members have been listed. */
+const DEFAULT_GATEWAY_COUNT = 4
 
-/** @returns how many gateways send to the same endpoints */
+/** @returns number of live gateways, all of which send to the same endpoints */
 function gatewayCount (work: WorkTable, storeNowMs: number | undefined): number {
   let count = 0
   for (const { record } of work.members()) if (record.role === 'gateway' && record.aliveUntilMs > (storeNowMs ?? 0)) count++
-  return count === 0 ? USUAL_GATEWAY_COUNT : count
+  return count === 0 ? DEFAULT_GATEWAY_COUNT : count
 }
 
 async function listen (server: Server, ip: string, port: number): Promise<void> {
--- a/packages/anvilarch-serving/src/roles/types.ts
+++ b/packages/anvilarch-serving/src/roles/types.ts
@@ -1,4 +1,4 @@
-/** What an adapter hands to a role. */
+/** Types of the settings and parts that an adapter passes to a role. */
 import type { Clock, Random } from 'anvilarch-utils'
 import type { LimitBounds } from '../accounts/limits/limitBounds'
 import type { LoadReport } from '../endpoints/peerMessages'
@@ -17,73 +17,73 @@
   name: string
   failureDomain: string
   ip: string
-  /** Port for the project's own traffic between daemons, TCP and UDP. */
+  /** Port for traffic between daemons, TCP and UDP. */
   peerPort: number
-  /** How long after SIGTERM the process may live. */
+  /** Time from SIGTERM until the process is killed, in milliseconds. */
   stopGraceMs: number
-  /** How long after the end of an outage or a cut this host counts as out of contact: then it has to know what the store holds. */
+  /** Time after an outage or a network partition in which this host still counts as out of contact. By its end, the host must have caught up with the store. */
   contactMs: number
   maxRowBytes: number
-  /** How long results of a job are promised, from its submission on. */
+  /** Guaranteed retention of the results of a job, in milliseconds from its submission. */
   retentionMs: number
-  /** How closely limits of rate are to be kept. */
+  /** Permitted deviation from rate limits. */
   limitBounds: LimitBounds
-  /** Whether a gateway that has not heard of the store for `maxRevocationDelayMs` refuses callers with keys. */
+  /** Whether a gateway that has had no response from the store for `maxRevocationDelayMs` refuses callers with keys. */
   failsClosed: boolean
-  /** How long a key may still be good after it was taken away. */
+  /** Longest time for which a revoked key may still be accepted, in milliseconds. */
   maxRevocationDelayMs: number
-  /** Configured for the gateway only. */
+  /** Set for the gateway role only. */
   gateway: GatewaySettings | undefined
-  /** Configured for the agent only. */
+  /** Set for the agent role only. */
   agent: AgentSettings | undefined
 }
 
-/** Where a gateway listens. */
+/** Addresses that a gateway listens on. */
 export interface GatewaySettings {
   clients: PeerAddress
   readiness: PeerAddress
 }
 
-/** The engine beside an agent. */
+/** The engine on the host of an agent. */
 export interface AgentSettings {
   engineAddress: string
   service: string
 }
 
-/** Job calls on the adapter's wire. */
+/** Encoding of job calls in the adapter's protocol. */
 export interface JobWire {
-  /** Pattern of the path of a job's results, for find-my-way, with `:id`. */
+  /** Path pattern of the results of a job, for find-my-way, with `:id`. */
   resultsPath: string
-  /** Pattern of the path of an item's body. */
+  /** Path pattern of the body of an item. */
   itemPath: string
-  /** Query parameter that names the first position wanted. */
+  /** Query parameter for the position of the first result to return. */
   afterParameter: string
-  /** Query parameter that names the item. */
+  /** Query parameter for the item. */
   itemParameter: string
-  /** @returns how long the client lets a read wait for results */
+  /** @returns how long a read may wait for results, in milliseconds */
   waitMs: (headers: NodeJS.Dict<string | string[]>) => number
-  /** @returns the items, or what is wrong with the body */
+  /** @returns the items, or the problem with the body */
   decodeSubmission: (body: Buffer) => JobItem[] | { problem: string }
   encodePage: (page: ResultPage) => unknown
 }
 
-/** What an engine says of itself. */
+/** Status report of an engine. */
 export interface EngineReport {
   running: number
   waiting: number
-  /** When the engine says it was started, in Unix milliseconds; undefined where engines do not say. */
+  /** Start time that the engine reports, in Unix milliseconds; undefined if it reports none. */
   bornAtMs: number | undefined
 }
 
-/** Calls to an engine beside the requests themselves. */
+/** Encoding of reports and item runs in the engine's protocol. */
 export interface EngineWire {
   reportPath: string
   decodeReport: (body: Buffer) => EngineReport | undefined
-  /** @returns the wire headers of an item's run */
+  /** @returns the request headers for running an item */
   encodeItem: (item: JobItem, host: string, terms: SendTerms) => string[]
 }
 
-/** How the store tells of endpoints and the configuration. */
+/** Decoders for the configuration and the endpoints in the store. */
 export interface OperatorWire {
   configurationTable: string
   decodeConfiguration: (row: StoredRow) => ListedConfiguration | undefined
@@ -91,7 +91,7 @@
   decodeEndpoint: (row: StoredRow) => EndpointRow
 }
 
-/** Everything that differs between platforms. */
+/** Protocols that differ between platforms. */
 export interface PlatformWire {
   request: RequestWire
   job: JobWire
@@ -99,7 +99,7 @@
   operator: OperatorWire
 }
 
-/** Parts that each role gets. */
+/** Settings and services that every role receives. */
 export interface RoleContext {
   settings: ServingSettings
   wire: PlatformWire
@@ -109,15 +109,15 @@
   log: EventLog
   metrics: ServingMetrics
   peers: PeerDirectory
-  /** Aborted when the process begins to stop. */
+  /** Aborted when the process starts to stop. */
   stopping: AbortSignal
 }
 
-/** A role that runs. */
+/** A running role. */
 export interface RunningRole {
-  /** Finishes what is in progress; resolves when the process may exit. */
+  /** Finishes work in progress. Resolves when the process may exit. */
   stop: () => Promise<void>
-  /** Frees sockets and timers at once, whatever is in progress. May be called again. */
+  /** Releases sockets and timers immediately, even with work in progress. May be called repeatedly. */
   close: () => Promise<void>
 }
 
