--- a/packages/anvilarch-serving/src/roles/followPlatform.ts
+++ b/packages/anvilarch-serving/src/roles/followPlatform.ts
@@ -70,8 +70,8 @@
   const tableAnsweredAtMs = new Map<string, number>()
   const waitMs = feedWaitMs({ contactMs: context.settings.contactMs, callTimeoutMs: store.callTimeoutMs })
   const follow = (table: FollowedTable): void => {
-    const onAnswer = (): void => { tableAnsweredAtMs.set(table.table, clock.nowMs()) }
-    runInBackground(log, `follow ${table.table}`, () => followTable({ store, clock, random: context.random, log, waitMs, signal: controller.signal, onAnswer, ...table }))
+    const onResponse = (): void => { tableAnsweredAtMs.set(table.table, clock.nowMs()) }
+    runInBackground(log, `follow ${table.table}`, () => followTable({ store, clock, random: context.random, log, waitMs, signal: controller.signal, onResponse, ...table }))
   }
 
   const applyConfiguration = async (row: StoredRow): Promise<void> => {
@@ -122,7 +122,7 @@
     random: context.random,
     log,
     signal: controller.signal,
-    onAnswer: () => { tableAnsweredAtMs.set(MEMBER_TABLE, clock.nowMs()) },
+    onResponse: () => { tableAnsweredAtMs.set(MEMBER_TABLE, clock.nowMs()) },
     table: MEMBER_TABLE,
     partitions: [MEMBER_PARTITION],
     listener: work.listeners.members,
--- a/packages/anvilarch-serving/src/store/__tests__/longPolls.test.ts
+++ b/packages/anvilarch-serving/src/store/__tests__/longPolls.test.ts
@@ -2,50 +2,50 @@
 import { createLongPolls, type LongPolls } from '../longPolls'
 
 let clock: FakeClock
-let waiting: LongPolls
+let longPolls: LongPolls
 
 beforeEach(() => {
   clock = createFakeClock(1000)
-  waiting = createLongPolls(clock)
+  longPolls = createLongPolls(clock)
 })
 
 describe('createLongPolls', () => {
-  it('gives up what was sent before a silence or within it, once a later call is answered', () => {
-    const before = waiting.begin()
+  it('aborts long polls sent before or during an outage once a later call gets a response', () => {
+    const before = longPolls.begin()
     clock.advance(500)
-    waiting.onNoAnswer(1400)
-    const within = waiting.begin()
+    longPolls.onNoAnswer(1400)
+    const during = longPolls.begin()
     clock.advance(500)
-    const after = waiting.begin()
-    waiting.onAnswer(2000)
-    expect([before, within, after].map(call => call.signal.aborted)).toEqual([true, true, false])
+    const after = longPolls.begin()
+    longPolls.onAnswer(2000)
+    expect([before, during, after].map(call => call.signal.aborted)).toEqual([true, true, false])
   })
 
-  it('leaves calls alone while all others are answered', () => {
-    const { signal } = waiting.begin()
+  it('aborts no long poll while all other calls get responses', () => {
+    const { signal } = longPolls.begin()
     clock.advance(500)
-    waiting.onAnswer(1500)
+    longPolls.onAnswer(1500)
     expect(signal.aborted).toBe(false)
   })
 
-  // Guards against giving up good calls again and again after an outage, each time that one of its calls times out.
-  it('does not take the late timeout of a call from within the silence for another one', () => {
-    waiting.onNoAnswer(1000)
+  // Guards against repeatedly aborting healthy long polls after an outage, each time that a call from the outage times out.
+  it('does not treat the late timeout of a call from an outage as another outage', () => {
+    longPolls.onNoAnswer(1000)
     clock.advance(1000)
-    waiting.onAnswer(2000)
-    const { signal } = waiting.begin()
+    longPolls.onAnswer(2000)
+    const { signal } = longPolls.begin()
     clock.advance(500)
-    waiting.onNoAnswer(1900)
-    waiting.onAnswer(2500)
+    longPolls.onNoAnswer(1900)
+    longPolls.onAnswer(2500)
     expect(signal.aborted).toBe(false)
   })
 
-  it('forgets calls that have ended', () => {
-    const { signal, end } = waiting.begin()
+  it('does not abort calls that have ended', () => {
+    const { signal, end } = longPolls.begin()
     end()
     clock.advance(100)
-    waiting.onNoAnswer(1000)
-    waiting.onAnswer(1100)
+    longPolls.onNoAnswer(1000)
+    longPolls.onAnswer(1100)
     expect(signal.aborted).toBe(false)
   })
 })
--- a/packages/anvilarch-serving/src/store/__tests__/silentConnections.test.ts
+++ b/packages/anvilarch-serving/src/store/__tests__/silentConnections.test.ts
@@ -13,14 +13,14 @@
   server.close()
 })
 
-describe('connections that go silent without a reset', () => {
-  // Guards against this: a daemon loses one call after another to connections of the same age, and stays without news for the sum of their timeouts.
-  it('cost one call, and none after it', async () => {
-    const silent = new Set<Socket>()
+describe('connections that stop responding without a reset', () => {
+  // Guards against a daemon that loses one call after another to connections of the same age and misses changes for the sum of their timeouts.
+  it('fail one call and no later ones', async () => {
+    const unresponsive = new Set<Socket>()
     const connections = new Set<Socket>()
     server = createServer((request, response) => {
-      if (silent.has(request.socket)) return
-      // All calls of the first round are in progress at once, so that each has a connection.
+      if (unresponsive.has(request.socket)) return
+      // Delays the responses so that all calls of the first round are in progress together and each has its own connection.
       setTimeout(() => response.end('done'), 50)
     })
     server.on('connection', socket => { connections.add(socket) })
@@ -28,7 +28,7 @@
     const call = createDirectTransport(`127.0.0.1:${(server.address() as AddressInfo).port}`, createSystemClock())
     await Promise.all(Array.from({ length: OPEN_CONNECTIONS }, () => call(CALL)))
     expect(connections.size).toBe(OPEN_CONNECTIONS)
-    for (const socket of connections) silent.add(socket)
+    for (const socket of connections) unresponsive.add(socket)
     const outcomes: Array<StoreResponse['outcome']> = []
     for (let index = 0; index < OPEN_CONNECTIONS; index++) outcomes.push((await call(CALL)).outcome)
     expect(outcomes.filter(outcome => outcome === 'no_answer')).toHaveLength(1)
--- a/packages/anvilarch-serving/src/store/__tests__/tableFollower.test.ts
+++ b/packages/anvilarch-serving/src/store/__tests__/tableFollower.test.ts
@@ -10,11 +10,11 @@
   return { table: 't', partition, key: `row-${partition}`, value: Buffer.alloc(0), version: 1 }
 }
 
-/** A store that refuses all calls of a second beyond a rate. */
-function createBoundedStore (clock: FakeClock, readsPerSecond: number): { store: MetadataStore, refused: () => number } {
+/** Creates a store that rejects the calls beyond a rate per second. */
+function createBoundedStore (clock: FakeClock, readsPerSecond: number): { store: MetadataStore, rejected: () => number } {
   let second = -1
   let calls = 0
-  let refused = 0
+  let rejected = 0
   const isOverRate = (): boolean => {
     const now = Math.floor(clock.nowMs() / 1000)
     if (now !== second) {
@@ -22,7 +22,7 @@
       calls = 0
     }
     calls++
-    if (calls > readsPerSecond) refused++
+    if (calls > readsPerSecond) rejected++
     return calls > readsPerSecond
   }
   const store = {
@@ -32,14 +32,14 @@
       return isOverRate() ? Err({ reason: OVER_RATE_REASON }) : Ok({ outcome: 'changes', changes: [], version: 1 })
     }
   } as unknown as MetadataStore
-  return { store, refused: () => refused }
+  return { store, rejected: () => rejected }
 }
 
 describe('followTable', () => {
-  // Guards against a start of all daemons that never ends: each refused call made a daemon list all partitions again.
-  it('gives hundreds of daemons that list at the same time their tables within seconds, though the store refuses most calls', async () => {
+  // Guards against a simultaneous start of all daemons that never completes because each rejected call makes a daemon list all partitions again.
+  it('lists the tables of hundreds of daemons that start together within seconds although the store rejects most calls', async () => {
     const clock = createFakeClock()
-    const { store, refused } = createBoundedStore(clock, 1000)
+    const { store, rejected } = createBoundedStore(clock, 1000)
     const listed: StoredRow[][] = []
     const controller = new AbortController()
     for (let daemon = 0; daemon < 600; daemon++) {
@@ -51,35 +51,35 @@
     controller.abort()
     expect(listed).toHaveLength(600)
     for (const rows of listed) expect(rows.map(row => row.partition)).toEqual(PARTITIONS)
-    // All daemons need 4,800 calls, for which the store takes 4.8 s.
-    expect(refused()).toBeLessThan(4800)
+    // All daemons together need 4,800 calls, which take 4.8 s at the rate of the store.
+    expect(rejected()).toBeLessThan(4800)
   })
 
-  it('lists a table anew when a listing has not gone on for long', async () => {
+  it('restarts a listing that has been interrupted for too long', async () => {
     const clock = createFakeClock()
     let version = 1
-    let refuse = false
+    let reject = false
     const store = {
       readRows: async ({ partition }: { partition: string }) => {
-        if (partition === 'p1' && refuse) return Err({ reason: 'silent' })
+        if (partition === 'p1' && reject) return Err({ reason: 'silent' })
         return Ok({ rows: [{ ...rowOf(partition), version }], version })
       },
       readFeed: () => new Promise(() => {})
     } as unknown as MetadataStore
     const listed: StoredRow[][] = []
-    refuse = true
+    reject = true
     const listener = { onListing: (rows: StoredRow[]) => { listed.push(rows) }, onChange: () => {} }
     followTable({ store, clock, random: createRandom(1), log: SILENT_LOGGER as EventLog, table: 't', partitions: ['p0', 'p1'], listener, waitMs: 2000, signal: new AbortController().signal })
       .catch(error => { throw error })
     await clock.advanceAsync(9000)
     version = 2
     await clock.advanceAsync(9000)
-    refuse = false
+    reject = false
     await clock.advanceAsync(1000)
     expect(listed[0].map(row => row.version)).toEqual([2, 2])
   })
 
-  it('logs a feed that is lost and regained in two lines', async () => {
+  it('logs one line when a feed is lost and one when it responds again', async () => {
     const clock = createFakeClock()
     let failing = false
     const store = {
@@ -90,8 +90,8 @@
       }
     } as unknown as MetadataStore
     const lines: Array<{ event: string, failedCalls?: number }> = []
-    const note = (event: string, fields: object): void => { lines.push({ event, ...fields }) }
-    const log = { ...SILENT_LOGGER, info: note, warn: note } as unknown as EventLog
+    const record = (event: string, fields: object): void => { lines.push({ event, ...fields }) }
+    const log = { ...SILENT_LOGGER, info: record, warn: record } as unknown as EventLog
     const listener = { onListing: () => {}, onChange: () => {} }
     const controller = new AbortController()
     followTable({ store, clock, random: createRandom(1), log, table: 't', partitions: ['p0'], listener, waitMs: 2000, signal: controller.signal })
--- a/packages/anvilarch-serving/src/store/__tests__/transport.test.ts
+++ b/packages/anvilarch-serving/src/store/__tests__/transport.test.ts
@@ -6,7 +6,7 @@
 const CALL: StoreCall = { name: 'read', method: 'GET', path: '/', headers: [], body: undefined, timeoutMs: 1000 }
 const DONE: StoreResponse = { outcome: 'answered', status: 200, body: Buffer.alloc(0) }
 const BUSY: StoreResponse = { outcome: 'answered', status: 503, body: Buffer.alloc(0) }
-const SILENT: StoreResponse = { outcome: 'no_answer', reason: 'timeout' }
+const UNANSWERED: StoreResponse = { outcome: 'no_answer', reason: 'timeout' }
 
 let clock: FakeClock
 let direct: StoreResponse
@@ -21,33 +21,33 @@
   throughPeer = DONE
   directCalls = 0
   peerCalls = 0
-  const answerDirect: StoreTransport = async () => {
+  const respondDirect: StoreTransport = async () => {
     directCalls++
     return direct
   }
-  const answerThroughPeer: StoreTransport = async () => {
+  const respondThroughPeer: StoreTransport = async () => {
     peerCalls++
     return throughPeer
   }
   transport = createRelayedTransport({
-    clock, log: SILENT_LOGGER, random: createRandom(1), direct: answerDirect, peers: () => ['10.0.0.2:1'], createPeerTransport: () => answerThroughPeer
+    clock, log: SILENT_LOGGER, random: createRandom(1), direct: respondDirect, peers: () => ['10.0.0.2:1'], createPeerTransport: () => respondThroughPeer
   })
 })
 
 describe('createRelayedTransport', () => {
-  it('goes straight to the store while it answers', async () => {
+  it('calls the store directly while it responds', async () => {
     await transport.call(CALL)
     expect([directCalls, peerCalls]).toEqual([1, 0])
   })
 
-  it('asks a peer when the store turns this host away', async () => {
+  it('relays calls through a peer when the store rejects this host', async () => {
     direct = BUSY
     for (let index = 0; index < 5; index++) expect(await transport.call(CALL)).toEqual(DONE)
     expect(peerCalls).toBe(5)
     expect(directCalls).toBeLessThan(5)
   })
 
-  it('notices that the store serves this host again', async () => {
+  it('detects that the store serves this host again', async () => {
     direct = BUSY
     for (let index = 0; index < 3; index++) await transport.call(CALL)
     direct = DONE
@@ -58,21 +58,21 @@
     expect(peerCalls).toBe(before)
   })
 
-  // Guards against this: a transaction is done twice.
-  it('does not send again what may have been done', async () => {
-    direct = SILENT
-    expect(await transport.call(CALL)).toEqual(SILENT)
+  // Guards against executing a transaction twice.
+  it('does not repeat a call that may have been executed', async () => {
+    direct = UNANSWERED
+    expect(await transport.call(CALL)).toEqual(UNANSWERED)
     expect(peerCalls).toBe(0)
   })
 
-  it('leaves peers alone for a while when they do not reach the store either', async () => {
+  it('pauses relaying when peers do not reach the store either', async () => {
     direct = BUSY
     throughPeer = BUSY
     for (let index = 0; index < 10; index++) await transport.call(CALL)
     expect(peerCalls).toBe(1)
   })
 
-  it('tells when the store last answered and last did not', async () => {
+  it('reports the times of the last success and the last failure', async () => {
     direct = BUSY
     throughPeer = BUSY
     await transport.call(CALL)
@@ -82,10 +82,10 @@
     expect(transport.contact).toEqual({ lastSuccessMs: undefined, lastFailureMs: 10_900, lastOutageMs: 900 })
   })
 
-  // Guards against this: after a start of all hosts, one that the store turns away serves nobody for 0.7 s, although peers are served.
-  it('asks another peer when the first one is turned away as well', async () => {
+  // Guards against a host that, rejected by the store after a start of all hosts, serves no client for 0.7 s although the store serves its peers.
+  it('tries another peer when the first one is rejected as well', async () => {
     direct = BUSY
-    const asked: string[] = []
+    const tried: string[] = []
     const relayed = createRelayedTransport({
       clock,
       log: SILENT_LOGGER,
@@ -93,18 +93,18 @@
       direct: async () => direct,
       peers: () => ['10.0.0.2:1', '10.0.0.3:1', '10.0.0.4:1'],
       createPeerTransport: address => async () => {
-        asked.push(address)
-        return asked.length < 3 ? BUSY : DONE
+        tried.push(address)
+        return tried.length < 3 ? BUSY : DONE
       }
     })
     expect(await relayed.call(CALL)).toEqual(DONE)
-    expect(new Set(asked).size).toBe(3)
+    expect(new Set(tried).size).toBe(3)
   })
 
-  // Guards against this: a transaction is done twice.
-  it('asks no other peer after one whose call may have been done', async () => {
+  // Guards against executing a transaction twice.
+  it('tries no other peer after a relayed call that may have been executed', async () => {
     direct = BUSY
-    let asked = 0
+    let tried = 0
     const relayed = createRelayedTransport({
       clock,
       log: SILENT_LOGGER,
@@ -112,18 +112,18 @@
       direct: async () => direct,
       peers: () => ['10.0.0.2:1', '10.0.0.3:1'],
       createPeerTransport: () => async () => {
-        asked++
-        return SILENT
+        tried++
+        return UNANSWERED
       }
     })
-    expect(await relayed.call(CALL)).toEqual(SILENT)
-    expect(asked).toBe(1)
+    expect(await relayed.call(CALL)).toEqual(UNANSWERED)
+    expect(tried).toBe(1)
   })
 })
 
-describe('the time of a call', () => {
-  // Guards against this: a daemon knows of no change for several timeouts in a row, though it counts as in contact.
-  it.each([['reach nobody', undefined], ['are silent', SILENT]])('is kept over all its tries when the store cannot be reached and peers %s', async (_title, last) => {
+describe('the timeout of a call', () => {
+  // Guards against a daemon that misses changes for several consecutive timeouts although it counts as in contact.
+  it.each([['are unreachable', undefined], ['do not respond', UNANSWERED]])('covers all its tries when the store is unreachable and peers %s', async (_title, last) => {
     const notDone: StoreResponse = { outcome: 'not_done', reason: 'UND_ERR_CONNECT_TIMEOUT' }
     const answer = (given: StoreResponse, afterMs: number): Promise<StoreResponse> => new Promise(resolve => { clock.after(afterMs, () => resolve(given)) })
     let tries = 0
@@ -141,25 +141,25 @@
   })
 })
 
-describe('calls that wait at the store', () => {
-  /** Answers after a time, or not at all, unless the call is given up. */
-  const answerAfter = (answersAfterMs: number | undefined): StoreTransport => call => new Promise(resolve => {
-    clock.after(call.timeoutMs, () => resolve(SILENT))
+describe('long polls', () => {
+  /** Responds after a delay or never, unless the call is aborted. */
+  const respondAfter = (delayMs: number | undefined): StoreTransport => call => new Promise(resolve => {
+    clock.after(call.timeoutMs, () => resolve(UNANSWERED))
     call.signal?.addEventListener('abort', () => resolve({ outcome: 'no_answer', reason: 'given_up' }))
-    if (answersAfterMs !== undefined) clock.after(answersAfterMs, () => resolve(DONE))
+    if (delayMs !== undefined) clock.after(delayMs, () => resolve(DONE))
   })
   const WAITING: StoreCall = { ...CALL, timeoutMs: 3500, isLongPoll: true }
 
-  it('are given up when the store is back after a silence, and do not count as another one', async () => {
+  it('are aborted when the store responds again after an outage, and do not count as another failure', async () => {
     const store = { answersAfterMs: undefined as number | undefined }
     const relayed = createRelayedTransport({
-      clock, log: SILENT_LOGGER, random: createRandom(1), direct: call => answerAfter(store.answersAfterMs)(call), peers: () => [], createPeerTransport: () => answerAfter(undefined)
+      clock, log: SILENT_LOGGER, random: createRandom(1), direct: call => respondAfter(store.answersAfterMs)(call), peers: () => [], createPeerTransport: () => respondAfter(undefined)
     })
     const lost = relayed.call(CALL)
     await clock.advanceAsync(900)
     const waiting = relayed.call(WAITING)
     await clock.advanceAsync(200)
-    expect(await lost).toEqual(SILENT)
+    expect(await lost).toEqual(UNANSWERED)
     store.answersAfterMs = 4
     const answered = relayed.call(CALL)
     await clock.advanceAsync(10)
@@ -168,19 +168,19 @@
     expect(relayed.contact.lastFailureMs).toBe(11_000)
   })
 
-  // Guards against this: a daemon whose waiting call was given up on the way through a peer asks no peer for seconds.
-  it('leave the way through peers open when they are given up there', async () => {
+  // Guards against a daemon that stops relaying for seconds because one of its relayed long polls was aborted.
+  it('do not pause relaying when they are aborted at a peer', async () => {
     const store = { answersAfterMs: undefined as number | undefined }
     let throughPeers = 0
     const relayed = createRelayedTransport({
       clock,
       log: SILENT_LOGGER,
       random: createRandom(1),
-      direct: call => answerAfter(store.answersAfterMs)(call),
+      direct: call => respondAfter(store.answersAfterMs)(call),
       peers: () => ['10.0.0.2:1'],
       createPeerTransport: () => call => {
         throughPeers++
-        return answerAfter(undefined)(call)
+        return respondAfter(undefined)(call)
       }
     })
     const first = [relayed.call(CALL), relayed.call(CALL)]
@@ -198,8 +198,8 @@
   })
 })
 
-/** @returns what becomes of half of an answer that ends with its connection */
-async function unframedAnswer (status: number): Promise<StoreResponse> {
+/** @returns the outcome of a partial response that ends with its connection */
+async function unframedResponse (status: number): Promise<StoreResponse> {
   const server = createServer((_request, response) => {
     response.shouldKeepAlive = false
     response.removeHeader('Transfer-Encoding')
@@ -214,15 +214,15 @@
 }
 
 describe('createDirectTransport', () => {
-  // Guards against this: after a gateway wakes up it takes the store for silent, and does not know whether its transactions are done.
-  it('reads an answer that came while its own process stood still, and marks it', async () => {
-    // The answer lies in the client's socket when the process goes on.
-    const standStill = (): void => {
+  // Guards against a gateway that, after a process pause, treats the store as unreachable and the outcome of its transactions as unknown.
+  it('reads a response that arrived during a process pause, and marks it', async () => {
+    // The response is in the socket of the client when the process continues.
+    const blockProcess = (): void => {
       const untilMs = performance.now() + 300
       while (performance.now() < untilMs);
     }
     const server = createServer(({ url }, response) => {
-      if (url === '/late') standStill()
+      if (url === '/late') blockProcess()
       response.end('done')
     })
     await new Promise<void>(resolve => { server.listen(0, '127.0.0.1', resolve) })
@@ -234,17 +234,17 @@
     server.close()
   })
 
-  // Guards against this: a part of a stored object passes for the whole of it.
-  it('does not take for whole an answer whose end a broken connection cannot be told from', async () => {
-    expect(await unframedAnswer(200)).toEqual({ outcome: 'no_answer', reason: 'unframed_answer' })
+  // Guards against accepting part of a stored object as the whole object.
+  it('rejects a response that cannot be distinguished from a truncated one', async () => {
+    expect(await unframedResponse(200)).toEqual({ outcome: 'no_answer', reason: 'unframed_answer' })
   })
 
-  // Guards against this: a refused transaction counts as one that may have been done.
-  it('takes a refusal for one whatever its body', async () => {
-    expect(await unframedAnswer(503)).toMatchObject({ outcome: 'answered', status: 503 })
+  // Guards against treating a rejected transaction as one that may have been executed.
+  it('accepts a rejection regardless of its body', async () => {
+    expect(await unframedResponse(503)).toMatchObject({ outcome: 'answered', status: 503 })
   })
 
-  it('closes the connection of a call that is given up', async () => {
+  it('closes the connection of an aborted call', async () => {
     const controller = new AbortController()
     const server = createServer()
     const closed = new Promise<void>(resolve => {
--- a/packages/anvilarch-serving/src/store/feedWait.ts
+++ b/packages/anvilarch-serving/src/store/feedWait.ts
@@ -1,28 +1,28 @@
-/** How long the feed of a table may wait at the store. */
+/** Computes the wait of the long polls that read the feed of a table. */
 
-/** Longer waits save few calls. */
+/** Longest wait. Longer ones would save few calls. */
 const MAX_FEED_WAIT_MS = 2000
 
-/** Shorter waits would make the feed of a calm table a poll. */
+/** Shortest wait. With shorter ones, the feed of a table without changes would degrade to polling. */
 const MIN_FEED_WAIT_MS = 250
 
-/** For the pause after a call that was given up, the next call, and taking what it brings. */
+/** Time for the pause after a call that timed out, for the next call, and for applying its changes. */
 const CATCH_UP_MS = 500
 
-/** What the wait follows from. */
+/** Options of `feedWaitMs`. */
 export interface FeedWaitOptions {
-  /** How long after the end of an outage a host counts as out of contact. */
+  /** Time after the end of an outage in which a host still counts as out of contact. */
   contactMs: number
-  /** How long a call is waited for beyond the wait that it asks for. */
+  /** Timeout of a call beyond the wait that it requests. */
   callTimeoutMs: number
 }
 
 /**
- * An outage may swallow a call that was sent just before its end. That call is given up early enough for the next one to bring
- * all changes while the host still counts as out of contact.
+ * Computes the wait of a feed call. An outage may swallow a call that was sent just before its end. With this wait, the call times out
+ * early enough for the next one to fetch all changes while the host still counts as out of contact.
  *
- * @param bounds - of the deployment and of the client
- * @returns how long one call asks the store to wait, in milliseconds
+ * @param options - times of the deployment and of the client
+ * @returns wait that one call requests from the store, in milliseconds
  */
 export function feedWaitMs ({ contactMs, callTimeoutMs }: FeedWaitOptions): number {
   return Math.min(MAX_FEED_WAIT_MS, Math.max(MIN_FEED_WAIT_MS, contactMs - callTimeoutMs - CATCH_UP_MS))
--- a/packages/anvilarch-serving/src/store/longPolls.ts
+++ b/packages/anvilarch-serving/src/store/longPolls.ts
@@ -1,37 +1,37 @@
-/** Gives up calls that wait at the store once another call shows that the store was silent meanwhile and is back. */
+/** Aborts long polls once another call shows that the store was unreachable in the meantime and responds again. */
 import type { Clock } from 'anvilarch-utils'
 
-/** A call that asks the store to wait. */
+/** A call for which the store may delay its response. */
 export interface LongPoll {
-  /** Aborted when the store may never have got the call. */
+  /** Aborted when the store may never have received the call. */
   signal: AbortSignal
-  /** The call has ended. */
+  /** Removes the call after it has ended. */
   end: () => void
 }
 
-/** The waiting calls of a process. */
+/** The long polls of a process. */
 export interface LongPolls {
   begin: () => LongPoll
-  /** A call got no answer. */
+  /** Records that a call got no response. */
   onNoAnswer: (sentAtMs: number) => void
-  /** A call was answered. */
+  /** Records that a call got a response. */
   onAnswer: (sentAtMs: number) => void
 }
 
 /**
- * Answers an outage without a reset: what was sent within it is lost, and only a timeout would tell. Calls that wait have the
- * longest one, while others are answered again.
+ * Detects long polls that were lost in an outage without connection resets. Only a timeout would reveal the loss, and long polls have
+ * the longest timeout, so they would stay blocked while other calls succeed again.
  *
  * @param clock - local clock
- * @returns a register without calls
+ * @returns an empty set of long polls
  */
 export function createLongPolls (clock: Clock): LongPolls {
   const open = new Map<AbortController, number>()
-  let silent = false
-  let answeredSentAtMs = -Infinity
+  let isUnreachable = false
+  let lastAnsweredSentAtMs = -Infinity
 
-  const giveUpBefore = (sentAtMs: number): void => {
-    for (const [controller, begunAtMs] of [...open]) if (begunAtMs < sentAtMs) controller.abort()
+  const abortSentBefore = (sentAtMs: number): void => {
+    for (const [controller, startedAtMs] of [...open]) if (startedAtMs < sentAtMs) controller.abort()
   }
 
   return {
@@ -41,14 +41,14 @@
       return { signal: controller.signal, end: () => { open.delete(controller) } }
     },
     onNoAnswer: sentAtMs => {
-      // One that was sent before an answered call tells of the time before that answer.
-      if (sentAtMs >= answeredSentAtMs) silent = true
+      // Ignores calls sent before the last call that got a response: they failed in an outage that is already over.
+      if (sentAtMs >= lastAnsweredSentAtMs) isUnreachable = true
     },
     onAnswer: sentAtMs => {
-      answeredSentAtMs = Math.max(answeredSentAtMs, sentAtMs)
-      if (!silent) return
-      silent = false
-      giveUpBefore(sentAtMs)
+      lastAnsweredSentAtMs = Math.max(lastAnsweredSentAtMs, sentAtMs)
+      if (!isUnreachable) return
+      isUnreachable = false
+      abortSentBefore(sentAtMs)
     }
   }
 }
--- a/packages/anvilarch-serving/src/store/tableCache.ts
+++ b/packages/anvilarch-serving/src/store/tableCache.ts
@@ -1,24 +1,24 @@
-/** This process's copy of the rows of one table, from listings, the feed of changes and its own writes. */
+/** Local cache of the rows of one table, filled by listings, the feed of changes and the writes of this process. */
 import type { RowChange, RowKey, StoredRow } from './types'
 
-/** A record and the version of its row. */
+/** A decoded record and the version of its row. */
 export interface Versioned<Record> {
   record: Record
   version: number
 }
 
-/** A copy of one table. */
+/** Local cache of one table. */
 export interface TableCache<Record> {
   get: (key: string) => Versioned<Record> | undefined
   values: () => Iterable<Versioned<Record>>
-  /** Takes a row that this process has just written or read, if it is newer than the copy. */
+  /** Stores a row that this process has just written or read, unless the cached one is as new. */
   update: (row: StoredRow) => void
-  /** Forgets a row that is gone as of a version. */
+  /** Removes a row that was deleted as of a version, unless the cached one is newer. */
   remove: (key: RowKey, version: number) => void
-  /** Takes the whole table as of a version of the store. */
+  /** Replaces the rows by the whole table as of a version of the store. Newer rows stay. */
   onListing: (rows: readonly StoredRow[], version: number) => void
   onChange: (change: RowChange) => void
-  /** @returns version of the store as of which the table was last listed; undefined before */
+  /** @returns version of the store at the last listing; undefined before the first */
   listedAtVersion: () => number | undefined
 }
 
@@ -28,26 +28,26 @@
 }
 
 /**
- * A copy of a table whose keys are unique over all its partitions.
+ * Creates a cache for a table whose keys are unique across all its partitions.
  *
- * @param decode - a row; gives undefined when the bytes are not of this program
- * @returns an empty copy
+ * @param decode - decodes a row; returns undefined for bytes that this program has not written
+ * @returns an empty cache
  */
 export function createTableCache<Record> (decode: (row: StoredRow) => Record | undefined): TableCache<Record> {
   const entries = new Map<string, Entry<Record>>()
   let listedAtVersion: number | undefined
 
   const put = (row: StoredRow): void => {
-    const known = entries.get(row.key)
-    if (known !== undefined && known.version >= row.version) return
+    const cached = entries.get(row.key)
+    if (cached !== undefined && cached.version >= row.version) return
     const record = decode(row)
     entries.set(row.key, { version: row.version, versioned: record === undefined ? undefined : { record, version: row.version } })
   }
 
-  // The feed may tell of a removal after this process has written the row anew; the newer row stays.
+  // The feed may report a removal after this process has written the row again. The newer row stays.
   const remove = (key: RowKey, version: number): void => {
-    const known = entries.get(key.key)
-    if (known !== undefined && known.version <= version) entries.delete(key.key)
+    const cached = entries.get(key.key)
+    if (cached !== undefined && cached.version <= version) entries.delete(key.key)
   }
 
   return {
--- a/packages/anvilarch-serving/src/store/tableFollower.ts
+++ b/packages/anvilarch-serving/src/store/tableFollower.ts
@@ -1,11 +1,11 @@
-/** Keeps a copy of a table by a listing and the feed of changes after it. */
+/** Follows a table: lists it once and then reads its feed of changes. */
 import { type Clock, type Random, sleep } from 'anvilarch-utils'
 import { type MetadataStore, OVER_RATE_REASON, type RowChange, type StoredRow } from './types'
 import type { EventLog } from '../telemetry/events'
 
-/** What a follower tells its owner. */
+/** Receives the rows and changes of a followed table. */
 export interface TableListener {
-  /** The whole table as of a version of the store, after a start or a gap in the history. */
+  /** Receives the whole table as of a version of the store, after a start or a gap in the history. */
   onListing: (rows: StoredRow[], version: number) => void
   onChange: (change: RowChange) => void
 }
@@ -17,31 +17,31 @@
   random: Random
   log: EventLog
   table: string
-  /** Partitions that are listed; the feed covers all of them. */
+  /** Partitions to list. The feed covers all of them. */
   partitions: readonly string[]
   listener: TableListener
-  /** Called after each answer of the store about the table, also without changes. */
-  onAnswer?: () => void
-  /** Asked after each call that brought changes: how long further ones are gathered; `FEED_INTERVAL_MS` by default. */
+  /** Called after each response of the store about the table, even without changes. */
+  onResponse?: () => void
+  /** Returns the pause before the next call, in which changes are batched; `FEED_INTERVAL_MS` by default. Called after each successful call. */
   intervalMs?: () => number
-  /** How long one call of the feed asks the store to wait. */
+  /** Wait of one long poll of the feed, in milliseconds. */
   waitMs: number
   signal: AbortSignal
 }
 
-/** Changes are gathered for this long between two calls, unless the owner names another time. */
+/** Default pause between two feed calls, in which changes are batched. */
 export const FEED_INTERVAL_MS = 60
 
-/** First pause after a failure. The bound on a new configuration is some seconds, so that several tries fit. */
+/** First pause after a failure. A new configuration must arrive within some seconds, which leaves time for several retries. */
 export const FEED_RETRY_MS = 100
 
 /** Longest pause after repeated failures. */
 export const FEED_MAX_RETRY_MS = 400
 
-/** The same after refusals for the rate of calls: hundreds of daemons that all ask again soon keep the store beyond its rate. */
+/** Longest pause after the store has rejected calls beyond its rate: hundreds of daemons that retry sooner would keep it overloaded. */
 export const OVER_RATE_MAX_RETRY_MS = 1000
 
-/** A listing that failed midway goes on within this time; the store keeps the changes since then for longer. */
+/** A partial listing is resumed until it is this old. The store retains the changes since its start for longer. */
 const LISTING_MAX_AGE_MS = 8000
 
 const PAUSE_JITTER = 0.3
@@ -50,26 +50,26 @@
  * Follows a table until the signal aborts.
  *
  * @param options - store, table and listener
- * @returns a promise that resolves when following has ended
+ * @returns a promise that resolves after the signal has aborted
  */
 export async function followTable (options: FollowTableOptions): Promise<void> {
   let version: number | undefined
   let retryMs = FEED_RETRY_MS
   const listing = createListing(options)
-  const feed = watchFeed(options)
+  const feedMonitor = createFeedMonitor(options)
   while (!options.signal.aborted) {
     const sentAtMs = options.clock.nowMs()
     const next = version === undefined ? await listing.run() : await readChanges(options, version)
-    if (version !== undefined) feed.onOutcome(next, sentAtMs)
+    if (version !== undefined) feedMonitor.onOutcome(next, sentAtMs)
     if (next.outcome === 'failed') {
       retryMs = Math.min(longestRetryMs(next.reason), retryMs)
-      // A call that was waited for has spread the tries already.
+      // The duration of the failed call counts towards the pause, since it has already spread the retries.
       const openMs = options.clock.nowMs() - sentAtMs
       await pause(options, Math.max(FEED_RETRY_MS, retryMs - openMs))
       retryMs *= 2
       continue
     }
-    options.onAnswer?.()
+    options.onResponse?.()
     retryMs = FEED_RETRY_MS
     version = next.version
     if (next.outcome === 'changed') await pause(options, options.intervalMs?.() ?? FEED_INTERVAL_MS)
@@ -78,12 +78,12 @@
 
 type Step = { outcome: 'changed', version: number | undefined } | { outcome: 'failed', reason: string }
 
-/** Logs when a feed is lost and when it is back. */
-interface FeedWatch {
+/** Logs when a feed is lost and when it responds again. */
+interface FeedMonitor {
   onOutcome: (step: Step, sentAtMs: number) => void
 }
 
-function watchFeed ({ clock, log, table }: Pick<FollowTableOptions, 'clock' | 'log' | 'table'>): FeedWatch {
+function createFeedMonitor ({ clock, log, table }: Pick<FollowTableOptions, 'clock' | 'log' | 'table'>): FeedMonitor {
   let failedCalls = 0
   let lostSinceMs = 0
   return {
@@ -107,32 +107,32 @@
   return reason === OVER_RATE_REASON ? OVER_RATE_MAX_RETRY_MS : FEED_MAX_RETRY_MS
 }
 
-/** Lists a table, partition after partition. */
+/** Lists a table, one partition after another. */
 interface Listing {
-  /** Goes on where the last run has failed, or lists anew. */
+  /** Resumes after the partition at which the last run failed, or starts a new listing. */
   run: () => Promise<Step>
 }
 
 /**
- * A refused call costs its own partition only. Were all partitions listed again, a store beyond its rate would get eight calls
- * for each one that it refuses, and no daemon would ever have all of them.
+ * Creates a listing that repeats only the failed partition after a rejected call. If all partitions were listed again, an overloaded
+ * store would get eight calls for each one that it rejects, and no daemon would ever complete a listing.
  */
 function createListing (options: Pick<FollowTableOptions, 'store' | 'clock' | 'log' | 'table' | 'partitions' | 'listener'>): Listing {
   let rows: StoredRow[] = []
   let oldestVersion: number | undefined
   let next = 0
-  let begunAtMs = -Infinity
+  let startedAtMs = -Infinity
 
-  const begin = (): void => {
+  const reset = (): void => {
     rows = []
     oldestVersion = undefined
     next = 0
-    begunAtMs = options.clock.nowMs()
+    startedAtMs = options.clock.nowMs()
   }
 
   return {
     run: async () => {
-      if (next === 0 || options.clock.nowMs() - begunAtMs > LISTING_MAX_AGE_MS) begin()
+      if (next === 0 || options.clock.nowMs() - startedAtMs > LISTING_MAX_AGE_MS) reset()
       while (next < options.partitions.length) {
         const read = await options.store.readRows({ table: options.table, partition: options.partitions[next] })
         if (read.err) {
@@ -162,32 +162,32 @@
   return { outcome: 'changed', version: read.val.version }
 }
 
-/** Daemons that start together write their rows one after another: listings come this soon at first, then ever less often. */
+/** First interval between listings, which doubles. Daemons that start together write their rows one after another and must be found soon. */
 const FIRST_LISTING_INTERVAL_MS = 100
 
 /** Options of `pollTable`. */
 export interface PollTableOptions extends Omit<FollowTableOptions, 'intervalMs' | 'waitMs'> {
-  /** Asked after each listing: time until the next one. */
+  /** Returns the longest time until the next listing, in milliseconds. Called after each listing. */
   intervalMs: () => number
 }
 
 /**
- * Keeps a copy of a table by listing it from time to time, until the signal aborts.
+ * Lists a table periodically until the signal aborts.
  *
- * Answers tables in which every row changes every few seconds: with a feed, each daemon is woken by the heartbeat of each other
- * one, and calls to the store grow with the square of their number.
+ * Meant for tables in which every row changes every few seconds. With a feed, the heartbeat of each daemon would wake every other
+ * daemon, and the calls to the store would grow with the square of the number of daemons.
  *
  * @param options - store, table and listener
- * @returns a promise that resolves when the following has ended
+ * @returns a promise that resolves after the signal has aborted
  */
 export async function pollTable (options: PollTableOptions): Promise<void> {
   let earlyIntervalMs = FIRST_LISTING_INTERVAL_MS
   const listing = createListing(options)
   while (!options.signal.aborted) {
     const listed = await listing.run()
-    if (listed.outcome === 'changed') options.onAnswer?.()
+    if (listed.outcome === 'changed') options.onResponse?.()
     const intervalMs = Math.min(earlyIntervalMs, options.intervalMs())
-    // Of a failure for another reason than the rate the next listing comes as soon as that one.
+    // The interval does not grow after failures other than a rejection for the rate of calls.
     if (listed.outcome === 'changed' || listed.reason === OVER_RATE_REASON) earlyIntervalMs *= 2
     await sleep(options.clock, options.random.jitter(intervalMs, PAUSE_JITTER), options.signal)
   }
--- a/packages/anvilarch-serving/src/store/transport.ts
+++ b/packages/anvilarch-serving/src/store/transport.ts
@@ -1,66 +1,68 @@
-/** Carries calls to the metadata store, directly or through a peer daemon that the store still serves. */
+/** Sends calls to the metadata store, directly or through a peer daemon that the store still serves. */
 import { type Clock, createSilenceWatch, isFramed, type Random } from 'anvilarch-utils'
 import { startExchange } from '../endpoints/exchange'
 import { createPool, type Pool } from '../endpoints/httpPool'
 import type { EventLog } from '../telemetry/events'
 import { createLongPolls } from './longPolls'
 
-/** One call to the store, encoded. */
+/** An encoded call to the store. */
 export interface StoreCall {
-  /** Short name for metrics. */
+  /** Name of the call in metrics. */
   name: string
   method: string
   path: string
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   headers: string[]
   body: Buffer | undefined
   timeoutMs: number
-  /** Whether the store is asked to wait with its answer. */
+  /** Whether the store may delay its response. */
   isLongPoll?: boolean
-  /** Gives the call up; its answer is then `no_answer`. */
+  /** Aborts the call. Its outcome is then `no_answer`. */
   signal?: AbortSignal
 }
 
 /**
- * What came of a call. `not_done`: nothing reached the store. `no_answer`: it may have been done, or may be done later.
- * `readAfterPause`: this process stood still while the answer waited to be read, so that times in the answer are of the past.
+ * Outcome of a call. `not_done`: the call did not reach the store. `no_answer`: the call may have been executed, or may be executed later.
+ * `readAfterPause`: this process was paused while the response waited to be read, so times in the response are outdated.
  */
 export type StoreResponse =
   | { outcome: 'answered', status: number, body: Buffer, readAfterPause?: boolean }
   | { outcome: 'not_done', reason: string }
   | { outcome: 'no_answer', reason: string }
 
-/** Sends one call. */
+/** Sends a call to the store. */
 export type StoreTransport = (call: StoreCall) => Promise<StoreResponse>
 
-/** A connection that takes longer is one whose packets are dropped. */
+/** A connection attempt that takes longer is one whose packets are dropped. */
 const CONNECT_TIMEOUT_MS = 500
 
-/** Calls in progress at once; feeds hold one each. */
+/** Limit of concurrent calls. Each feed occupies one. */
 const MAX_CONNECTIONS = 64
 
-/** Reason of a call that its sender has given up. */
-const GIVEN_UP_REASON = 'given_up'
+/** Reason of a call that its sender has aborted. */
+const ABORTED_REASON = 'given_up'
 
-/** Nothing was done; what the body says is not read. */
+/** Statuses with which the store rejects a call without executing it. Their bodies are ignored. */
 const BUSY_STATUS = new Set([429, 503])
 
 /**
+ * Creates a transport that connects directly to an address.
+ *
  * @param address - IP and port of the store or of a peer
  * @param clock - local clock
- * @returns a transport straight to that address
+ * @returns the transport
  */
 export function createDirectTransport (address: string, clock: Clock): StoreTransport {
   const openPool = (): Pool =>
     createPool(`http://${address}`, { connections: MAX_CONNECTIONS, pipelining: 1, connectTimeout: CONNECT_TIMEOUT_MS, headersTimeout: 0, bodyTimeout: 0 })
   let currentPool = openPool()
 
-  /** Connections of one age go silent together. Calls in progress there may still be answered. */
-  const replacePool = (silent: Pool): void => {
-    if (silent !== currentPool) return
+  /** Connections of the same age tend to fail together, so all are replaced. Calls in progress on the old ones may still get a response. */
+  const replacePool = (failedPool: Pool): void => {
+    if (failedPool !== currentPool) return
     currentPool = openPool()
-    // Each of its calls tells its own end.
-    silent.close(() => {})
+    // Each of its calls reports its own outcome.
+    failedPool.close(() => {})
   }
 
   return call => new Promise(resolve => {
@@ -68,19 +70,19 @@
     const chunks: Buffer[] = []
     let status = 0
     let readAfterPause = false
-    const settle = (answer: StoreResponse): void => {
+    const settle = (response: StoreResponse): void => {
       timeout.cancel()
       call.signal?.removeEventListener('abort', onAbort)
-      resolve(answer)
+      resolve(response)
     }
     const onAbort = (): void => {
       exchange.abort()
-      settle({ outcome: 'no_answer', reason: GIVEN_UP_REASON })
+      settle({ outcome: 'no_answer', reason: ABORTED_REASON })
     }
     const exchange = startExchange(pool, call, {
-      onHead: (answered, headers) => {
-        status = answered
-        if (BUSY_STATUS.has(answered) || isFramed(answered, name => headers.get(name))) return
+      onHead: (responseStatus, headers) => {
+        status = responseStatus
+        if (BUSY_STATUS.has(responseStatus) || isFramed(responseStatus, name => headers.get(name))) return
         exchange.abort()
         settle({ outcome: 'no_answer', reason: 'unframed_answer' })
       },
@@ -102,11 +104,11 @@
   })
 }
 
-/** How the store has lately answered this process. */
+/** Recent successes and failures of calls to the store. */
 export interface StoreContactState {
   lastSuccessMs: number | undefined
   lastFailureMs: number | undefined
-  /** From the first to the last of the calls that failed one after another; a single one counts as no time. */
+  /** Time from the first to the last call of the latest run of consecutive failures; 0 for a single failure. */
   lastOutageMs: number
 }
 
@@ -116,129 +118,129 @@
   log: EventLog
   random: Random
   direct: StoreTransport
-  /** Peer ports of other daemons. */
+  /** @returns peer addresses of other daemons */
   peers: () => string[]
-  /** @returns a transport through the relay of a peer */
+  /** @returns a transport that uses the relay of a peer */
   createPeerTransport: (peerAddress: string) => StoreTransport
 }
 
-/** A transport and what it has seen. */
+/** A transport and the outcomes of its calls. */
 export interface RelayedTransport {
   call: StoreTransport
   contact: StoreContactState
 }
 
-/** Direct calls that must fail in a row before peers are asked: single calls fail on ordinary days. */
-const TURNED_AWAY_FAILURES = 2
+/** Consecutive direct calls that must fail before all calls are relayed. Single calls also fail in normal operation. */
+const RELAY_FAILURE_THRESHOLD = 2
 
-/** While turned away, this often one call goes straight to the store, to notice its return. */
+/** Interval at which one call is sent directly while calls are relayed, to detect that the store serves this host again. */
 const PROBE_INTERVAL_MS = 500
 
 /**
- * Peers that are asked for one call. The store may turn a third of the hosts away, and a peer among them cannot help:
- * after a start, each failed call delays the first answers to clients.
+ * Number of peers to try for one call. The store may reject a third of the hosts, and a rejected peer cannot relay:
+ * after a start, each failed call delays the first responses to clients.
  */
 const RELAY_TRIES = 3
 
-/** A try with less time than this brings no answer through a peer. */
+/** A relayed call gets no response in less time than this. */
 const MIN_TRY_MS = 50
 
-/** After a call through peers has failed as well, the store is probably away for all; peers are left alone for this long. */
+/** Pause of relaying after a relayed call has failed as well, since the store is probably unreachable for all hosts. */
 const RELAY_BACKOFF_MS = 250
 
-/** The same after many such calls in a row. A store beyond its rate gets three more calls for each one that goes through peers. */
+/** Longest such pause after consecutive failures. A store over its rate limit gets three more calls for each one that is relayed. */
 const MAX_RELAY_BACKOFF_MS = 2000
 
 const RELAY_JITTER = 0.3
 
 /**
- * The store may turn some hosts away and serve the others. Calls of a daemon that is turned away go through a peer,
- * so that its configuration and endpoints stay within their bounds and its clients' jobs are accepted.
+ * Creates a transport that falls back to relays. The store may reject some hosts and serve the others. Calls of a rejected daemon go through
+ * a peer, so that its configuration and endpoints do not become too old and jobs of its clients are accepted.
  *
  * @param options - direct transport and peers
- * @returns a transport that prefers the direct way
+ * @returns a transport that prefers direct calls
  */
 export function createRelayedTransport (options: RelayOptions): RelayedTransport {
   const { clock, log } = options
   const contact: StoreContactState = { lastSuccessMs: undefined, lastFailureMs: undefined, lastOutageMs: 0 }
-  let failures = 0
+  let consecutiveFailures = 0
   let failingSinceMs = 0
   let lastProbeMs = -Infinity
-  let relayAgainMs = -Infinity
+  let relayPausedUntilMs = -Infinity
   let relayBackoffMs = RELAY_BACKOFF_MS
-  const waiting = createLongPolls(clock)
+  const longPolls = createLongPolls(clock)
 
-  const note = (answer: StoreResponse): boolean => {
+  const recordOutcome = (response: StoreResponse): boolean => {
     const nowMs = clock.nowMs()
-    const succeeded = answer.outcome === 'answered' && !BUSY_STATUS.has(answer.status)
+    const succeeded = response.outcome === 'answered' && !BUSY_STATUS.has(response.status)
     if (succeeded) {
-      if (failures >= TURNED_AWAY_FAILURES) log.info('store answers again', { afterMs: Math.round(nowMs - failingSinceMs) })
-      failures = 0
+      if (consecutiveFailures >= RELAY_FAILURE_THRESHOLD) log.info('store answers again', { afterMs: Math.round(nowMs - failingSinceMs) })
+      consecutiveFailures = 0
       contact.lastSuccessMs = nowMs
       return true
     }
-    failures++
+    consecutiveFailures++
     contact.lastFailureMs = nowMs
-    if (failures === 1) failingSinceMs = nowMs
+    if (consecutiveFailures === 1) failingSinceMs = nowMs
     contact.lastOutageMs = nowMs - failingSinceMs
-    if (failures === TURNED_AWAY_FAILURES) log.warn('store does not serve this host', { reason: reasonOf(answer) })
+    if (consecutiveFailures === RELAY_FAILURE_THRESHOLD) log.warn('store does not serve this host', { reason: reasonOf(response) })
     return false
   }
 
-  /** Asks one peer after another, as long as the answers show that nothing was done and the time of the call is not over. */
-  const relay = async (call: StoreCall, untilMs: number): Promise<StoreResponse | undefined> => {
-    if (clock.nowMs() < relayAgainMs) return undefined
+  /** Tries one peer after another while the responses prove that the call was not executed and its timeout has not passed. */
+  const relay = async (call: StoreCall, deadlineMs: number): Promise<StoreResponse | undefined> => {
+    if (clock.nowMs() < relayPausedUntilMs) return undefined
     const peers = [...options.peers()]
-    let answer: StoreResponse | undefined
+    let response: StoreResponse | undefined
     for (let tries = 0; tries < RELAY_TRIES && peers.length > 0; tries++) {
-      const timeoutMs = untilMs - clock.nowMs()
+      const timeoutMs = deadlineMs - clock.nowMs()
       if (timeoutMs < MIN_TRY_MS) break
       const peer = options.random.pick(peers)
       peers.splice(peers.indexOf(peer), 1)
-      answer = await options.createPeerTransport(peer)({ ...call, timeoutMs })
-      if (call.signal?.aborted === true) return answer
-      if (answer.outcome === 'answered' && !BUSY_STATUS.has(answer.status)) {
+      response = await options.createPeerTransport(peer)({ ...call, timeoutMs })
+      if (call.signal?.aborted === true) return response
+      if (response.outcome === 'answered' && !BUSY_STATUS.has(response.status)) {
         contact.lastSuccessMs = clock.nowMs()
         relayBackoffMs = RELAY_BACKOFF_MS
-        return answer
+        return response
       }
-      if (answer.outcome === 'no_answer') break
+      if (response.outcome === 'no_answer') break
     }
-    if (answer === undefined) return undefined
-    relayAgainMs = clock.nowMs() + options.random.jitter(relayBackoffMs, RELAY_JITTER)
+    if (response === undefined) return undefined
+    relayPausedUntilMs = clock.nowMs() + options.random.jitter(relayBackoffMs, RELAY_JITTER)
     relayBackoffMs = Math.min(MAX_RELAY_BACKOFF_MS, relayBackoffMs * 2)
-    return answer
+    return response
   }
 
   const callNow = async (storeCall: StoreCall): Promise<StoreResponse> => {
-    const untilMs = clock.nowMs() + storeCall.timeoutMs
-    const turnedAway = failures >= TURNED_AWAY_FAILURES
-    if (turnedAway && clock.nowMs() - lastProbeMs < PROBE_INTERVAL_MS) {
-      const relayed = await relay(storeCall, untilMs)
+    const deadlineMs = clock.nowMs() + storeCall.timeoutMs
+    const isRelaying = consecutiveFailures >= RELAY_FAILURE_THRESHOLD
+    if (isRelaying && clock.nowMs() - lastProbeMs < PROBE_INTERVAL_MS) {
+      const relayed = await relay(storeCall, deadlineMs)
       if (relayed !== undefined) return relayed
     }
     const sentAtMs = clock.nowMs()
     lastProbeMs = sentAtMs
-    const answer = await options.direct({ ...storeCall, timeoutMs: untilMs - sentAtMs })
-    if (storeCall.signal?.aborted === true) return answer
-    if (answer.outcome === 'answered') waiting.onAnswer(sentAtMs)
-    else if (answer.outcome === 'no_answer') waiting.onNoAnswer(sentAtMs)
-    if (note(answer)) return answer
-    // A call without an answer may have been done; doing it again through a peer is left to the caller.
-    if (answer.outcome === 'no_answer') return answer
-    return await relay(storeCall, untilMs) ?? answer
+    const response = await options.direct({ ...storeCall, timeoutMs: deadlineMs - sentAtMs })
+    if (storeCall.signal?.aborted === true) return response
+    if (response.outcome === 'answered') longPolls.onAnswer(sentAtMs)
+    else if (response.outcome === 'no_answer') longPolls.onNoAnswer(sentAtMs)
+    if (recordOutcome(response)) return response
+    // A call without a response may have been executed. Whether to repeat it through a peer is up to the caller.
+    if (response.outcome === 'no_answer') return response
+    return await relay(storeCall, deadlineMs) ?? response
   }
 
   const call = async (storeCall: StoreCall): Promise<StoreResponse> => {
     if (storeCall.isLongPoll !== true) return await callNow(storeCall)
-    const { signal, end } = waiting.begin()
-    const answer = await callNow({ ...storeCall, signal })
+    const { signal, end } = longPolls.begin()
+    const response = await callNow({ ...storeCall, signal })
     end()
-    return answer
+    return response
   }
   return { call, contact }
 }
 
-function reasonOf (answer: StoreResponse): string {
-  return answer.outcome === 'answered' ? `status ${answer.status}` : answer.reason
+function reasonOf (response: StoreResponse): string {
+  return response.outcome === 'answered' ? `status ${response.status}` : response.reason
 }
--- a/packages/anvilarch-serving/src/store/types.ts
+++ b/packages/anvilarch-serving/src/store/types.ts
@@ -1,32 +1,32 @@
-/** The metadata store as the serving core needs it: rows under versions, a feed of changes, and objects. */
+/** Interface to the metadata store: versioned rows, a feed of changes, and objects. */
 import type { Result } from 'ts-results'
 
-/** Where a row lies. Rows of one partition change together. */
+/** Location of a row. Rows of one partition can change in one transaction. */
 export interface RowKey {
   table: string
   partition: string
   key: string
 }
 
-/** A row as read. */
+/** A row that was read. */
 export interface StoredRow extends RowKey {
   value: Buffer
   /** Version of the transaction that wrote the row. */
   version: number
 }
 
-/** A row that a transaction writes. */
+/** A row to write. */
 export interface RowWrite extends RowKey {
   value: Buffer
 }
 
-/** What must hold of a row for a transaction to apply. */
+/** A condition on the version of a row, without which a transaction is not applied. */
 export interface RowCondition extends RowKey {
-  /** 0 means that the row must not exist. */
+  /** 0 requires that the row does not exist. */
   version: number
 }
 
-/** Applied as a whole or not at all. All rows lie in one partition. */
+/** An atomic change. All rows are in one partition. */
 export interface Transaction {
   conditions: RowCondition[]
   puts: RowWrite[]
@@ -34,8 +34,8 @@
 }
 
 /**
- * How a transaction ended. `refused`: nothing was done. `unknown`: it may have been done,
- * or may be done seconds later if its conditions still hold.
+ * Outcome of a transaction. `refused`: it was not applied. `unknown`: it may have been applied,
+ * or may be applied seconds later if its conditions still hold.
  */
 export type TransactionOutcome =
   | { outcome: 'committed', version: number }
@@ -43,18 +43,18 @@
   | { outcome: 'refused', reason: string }
   | { outcome: 'unknown', reason: string }
 
-/** Reason of a failure when the calls of all daemons are beyond the rate that the store takes. */
+/** Reason of a failure when the calls of all daemons exceed the rate limit of the store. */
 export const OVER_RATE_REASON = 'over_rate'
 
-/** Why a read gave nothing. */
+/** Reason of a failed read. */
 export interface StoreFailure {
   reason: string
 }
 
-/** Rows as of one moment. */
+/** Rows at one point in time. */
 export interface RowsRead {
   rows: StoredRow[]
-  /** Newest version of the store at that moment. */
+  /** Newest version of the store at that time. */
   version: number
 }
 
@@ -63,15 +63,15 @@
   | { change: 'put', row: StoredRow }
   | { change: 'removed', key: RowKey, version: number }
 
-/** Changes after a version, or word that the store no longer has them. */
+/** Changes after a version. `history_lost`: the store no longer retains all of them. */
 export type FeedRead =
   | { outcome: 'changes', changes: RowChange[], version: number }
   | { outcome: 'history_lost' }
 
-/** How the writing of an object ended. */
+/** Outcome of writing an object. */
 export type ObjectWriteOutcome = 'stored' | 'exists' | 'refused' | 'unknown'
 
-/** A range of keys in one partition; `to` is excluded. */
+/** A range of keys in one partition. `to` is exclusive. */
 export interface RowRange {
   table: string
   partition: string
@@ -79,29 +79,29 @@
   to?: string
 }
 
-/** The client of the store. */
+/** Client of the metadata store. */
 export interface MetadataStore {
-  /** How long a call about rows is waited for, beyond the time for which it asks the store to wait. */
+  /** Timeout of a call about rows, in milliseconds, beyond the wait that the call requests. */
   readonly callTimeoutMs: number
   commit: (transaction: Transaction) => Promise<TransactionOutcome>
   readRows: (range: RowRange) => Promise<Result<RowsRead, StoreFailure>>
   readFeed: (table: string, afterVersion: number, waitMs: number) => Promise<Result<FeedRead, StoreFailure>>
-  /** Writes an object unless it exists. */
+  /** Writes an object unless it already exists. */
   writeObject: (name: string, bytes: Buffer) => Promise<ObjectWriteOutcome>
-  /** @returns the bytes, or undefined when there is no such object */
+  /** @returns the bytes; undefined if the object does not exist */
   readObject: (name: string) => Promise<Result<Buffer | undefined, StoreFailure>>
   removeObject: (name: string) => Promise<boolean>
-  /** Estimate of the store's steady clock; undefined before its first answer. */
+  /** @returns estimate of the store's monotonic clock, in milliseconds; undefined before its first response */
   storeNowMs: () => number | undefined
-  /** When a call last failed for lack of the store, on the local clock; undefined if never. */
+  /** @returns local time of the last call that failed because the store did not serve it; undefined if none has */
   lastFailureMs: () => number | undefined
-  /** From the first to the last of the latest calls that failed one after another. */
+  /** @returns time from the first to the last call of the latest run of consecutive failures, in milliseconds */
   lastOutageMs: () => number
-  /** When a call last succeeded, on the local clock; undefined if never. */
+  /** @returns local time of the last successful call; undefined if none has succeeded */
   lastSuccessMs: () => number | undefined
 }
 
-/** The largest row that is written, in bytes before encoding. */
+/** Limit on the size of a row, in bytes before encoding. */
 export interface StoreLimits {
   maxRowBytes: number
 }
