--- a/packages/anvilarch-serving/src/configuration/configurationHolder.ts
+++ b/packages/anvilarch-serving/src/configuration/configurationHolder.ts
@@ -1,17 +1,18 @@
-/** Holds the newest configuration that this process has seen. */
+/** Holds the newest configuration that this process has received. */
 import type { Configuration } from '../model/types'
 
-/** The version in force, and who wants to hear of a new one. */
+/** The configuration in force and the listeners for new versions. */
 export interface ConfigurationHolder {
   current: () => Configuration | undefined
-  /** Takes a version if it is newer. @returns whether it was taken */
+  /** Applies a configuration if its version is newer. @returns whether it was applied */
   offer: (configuration: Configuration) => boolean
+  /** Adds a listener. It is called immediately if there is a configuration, and then for each new version. */
   onChange: (listener: (configuration: Configuration) => void) => void
 }
 
 /**
- * A version once in force is never replaced by an older one: a late answer of the store or of a peer may carry one,
- * and callers would see a route come back that was removed.
+ * Creates a holder that never replaces a version by an older one. A late response of the store or of a peer may carry an older version,
+ * with which a removed route would reappear to callers.
  *
  * @returns a holder without a configuration
  */
--- a/packages/anvilarch-serving/src/operations/accountUsage.ts
+++ b/packages/anvilarch-serving/src/operations/accountUsage.ts
@@ -1,47 +1,50 @@
-/** What accounts have used lately, as the metrics of gateways tell it. */
+/** Exports the recent usage of accounts as metrics of gateways, and reads it back. */
 import { Gauge, type Registry } from 'prom-client'
 import type { RecentUse } from '../accounts/limits/recentUse'
 
-/** Name of the gauge. */
-const METRIC = 'anvilarch_account_window_requests'
+const METRIC_NAME = 'anvilarch_account_window_requests'
 
-/** Accounts that a gateway tells of; one that keeps thousands of meters tells of the busiest. */
+/** Maximum number of accounts that a gateway reports, the busiest first. A gateway may keep thousands of meters. */
 export const MAX_REPORTED_ACCOUNTS = 20
 
 const RESULTS = ['granted', 'refused'] as const
 
-const LINE = new RegExp(`^${METRIC}\\{account="((?:[^"\\\\]|\\\\.)*)",result="(${RESULTS.join('|')})"\\} (\\d+)$`, 'gm')
+const SAMPLE_PATTERN = new RegExp(`^${METRIC_NAME}\\{account="((?:[^"\\\\]|\\\\.)*)",result="(${RESULTS.join('|')})"\\} (\\d+)$`, 'gm')
 
 /**
- * @param registry - of the process
- * @param read - the busiest accounts
+ * Registers a gauge for the usage of accounts.
+ *
+ * @param registry - metrics registry of the process
+ * @param read - returns the usage of the busiest accounts
  */
 export function registerAccountUsage (registry: Registry, read: () => RecentUse[]): void {
   // prom-client calls `collect` on the gauge itself.
   // eslint-disable-next-line no-new
   new Gauge({
-    name: METRIC,
+    name: METRIC_NAME,
     help: 'Requests of an account in the last window over all gateways, of the busiest accounts whose meter is here',
     labelNames: ['account', 'result'],
     registers: [registry],
     collect () {
       this.reset()
-      for (const use of read()) for (const result of RESULTS) this.set({ account: use.accountName, result }, use[result])
+      for (const usage of read()) for (const result of RESULTS) this.set({ account: usage.accountName, result }, usage[result])
     }
   })
 }
 
 /**
- * @param metricsTexts - metrics of all gateways
- * @returns use by account, the busiest first; an account that lately has had two meters has the sum of both
+ * Reads the usage of accounts from metrics.
+ *
+ * @param metricsTexts - metrics of all gateways in text format
+ * @returns usage by account, the busiest first; the usage of an account with meters at two gateways is the sum of both
  */
 export function readAccountUsage (metricsTexts: readonly string[]): RecentUse[] {
-  const uses = new Map<string, RecentUse>()
-  for (const [, encodedName, result, count] of metricsTexts.flatMap(text => [...text.matchAll(LINE)])) {
+  const usageByAccount = new Map<string, RecentUse>()
+  for (const [, encodedName, result, count] of metricsTexts.flatMap(text => [...text.matchAll(SAMPLE_PATTERN)])) {
     const accountName = JSON.parse(`"${encodedName}"`) as string
-    const use = uses.get(accountName) ?? { accountName, granted: 0, refused: 0 }
-    use[result as typeof RESULTS[number]] += Number(count)
-    uses.set(accountName, use)
+    const usage = usageByAccount.get(accountName) ?? { accountName, granted: 0, refused: 0 }
+    usage[result as typeof RESULTS[number]] += Number(count)
+    usageByAccount.set(accountName, usage)
   }
-  return [...uses.values()].sort((a, b) => b.granted + b.refused - a.granted - a.refused)
+  return [...usageByAccount.values()].sort((a, b) => b.granted + b.refused - a.granted - a.refused)
 }
--- a/packages/anvilarch-serving/src/operations/readStore.ts
+++ b/packages/anvilarch-serving/src/operations/readStore.ts
@@ -1,4 +1,4 @@
-/** Reads the whole state in the store, for an operator. */
+/** Reads the complete state in the store for operators. */
 import { Ok, type Result } from 'ts-results'
 import { decodeRecord, JOB_TABLE, MEMBER_TABLE } from '../jobs/jobRows'
 import { JOB_PARTITIONS, MEMBER_PARTITION } from '../jobs/partitions'
@@ -8,26 +8,28 @@
 import type { OperatorWire } from '../roles/types'
 import type { MetadataStore, StoreFailure } from '../store/types'
 
-/** An account as an operator sees it: its keys are counted, never shown. */
+/** An account as shown to operators: the number of its keys, but never the keys. */
 export interface AccountSummary extends Omit<ListedAccount, 'keys'> {
   keyCount: number
 }
 
-/** All that the store knows of a deployment. */
+/** The complete state of a deployment in the store. */
 export interface StoreSnapshot {
   configuration: Omit<ListedConfiguration, 'accounts'> | undefined
   accounts: AccountSummary[]
   endpoints: Endpoint[]
   members: MemberRecord[]
   jobs: JobRecord[]
-  /** The store's clock when it was read; ages of jobs are told by it. */
+  /** Time on the store's clock at the read, from which the ages of jobs are computed; undefined if it is unknown. */
   storeNowMs: number | undefined
 }
 
 /**
+ * Reads the complete state in the store.
+ *
  * @param store - client of the store
- * @param wire - decoders of the operator's rows
- * @returns the state, or why it cannot be read
+ * @param wire - decoders for configuration and endpoint rows
+ * @returns the state, or the reason why it cannot be read
  */
 export async function readStoreSnapshot (store: MetadataStore, wire: OperatorWire): Promise<Result<StoreSnapshot, StoreFailure>> {
   const snapshot: StoreSnapshot = { configuration: undefined, accounts: [], endpoints: [], members: [], jobs: [], storeNowMs: undefined }
@@ -69,24 +71,26 @@
   return Ok(records)
 }
 
-/** State of a job as an operator sees it. */
+/** State of a job as shown to operators. */
 export type JobState = 'open' | 'done' | 'ended'
 
-/** A job in a line. */
+/** Summary of a job. */
 export interface JobSummary {
   jobId: string
   state: JobState
   itemCount: number
   completed: number
   givenUp: number
-  /** Time until the job is due; negative when it is past that. */
+  /** Time until the job is due, in milliseconds; negative if it is overdue, undefined if the store's clock is unknown. */
   dueInMs: number | undefined
 }
 
 /**
- * @param job - the row
- * @param storeNowMs - the store's clock
- * @returns what an operator wants to know of it
+ * Summarizes a job for operators.
+ *
+ * @param job - the stored record
+ * @param storeNowMs - time on the store's clock
+ * @returns the summary
  */
 export function summarizeJob (job: JobRecord, storeNowMs: number | undefined): JobSummary {
   const completed = job.listed.filter(entry => entry.outcome === 'completed').length
--- a/packages/anvilarch-serving/src/telemetry/__tests__/stateMetrics.test.ts
+++ b/packages/anvilarch-serving/src/telemetry/__tests__/stateMetrics.test.ts
@@ -7,14 +7,14 @@
 const TERMS = { host: 'h', path: '/', nowMs: 0, dueMs: 1000, expiryMs: 2000, maxAttempts: 3 }
 
 describe('registerStateMetrics', () => {
-  it('tells how old each table is and how much work is left', async () => {
+  it('reports the age of each table and the amount of open work', async () => {
     const registry = new Registry()
     const clock = createFakeClock()
     const startMs = clock.nowMs()
     const open = newJob(ITEMS, { jobId: 'open', ...TERMS })
-    const half = { ...newJob(ITEMS, { jobId: 'half', ...TERMS }), listed: [{ item: 1, outcome: 'completed' as const }] }
+    const halfDone = { ...newJob(ITEMS, { jobId: 'half', ...TERMS }), listed: [{ item: 1, outcome: 'completed' as const }] }
     const ended = { ...newJob(ITEMS, { jobId: 'ended', ...TERMS }), ended: true }
-    const work = { jobs: () => [open, half, ended].map(record => ({ record, version: 1 })) }
+    const work = { jobs: () => [open, halfDone, ended].map(record => ({ record, version: 1 })) }
     registerStateMetrics(registry, { clock, work, tableAnsweredAtMs: new Map([['config', startMs]]) })
     clock.advance(2500)
     const text = await registry.metrics()
--- a/packages/anvilarch-serving/src/telemetry/__tests__/telemetry.test.ts
+++ b/packages/anvilarch-serving/src/telemetry/__tests__/telemetry.test.ts
@@ -5,21 +5,21 @@
 import { createServingMetrics } from '../metrics'
 
 describe('createLogRateLimiter', () => {
-  it('bounds the lines of each second', () => {
+  it('limits the number of lines in each second', () => {
     const clock = createFakeClock()
-    const budget = createLogRateLimiter(clock, 3)
-    const taken = (): number => Array.from({ length: 10 }, () => budget.tryAcquire()).filter(Boolean).length
-    expect(taken()).toBe(3)
+    const rateLimiter = createLogRateLimiter(clock, 3)
+    const acquired = (): number => Array.from({ length: 10 }, () => rateLimiter.tryAcquire()).filter(Boolean).length
+    expect(acquired()).toBe(3)
     clock.advance(999)
-    expect(taken()).toBe(0)
+    expect(acquired()).toBe(0)
     clock.advance(1)
-    expect(taken()).toBe(3)
+    expect(acquired()).toBe(3)
   })
 })
 
 describe('createBoundedLog', () => {
-  // Guards against this: all requests of a process stand still.
-  it('drops and counts lines while their reader stalls, and never waits', async () => {
+  // Guards against a stalled log reader that blocks all requests of a process.
+  it('drops and counts lines while the reader stalls, and never waits', async () => {
     const metrics = createServingMetrics()
     const stalled = new Writable({ write: () => {} })
     const write = createBoundedLog(stalled, metrics.logLinesDropped)
--- a/packages/anvilarch-serving/src/telemetry/events.ts
+++ b/packages/anvilarch-serving/src/telemetry/events.ts
@@ -1,6 +1,6 @@
-/** The catalogue of what is logged: each event and its fields. Fields carry their unit; ids come first. */
+/** Catalog of log events and their fields. Field names include their unit; ids come first. */
 
-/** Fields of each event, by its message. */
+/** Fields of each event, by message. */
 export interface EventFields {
   // Start and stop of the process.
   started: { role: string, address: string }
@@ -13,7 +13,7 @@
   'settings read again': { path: string }
   'settings not taken': { reason: string }
 
-  // What the process believes of configuration and endpoints.
+  // State of configuration and endpoints in this process.
   'configuration in force': { version: number, routeCount: number, accountCount: number, keyCount: number }
   'key in two accounts': { version: number, accounts: string }
   'caller refused': { requestId: string, reason: string, configurationVersion: number | undefined }
@@ -44,7 +44,7 @@
   'no route': { requestId: string | undefined, status: number, configurationVersion: number | undefined }
   'endpoint chosen': EndpointChoiceFields
   'answer begun': { requestId: string, endpoint: string, status: number, afterMs: number }
-  /** This process stood still when it should have listened to an endpoint, which is therefore not judged yet. */
+  /** This process was paused while it should have read from an endpoint, so the endpoint does not count as failed yet. */
   'own pause noticed': { requestId: string, endpoint: string, lateMs: number }
   'attempt failed': { requestId: string, endpoint: string, failure: string, reason: string, lastEventId: number | undefined, remainingMs: number }
   'request handling failed': { reason: string }
@@ -73,15 +73,15 @@
   'relayed call not read': { reason: string }
   'relayed call failed': { reason: string }
 
-  // Errors of the program.
+  // Internal errors.
   'runner step failed': { reason: string }
   'background task failed': { task: string, reason: string }
   'unhandled rejection': { reason: string }
   'uncaught exception': { reason: string }
 }
 
-/** The end of a request. Absent fields do not apply to the outcome. */
-// A type literal, since only those may pass for the plain record of fields that the log library takes.
+/** Fields of a request that has ended. Absent fields do not apply to the outcome. */
+// A type alias, since an interface is not assignable to the record type that the log library accepts.
 
 type RequestEndFields = {
   requestId: string
@@ -90,65 +90,66 @@
   kind: string
   outcome: string
   configurationVersion: number
-  /** Attempts that may have run. */
+  /** Number of attempts that may have run. */
   attempts: number
-  /** Sends in all. */
+  /** Total number of sends. */
   offers: number
   lastEventId: number | undefined
-  /** Events with an id that were handed on, and the id of the first of them. */
+  /** Number of forwarded events with an id, and the id of the first one. */
   eventCount?: number
   firstEventId?: number
-  /** How the client sees the end of an answer whose head it has. */
+  /** How the response ended for a client that has received its head. */
   answerEnd?: AnswerEnd
-  /** From the arrival to the first event of a stream. */
+  /** Time from the arrival of the request to the first event of a stream. */
   firstEventMs: number | undefined
   elapsedMs: number
-  /** Answered, but later than the objectives of the route allow. */
+  /** Whether the response came later than the objectives of the route allow. */
   late?: boolean
   endpoint?: string
   status?: number
   reason?: string
 }
 
-/** `complete`: the protocol says so, whatever is missing. `cut`: the connection was closed. `left`: by the client. */
+/** `complete`: complete by the protocol, even if content is missing. `cut`: this process closed the connection. `left`: the client closed it. */
 export type AnswerEnd = 'complete' | 'cut' | 'left'
 
-/** Why a request was refused before any attempt: the wait against the objective, and how full the endpoints were. */
+/** Reason for refusing a request before any attempt: the estimated wait, the objective, and the load of the endpoints. */
 type RefusalFields = {
   requestId: string
   reason: string
-  /** Estimate of the wait at the endpoint that would be free first. */
+  /** Estimated wait at the endpoint that would be free first. */
   waitMs: number
   objectiveMs: number
   remainingMs: number
-  /** Endpoints that could have been chosen, those under suspicion among them, and requests at the least loaded one. */
+  /** Number of candidate endpoints, including suspected ones. */
   candidateCount: number
-  /** Endpoints whose load was known at that moment; all below is of these. */
+  /** Number of candidates whose load was known. The fields below cover only these. */
   knownCount: number
   suspectedCount: number
+  /** Number of online requests at the least loaded one. */
   leastOnline: number
   slots: number
 }
 
-/** Why an endpoint was chosen: its load and the choice there was. */
+/** Reason for choosing an endpoint: its load and the number of candidates. */
 
 type EndpointChoiceFields = {
   requestId: string
   endpoint: string
-  /** Requests there that do not give way, as far as this process knew. */
+  /** Number of requests at the endpoint that cannot be preempted, as far as known to this process. */
   online: number
   batchRunning: number
   slots: number
   suspected: boolean
-  /** Endpoints that could have been chosen. */
+  /** Number of candidate endpoints. */
   candidateCount: number
-  /** Since the agent told of its load; undefined when it has not. */
+  /** Age of the load report; undefined if the agent has not reported. */
   loadAgeMs: number | undefined
   remainingMs: number
   afterMs: number
 }
 
-/** What became of the requests of a gateway in the last second, and how old its knowledge is. */
+/** Outcomes of the requests of a gateway in the last second, and the age of its configuration and endpoint list. */
 type TrafficFields = {
   arrived: number
   /** Answered within their objectives. */
@@ -156,22 +157,22 @@
   late: number
   refused: number
   failed: number
-  /** Left by their clients. */
+  /** Abandoned by their clients. */
   left: number
   inProgress: number
-  /** Since the store last answered about the configuration and the list of endpoints; undefined before the first time. */
+  /** Time since the last response of the store about the configuration and the list of endpoints; undefined before the first. */
   configurationAgeMs: number | undefined
   endpointsAgeMs: number | undefined
 }
 
-/** Slots of an engine, as its agent knows them. */
+/** Usage of the slots of an engine, as recorded by its agent. */
 type EngineUseFields = {
   endpoint: string
   slots: number
-  /** Requests that run or wait and do not give way. */
+  /** Number of running and waiting requests that cannot be preempted. */
   online: number
   batchRunning: number
-  /** Items held without a run. */
+  /** Number of claimed items that are not running. */
   batchPaused: number
   reachable: boolean
 }
@@ -179,15 +180,15 @@
 /** Message of an event. */
 export type EventName = keyof EventFields
 
-/** Logs one event of the catalogue. */
+/** Logs one event of the catalog. */
 type LogEvent = <Name extends EventName>(message: Name, fields: EventFields[Name]) => void
 
-/** A log that takes events of the catalogue only. */
+/** A log that accepts only events of the catalog. */
 export interface EventLog {
   debug: LogEvent
   info: LogEvent
   warn: LogEvent
   error: LogEvent
-  /** @returns a log that adds a slice name to each line */
+  /** @returns a log that adds the name of a slice to each line */
   child: (slice: string) => EventLog
 }
--- a/packages/anvilarch-serving/src/telemetry/logRateLimiter.ts
+++ b/packages/anvilarch-serving/src/telemetry/logRateLimiter.ts
@@ -1,30 +1,33 @@
-/** Bounds how many lines are written about what went well. */
+/** Limits the rate of log lines about successful work. */
 import type { Clock } from 'anvilarch-utils'
 
-/** Says whether one more line may be written. */
+/** Limits the rate of log lines. */
 export interface LogRateLimiter {
+  /** @returns whether one more line may be written */
   tryAcquire: () => boolean
 }
 
-const SECOND_MS = 1000
+const WINDOW_MS = 1000
 
 /**
+ * Creates a rate limiter with fixed windows of one second.
+ *
  * @param clock - local clock
- * @param linesPerSecond - lines that are written in any second
- * @returns a budget that is full at the start of each second
+ * @param linesPerSecond - maximum number of lines in each window
+ * @returns the rate limiter
  */
 export function createLogRateLimiter (clock: Clock, linesPerSecond: number): LogRateLimiter {
-  let secondStartMs = -Infinity
-  let left = 0
+  let windowStartMs = -Infinity
+  let remaining = 0
   return {
     tryAcquire: () => {
       const nowMs = clock.nowMs()
-      if (nowMs - secondStartMs >= SECOND_MS) {
-        secondStartMs = nowMs
-        left = linesPerSecond
+      if (nowMs - windowStartMs >= WINDOW_MS) {
+        windowStartMs = nowMs
+        remaining = linesPerSecond
       }
-      if (left === 0) return false
-      left--
+      if (remaining === 0) return false
+      remaining--
       return true
     }
   }
--- a/packages/anvilarch-serving/src/telemetry/metrics.ts
+++ b/packages/anvilarch-serving/src/telemetry/metrics.ts
@@ -1,7 +1,7 @@
 /** Counters and histograms of a process. */
 import { Counter, Gauge, Histogram, Registry } from 'prom-client'
 
-/** Bounds of latencies, in seconds: around the objectives of lookups and of first events. */
+/** Histogram buckets for latencies, in seconds, around the objectives for lookups and for first events. */
 const LATENCY_BUCKETS_SECONDS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 1, 2, 5, 10]
 
 /** All metrics of the serving core. */
@@ -27,7 +27,7 @@
   logLinesLeftOut: Counter
 }
 
-/** @returns metrics in a registry of their own */
+/** @returns metrics in a new registry */
 export function createServingMetrics (): ServingMetrics {
   const registry = new Registry()
   const registers = [registry]
--- a/packages/anvilarch-serving/src/telemetry/metricsServer.ts
+++ b/packages/anvilarch-serving/src/telemetry/metricsServer.ts
@@ -1,11 +1,13 @@
-/** Serves the metrics of a process as text. */
+/** Serves the metrics of a process in text format. */
 import { createServer, type Server } from 'node:http'
 import type { Registry } from 'prom-client'
 
 /**
- * @param registry - all metrics of the process
- * @param ip - where to listen
- * @param port - where to listen
+ * Starts an HTTP server for the metrics.
+ *
+ * @param registry - metrics registry of the process
+ * @param ip - address to listen on
+ * @param port - port to listen on
  * @returns the server
  */
 export function startMetricsServer (registry: Registry, ip: string, port: number): Server {
--- a/packages/anvilarch-serving/src/telemetry/periodicLog.ts
+++ b/packages/anvilarch-serving/src/telemetry/periodicLog.ts
@@ -1,11 +1,11 @@
-/** Logs a line a second of what a process does, so that a report over all logs shows the load without a line for each request. */
+/** Logs the activity of a process once per second, so that reports over all logs show the load without a line for each request. */
 import { type Clock, runInBackground, sleep } from 'anvilarch-utils'
 import type { EventFields, EventLog } from './events'
 
-/** One line is about 250 bytes; an idle process writes none. */
+/** Interval between lines of about 250 bytes each. An idle process writes none. */
 const LINE_INTERVAL_MS = 1000
 
-/** Events that are logged once a second. */
+/** Events that are logged once per second. */
 export type PeriodicEvent = 'traffic' | 'engine use'
 
 /** Options of `startPeriodicLog`. */
@@ -13,13 +13,15 @@
   clock: Clock
   log: EventLog
   event: Name
-  /** @returns the fields of the last second; undefined when there is nothing to tell */
+  /** @returns the fields for the last second; undefined if there is nothing to log */
   read: () => EventFields[Name] | undefined
   signal: AbortSignal
 }
 
 /**
- * @param options - event and where its fields come from
+ * Starts to log an event periodically until the signal aborts.
+ *
+ * @param options - event and source of its fields
  */
 export function startPeriodicLog<Name extends PeriodicEvent> (options: PeriodicLogOptions<Name>): void {
   const { clock, log, event, read, signal } = options
--- a/packages/anvilarch-serving/src/telemetry/stateMetrics.ts
+++ b/packages/anvilarch-serving/src/telemetry/stateMetrics.ts
@@ -1,27 +1,29 @@
-/** Gauges of what a process holds and believes, read when somebody asks for the metrics. */
+/** Gauges for the state of a process, computed when the metrics are scraped. */
 import { performance } from 'node:perf_hooks'
 import type { Clock } from 'anvilarch-utils'
 import { Gauge, type Registry } from 'prom-client'
 import { isClosed, waitingTokens } from '../jobs/jobRecord'
 import type { WorkTable } from '../jobs/workTable'
 
-/** What the gauges are read from. */
+/** Sources of the gauges. */
 export interface StateMetricsParts {
   clock: Clock
   work: Pick<WorkTable, 'jobs'>
-  /** Local time of the last answer about each followed table. */
+  /** Local time of the last response about each followed table. */
   tableAnsweredAtMs: ReadonlyMap<string, number>
 }
 
 const MS_PER_SECOND = 1000
 
 /**
- * @param registry - of the process
- * @param parts - what is read
+ * Registers the gauges.
+ *
+ * @param registry - metrics registry of the process
+ * @param parts - sources of the gauges
  */
 export function registerStateMetrics (registry: Registry, parts: StateMetricsParts): void {
   const registers = [registry]
-  let lastReading = performance.eventLoopUtilization()
+  let previous = performance.eventLoopUtilization()
 
   const gauge = (name: string, help: string, read: () => number): void => {
     // prom-client calls `collect` on the gauge itself.
@@ -42,11 +44,11 @@
   gauge('anvilarch_open_jobs', 'Jobs that are neither finished nor ended', () => openJobs(parts.work).length)
   gauge('anvilarch_waiting_tokens', 'Tokens of items that wait or run, over all jobs', () =>
     openJobs(parts.work).reduce((sum, job) => sum + waitingTokens(job), 0))
-  // Sampling the delay of the loop would wake an idle process ten times a second; the share of time that it is busy costs nothing.
+  // Utilization is measured at no cost. Sampling the delay of the event loop would wake an idle process ten times a second.
   gauge('anvilarch_event_loop_utilization', 'Part of the time since the last reading in which the event loop was busy', () => {
-    const reading = performance.eventLoopUtilization()
-    const { utilization } = performance.eventLoopUtilization(reading, lastReading)
-    lastReading = reading
+    const current = performance.eventLoopUtilization()
+    const { utilization } = performance.eventLoopUtilization(current, previous)
+    previous = current
     return utilization
   })
 }
--- a/packages/anvilarch-serving/src/telemetry/trafficCounters.ts
+++ b/packages/anvilarch-serving/src/telemetry/trafficCounters.ts
@@ -1,20 +1,20 @@
-/** Counts what became of the requests of a gateway, for the line of each second. */
+/** Counts the requests of a gateway by outcome, for the periodic log line. */
 
-/** How a request ended, as far as its client is concerned. */
+/** Outcome of a request from the point of view of its client. */
 export type TrafficOutcome = 'answered' | 'late' | 'refused' | 'failed' | 'left'
 
-/** Counts since the last reading, and the requests in progress now. */
+/** Counts since the last reset, and the number of requests in progress. */
 export type TrafficCounts = Record<TrafficOutcome | 'arrived' | 'inProgress', number>
 
-/** The counts of a gateway. */
+/** Request counters of a gateway. */
 export interface TrafficCounters {
   onArrival: () => void
-  onEnd: (end: TrafficOutcome) => void
-  /** @returns the counts since the last reading; undefined when there is nothing to tell */
+  onEnd: (outcome: TrafficOutcome) => void
+  /** Resets the counts. @returns the counts since the last reset; undefined if all are 0 */
   readAndReset: () => TrafficCounts | undefined
 }
 
-/** @returns counts of nothing */
+/** @returns counters that are all 0 */
 export function createTrafficCounters (): TrafficCounters {
   let inProgress = 0
   let counts = emptyCounts()
@@ -23,14 +23,14 @@
       counts.arrived++
       inProgress++
     },
-    onEnd: end => {
-      counts[end]++
+    onEnd: outcome => {
+      counts[outcome]++
       inProgress--
     },
     readAndReset: () => {
-      const taken = { ...counts, inProgress }
+      const current = { ...counts, inProgress }
       counts = emptyCounts()
-      return Object.values(taken).some(count => count > 0) ? taken : undefined
+      return Object.values(current).some(count => count > 0) ? current : undefined
     }
   }
 }
