--- a/packages/anvilarch-serving/src/store/__tests__/transport.test.ts
+++ b/packages/anvilarch-serving/src/store/__tests__/transport.test.ts
@@ -125,14 +125,14 @@
   // Guards against a daemon that misses changes for several consecutive timeouts although it counts as in contact.
   it.each([['are unreachable', undefined], ['do not respond', UNANSWERED]])('covers all its tries when the store is unreachable and peers %s', async (_title, last) => {
     const notDone: StoreResponse = { outcome: 'not_done', reason: 'UND_ERR_CONNECT_TIMEOUT' }
-    const answer = (given: StoreResponse, afterMs: number): Promise<StoreResponse> => new Promise(resolve => { clock.after(afterMs, () => resolve(given)) })
+    const respondIn = (response: StoreResponse, delayMs: number): Promise<StoreResponse> => new Promise(resolve => { clock.after(delayMs, () => resolve(response)) })
     let tries = 0
     const through: StoreTransport = call => {
       tries++
-      return tries < 3 ? answer(notDone, Math.min(700, call.timeoutMs)) : answer(last ?? notDone, call.timeoutMs)
+      return tries < 3 ? respondIn(notDone, Math.min(700, call.timeoutMs)) : respondIn(last ?? notDone, call.timeoutMs)
     }
     const relayed = createRelayedTransport({
-      clock, log: SILENT_LOGGER, random: createRandom(1), direct: () => answer(notDone, 700), peers: () => ['10.0.0.2:1', '10.0.0.3:1', '10.0.0.4:1'], createPeerTransport: () => through
+      clock, log: SILENT_LOGGER, random: createRandom(1), direct: () => respondIn(notDone, 700), peers: () => ['10.0.0.2:1', '10.0.0.3:1', '10.0.0.4:1'], createPeerTransport: () => through
     })
     let endedMs: number | undefined
     relayed.call({ ...CALL, timeoutMs: 2500 }).then(() => { endedMs = clock.nowMs() }).catch(error => { throw error })
@@ -161,9 +161,9 @@
     await clock.advanceAsync(200)
     expect(await lost).toEqual(UNANSWERED)
     store.answersAfterMs = 4
-    const answered = relayed.call(CALL)
+    const later = relayed.call(CALL)
     await clock.advanceAsync(10)
-    expect(await answered).toEqual(DONE)
+    expect(await later).toEqual(DONE)
     expect(await waiting).toEqual({ outcome: 'no_answer', reason: 'given_up' })
     expect(relayed.contact.lastFailureMs).toBe(11_000)
   })
@@ -191,9 +191,9 @@
     store.answersAfterMs = 4
     await clock.advanceAsync(1000)
     await probe
-    const answered = relayed.call(CALL)
+    const later = relayed.call(CALL)
     await clock.advanceAsync(10)
-    await answered
+    await later
     expect([await waiting, throughPeers]).toEqual([{ outcome: 'no_answer', reason: 'given_up' }, 1])
   })
 })
@@ -207,10 +207,10 @@
     response.end('half of the obj')
   })
   await new Promise<void>(resolve => { server.listen(0, '127.0.0.1', resolve) })
-  const answer = await createDirectTransport(`127.0.0.1:${(server.address() as AddressInfo).port}`, createSystemClock())(CALL)
+  const response = await createDirectTransport(`127.0.0.1:${(server.address() as AddressInfo).port}`, createSystemClock())(CALL)
   server.closeAllConnections()
   server.close()
-  return answer
+  return response
 }
 
 describe('createDirectTransport', () => {
@@ -228,8 +228,8 @@
     await new Promise<void>(resolve => { server.listen(0, '127.0.0.1', resolve) })
     const send = createDirectTransport(`127.0.0.1:${(server.address() as AddressInfo).port}`, createSystemClock())
     expect(await send(CALL)).toMatchObject({ outcome: 'answered' })
-    const answer = send({ ...CALL, path: '/late', timeoutMs: 100 })
-    expect(await answer).toEqual({ outcome: 'answered', status: 200, body: Buffer.from('done'), readAfterPause: true })
+    const response = send({ ...CALL, path: '/late', timeoutMs: 100 })
+    expect(await response).toEqual({ outcome: 'answered', status: 200, body: Buffer.from('done'), readAfterPause: true })
     server.closeAllConnections()
     server.close()
   })
@@ -255,9 +255,9 @@
     })
     await new Promise<void>(resolve => { server.listen(0, '127.0.0.1', resolve) })
     const call = { ...CALL, signal: controller.signal }
-    const answer = await createDirectTransport(`127.0.0.1:${(server.address() as AddressInfo).port}`, createSystemClock())(call)
+    const response = await createDirectTransport(`127.0.0.1:${(server.address() as AddressInfo).port}`, createSystemClock())(call)
     await closed
-    expect(answer).toEqual({ outcome: 'no_answer', reason: 'given_up' })
+    expect(response).toEqual({ outcome: 'no_answer', reason: 'given_up' })
     server.close()
   })
 })
