--- a/packages/anvilarch-serving/src/operations/__tests__/accountUsage.test.ts
+++ b/packages/anvilarch-serving/src/operations/__tests__/accountUsage.test.ts
@@ -1,10 +1,10 @@
 import { Registry } from 'prom-client'
-import { createRecentUses } from '../../accounts/limits/recentUse'
+import { createUsageWindow } from '../../accounts/limits/usageWindow'
 import { readAccountUsage, registerAccountUsage } from '../accountUsage'
 
 describe('recent usage of accounts', () => {
   it('covers a sliding window and drops accounts without requests in it', () => {
-    const usageWindow = createRecentUses(5000)
+    const usageWindow = createUsageWindow(5000)
     usageWindow.add('a', 3, 1, 0)
     usageWindow.add('a', 2, 0, 2000)
     usageWindow.add('b', 9, 0, 4000)
--- a/packages/anvilarch-serving/src/operations/accountUsage.ts
+++ b/packages/anvilarch-serving/src/operations/accountUsage.ts
@@ -1,6 +1,6 @@
 /** Exports the recent usage of accounts as metrics of gateways, and reads it back. */
 import { Gauge, type Registry } from 'prom-client'
-import type { RecentUse } from '../accounts/limits/recentUse'
+import type { AccountUsage } from '../accounts/limits/usageWindow'
 
 const METRIC_NAME = 'anvilarch_account_window_requests'
 
@@ -17,7 +17,7 @@
  * @param registry - metrics registry of the process
  * @param read - returns the usage of the busiest accounts
  */
-export function registerAccountUsage (registry: Registry, read: () => RecentUse[]): void {
+export function registerAccountUsage (registry: Registry, read: () => AccountUsage[]): void {
   // prom-client calls `collect` on the gauge itself.
   // eslint-disable-next-line no-new
   new Gauge({
@@ -38,8 +38,8 @@
  * @param metricsTexts - metrics of all gateways in text format
  * @returns usage by account, the busiest first; the usage of an account with meters at two gateways is the sum of both
  */
-export function readAccountUsage (metricsTexts: readonly string[]): RecentUse[] {
-  const usageByAccount = new Map<string, RecentUse>()
+export function readAccountUsage (metricsTexts: readonly string[]): AccountUsage[] {
+  const usageByAccount = new Map<string, AccountUsage>()
   for (const [, encodedName, result, count] of metricsTexts.flatMap(text => [...text.matchAll(SAMPLE_PATTERN)])) {
     const accountName = JSON.parse(`"${encodedName}"`) as string
     const usage = usageByAccount.get(accountName) ?? { accountName, granted: 0, refused: 0 }
--- a/packages/anvilarch-serving/src/roles/gatewayRole.ts
+++ b/packages/anvilarch-serving/src/roles/gatewayRole.ts
@@ -1,21 +1,21 @@
 /** The gateway role: serves requests and job calls of clients. */
 import { createServer, type Server } from 'node:http'
-import { isStillAllowed } from '../accounts/identifyCaller'
-import { createCrashWatch } from '../crashes/crashWatch'
+import { isStillAuthorized } from '../accounts/identifyCaller'
+import { createCrashMonitor } from '../crashes/crashMonitor'
 import { shareSuspects, SUSPECT_TABLE } from '../crashes/shareSuspects'
 import { createSuspectTable } from '../crashes/suspectTable'
 import { createConnectionPools } from '../endpoints/connectionPools'
-import { createLoadAsker } from '../endpoints/loadAsker'
+import { createLoadProber } from '../endpoints/loadProber'
 import { createLoadTable } from '../endpoints/loadTable'
 import type { LoadReport } from '../endpoints/peerMessages'
 import { openPeerSocket } from '../endpoints/peerSocket'
 import { createPlacement } from '../endpoints/placement'
-import { createUseNotices } from '../endpoints/useNotices'
+import { createUsageReporter } from '../endpoints/usageReporter'
 import { createJobCache } from '../jobs/jobCache'
 import { createJobCalls } from '../jobs/jobCalls'
 import { createResultReader } from '../jobs/resultReader'
 import type { WorkTable } from '../jobs/workTable'
-import type { ClosingNotice } from '../requests/clientAnswer'
+import type { DrainState } from '../requests/clientResponse'
 import type { ForwardParts } from '../requests/forwardTypes'
 import { createHoldTimes } from '../requests/holdTimes'
 import { createLogRateLimiter } from '../telemetry/logRateLimiter'
@@ -54,7 +54,7 @@
   const gateway = settings.gateway
   if (gateway === undefined) throw new Error('the gateway role requires addresses for clients and for readiness')
   let draining = false
-  const notice: ClosingNotice = { isLeaving: () => draining }
+  const notice: DrainState = { isDraining: () => draining }
   const view = followPlatform(context, { memberListingIntervalMs: () => MEMBERS_INTERVAL_MS })
   const loads = createLoadTable(clock)
   const limitOf = (service: string): number => {
@@ -64,7 +64,7 @@
   const pools = createConnectionPools({ limitOf })
   const suspects = createSuspectTable(clock, context.store.storeNowMs)
   const shared = shareSuspects(context, suspects)
-  const crashes = createCrashWatch(suspects, shared.publish)
+  const crashes = createCrashMonitor(suspects, shared.publish)
   view.follow({ table: SUSPECT_TABLE, partitions: DEFAULT_PARTITIONS, listener: shared.listener })
   const onReport = (report: LoadReport): void => {
     // Reports about a start that is not listed yet are repeated. A stored one would leak if the start is never listed.
@@ -77,27 +77,27 @@
     log,
     own: { ip: settings.ip, port: settings.peerPort },
     onMessage: (message, from) => {
-      if (message.message === 'load_answer') asker.onAnswer(message, from)
+      if (message.message === 'load_response') asker.onResponse(message, from)
       else accounts.onMessage(message, from)
     }
   })
   const accounts = createGatewayAccounts({ context, view, send: peers.send })
-  const asker = createLoadAsker({ clock, send: peers.send, peerPort: settings.peerPort, onReport })
-  const use = createUseNotices({ clock, send: peers.send, peerPort: settings.peerPort, hasAgent: asker.answers })
+  const asker = createLoadProber({ clock, send: peers.send, peerPort: settings.peerPort, onReport })
+  const use = createUsageReporter({ clock, send: peers.send, peerPort: settings.peerPort, hasAgent: asker.isResponsive })
   const placement = createPlacement({
     endpoints: view.endpoints,
     loads,
-    asker,
+    prober: asker,
     ownFailureDomain: settings.failureDomain,
     gatewayCount: () => gatewayCount(view.work, context.store.storeNowMs()),
-    openConnections: pools.openTo,
-    draw: () => context.random.next()
+    openConnections: pools.openConnections,
+    random: () => context.random.next()
   })
-  view.endpoints.onGone(endpoint => {
-    pools.release(endpoint)
-    loads.forget(endpoint.startId)
-    asker.forget(endpoint)
-    use.forget(endpoint)
+  view.endpoints.onEvicted(endpoint => {
+    pools.drain(endpoint)
+    loads.remove(endpoint.startId)
+    asker.remove(endpoint)
+    use.remove(endpoint)
     // A draining endpoint stops as planned, which is not a crash.
     if (endpoint.state === 'ready') crashes.onEndpointLost(endpoint.startId)
   })
@@ -116,14 +116,14 @@
     use,
     pools,
     wire: wire.request,
-    notice,
+    drainState: notice,
     holdTimes: createHoldTimes(),
     crashes,
     limits: accounts.limits,
-    isStillAllowed: caller => isStillAllowed(view.configuration.current(), caller),
+    isStillAllowed: caller => isStillAuthorized(view.configuration.current(), caller),
     traffic,
-    lines: createLogRateLimiter(clock, SUCCESS_LINES_PER_SECOND),
-    draw: () => context.random.next()
+    logRateLimiter: createLogRateLimiter(clock, SUCCESS_LINES_PER_SECOND),
+    random: () => context.random.next()
   }
   const jobs = createJobCalls({
     store: context.store,
@@ -145,7 +145,7 @@
     },
     signal: closing.signal
   })
-  const heartbeat = startHeartbeat(context, { role: 'gateway', onWritten: view.work.learn, details: accounts.heartbeatDetails })
+  const heartbeat = startHeartbeat(context, { role: 'gateway', onWritten: view.work.update, details: accounts.heartbeatDetails })
 
   const clients = createClientServer({
     log,
