--- a/packages/anvilarch-serving/src/roles/clientCalls.ts
+++ b/packages/anvilarch-serving/src/roles/clientCalls.ts
@@ -51,7 +51,7 @@
   isConfigurationStale: () => boolean
   /** @returns whether this gateway may have missed a version of the configuration */
   isConfigurationFeedOverdue: () => boolean
-  notice: DrainState
+  drainState: DrainState
 }
 
 /**
@@ -60,9 +60,9 @@
  * @param call - a call whose head has been received
  */
 export async function handleClient (call: ClientCall): Promise<void> {
-  const { request, response, arrivedAtMs, forward, notice } = call
+  const { request, response, arrivedAtMs, forward, drainState } = call
   if (await waitForConfiguration(call) === undefined) {
-    sendGatewayResponse(response, { status: 503, code: 'not_ready', message: 'no configuration is known yet', retryAfterMs: NOT_READY_RETRY_AFTER_MS }, notice)
+    sendGatewayResponse(response, { status: 503, code: 'not_ready', message: 'no configuration is known yet', retryAfterMs: NOT_READY_RETRY_AFTER_MS }, drainState)
     return
   }
   const caller = await authenticate(call)
@@ -80,7 +80,7 @@
   const found = await findRoute(call, configuration)
   if (found.route === undefined) {
     logNoRoute(call, found.refusal)
-    sendGatewayResponse(response, found.refusal, notice)
+    sendGatewayResponse(response, found.refusal, drainState)
     return
   }
   const { route } = found
@@ -156,21 +156,21 @@
   return configuration.routes.find(route => route.isPublic && route.kind === 'batch' && isRouteHost(route, host))
 }
 
-function refuseCaller ({ request, response, forward, configuration, notice }: ClientCall, refusal: CallerRefusal): void {
+function refuseCaller ({ request, response, forward, configuration, drainState }: ClientCall, refusal: CallerRefusal): void {
   forward.metrics.callerRefusals.inc({ reason: refusal })
   forward.log.info('caller refused', {
     requestId: forward.wire.decodeRequest(request.headers).requestId,
     reason: refusal,
     configurationVersion: configuration.current()?.version
   })
-  sendGatewayResponse(response, refusalResponse(refusal, forward.wire.credentialScheme), notice)
+  sendGatewayResponse(response, refusalResponse(refusal, forward.wire.credentialScheme), drainState)
 }
 
 /** Rejects a request that has not been read completely. The rest of it could not be told apart from the next request, so the connection is closed. */
-function rejectClient ({ request, response, forward, notice }: ClientCall, status: number, code: string, message: string): void {
+function rejectClient ({ request, response, forward, drainState }: ClientCall, status: number, code: string, message: string): void {
   forward.log.info('client bytes rejected', { requestId: forward.wire.decodeRequest(request.headers).requestId, status, reason: code })
   response.setHeader('Connection', 'close')
-  sendGatewayResponse(response, { status, code, message }, notice)
+  sendGatewayResponse(response, { status, code, message }, drainState)
 }
 
 /**
--- a/packages/anvilarch-serving/src/roles/gatewayAccounts.ts
+++ b/packages/anvilarch-serving/src/roles/gatewayAccounts.ts
@@ -33,7 +33,7 @@
 }
 
 /** Refresh interval of the list of meter gateways, which changes every few seconds at most. */
-const PLACES_INTERVAL_MS = 1000
+const METER_GATEWAYS_REFRESH_MS = 1000
 
 /**
  * Creates authentication and rate limits for a gateway.
@@ -46,27 +46,27 @@
   const currentVersion = (): number => view.configuration.current()?.version ?? 0
   const accountNamed = (name: string): ClientAccount | undefined => view.configuration.current()?.accounts?.byName(name)
   const callers = createCallerAuthenticator({ clock, configuration: view.configuration, refresh: view.refreshConfiguration })
-  const places = createPlaces(context, view)
-  const meters = createAccountMeters({ clock, bounds: settings.limitBounds, account: accountNamed, gatewayCount: () => places().length })
-  const asker = createPermitClient({ clock, send, configurationVersion: currentVersion })
-  const limits = createRateLimiter({ clock, log, ownName: settings.name, meters, permitClient: asker, meterGatewaysOf: name => selectMeterGateways(places(), name) })
+  const meterGateways = createMeterGatewayList(context, view)
+  const meters = createAccountMeters({ clock, bounds: settings.limitBounds, account: accountNamed, gatewayCount: () => meterGateways().length })
+  const permitClient = createPermitClient({ clock, send, configurationVersion: currentVersion })
+  const limits = createRateLimiter({ clock, log, ownName: settings.name, meters, permitClient, meterGatewaysOf: name => selectMeterGateways(meterGateways(), name) })
   registerAccountUsage(context.metrics.registry, () => meters.busiest(MAX_REPORTED_ACCOUNTS))
   view.configuration.onChange(({ accounts }) => meters.retain(name => accounts?.byName(name) !== undefined))
 
   /** Refreshes the configuration if a peer has a newer version. This gateway may be cut off from the feed while others receive it. */
-  const onVersion = (version: number): void => {
+  const onPeerVersion = (version: number): void => {
     if (version > currentVersion()) runInBackground(log, 'read a newer configuration', callers.refreshConfiguration)
   }
 
   const handlers: Partial<{ [Kind in PeerMessage['message']]: (message: Extract<PeerMessage, { message: Kind }>, from: PeerAddress) => void }> = {
-    permit_request: (question, from) => {
-      onVersion(question.configurationVersion)
-      const grant = limits.onPermitRequest(question)
-      if (grant !== undefined) send({ message: 'permit_response', correlationId: question.correlationId, ...grant, configurationVersion: currentVersion() }, from)
+    permit_request: (request, from) => {
+      onPeerVersion(request.configurationVersion)
+      const grant = limits.onPermitRequest(request)
+      if (grant !== undefined) send({ message: 'permit_response', correlationId: request.correlationId, ...grant, configurationVersion: currentVersion() }, from)
     },
-    permit_response: (answer, from) => {
-      onVersion(answer.configurationVersion)
-      asker.onResponse(answer, from)
+    permit_response: (response, from) => {
+      onPeerVersion(response.configurationVersion)
+      permitClient.onResponse(response, from)
     },
     permit_refund: limits.onPermitRefund
   }
@@ -76,31 +76,31 @@
     limits,
     isConfigurationStale: () => {
       if (!settings.failsClosed) return false
-      const heardAtMs = view.answeredAtMs(context.wire.operator.configurationTable)
-      return heardAtMs === undefined || clock.nowMs() - heardAtMs > settings.maxRevocationDelayMs
+      const lastResponseMs = view.answeredAtMs(context.wire.operator.configurationTable)
+      return lastResponseMs === undefined || clock.nowMs() - lastResponseMs > settings.maxRevocationDelayMs
     },
     onMessage: (message, from) => handlers[message.message]?.(message as never, from),
     heartbeatDetails: storeNowMs => {
       if (view.work.membersListedAtVersion() === undefined) return undefined
-      const before = view.work.member(settings.name)?.record
-      const restarted = before !== undefined && before.aliveUntilMs > storeNowMs
-      return { knownSinceMs: (restarted ? before.knownSinceMs : undefined) ?? storeNowMs }
+      const previous = view.work.member(settings.name)?.record
+      const restarted = previous !== undefined && previous.aliveUntilMs > storeNowMs
+      return { knownSinceMs: (restarted ? previous.knownSinceMs : undefined) ?? storeNowMs }
     }
   }
 }
 
 /** @returns a function that returns the gateways that keep meters, at most one second old */
-function createPlaces ({ clock, store }: RoleContext, { work }: PlatformView): () => readonly MeterGateway[] {
-  let known: MeterGateway[] = []
+function createMeterGatewayList ({ clock, store }: RoleContext, { work }: PlatformView): () => readonly MeterGateway[] {
+  let current: MeterGateway[] = []
   let readAtMs = -Infinity
   return () => {
     const nowMs = clock.nowMs()
     // An empty list is not reused: shortly after the start, the gateways have not been listed yet.
-    if (known.length > 0 && nowMs - readAtMs < PLACES_INTERVAL_MS) return known
+    if (current.length > 0 && nowMs - readAtMs < METER_GATEWAYS_REFRESH_MS) return current
     readAtMs = nowMs
     // While the store's clock is unknown, the last list of live gateways stays in use.
     const storeNowMs = store.storeNowMs()
-    if (storeNowMs !== undefined) known = eligibleMeterGateways([...work.members()].map(member => member.record), storeNowMs)
-    return known
+    if (storeNowMs !== undefined) current = eligibleMeterGateways([...work.members()].map(member => member.record), storeNowMs)
+    return current
   }
 }
--- a/packages/anvilarch-serving/src/roles/gatewayRole.ts
+++ b/packages/anvilarch-serving/src/roles/gatewayRole.ts
@@ -54,7 +54,7 @@
   const gateway = settings.gateway
   if (gateway === undefined) throw new Error('the gateway role requires addresses for clients and for readiness')
   let draining = false
-  const notice: DrainState = { isDraining: () => draining }
+  const drainState: DrainState = { isDraining: () => draining }
   const view = followPlatform(context, { memberListingIntervalMs: () => MEMBERS_INTERVAL_MS })
   const loads = createLoadTable(clock)
   const limitOf = (service: string): number => {
@@ -77,17 +77,17 @@
     log,
     own: { ip: settings.ip, port: settings.peerPort },
     onMessage: (message, from) => {
-      if (message.message === 'load_response') asker.onResponse(message, from)
+      if (message.message === 'load_response') prober.onResponse(message, from)
       else accounts.onMessage(message, from)
     }
   })
   const accounts = createGatewayAccounts({ context, view, send: peers.send })
-  const asker = createLoadProber({ clock, send: peers.send, peerPort: settings.peerPort, onReport })
-  const use = createUsageReporter({ clock, send: peers.send, peerPort: settings.peerPort, hasAgent: asker.isResponsive })
+  const prober = createLoadProber({ clock, send: peers.send, peerPort: settings.peerPort, onReport })
+  const usageReporter = createUsageReporter({ clock, send: peers.send, peerPort: settings.peerPort, hasAgent: prober.isResponsive })
   const placement = createPlacement({
     endpoints: view.endpoints,
     loads,
-    prober: asker,
+    prober,
     ownFailureDomain: settings.failureDomain,
     gatewayCount: () => gatewayCount(view.work, context.store.storeNowMs()),
     openConnections: pools.openConnections,
@@ -96,8 +96,8 @@
   view.endpoints.onEvicted(endpoint => {
     pools.drain(endpoint)
     loads.remove(endpoint.startId)
-    asker.remove(endpoint)
-    use.remove(endpoint)
+    prober.remove(endpoint)
+    usageReporter.remove(endpoint)
     // A draining endpoint stops as planned, which is not a crash.
     if (endpoint.state === 'ready') crashes.onEndpointLost(endpoint.startId)
   })
@@ -113,10 +113,10 @@
     metrics: context.metrics,
     loads,
     placement,
-    use,
+    use: usageReporter,
     pools,
     wire: wire.request,
-    drainState: notice,
+    drainState,
     holdTimes: createHoldTimes(),
     crashes,
     limits: accounts.limits,
@@ -133,7 +133,7 @@
     metrics: context.metrics,
     results: createResultReader(context.store),
     wire: wire.job,
-    notice
+    notice: drainState
   })
   startPeriodicLog({
     clock,
@@ -162,7 +162,7 @@
         callers: accounts.callers,
         isConfigurationStale: accounts.isConfigurationStale,
         isConfigurationFeedOverdue: () => view.isFeedOverdue(wire.operator.configurationTable),
-        notice
+        drainState
       })
         .catch(error => {
           log.error('request handling failed', { reason: (error as Error).message })
@@ -180,7 +180,7 @@
     closing.abort()
     heartbeat.stop()
     view.close()
-    use.close()
+    usageReporter.close()
     peers.close()
     clients.close()
     readiness.close()
