--- a/packages/anvilarch-serving/src/roles/gatewayAccounts.ts
+++ b/packages/anvilarch-serving/src/roles/gatewayAccounts.ts
@@ -1,4 +1,4 @@
-/** What a gateway knows of callers: whose a key is, and how much of its limit an account has used over the fleet. */
+/** Authentication and rate limits at a gateway: maps keys to accounts and tracks the usage of each account across the fleet. */
 import { runInBackground } from 'anvilarch-utils'
 import { type CallerAuthenticator, createCallerAuthenticator } from '../accounts/callerAuthenticator'
 import { createAccountMeters } from '../accounts/limits/accountMeters'
@@ -13,15 +13,15 @@
 import type { PlatformView } from './followPlatform'
 import type { RoleContext } from './types'
 
-/** Callers and limits at a gateway. */
+/** Authentication and rate limits at a gateway. */
 export interface GatewayAccounts {
   callers: CallerAuthenticator
   limits: RateLimiter
-  /** @returns whether keys may have been taken away of which this gateway has not heard, and it is not to serve then */
+  /** @returns whether this gateway may have missed revoked keys and must fail closed */
   isConfigurationStale: () => boolean
-  /** Takes a datagram about permits. */
+  /** Handles a permit message from another gateway. */
   onMessage: (message: PeerMessage, from: PeerAddress) => void
-  /** @returns what the heartbeat tells beside the fact that this gateway runs; undefined until the others are known */
+  /** @returns additional heartbeat fields; undefined until the members have been listed */
   heartbeatDetails: (storeNowMs: number) => HeartbeatDetails | undefined
 }
 
@@ -32,39 +32,41 @@
   send: (message: PeerMessage, to: PeerAddress) => void
 }
 
-/** The list of gateways changes every few seconds at most. */
-const PLACES_INTERVAL_MS = 1000
+/** Refresh interval of the list of meter gateways, which changes every few seconds at most. */
+const METER_GATEWAYS_REFRESH_MS = 1000
 
 /**
- * @param options - settings, copies of the store and sender
- * @returns callers and limits
+ * Creates authentication and rate limits for a gateway.
+ *
+ * @param options - context, copies of the state in the store, and sender of peer messages
+ * @returns authentication and rate limits
  */
 export function createGatewayAccounts ({ context, view, send }: GatewayAccountsOptions): GatewayAccounts {
   const { settings, clock, log } = context
   const currentVersion = (): number => view.configuration.current()?.version ?? 0
   const accountNamed = (name: string): ClientAccount | undefined => view.configuration.current()?.accounts?.byName(name)
   const callers = createCallerAuthenticator({ clock, configuration: view.configuration, refresh: view.refreshConfiguration })
-  const places = createPlaces(context, view)
-  const meters = createAccountMeters({ clock, bounds: settings.limitBounds, account: accountNamed, gatewayCount: () => places().length })
-  const asker = createPermitClient({ clock, send, configurationVersion: currentVersion })
-  const limits = createRateLimiter({ clock, log, ownName: settings.name, meters, permitClient: asker, meterGatewaysOf: name => selectMeterGateways(places(), name) })
+  const meterGateways = createMeterGatewayList(context, view)
+  const meters = createAccountMeters({ clock, bounds: settings.limitBounds, account: accountNamed, gatewayCount: () => meterGateways().length })
+  const permitClient = createPermitClient({ clock, send, configurationVersion: currentVersion })
+  const limits = createRateLimiter({ clock, log, ownName: settings.name, meters, permitClient, meterGatewaysOf: name => selectMeterGateways(meterGateways(), name) })
   registerAccountUsage(context.metrics.registry, () => meters.busiest(MAX_REPORTED_ACCOUNTS))
   view.configuration.onChange(({ accounts }) => meters.retain(name => accounts?.byName(name) !== undefined))
 
-  /** The feed of the store may be cut off here while it reaches others. */
-  const onVersion = (version: number): void => {
+  /** Refreshes the configuration if a peer has a newer version. This gateway may be cut off from the feed while others receive it. */
+  const onPeerVersion = (version: number): void => {
     if (version > currentVersion()) runInBackground(log, 'read a newer configuration', callers.refreshConfiguration)
   }
 
   const handlers: Partial<{ [Kind in PeerMessage['message']]: (message: Extract<PeerMessage, { message: Kind }>, from: PeerAddress) => void }> = {
-    permit_request: (question, from) => {
-      onVersion(question.configurationVersion)
-      const grant = limits.onPermitRequest(question)
-      if (grant !== undefined) send({ message: 'permit_response', correlationId: question.correlationId, ...grant, configurationVersion: currentVersion() }, from)
+    permit_request: (request, from) => {
+      onPeerVersion(request.configurationVersion)
+      const grant = limits.onPermitRequest(request)
+      if (grant !== undefined) send({ message: 'permit_response', correlationId: request.correlationId, ...grant, configurationVersion: currentVersion() }, from)
     },
-    permit_response: (answer, from) => {
-      onVersion(answer.configurationVersion)
-      asker.onResponse(answer, from)
+    permit_response: (response, from) => {
+      onPeerVersion(response.configurationVersion)
+      permitClient.onResponse(response, from)
     },
     permit_refund: limits.onPermitRefund
   }
@@ -74,31 +76,31 @@
     limits,
     isConfigurationStale: () => {
       if (!settings.failsClosed) return false
-      const heardAtMs = view.answeredAtMs(context.wire.operator.configurationTable)
-      return heardAtMs === undefined || clock.nowMs() - heardAtMs > settings.maxRevocationDelayMs
+      const lastResponseMs = view.answeredAtMs(context.wire.operator.configurationTable)
+      return lastResponseMs === undefined || clock.nowMs() - lastResponseMs > settings.maxRevocationDelayMs
     },
     onMessage: (message, from) => handlers[message.message]?.(message as never, from),
     heartbeatDetails: storeNowMs => {
       if (view.work.membersListedAtVersion() === undefined) return undefined
-      const before = view.work.member(settings.name)?.record
-      const restarted = before !== undefined && before.aliveUntilMs > storeNowMs
-      return { knownSinceMs: (restarted ? before.knownSinceMs : undefined) ?? storeNowMs }
+      const previous = view.work.member(settings.name)?.record
+      const restarted = previous !== undefined && previous.aliveUntilMs > storeNowMs
+      return { knownSinceMs: (restarted ? previous.knownSinceMs : undefined) ?? storeNowMs }
     }
   }
 }
 
-/** @returns a function that gives the gateways that keep meters, as of the last second */
-function createPlaces ({ clock, store }: RoleContext, { work }: PlatformView): () => readonly MeterGateway[] {
-  let known: MeterGateway[] = []
+/** @returns a function that returns the gateways that keep meters, at most one second old */
+function createMeterGatewayList ({ clock, store }: RoleContext, { work }: PlatformView): () => readonly MeterGateway[] {
+  let current: MeterGateway[] = []
   let readAtMs = -Infinity
   return () => {
     const nowMs = clock.nowMs()
-    // A process that has just started has not listed the gateways yet.
-    if (known.length > 0 && nowMs - readAtMs < PLACES_INTERVAL_MS) return known
+    // An empty list is not reused: shortly after the start, the gateways have not been listed yet.
+    if (current.length > 0 && nowMs - readAtMs < METER_GATEWAYS_REFRESH_MS) return current
     readAtMs = nowMs
-    // While the store's clock is not known, those who were alive last stay the ones that are asked.
+    // While the store's clock is unknown, the last list of live gateways stays in use.
     const storeNowMs = store.storeNowMs()
-    if (storeNowMs !== undefined) known = eligibleMeterGateways([...work.members()].map(member => member.record), storeNowMs)
-    return known
+    if (storeNowMs !== undefined) current = eligibleMeterGateways([...work.members()].map(member => member.record), storeNowMs)
+    return current
   }
 }
--- a/packages/anvilarch-serving/src/roles/gatewayRole.ts
+++ b/packages/anvilarch-serving/src/roles/gatewayRole.ts
@@ -1,4 +1,4 @@
-/** The gateway: takes requests and job calls from clients. */
+/** The gateway role: serves requests and job calls of clients. */
 import { createServer, type Server } from 'node:http'
 import { isStillAuthorized } from '../accounts/identifyCaller'
 import { createCrashMonitor } from '../crashes/crashMonitor'
@@ -30,28 +30,31 @@
 import { once } from './once'
 import type { RoleContext, RunningRole } from './types'
 
-/** A gateway needs the other daemons only as ways to the store, when the store turns it away. */
+/** Interval of member listings, which provide relays to the store, meter gateways and the number of gateways. */
 const MEMBERS_INTERVAL_MS = 10_000
 
-/** A few gateways share the connections that an endpoint takes; each keeps to this part of them. */
+/** Share of an endpoint's connection limit that one gateway uses, since several gateways connect to each endpoint. */
 const CONNECTION_SHARE = 0.25
 
-/** Lines about requests that went well; those about others are always written. A line is about 300 bytes. */
-const GOOD_LINES_PER_SECOND = 20
+/** Maximum rate of log lines about successful requests, about 300 bytes each. Lines about other requests are always written. */
+const SUCCESS_LINES_PER_SECOND = 20
 
-/** Used before the configuration names a limit. */
+/** Connection limit of a gateway until the configuration sets one. */
 const DEFAULT_CONNECTION_LIMIT = 16
 
 /**
+ * Starts the gateway role.
+ *
  * @param context - settings, store and wire
  * @returns the running gateway
+ * @throws Error if the settings contain no gateway section or a port is taken
  */
 export async function startGatewayRole (context: RoleContext): Promise<RunningRole> {
   const { settings, clock, log, wire } = context
   const gateway = settings.gateway
-  if (gateway === undefined) throw new Error('the gateway role needs an address for clients and one for readiness')
-  let leaving = false
-  const notice: DrainState = { isDraining: () => leaving }
+  if (gateway === undefined) throw new Error('the gateway role requires addresses for clients and for readiness')
+  let draining = false
+  const drainState: DrainState = { isDraining: () => draining }
   const view = followPlatform(context, { memberListingIntervalMs: () => MEMBERS_INTERVAL_MS })
   const loads = createLoadTable(clock)
   const limitOf = (service: string): number => {
@@ -64,7 +67,7 @@
   const crashes = createCrashMonitor(suspects, shared.publish)
   view.follow({ table: SUSPECT_TABLE, partitions: DEFAULT_PARTITIONS, listener: shared.listener })
   const onReport = (report: LoadReport): void => {
-    // A report about a start that is not listed yet comes again; kept, it would stay for ever if that start never is.
+    // Reports about a start that is not listed yet are repeated. A stored one would leak if the start is never listed.
     if (!view.endpoints.hasStart(report.startId)) return
     loads.onReport(report)
     if (!report.reachable) crashes.onEndpointLost(report.startId)
@@ -74,17 +77,17 @@
     log,
     own: { ip: settings.ip, port: settings.peerPort },
     onMessage: (message, from) => {
-      if (message.message === 'load_response') asker.onResponse(message, from)
+      if (message.message === 'load_response') prober.onResponse(message, from)
       else accounts.onMessage(message, from)
     }
   })
   const accounts = createGatewayAccounts({ context, view, send: peers.send })
-  const asker = createLoadProber({ clock, send: peers.send, peerPort: settings.peerPort, onReport })
-  const use = createUsageReporter({ clock, send: peers.send, peerPort: settings.peerPort, hasAgent: asker.isResponsive })
+  const prober = createLoadProber({ clock, send: peers.send, peerPort: settings.peerPort, onReport })
+  const usageReporter = createUsageReporter({ clock, send: peers.send, peerPort: settings.peerPort, hasAgent: prober.isResponsive })
   const placement = createPlacement({
     endpoints: view.endpoints,
     loads,
-    prober: asker,
+    prober,
     ownFailureDomain: settings.failureDomain,
     gatewayCount: () => gatewayCount(view.work, context.store.storeNowMs()),
     openConnections: pools.openConnections,
@@ -93,9 +96,9 @@
   view.endpoints.onEvicted(endpoint => {
     pools.drain(endpoint)
     loads.remove(endpoint.startId)
-    asker.remove(endpoint)
-    use.remove(endpoint)
-    // One that drains ends by plan.
+    prober.remove(endpoint)
+    usageReporter.remove(endpoint)
+    // A draining endpoint stops as planned, which is not a crash.
     if (endpoint.state === 'ready') crashes.onEndpointLost(endpoint.startId)
   })
   const closing = new AbortController()
@@ -110,16 +113,16 @@
     metrics: context.metrics,
     loads,
     placement,
-    use,
+    use: usageReporter,
     pools,
     wire: wire.request,
-    drainState: notice,
+    drainState,
     holdTimes: createHoldTimes(),
     crashes,
     limits: accounts.limits,
     isStillAllowed: caller => isStillAuthorized(view.configuration.current(), caller),
     traffic,
-    logRateLimiter: createLogRateLimiter(clock, GOOD_LINES_PER_SECOND),
+    logRateLimiter: createLogRateLimiter(clock, SUCCESS_LINES_PER_SECOND),
     random: () => context.random.next()
   }
   const jobs = createJobCalls({
@@ -130,7 +133,7 @@
     metrics: context.metrics,
     results: createResultReader(context.store),
     wire: wire.job,
-    notice
+    notice: drainState
   })
   startPeriodicLog({
     clock,
@@ -159,7 +162,7 @@
         callers: accounts.callers,
         isConfigurationStale: accounts.isConfigurationStale,
         isConfigurationFeedOverdue: () => view.isFeedOverdue(wire.operator.configurationTable),
-        notice
+        drainState
       })
         .catch(error => {
           log.error('request handling failed', { reason: (error as Error).message })
@@ -169,7 +172,7 @@
   })
   view.configuration.onChange(configuration => clients.applyLimits(configuration.limits))
   const readiness = createServer((_request, response) => {
-    const ready = !leaving && view.configuration.current() !== undefined && view.endpoints.hasListing()
+    const ready = !draining && view.configuration.current() !== undefined && view.endpoints.hasListing()
     response.writeHead(ready ? 200 : 503, { 'Content-Length': 0 })
     response.end()
   })
@@ -177,7 +180,7 @@
     closing.abort()
     heartbeat.stop()
     view.close()
-    use.close()
+    usageReporter.close()
     peers.close()
     clients.close()
     readiness.close()
@@ -185,7 +188,7 @@
     await pools.closeAll()
   })
 
-  // Whoever starts a gateway whose port is taken gets an error and no handle; the rest would go on without clients.
+  // If a port is taken, the caller gets an error and no handle, so the parts that are already running are closed here.
   try {
     await listen(clients.server, gateway.clients.ip, gateway.clients.port)
     await listen(readiness, gateway.readiness.ip, gateway.readiness.port)
@@ -197,7 +200,7 @@
   return {
     close,
     stop: async () => {
-      leaving = true
+      draining = true
       heartbeat.stop()
       await drainClients({ clients, log, clock, graceMs: settings.stopGraceMs })
       await close()
@@ -205,14 +208,14 @@
   }
 }
 
-/** Used until the daemons have been listed. */
-const USUAL_GATEWAY_COUNT = 4
+/** Assumed number of gateways until the members have been listed. */
+const DEFAULT_GATEWAY_COUNT = 4
 
-/** @returns how many gateways send to the same endpoints */
+/** @returns number of live gateways, all of which send to the same endpoints */
 function gatewayCount (work: WorkTable, storeNowMs: number | undefined): number {
   let count = 0
   for (const { record } of work.members()) if (record.role === 'gateway' && record.aliveUntilMs > (storeNowMs ?? 0)) count++
-  return count === 0 ? USUAL_GATEWAY_COUNT : count
+  return count === 0 ? DEFAULT_GATEWAY_COUNT : count
 }
 
 async function listen (server: Server, ip: string, port: number): Promise<void> {
