--- a/packages/anvilarch-serving/src/endpoints/__tests__/endpointTable.test.ts
+++ b/packages/anvilarch-serving/src/endpoints/__tests__/endpointTable.test.ts
@@ -11,7 +11,7 @@
 let table: EndpointTable
 let services: string[]
 
-/** @returns the row of an endpoint that differs from the usual one */
+/** @returns the row of `ENDPOINT` with some fields changed */
 function rowOf (change: Partial<Endpoint> = {}): { row: 'endpoint', endpoint: Endpoint } {
   const endpoint = { ...ENDPOINT, ...change }
   return { row: 'endpoint', endpoint: { ...endpoint, startId: startIdOf(endpoint.id, endpoint.bornAtMs) } }
@@ -36,12 +36,12 @@
 }
 
 describe('usable', () => {
-  it('leaves draining endpoints out while there are others', () => {
+  it('excludes draining endpoints if there are others', () => {
     table.onRow(rowOf({ state: 'draining' }))
     expect(usableIds()).toEqual(['e2'])
   })
 
-  it('falls back to an endpoint that has just begun to leave, for a short time', () => {
+  it('falls back to a draining or removed endpoint for a short time', () => {
     table.onRow(rowOf({ state: 'draining' }))
     table.onRemoved('e2')
     expect(usableIds()).toEqual(['e1', 'e2'])
@@ -49,7 +49,7 @@
     expect(usableIds()).toEqual([])
   })
 
-  it('does not lengthen that time when a draining endpoint is removed', () => {
+  it('does not extend that time when a draining endpoint is removed', () => {
     table.onRemoved('e2')
     table.onRow(rowOf({ state: 'draining' }))
     clock.advance(LAST_RESORT_MS - 1)
@@ -58,8 +58,8 @@
     expect(usableIds()).toEqual([])
   })
 
-  // Guards against this: callers are refused for seconds after an outage of the store, although all endpoints are well.
-  it('keeps entries that may only have lapsed until they can be back', () => {
+  // Guards against refusing callers for seconds after an outage of the store although all endpoints work.
+  it('retains entries that may only have expired until they can be listed again', () => {
     lastFailureMs = clock.nowMs() - 500
     table.onListing([])
     expect(usableIds()).toEqual(['e1', 'e2'])
@@ -71,15 +71,15 @@
 })
 
 describe('an endpoint whose entry is removed soon after a failed call', () => {
-  // Guards against this: requests reach an endpoint more than two seconds after the store has said that it leaves.
-  it('is left alone if the store has failed for too short a time for entries to lapse', () => {
+  // Guards against requests that reach an endpoint more than two seconds after the store removed its entry.
+  it('is not used if the outage was too short for entries to expire', () => {
     lastFailureMs = clock.nowMs() - 1800
     lastOutageMs = MIN_EXPIRY_OUTAGE_MS - 1
     table.onRemoved('e1')
     expect(usableIds()).toEqual(['e2'])
   })
 
-  it('is left alone within two seconds, also as a last resort', () => {
+  it('is no longer used after two seconds, not even as a last resort', () => {
     lastFailureMs = clock.nowMs() - 1800
     table.onRemoved('e1')
     table.onRemoved('e2')
@@ -90,8 +90,9 @@
 })
 
 describe('an endpoint that has restarted', () => {
-  // Guards against this: for some seconds after engines have restarted, requests are refused and items are sent and refused again.
-  it('is sent to as its new incarnation only', () => {
+  // Guards against requests and items being refused for some seconds after a restart, because they are sent to the previous
+  // start, whose entry has not expired yet.
+  it('receives requests under its new id only', () => {
     table.onRow(rowOf({ id: 'e3', listedVersion: 5 }))
     expect(usableIds()).toEqual(['e2', 'e3'])
     expect(table.atAddress(ENDPOINT.address)?.id).toBe('e3')
@@ -101,19 +102,19 @@
 })
 
 describe('atAddress', () => {
-  // Guards against this: an agent sends items to an engine more than two seconds after the store has said that it leaves.
-  it('does not find an endpoint whose entry is gone', () => {
+  // Guards against an agent sending items to an engine more than two seconds after the store removed its entry.
+  it('does not find an endpoint whose entry is removed', () => {
     table.onRemoved('e1')
     expect(table.atAddress(ENDPOINT.address)).toBeUndefined()
   })
 
-  it('finds the new incarnation at an address', () => {
+  it('finds the new start at an address', () => {
     table.onRemoved('e1')
     table.onRow(rowOf({ id: 'e3' }))
     expect(table.atAddress(ENDPOINT.address)?.id).toBe('e3')
   })
 
-  it('finds an endpoint whose entry may only have lapsed', () => {
+  it('finds an endpoint whose entry may only have expired', () => {
     lastFailureMs = clock.nowMs()
     table.onRemoved('e1')
     expect(table.atAddress(ENDPOINT.address)?.id).toBe('e1')
@@ -122,32 +123,32 @@
   })
 })
 
-describe('an endpoint that starts again under its id', () => {
-  const gone: string[] = []
+describe('an endpoint that restarts under the same id', () => {
+  const evicted: string[] = []
 
   beforeEach(() => {
-    gone.length = 0
-    table.onEvicted(endpoint => gone.push(endpoint.startId))
+    evicted.length = 0
+    table.onEvicted(endpoint => evicted.push(endpoint.startId))
     table.onListing([rowOf({ bornAtMs: 1000 }), rowOf({ id: 'e2', address: '10.0.0.2:80', bornAtMs: 1000 })])
-    gone.length = 0
+    evicted.length = 0
   })
 
-  // Guards against this: an endpoint that has just come back is passed over, or gets more than it can take.
-  it('is another endpoint, and the former start is gone', () => {
+  // Guards against loads and failures of the previous start being attributed to the new one, which is then skipped or overloaded.
+  it('replaces the previous start, which is evicted', () => {
     table.onRow(rowOf({ bornAtMs: 2000, listedVersion: 2 }))
-    expect(gone).toEqual(['e1@1000'])
+    expect(evicted).toEqual(['e1@1000'])
     expect(table.usable('s').map(endpoint => endpoint.startId)).toEqual(['e2@1000', 'e1@2000'])
     expect([table.hasStart('e1@1000'), table.hasStart('e1@2000')]).toEqual([false, true])
   })
 
-  // Guards against this: an endpoint that has just come back gets nothing for a heartbeat, or its former start is sent to.
-  it('is not replaced by a late row of its former start', () => {
+  // Guards against a restarted endpoint receiving nothing until its next heartbeat, or requests going to its previous start.
+  it('is not replaced by a late row of its previous start', () => {
     table.onRow(rowOf({ bornAtMs: 2000, listedVersion: 2 }))
     table.onRow(rowOf({ bornAtMs: 1000, state: 'draining', listedVersion: 3 }))
     expect(table.atAddress(ENDPOINT.address)).toMatchObject({ startId: 'e1@2000', state: 'ready' })
   })
 
-  it('does not inherit the time since which its former start has been leaving', () => {
+  it('does not inherit the time at which its previous start began to drain', () => {
     table.onRow(rowOf({ bornAtMs: 1000, state: 'draining' }))
     table.onRemoved('e2')
     clock.advance(LAST_RESORT_MS + 1)
@@ -156,7 +157,7 @@
     expect(usableIds()).toEqual(['e1'])
   })
 
-  it('is not kept as lapsed when a later start has been listed', () => {
+  it('does not retain its previous start once the new one is listed', () => {
     lastFailureMs = clock.nowMs() - 500
     table.onRow(rowOf({ bornAtMs: 2000, listedVersion: 2 }))
     table.onRemoved('e1')
@@ -164,10 +165,10 @@
   })
 })
 
-describe('rows that name no endpoint', () => {
+describe('unusable rows', () => {
   const UNUSABLE = { row: 'unusable' as const, id: 'e1', field: 'state', reason: 'not known' }
 
-  it('take the endpoint that they replace out of use at once, also after an outage', () => {
+  it('evict the endpoint that they replace at once, also after an outage', () => {
     lastFailureMs = clock.nowMs() - 500
     table.onRow(UNUSABLE)
     expect(usableIds()).toEqual(['e2'])
@@ -176,7 +177,7 @@
     expect(usableIds()).toEqual(['e2', 'e1'])
   })
 
-  it('take it out of use in a listing too, and let it come back', () => {
+  it('evict it in a listing too, and a later usable row restores it', () => {
     lastFailureMs = clock.nowMs() - 500
     table.onListing([UNUSABLE, rowOf({ id: 'e2', address: '10.0.0.2:80' })])
     expect(usableIds()).toEqual(['e2'])
@@ -184,20 +185,20 @@
     expect(usableIds().sort()).toEqual(['e1', 'e2'])
   })
 
-  it('are those that no longer say when the endpoint was started', () => {
+  it('include rows that lack the start time that an earlier row had', () => {
     table.onListing([rowOf({ bornAtMs: 1000 }), rowOf({ id: 'e2', address: '10.0.0.2:80', bornAtMs: 1000 })])
     table.onRow(rowOf())
     expect(usableIds()).toEqual(['e2'])
   })
 
-  it('are those without a start where most endpoints say theirs, and no others', () => {
+  it('include rows without a start time only if most endpoints report theirs', () => {
     table.onListing([rowOf({ bornAtMs: 1000 }), rowOf({ id: 'e2', address: '10.0.0.2:80', bornAtMs: 1000 }), rowOf({ id: 'e3', address: '10.0.0.3:80' })])
     expect(usableIds()).toEqual(['e1', 'e2'])
     table.onListing([rowOf({ id: 'f1' }), rowOf({ id: 'f2', address: '10.0.0.2:80' }), rowOf({ id: 'f3', address: '10.0.0.3:80', bornAtMs: 1000 })])
     expect(usableIds().sort()).toEqual(['f1', 'f2', 'f3'])
   })
 
-  it('are those of services that the configuration does not name, until it does', () => {
+  it('include rows of services that are not configured, until they are', () => {
     table.onRow(rowOf({ id: 'e3', service: 'other', listedVersion: 9 }))
     expect(usableIds()).toEqual(['e1', 'e2'])
     expect(table.usable('other')).toEqual([])
--- a/packages/anvilarch-serving/src/endpoints/__tests__/exchange.test.ts
+++ b/packages/anvilarch-serving/src/endpoints/__tests__/exchange.test.ts
@@ -5,11 +5,11 @@
 
 let server: Server
 let pool: Pool
-let reached: Array<{ path: string, response: ServerResponse }>
+let received: Array<{ path: string, response: ServerResponse }>
 
 beforeEach(async () => {
-  reached = []
-  server = createServer((request, response) => { reached.push({ path: request.url ?? '', response }) })
+  received = []
+  server = createServer((request, response) => { received.push({ path: request.url ?? '', response }) })
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
   pool = createPool(`http://127.0.0.1:${(server.address() as AddressInfo).port}`, { connections: 1, pipelining: 1 })
 })
@@ -34,23 +34,23 @@
     if (condition()) return
     await new Promise(resolve => setTimeout(resolve, 5))
   }
-  throw new Error('the condition did not come true in time')
+  throw new Error('the condition was not met within 1 s')
 }
 
-describe('an exchange that is given up while it waits for a connection', () => {
-  // Guards against this: a request that counts as not sent runs all the same.
+describe('an exchange that is aborted while it waits for a connection', () => {
+  // Guards against running a request that is reported as not sent.
   it('is not sent', async () => {
     const ends: string[] = []
     const first = send('/1', end => ends.push(`1 ${end}`))
-    await until(() => reached.length === 1)
+    await until(() => received.length === 1)
     const second = send('/2', end => ends.push(`2 ${end}`))
     expect([first.mayHaveBeenSent(), second.mayHaveBeenSent()]).toEqual([true, false])
     second.abort()
-    reached[0].response.end()
+    received[0].response.end()
     await until(() => ends.length > 0)
     send('/3', end => ends.push(`3 ${end}`))
-    await until(() => reached.length === 2)
-    expect(reached.map(({ path }) => path)).toEqual(['/1', '/3'])
+    await until(() => received.length === 2)
+    expect(received.map(({ path }) => path)).toEqual(['/1', '/3'])
     expect(ends).toEqual(['1 complete'])
   })
 })
--- a/packages/anvilarch-serving/src/endpoints/__tests__/loadProber.test.ts
+++ b/packages/anvilarch-serving/src/endpoints/__tests__/loadProber.test.ts
@@ -9,8 +9,8 @@
 }))
 
 let clock: FakeClock
-let asker: LoadProber
-let sent: Array<{ number: number, ip: string, port: number }>
+let prober: LoadProber
+let sent: Array<{ correlationId: number, ip: string, port: number }>
 let reports: LoadReport[]
 
 beforeEach(() => {
@@ -18,20 +18,20 @@
   sent = []
   reports = []
   const send = (message: PeerMessage, to: PeerAddress): void => {
-    if (message.message === 'load_probe') sent.push({ number: message.correlationId, ip: to.ip, port: to.port })
+    if (message.message === 'load_probe') sent.push({ correlationId: message.correlationId, ip: to.ip, port: to.port })
   }
-  asker = createLoadProber({ clock, send, peerPort: 7, onReport: report => reports.push(report) })
+  prober = createLoadProber({ clock, send, peerPort: 7, onReport: report => reports.push(report) })
 })
 
-function answer (index: number, from: PeerAddress = sent[index]): void {
-  asker.onResponse({ message: 'load_response', correlationId: sent[index].number, report: reportOf(index) }, from)
+function respond (index: number, from: PeerAddress = sent[index]): void {
+  prober.onResponse({ message: 'load_response', correlationId: sent[index].correlationId, report: reportOf(index) }, from)
 }
 
-/** Answers the questions to some endpoints in a round in which all were asked. */
-function answerRound (round: number, indexes: readonly number[]): void {
+/** Responds to the probes of some endpoints in a round in which all were probed. */
+function respondInRound (round: number, indexes: readonly number[]): void {
   for (const index of indexes) {
-    const question = sent[round * ENDPOINTS.length + index]
-    asker.onResponse({ message: 'load_response', correlationId: question.number, report: reportOf(index) }, question)
+    const probe = sent[round * ENDPOINTS.length + index]
+    prober.onResponse({ message: 'load_response', correlationId: probe.correlationId, report: reportOf(index) }, probe)
   }
 }
 
@@ -39,104 +39,105 @@
   return { startId: ENDPOINTS[index].startId, online: 0, batchRunning: 0, reachable: true }
 }
 
-/** @returns whether asking is over, after all that is due now */
-async function isOver (asking: Promise<void>): Promise<boolean> {
-  return await Promise.race([asking.then(() => true), new Promise<boolean>(resolve => setImmediate(() => resolve(false)))])
+/** @returns whether a round of probes has ended, once everything that is due has run */
+async function isOver (probing: Promise<void>): Promise<boolean> {
+  return await Promise.race([probing.then(() => true), new Promise<boolean>(resolve => setImmediate(() => resolve(false)))])
 }
 
-/** Nobody answers until the patience is over. */
-async function askInVain (): Promise<void> {
-  const asking = asker.probe(ENDPOINTS)
+/** Probes all endpoints without a response until the time-out. */
+async function probeUntilTimeout (): Promise<void> {
+  const probing = prober.probe(ENDPOINTS)
   clock.advance(PROBE_TIMEOUT_MS)
-  await asking
+  await probing
 }
 
 describe('createLoadProber', () => {
-  it('is over as soon as all have answered', async () => {
-    const asking = asker.probe(ENDPOINTS)
+  it('ends a round as soon as all agents have responded', async () => {
+    const probing = prober.probe(ENDPOINTS)
     expect(sent.map(({ ip }) => ip)).toEqual(['10.0.0.0', '10.0.0.1', '10.0.0.2'])
-    answer(0)
-    answer(1)
-    expect(await isOver(asking)).toBe(false)
-    answer(2)
-    expect(await isOver(asking)).toBe(true)
+    respond(0)
+    respond(1)
+    expect(await isOver(probing)).toBe(false)
+    respond(2)
+    expect(await isOver(probing)).toBe(true)
     expect(reports).toHaveLength(3)
   })
 
-  it('does not wait for a third when two have answered and some time has passed', async () => {
-    const asking = asker.probe(ENDPOINTS)
-    answer(0)
-    answer(1)
+  it('does not wait for a third response once two have arrived and some time has passed', async () => {
+    const probing = prober.probe(ENDPOINTS)
+    respond(0)
+    respond(1)
     clock.advance(QUORUM_WAIT_MS)
-    expect(await isOver(asking)).toBe(true)
+    expect(await isOver(probing)).toBe(true)
   })
 
-  // Guards against this: each request waits although nobody will answer it.
-  it('waits for an agent that does not answer only a few times, and asks it again later', async () => {
+  // Guards against each request waiting for agents that do not respond.
+  it('stops waiting for an agent after some time-outs in a row, and probes it again later', async () => {
     for (let round = 0; round < MAX_CONSECUTIVE_TIMEOUTS; round++) {
-      const asking = asker.probe(ENDPOINTS)
-      expect(await isOver(asking)).toBe(false)
+      const probing = prober.probe(ENDPOINTS)
+      expect(await isOver(probing)).toBe(false)
       clock.advance(PROBE_TIMEOUT_MS)
-      expect(await isOver(asking)).toBe(true)
+      expect(await isOver(probing)).toBe(true)
     }
-    expect(ENDPOINTS.some(endpoint => asker.isResponsive(endpoint))).toBe(false)
+    expect(ENDPOINTS.some(endpoint => prober.isResponsive(endpoint))).toBe(false)
     const before = sent.length
-    expect(await isOver(asker.probe(ENDPOINTS))).toBe(true)
+    expect(await isOver(prober.probe(ENDPOINTS))).toBe(true)
     expect(sent.length).toBe(before)
     clock.advance(REPROBE_INTERVAL_MS + 1)
-    expect(await isOver(asker.probe(ENDPOINTS))).toBe(true)
+    expect(await isOver(prober.probe(ENDPOINTS))).toBe(true)
     expect(sent.length).toBe(before + 3)
-    asker.onResponse({ message: 'load_response', correlationId: sent[before].number, report: undefined }, sent[before])
-    expect(asker.isResponsive(ENDPOINTS[0])).toBe(true)
+    prober.onResponse({ message: 'load_response', correlationId: sent[before].correlationId, report: undefined }, sent[before])
+    expect(prober.isResponsive(ENDPOINTS[0])).toBe(true)
   })
 
-  it('takes an answer that comes after the patience for news all the same', async () => {
-    await askInVain()
-    answer(1)
+  it('accepts a response that arrives after the time-out', async () => {
+    await probeUntilTimeout()
+    respond(1)
     expect(reports).toHaveLength(1)
-    expect(asker.isResponsive(ENDPOINTS[1])).toBe(true)
+    expect(prober.isResponsive(ENDPOINTS[1])).toBe(true)
   })
 
-  it('takes no answer to a question that it has not asked, or has heard the answer to', async () => {
-    await askInVain()
-    answer(0)
-    answer(0)
-    asker.onResponse({ message: 'load_response', correlationId: 999, report: reportOf(1) }, sent[1])
+  it('ignores responses without a probe and repeated responses', async () => {
+    await probeUntilTimeout()
+    respond(0)
+    respond(0)
+    prober.onResponse({ message: 'load_response', correlationId: 999, report: reportOf(1) }, sent[1])
     expect(reports).toHaveLength(1)
   })
 
-  // Guards against this: in a burst, engines of healthy agents seem busy or are passed over, and batch items beside them do not give way.
-  it('still counts on an agent while several questions to it are open', async () => {
-    const askings = [asker.probe(ENDPOINTS), asker.probe(ENDPOINTS), asker.probe(ENDPOINTS)]
+  // Guards against treating healthy agents as unresponsive in a burst: their engines would seem busy or be skipped, and batch
+  // items there would not be preempted.
+  it('considers an agent responsive while several probes to it are pending', async () => {
+    const rounds = [prober.probe(ENDPOINTS), prober.probe(ENDPOINTS), prober.probe(ENDPOINTS)]
     clock.advance(PROBE_TIMEOUT_MS / 2)
-    expect(ENDPOINTS.every(endpoint => asker.isResponsive(endpoint))).toBe(true)
+    expect(ENDPOINTS.every(endpoint => prober.isResponsive(endpoint))).toBe(true)
     expect(sent).toHaveLength(3 * ENDPOINTS.length)
     clock.advance(PROBE_TIMEOUT_MS / 2)
-    await Promise.all(askings)
-    expect(ENDPOINTS.some(endpoint => asker.isResponsive(endpoint))).toBe(false)
+    await Promise.all(rounds)
+    expect(ENDPOINTS.some(endpoint => prober.isResponsive(endpoint))).toBe(false)
   })
 
-  it('counts a question that nobody answered although others were answered in time', async () => {
+  it('counts a probe without a response even if the round ended early', async () => {
     for (let round = 0; round < MAX_CONSECUTIVE_TIMEOUTS; round++) {
-      const asking = asker.probe(ENDPOINTS)
-      answerRound(round, [0, 1])
+      const probing = prober.probe(ENDPOINTS)
+      respondInRound(round, [0, 1])
       clock.advance(QUORUM_WAIT_MS)
-      await asking
+      await probing
       clock.advance(PROBE_TIMEOUT_MS)
     }
-    expect(ENDPOINTS.map(endpoint => asker.isResponsive(endpoint))).toEqual([true, true, false])
+    expect(ENDPOINTS.map(endpoint => prober.isResponsive(endpoint))).toEqual([true, true, false])
   })
 
-  // Guards against this: a gateway takes an engine for idle, or for lost, that is neither.
-  it('takes an answer only from the address that it has asked', async () => {
-    const asking = asker.probe(ENDPOINTS)
-    answer(0, { ...sent[0], ip: '10.0.0.9' })
-    answer(0, { ...sent[0], port: 8 })
+  // Guards against forged responses, which make a gateway consider an engine idle or unreachable.
+  it('accepts a response only from the address that was probed', async () => {
+    const probing = prober.probe(ENDPOINTS)
+    respond(0, { ...sent[0], ip: '10.0.0.9' })
+    respond(0, { ...sent[0], port: 8 })
     expect(reports).toHaveLength(0)
-    answer(0)
-    answer(1)
-    answer(2)
-    await asking
+    respond(0)
+    respond(1)
+    respond(2)
+    await probing
     expect(reports).toHaveLength(3)
   })
 })
--- a/packages/anvilarch-serving/src/endpoints/__tests__/loadTable.test.ts
+++ b/packages/anvilarch-serving/src/endpoints/__tests__/loadTable.test.ts
@@ -9,9 +9,9 @@
   table = createLoadTable(clock)
 })
 
-describe('an endpoint that is gone', () => {
-  // Guards against this: the memory of a gateway grows with each endpoint that is replaced.
-  it('is not known again by the end of a request', () => {
+describe('an endpoint that was removed', () => {
+  // Guards against a memory leak: the end of a request must not create an entry again for an endpoint that was replaced.
+  it('gets no new entry when a request to it ends', () => {
     table.onSent('e')
     table.remove('e')
     table.onEnded('e')
@@ -21,7 +21,7 @@
 })
 
 describe('loadOf', () => {
-  it('adds what was sent after the report, and takes off what has ended since', () => {
+  it('adds requests sent after the report and subtracts those that have ended since', () => {
     table.onReport({ startId: 'e', online: 4, batchRunning: 2, reachable: true })
     clock.advance(20)
     table.onSent('e')
@@ -30,7 +30,7 @@
     expect(table.loadOf('e')).toMatchObject({ online: 5, batchRunning: 2, ownInProgress: 1, ageMs: 20 })
   })
 
-  it('keeps what was sent just before a report, which cannot show it yet', () => {
+  it('counts requests sent just before a report, which does not include them yet', () => {
     table.onReport({ startId: 'e', online: 0, batchRunning: 0, reachable: true })
     clock.advance(100)
     table.onSent('e')
@@ -39,19 +39,19 @@
     expect(table.loadOf('e').online).toBe(1)
   })
 
-  it('goes by own counts when reports are old', () => {
+  it('uses only own counts when the report has expired', () => {
     table.onReport({ startId: 'e', online: 12, batchRunning: 0, reachable: true })
     table.onSent('e')
     clock.advance(REPORT_MAX_AGE_MS + 1)
     expect(table.loadOf('e').online).toBe(1)
   })
 
-  it('suspects an endpoint that its agent cannot reach', () => {
+  it('marks an endpoint that its agent cannot reach as suspected', () => {
     table.onReport({ startId: 'e', online: 0, batchRunning: 0, reachable: false })
     expect(table.loadOf('e').suspected).toBe(true)
   })
 
-  it('passes an endpoint over for longer with each failure in a row, and not at all after a success', () => {
+  it('suspects an endpoint for longer after each consecutive failure, and no longer after a success', () => {
     table.onSent('e')
     table.onFailure('e')
     clock.advance(INITIAL_SUSPECT_MS + 1)
--- a/packages/anvilarch-serving/src/endpoints/__tests__/peerMessages.test.ts
+++ b/packages/anvilarch-serving/src/endpoints/__tests__/peerMessages.test.ts
@@ -8,16 +8,16 @@
   { message: 'usage_report', startId: 'e1@5', inProgress: 4 }
 ]
 
-describe('messages of peers', () => {
-  it.each(MESSAGES)('are decoded as they were encoded: $message', message => {
+describe('peer messages', () => {
+  it.each(MESSAGES)('are decoded to what was encoded: $message', message => {
     expect(decodePeerMessage(Buffer.from(encodePeerMessage(message)))).toEqual(message)
   })
 
-  it.each(['', '{}', '[]', '["x",1]', '["q"]', '["q",-1]', '["a",1,"e",-1,0,true]', '["a",1,"e",1,0,1]', '["u",1,1]', '["u","e",1.5]', '["constructor",1]'])('are none: %s', text => {
+  it.each(['', '{}', '[]', '["x",1]', '["q"]', '["q",-1]', '["a",1,"e",-1,0,true]', '["a",1,"e",1,0,1]', '["u",1,1]', '["u","e",1.5]', '["constructor",1]'])('are not decoded from invalid bytes: %s', text => {
     expect(decodePeerMessage(Buffer.from(text))).toBeUndefined()
   })
 
-  it('never end the decoder, whatever the bytes are', () => {
+  it('never make the decoder throw, whatever the bytes are', () => {
     fc.assert(fc.property(fc.oneof(fc.uint8Array(), fc.json().map(text => Buffer.from(text))), bytes => {
       decodePeerMessage(Buffer.from(bytes))
     }), { seed: 72, numRuns: 1000 })
--- a/packages/anvilarch-serving/src/endpoints/__tests__/probeTargets.test.ts
+++ b/packages/anvilarch-serving/src/endpoints/__tests__/probeTargets.test.ts
@@ -21,34 +21,34 @@
 }
 
 describe('probeTargets', () => {
-  it('asks a few, whatever the size of the fleet: the preferred one, the one that seems least loaded, and some by chance', () => {
-    const asked = probeTargets.initial(input({ e9: { online: 1 } }, { preferred: ENDPOINTS[17] })).map(endpoint => endpoint.id)
-    expect(asked).toHaveLength(INITIAL_PROBES)
-    expect(asked).toEqual(expect.arrayContaining(['e17', 'e9']))
-    expect(new Set(asked).size).toBe(INITIAL_PROBES)
+  it('selects a few endpoints on a fleet of any size: the preferred one, the one with the lowest known load, and some at random', () => {
+    const selected = probeTargets.initial(input({ e9: { online: 1 } }, { preferred: ENDPOINTS[17] })).map(endpoint => endpoint.id)
+    expect(selected).toHaveLength(INITIAL_PROBES)
+    expect(selected).toEqual(expect.arrayContaining(['e17', 'e9']))
+    expect(new Set(selected).size).toBe(INITIAL_PROBES)
   })
 
-  it('asks some to which a connection is open, and still some by chance', () => {
+  it('selects some endpoints with an open connection and some at random', () => {
     const connected = new Set(['e1', 'e2', 'e3', 'e4', 'e5'])
-    const asked = probeTargets.initial(input({ e9: { online: 1 } }, { hasIdleConnection: ({ id }) => connected.has(id) })).map(endpoint => endpoint.id)
-    expect(asked.filter(id => connected.has(id))).toHaveLength(MAX_CONNECTED_PROBES)
-    expect(asked).toHaveLength(INITIAL_PROBES)
+    const selected = probeTargets.initial(input({ e9: { online: 1 } }, { hasIdleConnection: ({ id }) => connected.has(id) })).map(endpoint => endpoint.id)
+    expect(selected.filter(id => connected.has(id))).toHaveLength(MAX_CONNECTED_PROBES)
+    expect(selected).toHaveLength(INITIAL_PROBES)
   })
 
-  it('does not ask again what it has just been told', () => {
+  it('does not select endpoints with a fresh load', () => {
     expect(probeTargets.initial(input({ e9: { online: 1, ageMs: MAX_FRESH_AGE_MS } }, { candidates: ENDPOINTS.slice(8, 12) })).map(endpoint => endpoint.id)).not.toContain('e9')
   })
 
-  it('asks everyone on a small fleet', () => {
+  it('selects all endpoints of a small fleet', () => {
     expect(probeTargets.initial(input({}, { candidates: ENDPOINTS.slice(0, 3) }))).toHaveLength(3)
   })
 
-  it('asks more only when all that are known are full', () => {
-    const asked = ENDPOINTS.slice(0, 4)
-    const full = Object.fromEntries(asked.map(({ id }) => [id, { online: 8, ageMs: 1 }]))
-    const more = probeTargets.additional(input(full), asked)
+  it('selects additional endpoints only if all with a fresh load are full', () => {
+    const selected = ENDPOINTS.slice(0, 4)
+    const full = Object.fromEntries(selected.map(({ id }) => [id, { online: 8, ageMs: 1 }]))
+    const more = probeTargets.additional(input(full), selected)
     expect(more).toHaveLength(ADDITIONAL_PROBES)
-    expect(more.some(endpoint => asked.includes(endpoint))).toBe(false)
-    expect(probeTargets.additional(input({ ...full, e2: { online: 7, ageMs: 1 } }), asked)).toEqual([])
+    expect(more.some(endpoint => selected.includes(endpoint))).toBe(false)
+    expect(probeTargets.additional(input({ ...full, e2: { online: 7, ageMs: 1 } }), selected)).toEqual([])
   })
 })
--- a/packages/anvilarch-serving/src/endpoints/chooseEndpoint.ts
+++ b/packages/anvilarch-serving/src/endpoints/chooseEndpoint.ts
@@ -1,21 +1,21 @@
 /**
  * Chooses the endpoint of a request. Pure.
  *
- * Answers the load of bursts, when nearly all slots are taken: a request that queues behind others misses its objective
- * although a slot is free elsewhere.
+ * Designed for bursts, when nearly all slots are taken: a request that queues behind others misses its objective although
+ * another endpoint has a free slot.
  */
 import { v3 as murmurhash } from 'murmurhash'
 import type { Endpoint } from '../model/types'
 import type { EndpointLoad } from './loadTable'
 import { isFresh } from './probeTargets'
 
-/** What the choice depends on. */
+/** Input of the choice. */
 export interface ChoiceInput {
   candidates: readonly Endpoint[]
   loadOf: (endpoint: Endpoint) => EndpointLoad
-  /** @returns whether the agent of the endpoint answers, as far as is known */
+  /** @returns whether the agent of the endpoint has answered recent probes */
   isResponsive: (endpoint: Endpoint) => boolean
-  /** Parts of the prompt that other requests share, outermost first. */
+  /** Prompt prefixes that other requests share, outermost first. */
   sharedPrefixes: readonly string[]
   ownFailureDomain: string
   /** Gateways that send to the same endpoints. */
@@ -23,47 +23,48 @@
   /** @returns whether this process has a connection to the endpoint on which no request is in progress */
   hasIdleConnection: (endpoint: Endpoint) => boolean
   weights: PlacementWeights
+  /** @returns a number in [0, 1) */
   random: () => number
 }
 
-/** What counts for and against an endpoint, each in requests of load. */
+/** Weights of the score of an endpoint, in requests of load. The lowest score wins. */
 export interface PlacementWeights {
-  /** A batch item beside the request. */
+  /** Added for each batch item that runs at the endpoint. */
   batchItem: number
-  /** Taken off where a shared part of the prompt is probably cached. */
+  /** Subtracted if the endpoint probably has a shared prompt prefix cached. */
   cachedPrefix: number
-  /** Taken off where a connection is open and idle and the load is known. */
+  /** Subtracted if a connection is open and idle and the load is reported. */
   idleConnection: number
-  /** Taken off in the own failure domain. */
+  /** Subtracted if the endpoint is in the failure domain of this process. */
   sameDomain: number
-  /** Added for an endpoint that is cold. */
+  /** Added while the endpoint is cold. */
   cold: number
-  /** Added where no agent tells the load. */
+  /** Added if no agent reports the load. */
   unknownLoad: number
 }
 
 /** Weights of the daemon. */
 export const DEFAULT_PLACEMENT_WEIGHTS: PlacementWeights = {
-  // It gives way, but its claim is saved and its prompt read again: cutting it is not free.
+  // A batch item is preempted for the request, which has a cost: its claim is saved and its prompt is processed again.
   batchItem: 1,
-  // A warm prefix saves the prefill of some hundred tokens, about 2 ms; more than half a request of load is not worth that.
+  // A cached prefix saves the prefill of some hundred tokens, about 2 ms, which is worth less than half a request of load.
   cachedPrefix: 0.4,
-  // A new connection takes a round trip and work of both hosts, and briefly a slot.
+  // A new connection costs a round trip, work on both hosts and, briefly, a slot.
   idleConnection: 1,
-  // Another failure domain costs a millisecond and bytes between domains; it decides only between equals.
+  // Another failure domain costs a millisecond and traffic between domains; this decides only between equal loads.
   sameDomain: 0.15,
   // A cold endpoint is slower by about half.
   cold: 2,
-  // Other gateways have probably sent as much as this one; the rest stands for what is not known.
+  // Other gateways are assumed to have sent as much as this one; this covers the remaining uncertainty.
   unknownLoad: 1
 }
 
 /**
- * @param input - candidates, loads and what is known of the request
- * @returns the least loaded candidate, one under suspicion only when there are no others; undefined without candidates
+ * @param input - candidates, loads and prefixes of the request
+ * @returns the candidate with the lowest score, a suspected one only if there are no others; undefined without candidates
  */
 export function chooseEndpoint (input: ChoiceInput): Endpoint | undefined {
-  const pool = trustedAmong(comparableAmong(input), input)
+  const pool = unsuspectedCandidates(comparableCandidates(input), input)
   const preferred = preferredEndpoint(pool, input.sharedPrefixes)
   let best: Endpoint | undefined
   let bestScore = Infinity
@@ -78,17 +79,17 @@
   return best
 }
 
-/** Where some loads are known now, an older word of other endpoints is not compared with them; those without an agent stay. */
-function comparableAmong (input: ChoiceInput): readonly Endpoint[] {
+/** Excludes endpoints with a stale load if some loads are fresh; endpoints without a responsive agent remain candidates. */
+function comparableCandidates (input: ChoiceInput): readonly Endpoint[] {
   const { candidates } = input
   if (!candidates.some(candidate => isFresh(input.loadOf(candidate)))) return candidates
   return candidates.filter(candidate => isFresh(input.loadOf(candidate)) || !input.isResponsive(candidate))
 }
 
-function trustedAmong (candidates: readonly Endpoint[], input: ChoiceInput): readonly Endpoint[] {
-  const trusted = candidates.filter(candidate => !input.loadOf(candidate).suspected)
-  if (trusted.length > 0) return trusted
-  // All that are known now are under suspicion: any other one is better.
+function unsuspectedCandidates (candidates: readonly Endpoint[], input: ChoiceInput): readonly Endpoint[] {
+  const unsuspected = candidates.filter(candidate => !input.loadOf(candidate).suspected)
+  if (unsuspected.length > 0) return unsuspected
+  // All comparable endpoints are suspected: any other one is better.
   const others = input.candidates.filter(candidate => !input.loadOf(candidate).suspected)
   return others.length > 0 ? others : candidates
 }
@@ -101,35 +102,38 @@
   let score = online + weights.batchItem * load.batchRunning
   if (online >= slots) score += online - slots + 1
   if (candidate === preferred) score -= weights.cachedPrefix
-  if (isTold(load) && input.hasIdleConnection(candidate)) score -= weights.idleConnection
+  if (isReported(load) && input.hasIdleConnection(candidate)) score -= weights.idleConnection
   if (candidate.failureDomain === input.ownFailureDomain) score -= weights.sameDomain
   if (candidate.coldLeftMs > 0) score += weights.cold
   return score
 }
 
-/** Whether an agent has lately told the load. Where none does, gateways share it by spreading alone, and hold to no endpoint. */
-function isTold (load: EndpointLoad): boolean {
+/**
+ * Whether an agent has recently reported the load. Without reports, requests are only spread over the endpoints: an idle
+ * connection gives no preference, as it would keep all requests at one endpoint.
+ */
+function isReported (load: EndpointLoad): boolean {
   return load.ageMs !== Infinity
 }
 
 function onlineAt (load: EndpointLoad, input: ChoiceInput): number {
-  return isTold(load) ? load.online : load.ownInProgress * input.gatewayCount + input.weights.unknownLoad
+  return isReported(load) ? load.online : load.ownInProgress * input.gatewayCount + input.weights.unknownLoad
 }
 
 /**
- * Rendezvous hashing: the same part prefers the same endpoint for as long as that endpoint is there.
+ * Selects an endpoint by rendezvous hashing: the same prefix prefers the same endpoint for as long as it is a candidate.
  *
  * @param candidates - endpoints
- * @param sharedParts - parts of the prompt that other requests share, outermost first
- * @returns where the last shared part is probably cached; undefined without shared parts
+ * @param sharedPrefixes - prompt prefixes that other requests share, outermost first
+ * @returns the endpoint that probably has the last prefix cached; undefined without shared prefixes
  */
-export function preferredEndpoint (candidates: readonly Endpoint[], sharedParts: readonly string[]): Endpoint | undefined {
-  const part = sharedParts.at(-1)
-  if (part === undefined) return undefined
+export function preferredEndpoint (candidates: readonly Endpoint[], sharedPrefixes: readonly string[]): Endpoint | undefined {
+  const prefix = sharedPrefixes.at(-1)
+  if (prefix === undefined) return undefined
   let preferred: Endpoint | undefined
   let highest = -1
   for (const candidate of candidates) {
-    const weight = murmurhash(part + candidate.id)
+    const weight = murmurhash(prefix + candidate.id)
     if (weight <= highest) continue
     highest = weight
     preferred = candidate
--- a/packages/anvilarch-serving/src/endpoints/connectionPools.ts
+++ b/packages/anvilarch-serving/src/endpoints/connectionPools.ts
@@ -1,41 +1,41 @@
-/** Kept connections to endpoints, one pool for each start of an endpoint. */
+/** Persistent connections to endpoints, in one pool for each start of an endpoint. */
 import type { Endpoint } from '../model/types'
 import { createPool, type Pool } from './httpPool'
 
 /** Pools by endpoint. */
 export interface ConnectionPools {
   poolOf: (endpoint: Endpoint) => Pool
-  /** @returns connections to the endpoint that are open, in use or not */
+  /** @returns number of open connections to the endpoint, idle or in use */
   openConnections: (endpoint: Endpoint) => number
-  /** Lets requests in progress end, then closes the connections. */
+  /** Waits for requests in progress to end, then closes the connections. */
   drain: (endpoint: Endpoint) => void
   closeAll: () => Promise<void>
 }
 
 interface CountedPool {
   pool: Pool
-  /** Connections that are open, in use or not. */
+  /** Open connections, idle or in use. */
   openCount: number
 }
 
 /** Options of `createConnectionPools`. */
 export interface ConnectionPoolOptions {
-  /** Connections that this process may hold to one endpoint of a service. */
+  /** @returns the most connections that this process may open to one endpoint of a service */
   limitOf: (service: string) => number
 }
 
-/** A connection that takes longer is one whose packets are dropped; the aim of the fastest lookups is some 120 ms. */
+/** A connection attempt that takes longer has its packets dropped; the objective of the fastest lookups is some 120 ms. */
 const CONNECT_TIMEOUT_MS = 400
 
-/** How long a connection is kept idle when the endpoint does not say. */
+/** Idle time after which a connection is closed if the endpoint announces none. */
 const IDLE_TIMEOUT_MS = 4000
 
-/** Kept connections are given up this long before the endpoint would close them. */
+/** Idle connections are closed this long before the endpoint would close them. */
 const IDLE_MARGIN_MS = 1000
 
 /**
  * @param options - limits
- * @returns pools, opened on first use
+ * @returns pools, each opened on first use
  */
 export function createConnectionPools (options: ConnectionPoolOptions): ConnectionPools {
   const pools = new Map<string, CountedPool>()
@@ -48,7 +48,7 @@
       connectTimeout: CONNECT_TIMEOUT_MS,
       keepAliveTimeout: IDLE_TIMEOUT_MS,
       keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
-      // The request's own timers end a silent answer.
+      // The timers of the request handle an endpoint that sends nothing.
       headersTimeout: 0,
       bodyTimeout: 0
     })
@@ -73,7 +73,7 @@
       if (known === undefined) return
       pools.delete(idOf(endpoint))
       known.pool.close().catch(() => {
-        // Closing fails only when the pool is closed already.
+        // Fails only if the pool is already closed.
       })
     },
     closeAll: async () => {
--- a/packages/anvilarch-serving/src/endpoints/exchange.ts
+++ b/packages/anvilarch-serving/src/endpoints/exchange.ts
@@ -1,23 +1,23 @@
-/** One HTTP exchange with an endpoint over a kept connection. */
+/** One HTTP exchange with an endpoint over a persistent connection. */
 import type { Pool } from './httpPool'
 
-/** What is sent. */
+/** HTTP request of an exchange. */
 export interface ExchangeRequest {
   method: string
   path: string
-  /** Names and values in turn, as they go on the wire. */
+  /** Alternating names and values, as sent on the wire. */
   headers: string[]
   body: Buffer | undefined
 }
 
-/** Why an exchange ended without a whole answer. */
+/** Why an exchange ended without a complete response. */
 export interface ExchangeFailure {
-  /** True when no byte of the request has left, so that it cannot have run. */
+  /** True if no byte of the request was sent, so that it cannot have run. */
   notSent: boolean
   reason: string
 }
 
-/** What the sender hears; exactly one of `onComplete` and `onFailure`, last. */
+/** Receives the response. Exactly one of `onComplete` and `onFailure` is called, and last. */
 export interface ExchangeListener {
   onHead: (status: number, headers: Map<string, string>, rawHeaders: string[]) => void
   onData: (chunk: Buffer) => void
@@ -27,16 +27,16 @@
 
 /** An exchange in progress. */
 export interface Exchange {
-  /** @returns whether a byte of the request may have left */
+  /** @returns whether a byte of the request may have been sent */
   mayHaveBeenSent: () => boolean
-  /** Closes the connection, by which the endpoint drops the request. Nothing is heard afterwards. */
+  /** Closes the connection, upon which the endpoint cancels the request. The listener is not called afterwards. */
   abort: () => void
 }
 
 /**
  * @param pool - connections to the endpoint
- * @param request - what is sent
- * @param listener - hears of the answer
+ * @param request - request to send
+ * @param listener - receives the response
  * @returns the exchange
  */
 export function startExchange (pool: Pool, request: ExchangeRequest, listener: ExchangeListener): Exchange {
@@ -67,7 +67,7 @@
       return true
     },
     onComplete: () => finish(listener.onComplete),
-    // A closed pool fails within the call, before the sender has the exchange in hand.
+    // A closed pool fails within `dispatch`, before the caller has received the exchange.
     onError: (error: Error) => {
       if (dispatched) fail(error)
       else queueMicrotask(() => fail(error))
--- a/packages/anvilarch-serving/src/endpoints/loadProber.ts
+++ b/packages/anvilarch-serving/src/endpoints/loadProber.ts
@@ -1,25 +1,25 @@
 /**
- * Asks the agents of a few endpoints how busy their engines are, just before a request is placed.
+ * Probes the agents of a few endpoints for the load of their engines, just before a request is placed.
  *
- * Answers fleets of any size: what one request costs does not grow with the number of endpoints or gateways. Were each agent
- * to tell each gateway of each change, 40 agents and 40 gateways would exchange 16,000 datagrams a second for 200 requests;
- * asked, they exchange 2,000.
+ * The cost of a request does not grow with the number of endpoints or gateways. If each agent pushed each change to each
+ * gateway, 40 agents and 40 gateways would exchange 16,000 datagrams a second for 200 requests; with probes, they exchange
+ * 2,000.
  */
 import type { Clock } from 'anvilarch-utils'
 import type { Endpoint } from '../model/types'
 import type { LoadResponse, LoadReport, PeerMessage } from './peerMessages'
 import type { PeerAddress } from './peerSocket'
 
-/** Asks agents. */
+/** Probes agents for their load. */
 export interface LoadProber {
   /**
-   * @param endpoints - whose agents are asked; those that have lately not answered are left out
-   * @returns a promise that resolves when enough have answered, or when waiting longer would cost more than the answers are worth
+   * @param endpoints - endpoints whose agents are probed; unresponsive ones are skipped until they are due for another probe
+   * @returns a promise that resolves when enough agents have responded, or after `PROBE_TIMEOUT_MS`
    */
   probe: (endpoints: readonly Endpoint[]) => Promise<void>
-  /** Takes an answer, if it comes from the address that was asked: whoever can send a datagram can guess a number. */
-  onResponse: (answer: LoadResponse, from: PeerAddress) => void
-  /** @returns whether the agent of the endpoint answers, as far as is known */
+  /** Accepts a response only from the address that was probed: any sender of datagrams can guess a correlation id. */
+  onResponse: (response: LoadResponse, from: PeerAddress) => void
+  /** @returns whether the agent of the endpoint has answered recent probes; true before the first one */
   isResponsive: (endpoint: Endpoint) => boolean
   remove: (endpoint: Endpoint) => void
 }
@@ -32,34 +32,35 @@
   onReport: (report: LoadReport) => void
 }
 
-/** No request waits longer than this for answers: agents answer within 2 to 3 ms, and the shortest objective is some 120 ms. */
+/** No request waits longer than this for responses: agents respond within 2 to 3 ms, and the shortest objective is some 120 ms. */
 export const PROBE_TIMEOUT_MS = 8
 
-/** Once two have answered, the others have until this long after the question: one that is slow to answer is slow to serve. */
+/** After this time two responses are enough: an agent that is slow to respond has an endpoint that is slow to serve. */
 export const QUORUM_WAIT_MS = 4
 
-const ENOUGH_ANSWERS = 2
+const RESPONSE_QUORUM = 2
 
-/** An agent that has left so many questions in a row without an answer is not waited for. */
+/** An agent is unresponsive, and not waited for, after this many probes in a row have timed out. */
 export const MAX_CONSECUTIVE_TIMEOUTS = 2
 
-/** One that does not answer is asked again after this, so that it is noticed when it comes back. */
+/** An unresponsive agent is probed again after this time, so that its return is noticed. */
 export const REPROBE_INTERVAL_MS = 500
 
 interface AgentState {
-  /** Questions in a row whose patience is over. One that is still open says nothing: in a burst, several are at any time. */
-  unanswered: number
-  lastAskedMs: number
+  /** Probes in a row that have timed out. Pending ones do not count: in a burst, several are pending at any time. */
+  consecutiveTimeouts: number
+  lastProbedMs: number
 }
 
 interface Round {
-  waitingFor: number
-  answered: number
-  askedAtMs: number
+  /** Responses to wait for; unresponsive agents are not counted. */
+  expected: number
+  received: number
+  startedAtMs: number
   settle: () => void
 }
 
-interface Question {
+interface Probe {
   startId: string
   to: PeerAddress
   round: Round
@@ -67,104 +68,104 @@
 
 /**
  * @param options - clock and sender
- * @returns an asker that has asked nobody
+ * @returns a prober without pending probes
  */
 export function createLoadProber (options: LoadProberOptions): LoadProber {
   const { clock } = options
   const agents = new Map<string, AgentState>()
-  /** Questions that may still be answered in time, oldest first. */
-  const open = new Map<number, Question>()
-  /** Questions whose patience is over, oldest first; a late answer still tells that the agent is there. */
-  const overdue = new Map<number, Question>()
-  let lastNumber = 0
+  /** Probes that have not timed out, oldest first. */
+  const pending = new Map<number, Probe>()
+  /** Probes that have timed out, oldest first; a late response still shows that the agent is responsive. */
+  const timedOut = new Map<number, Probe>()
+  let lastCorrelationId = 0
 
   const stateOf = (startId: string): AgentState => {
-    const known = agents.get(startId) ?? { unanswered: 0, lastAskedMs: -Infinity }
+    const known = agents.get(startId) ?? { consecutiveTimeouts: 0, lastProbedMs: -Infinity }
     agents.set(startId, known)
     return known
   }
 
-  const countOverdue = (nowMs: number): void => {
-    for (const [number, question] of open) {
-      if (nowMs - question.round.askedAtMs < PROBE_TIMEOUT_MS) return
-      open.delete(number)
-      overdue.set(number, question)
-      const state = agents.get(question.startId)
-      if (state !== undefined) state.unanswered++
+  const expirePending = (nowMs: number): void => {
+    for (const [correlationId, probe] of pending) {
+      if (nowMs - probe.round.startedAtMs < PROBE_TIMEOUT_MS) return
+      pending.delete(correlationId)
+      timedOut.set(correlationId, probe)
+      const state = agents.get(probe.startId)
+      if (state !== undefined) state.consecutiveTimeouts++
     }
   }
 
-  const answersNow = (startId: string): boolean => {
-    countOverdue(clock.nowMs())
-    return stateOf(startId).unanswered < MAX_CONSECUTIVE_TIMEOUTS
+  const isResponsiveNow = (startId: string): boolean => {
+    expirePending(clock.nowMs())
+    return stateOf(startId).consecutiveTimeouts < MAX_CONSECUTIVE_TIMEOUTS
   }
 
-  const mayAsk = (startId: string, nowMs: number): boolean => {
+  const mayProbe = (startId: string, nowMs: number): boolean => {
     const state = stateOf(startId)
-    return state.unanswered < MAX_CONSECUTIVE_TIMEOUTS || nowMs - state.lastAskedMs > REPROBE_INTERVAL_MS
+    return state.consecutiveTimeouts < MAX_CONSECUTIVE_TIMEOUTS || nowMs - state.lastProbedMs > REPROBE_INTERVAL_MS
   }
 
-  const put = (endpoint: Endpoint, round: Round): void => {
+  const sendProbe = (endpoint: Endpoint, round: Round): void => {
     const state = stateOf(endpoint.startId)
-    // One that is asked only to see whether it is back holds nobody up.
-    if (state.unanswered < MAX_CONSECUTIVE_TIMEOUTS) round.waitingFor++
-    state.lastAskedMs = round.askedAtMs
-    lastNumber++
+    // The round does not wait for an agent that is probed only to notice its return.
+    if (state.consecutiveTimeouts < MAX_CONSECUTIVE_TIMEOUTS) round.expected++
+    state.lastProbedMs = round.startedAtMs
+    lastCorrelationId++
     const to = { ip: endpoint.address.split(':')[0], port: options.peerPort }
-    open.set(lastNumber, { startId: endpoint.startId, to, round })
-    options.send({ message: 'load_probe', correlationId: lastNumber }, to)
+    pending.set(lastCorrelationId, { startId: endpoint.startId, to, round })
+    options.send({ message: 'load_probe', correlationId: lastCorrelationId }, to)
   }
 
-  const forgetOld = (nowMs: number): void => {
-    for (const [number, { round }] of overdue) {
-      if (nowMs - round.askedAtMs < REPROBE_INTERVAL_MS) return
-      overdue.delete(number)
+  const removeOld = (nowMs: number): void => {
+    for (const [correlationId, { round }] of timedOut) {
+      if (nowMs - round.startedAtMs < REPROBE_INTERVAL_MS) return
+      timedOut.delete(correlationId)
     }
   }
 
-  /** @returns the question that is answered, which is then no longer waited for */
-  const takeQuestion = (number: number, from: PeerAddress): Question | undefined => {
-    const question = open.get(number) ?? overdue.get(number)
-    if (question === undefined || question.to.ip !== from.ip || question.to.port !== from.port) return undefined
-    open.delete(number)
-    overdue.delete(number)
-    return question
+  /** Removes the probe that a response belongs to. @returns the probe; undefined if there is none for this sender */
+  const takeProbe = (correlationId: number, from: PeerAddress): Probe | undefined => {
+    const probe = pending.get(correlationId) ?? timedOut.get(correlationId)
+    if (probe === undefined || probe.to.ip !== from.ip || probe.to.port !== from.port) return undefined
+    pending.delete(correlationId)
+    timedOut.delete(correlationId)
+    return probe
   }
 
   return {
     probe: async endpoints => {
       const nowMs = clock.nowMs()
-      countOverdue(nowMs)
-      forgetOld(nowMs)
-      const asked = endpoints.filter(endpoint => mayAsk(endpoint.startId, nowMs))
-      if (asked.length === 0) return
+      expirePending(nowMs)
+      removeOld(nowMs)
+      const targets = endpoints.filter(endpoint => mayProbe(endpoint.startId, nowMs))
+      if (targets.length === 0) return
       await new Promise<void>(resolve => {
-        const round: Round = { waitingFor: 0, answered: 0, askedAtMs: nowMs, settle: resolve }
-        asked.forEach(endpoint => put(endpoint, round))
-        if (round.waitingFor === 0) {
+        const round: Round = { expected: 0, received: 0, startedAtMs: nowMs, settle: resolve }
+        targets.forEach(endpoint => sendProbe(endpoint, round))
+        if (round.expected === 0) {
           resolve()
           return
         }
-        const enough = clock.after(QUORUM_WAIT_MS, () => { if (round.answered >= ENOUGH_ANSWERS) round.settle() })
-        const patience = clock.after(PROBE_TIMEOUT_MS, () => round.settle())
+        const quorumTimer = clock.after(QUORUM_WAIT_MS, () => { if (round.received >= RESPONSE_QUORUM) round.settle() })
+        const timeoutTimer = clock.after(PROBE_TIMEOUT_MS, () => round.settle())
         round.settle = () => {
-          enough.cancel()
-          patience.cancel()
+          quorumTimer.cancel()
+          timeoutTimer.cancel()
           resolve()
         }
       })
     },
-    onResponse: ({ correlationId: number, report }, from) => {
-      const question = takeQuestion(number, from)
-      if (question === undefined) return
-      stateOf(question.startId).unanswered = 0
+    onResponse: ({ correlationId, report }, from) => {
+      const probe = takeProbe(correlationId, from)
+      if (probe === undefined) return
+      stateOf(probe.startId).consecutiveTimeouts = 0
       if (report !== undefined) options.onReport(report)
-      const { round } = question
-      round.answered++
-      const late = clock.nowMs() - round.askedAtMs >= QUORUM_WAIT_MS
-      if (round.answered >= round.waitingFor || (late && round.answered >= ENOUGH_ANSWERS)) round.settle()
+      const { round } = probe
+      round.received++
+      const late = clock.nowMs() - round.startedAtMs >= QUORUM_WAIT_MS
+      if (round.received >= round.expected || (late && round.received >= RESPONSE_QUORUM)) round.settle()
     },
-    isResponsive: endpoint => answersNow(endpoint.startId),
+    isResponsive: endpoint => isResponsiveNow(endpoint.startId),
     remove: endpoint => { agents.delete(endpoint.startId) }
   }
 }
--- a/packages/anvilarch-serving/src/endpoints/loadTable.ts
+++ b/packages/anvilarch-serving/src/endpoints/loadTable.ts
@@ -1,52 +1,52 @@
-/** How busy each endpoint is: what its agent has answered, and what this process has sent since. */
+/** Tracks the load of each endpoint: the last report of its agent, and the requests that this process has sent since. */
 import type { Clock } from 'anvilarch-utils'
 import type { LoadReport } from './peerMessages'
 
-/** Load as far as this process can tell. */
+/** Load of an endpoint as this process estimates it. */
 export interface EndpointLoad {
-  /** Requests that run or wait and do not give way; of this process alone where no agent has told. */
+  /** Requests that run or wait and are not preemptible; only those of this process if there is no recent report. */
   online: number
   batchRunning: number
-  /** Requests of this process that are in progress there. */
+  /** Requests of this process that are in progress at the endpoint. */
   ownInProgress: number
-  /** Failures have been seen that other endpoints do not show. */
+  /** Whether requests have recently failed there, or the agent cannot reach the engine. */
   suspected: boolean
-  /** Time since the agent told; `Infinity` where it has not, or so long ago that it says nothing any more. */
+  /** Age of the agent's last report; `Infinity` if there is none or it has expired. */
   ageMs: number
 }
 
-/** Loads by start of an endpoint. */
+/** Loads by the start of an endpoint. */
 export interface LoadTable {
   onReport: (report: LoadReport) => void
   onSent: (startId: string) => void
   onEnded: (startId: string) => void
-  /** The endpoint failed to answer or answered with bytes that are no answer. */
+  /** Records that the endpoint sent no response, or bytes that are not a valid response. */
   onFailure: (startId: string) => void
   onSuccess: (startId: string) => void
   loadOf: (startId: string) => EndpointLoad
   remove: (startId: string) => void
 }
 
-/** An older report than this says nothing, and own counts alone are used. */
+/** Reports expire at this age; after that only this process's own counts are used. */
 export const REPORT_MAX_AGE_MS = 600
 
-/** A report does not show what was sent this shortly before it came: the way to the agent and back. */
+/** Requests sent this shortly before a report arrives are not counted in it: the round trip to the agent. */
 export const REPORT_ROUND_TRIP_MS = 3
 
-/** First time that an endpoint is passed over after a failure, doubled by each further one. */
+/** How long an endpoint is suspected after its first failure; doubles with each further one in a row. */
 export const INITIAL_SUSPECT_MS = 300
 
-/** Longest time that an endpoint is passed over before it is tried again. */
+/** Longest time that an endpoint is suspected before it is tried again. */
 export const MAX_SUSPECT_MS = 4000
 
-/** Of an endpoint that this process has heard nothing of, or has forgotten since it is gone. */
+/** Load of an endpoint that has no entry, because nothing was recorded yet or the entry was removed. */
 const UNKNOWN_LOAD: EndpointLoad = { online: 0, batchRunning: 0, ownInProgress: 0, suspected: false, ageMs: Infinity }
 
 interface Entry {
   report?: LoadReport
   reportedAtMs: number
   ownInProgress: number
-  /** Changes by this process since shortly before the last report. */
+  /** Starts and ends of this process's requests, from `REPORT_ROUND_TRIP_MS` before the last report on. */
   sentAtMs: number[]
   endedAtMs: number[]
   failures: number
@@ -92,8 +92,8 @@
       const entry = entries.get(startId)
       if (entry === undefined) return
       entry.failures++
-      const passOverMs = Math.min(MAX_SUSPECT_MS, INITIAL_SUSPECT_MS * 2 ** (entry.failures - 1))
-      entry.suspectedUntilMs = clock.nowMs() + passOverMs
+      const suspectMs = Math.min(MAX_SUSPECT_MS, INITIAL_SUSPECT_MS * 2 ** (entry.failures - 1))
+      entry.suspectedUntilMs = clock.nowMs() + suspectMs
     },
     onSuccess: startId => {
       const entry = entries.get(startId)
--- a/packages/anvilarch-serving/src/endpoints/peerMessages.ts
+++ b/packages/anvilarch-serving/src/endpoints/peerMessages.ts
@@ -1,69 +1,69 @@
 /**
- * Datagrams between daemons: how busy the engine beside an agent is, and what gateways grant each other of the limits of
- * accounts. A lost one is made up for by a later one.
+ * Datagrams between daemons: load reports about the engine of an agent, usage reports, and permits within the limits of
+ * accounts that gateways grant each other. No datagram is retransmitted; a later one makes up for a lost one.
  */
 import type { Granter } from '../accounts/limits/limitBounds'
 
-/** A gateway asks an agent how busy its engine is. */
+/** Request of a gateway for the load report of an agent. */
 export interface LoadProbe {
   message: 'load_probe'
-  /** Returned with the answer. */
+  /** Returned in the response. */
   correlationId: number
 }
 
-/** An agent answers. */
+/** Response of an agent. */
 export interface LoadResponse {
   message: 'load_response'
   correlationId: number
-  /** Undefined while the agent does not know which start its engine is. */
+  /** Undefined until the agent has identified the start of its engine. */
   report: LoadReport | undefined
 }
 
-/** What an agent says of the engine beside it. */
+/** Load of the engine of an agent. */
 export interface LoadReport {
   /** The start of the engine that the report is about; see `startIdOf`. */
   startId: string
-  /** Requests that run or wait and do not give way. */
+  /** Requests that run or wait and are not preemptible. */
   online: number
-  /** Batch items that run; they give way as soon as the agent hears of a request. */
+  /** Batch items that run; the agent preempts them as soon as a request is reported. */
   batchRunning: number
-  /** False when the engine does not answer its agent. */
+  /** Whether the engine responds to its agent. */
   reachable: boolean
 }
 
-/** A gateway tells an agent how many of its requests are in progress at the engine. */
+/** Report of a gateway to an agent: the gateway's requests in progress at the engine. */
 export interface UsageReport {
   message: 'usage_report'
   startId: string
   inProgress: number
 }
 
-/** A gateway asks another one that keeps an account's meter. */
+/** Request for permits to the gateway that keeps the meter of an account. */
 export interface PermitRequestMessage {
   message: 'permit_request'
-  /** Returned with the answer. */
+  /** Returned in the response. */
   correlationId: number
   accountName: string
-  /** In which place the other gateway is asked. */
+  /** Role in which the receiving gateway keeps the meter. */
   granter: Exclude<Granter, 'self'>
-  /** Requests that would start. */
+  /** Permits requested, one for each request. */
   wanted: number
-  /** Version in force at the asking gateway. */
+  /** Version in force at the requesting gateway. */
   configurationVersion: number
 }
 
-/** The gateway that keeps the meter answers. */
+/** Response of the gateway that keeps the meter. */
 export interface PermitResponseMessage {
   message: 'permit_response'
   correlationId: number
   granted: number
-  /** When there is room for one that was not granted; 0 when all were. */
+  /** Time until a permit that was denied can be granted; 0 if all were granted. */
   retryAfterMs: number
-  /** Version in force at the answering gateway. */
+  /** Version in force at the responding gateway. */
   configurationVersion: number
 }
 
-/** Requests that were granted and have not run. */
+/** Refund of permits whose requests have not run. */
 export interface PermitRefundMessage {
   message: 'permit_refund'
   accountName: string
@@ -71,10 +71,10 @@
   count: number
 }
 
-/** Any of them. */
+/** Any message between daemons. */
 export type PeerMessage = LoadProbe | LoadResponse | UsageReport | PermitRequestMessage | PermitResponseMessage | PermitRefundMessage
 
-/** On the wire a message is a list, its kind first: names would be two thirds of its bytes. */
+/** On the wire, a message is a list with its kind first: field names would make up two thirds of its bytes. */
 type WireMessage =
   | ['q', number]
   | ['a', number]
@@ -100,8 +100,8 @@
     case 'load_probe':
       return ['q', message.correlationId]
     case 'load_response': {
-      const { correlationId: number, report } = message
-      return report === undefined ? ['a', number] : ['a', number, report.startId, report.online, report.batchRunning, report.reachable]
+      const { correlationId, report } = message
+      return report === undefined ? ['a', correlationId] : ['a', correlationId, report.startId, report.online, report.batchRunning, report.reachable]
     }
     case 'usage_report':
       return ['u', message.startId, message.inProgress]
@@ -115,8 +115,8 @@
 }
 
 /**
- * @param bytes - of a datagram
- * @returns the message; undefined when the bytes are none
+ * @param bytes - content of a datagram
+ * @returns the message; undefined if the bytes are not a message
  */
 export function decodePeerMessage (bytes: Buffer): PeerMessage | undefined {
   const list = parseList(bytes)
@@ -128,21 +128,21 @@
 type Decoder = (fields: readonly unknown[]) => PeerMessage | undefined
 
 const DECODERS: ReadonlyMap<string, Decoder> = new Map<string, Decoder>([
-  ['q', ([number]) => isCount(number) ? { message: 'load_probe', correlationId: number } : undefined],
-  ['a', ([number, startId, online, batchRunning, reachable]) => {
-    if (!isCount(number)) return undefined
-    if (startId === undefined) return { message: 'load_response', correlationId: number, report: undefined }
+  ['q', ([correlationId]) => isCount(correlationId) ? { message: 'load_probe', correlationId } : undefined],
+  ['a', ([correlationId, startId, online, batchRunning, reachable]) => {
+    if (!isCount(correlationId)) return undefined
+    if (startId === undefined) return { message: 'load_response', correlationId, report: undefined }
     if (typeof startId !== 'string' || !isCount(online) || !isCount(batchRunning) || typeof reachable !== 'boolean') return undefined
-    return { message: 'load_response', correlationId: number, report: { startId, online, batchRunning, reachable } }
+    return { message: 'load_response', correlationId, report: { startId, online, batchRunning, reachable } }
   }],
   ['u', ([startId, inProgress]) => typeof startId === 'string' && isCount(inProgress) ? { message: 'usage_report', startId, inProgress } : undefined],
-  ['p', ([number, accountName, code, wanted, configurationVersion]) => {
-    if (!isCount(number) || typeof accountName !== 'string' || !isGranterCode(code) || !isCount(wanted) || !isCount(configurationVersion)) return undefined
-    return { message: 'permit_request', correlationId: number, accountName, granter: GRANTERS[code], wanted, configurationVersion }
+  ['p', ([correlationId, accountName, code, wanted, configurationVersion]) => {
+    if (!isCount(correlationId) || typeof accountName !== 'string' || !isGranterCode(code) || !isCount(wanted) || !isCount(configurationVersion)) return undefined
+    return { message: 'permit_request', correlationId, accountName, granter: GRANTERS[code], wanted, configurationVersion }
   }],
-  ['g', ([number, granted, retryAfterMs, configurationVersion]) => {
-    if (!isCount(number) || !isCount(granted) || !isCount(retryAfterMs) || !isCount(configurationVersion)) return undefined
-    return { message: 'permit_response', correlationId: number, granted, retryAfterMs, configurationVersion }
+  ['g', ([correlationId, granted, retryAfterMs, configurationVersion]) => {
+    if (!isCount(correlationId) || !isCount(granted) || !isCount(retryAfterMs) || !isCount(configurationVersion)) return undefined
+    return { message: 'permit_response', correlationId, granted, retryAfterMs, configurationVersion }
   }],
   ['r', ([accountName, code, count]) => {
     if (typeof accountName !== 'string' || !isGranterCode(code) || !isCount(count)) return undefined
@@ -163,7 +163,7 @@
     const value: unknown = JSON.parse(bytes.toString())
     return Array.isArray(value) ? value : undefined
   } catch {
-    // Whoever receives the datagram counts and logs it.
+    // The receiver logs the datagram.
     return undefined
   }
 }
--- a/packages/anvilarch-serving/src/endpoints/peerSocket.ts
+++ b/packages/anvilarch-serving/src/endpoints/peerSocket.ts
@@ -1,23 +1,23 @@
-/** The socket by which a daemon exchanges datagrams with others. */
+/** UDP socket through which a daemon exchanges datagrams with other daemons. */
 import { createSocket } from 'node:dgram'
 import type { Clock } from 'anvilarch-utils'
 import type { EventLog } from '../telemetry/events'
 import { createLineBudget } from '../telemetry/lineBudget'
 import { decodePeerMessage, encodePeerMessage, type PeerMessage } from './peerMessages'
 
-/** Where a process listens. */
+/** Address of the peer port of a process. */
 export interface PeerAddress {
   ip: string
   port: number
 }
 
-/** A socket for messages of peers. */
+/** Sends messages to peers. */
 export interface PeerSocket {
   send: (message: PeerMessage, to: PeerAddress) => void
   close: () => void
 }
 
-/** Lines about datagrams that are no message; anybody may send those. */
+/** Limit of log lines about unreadable datagrams, since any host can send them. */
 const UNREADABLE_LINES_PER_SECOND = 1
 
 /** Options of `openPeerSocket`. */
@@ -48,7 +48,7 @@
     send: (message, to) => {
       if (closed) return
       socket.send(encodePeerMessage(message), to.port, to.ip, () => {
-        // A datagram that cannot be sent is as good as a lost one.
+        // A datagram that cannot be sent is treated like a lost one.
       })
     },
     close: () => {
--- a/packages/anvilarch-serving/src/endpoints/placement.ts
+++ b/packages/anvilarch-serving/src/endpoints/placement.ts
@@ -1,4 +1,4 @@
-/** Places requests: asks a few agents how busy their engines are, and chooses among what is known then. */
+/** Places requests: probes a few agents for the load of their engines, then chooses an endpoint by the known loads. */
 import type { Endpoint } from '../model/types'
 import { chooseEndpoint, DEFAULT_PLACEMENT_WEIGHTS, type PlacementWeights, preferredEndpoint } from './chooseEndpoint'
 import type { EndpointTable } from './endpointTable'
@@ -6,23 +6,23 @@
 import type { EndpointLoad, LoadTable } from './loadTable'
 import { isFresh, probeTargets } from './probeTargets'
 
-/** What the place of a request depends on. */
+/** What a request needs of its endpoint. */
 export interface PlacementCriteria {
   service: string
-  /** Parts of the prompt that other requests share, outermost first. */
+  /** Prompt prefixes that other requests share, outermost first. */
   sharedPrefixes: readonly string[]
-  /** Starts of endpoints that have been tried. */
+  /** `startId` of endpoints that have been tried. */
   excluded: ReadonlySet<string>
 }
 
-/** Places requests at endpoints. */
+/** Selects endpoints for requests. */
 export interface Placement {
-  /** Asks agents. @returns a promise that resolves when it is time to choose */
-  prepare: (terms: PlacementCriteria) => Promise<void>
-  choose: (terms: PlacementCriteria) => Endpoint | undefined
-  /** @returns endpoints that take requests of the service, those whose load is known now where there are any */
+  /** Probes agents. @returns a promise that resolves when an endpoint can be chosen */
+  prepare: (criteria: PlacementCriteria) => Promise<void>
+  choose: (criteria: PlacementCriteria) => Endpoint | undefined
+  /** @returns endpoints that accept requests of the service: those with a fresh load, or all if none has one */
   candidates: (service: string) => readonly Endpoint[]
-  /** @returns how many endpoints take requests of the service */
+  /** @returns how many endpoints accept requests of the service */
   count: (service: string) => number
   loadOf: (endpoint: Endpoint) => EndpointLoad
 }
@@ -35,14 +35,15 @@
   ownFailureDomain: string
   /** @returns how many gateways send to the same endpoints */
   gatewayCount: () => number
-  /** @returns connections of this process to the endpoint, idle ones and others */
+  /** @returns number of open connections of this process to the endpoint, idle or in use */
   openConnections: (endpoint: Endpoint) => number
   weights?: PlacementWeights
+  /** @returns a number in [0, 1) */
   random: () => number
 }
 
 /**
- * @param options - endpoints, loads and whom to ask
+ * @param options - endpoints, loads and prober
  * @returns the placement
  */
 export function createPlacement (options: PlacementOptions): Placement {
@@ -50,29 +51,29 @@
   const loadOf = (endpoint: Endpoint): EndpointLoad => loads.loadOf(endpoint.startId)
   const hasIdleConnection = (endpoint: Endpoint): boolean => options.openConnections(endpoint) > loadOf(endpoint).ownInProgress
   const weights = options.weights ?? DEFAULT_PLACEMENT_WEIGHTS
-  const isKnown = (endpoint: Endpoint): boolean => isFresh(loadOf(endpoint))
+  const hasFreshLoad = (endpoint: Endpoint): boolean => isFresh(loadOf(endpoint))
 
-  const allowed = (terms: PlacementCriteria): readonly Endpoint[] => {
-    const usable = endpoints.usable(terms.service)
-    return terms.excluded.size === 0 ? usable : usable.filter(endpoint => !terms.excluded.has(endpoint.startId))
+  const untried = (criteria: PlacementCriteria): readonly Endpoint[] => {
+    const usable = endpoints.usable(criteria.service)
+    return criteria.excluded.size === 0 ? usable : usable.filter(endpoint => !criteria.excluded.has(endpoint.startId))
   }
 
   return {
-    prepare: async terms => {
-      const candidates = allowed(terms)
+    prepare: async criteria => {
+      const candidates = untried(criteria)
       if (candidates.length < 2) return
-      const preferred = weights.cachedPrefix > 0 ? preferredEndpoint(candidates, terms.sharedPrefixes) : undefined
+      const preferred = weights.cachedPrefix > 0 ? preferredEndpoint(candidates, criteria.sharedPrefixes) : undefined
       const input = { candidates, preferred, loadOf, hasIdleConnection, isResponsive: prober.isResponsive, random }
       const first = probeTargets.initial(input)
       await prober.probe(first)
       const more = probeTargets.additional(input, first)
       if (more.length > 0) await prober.probe(more)
     },
-    choose: terms => chooseEndpoint({
-      candidates: allowed(terms),
+    choose: criteria => chooseEndpoint({
+      candidates: untried(criteria),
       loadOf,
       isResponsive: prober.isResponsive,
-      sharedPrefixes: terms.sharedPrefixes,
+      sharedPrefixes: criteria.sharedPrefixes,
       ownFailureDomain: options.ownFailureDomain,
       gatewayCount: options.gatewayCount(),
       hasIdleConnection,
@@ -81,8 +82,8 @@
     }),
     candidates: service => {
       const usable = endpoints.usable(service)
-      const known = usable.filter(isKnown)
-      return known.length > 0 ? known : usable
+      const fresh = usable.filter(hasFreshLoad)
+      return fresh.length > 0 ? fresh : usable
     },
     count: service => endpoints.usable(service).length,
     loadOf
--- a/packages/anvilarch-serving/src/endpoints/probeTargets.ts
+++ b/packages/anvilarch-serving/src/endpoints/probeTargets.ts
@@ -1,70 +1,72 @@
 /**
- * Decides which agents are asked before a request is placed. Pure.
+ * Selects the endpoints whose agents are probed for their load before a request is placed. Pure.
  *
- * Answers bursts on fleets of any size. The least loaded of four finds a free slot nearly as often as the least loaded of all,
- * at a cost that does not grow with the fleet; only when those four are full are more asked.
+ * Designed for bursts on fleets of any size. The least loaded of four endpoints has a free slot nearly as often as the least
+ * loaded of all, at a cost that does not grow with the fleet; more are probed only when those four are full.
  */
 import type { Endpoint } from '../model/types'
 import type { EndpointLoad } from './loadTable'
 
-/** What the decision depends on. */
+/** Input of the selection. */
 export interface ProbeTargetInput {
   candidates: readonly Endpoint[]
-  /** Where a shared part of the prompt is probably cached. */
+  /** Endpoint that probably has a shared prompt prefix cached. */
   preferred: Endpoint | undefined
   loadOf: (endpoint: Endpoint) => EndpointLoad
   /** @returns whether this process has a connection to the endpoint on which no request is in progress */
   hasIdleConnection: (endpoint: Endpoint) => boolean
-  /** @returns whether the agent of the endpoint answers, as far as is known */
+  /** @returns whether the agent of the endpoint has answered recent probes */
   isResponsive: (endpoint: Endpoint) => boolean
+  /** @returns a number in [0, 1) */
   random: () => number
 }
 
-/** Agents asked at first. */
+/** Endpoints in the first round. */
 export const INITIAL_PROBES = 4
 
-/** Of the first, this many at most are drawn from those to which a connection is open and idle. */
+/** At most this many of the first round are picked at random from endpoints with an open, idle connection. */
 export const MAX_CONNECTED_PROBES = 2
 
-/** Agents asked when the first are all full. */
+/** Endpoints in the second round, which takes place when no endpoint with a fresh load has a free slot. */
 export const ADDITIONAL_PROBES = 8
 
-/** A load that was told this long ago is as good as one just asked for: a gateway sends some ten requests a second. */
+/** A load report of up to this age is not requested again: a gateway sends only some ten requests per second. */
 export const MAX_FRESH_AGE_MS = 40
 
-/** @returns whether the load is known well enough to choose by */
+/** @returns whether the load report is recent enough to choose an endpoint by it */
 export function isFresh (load: EndpointLoad): boolean {
   return load.ageMs <= MAX_FRESH_AGE_MS
 }
 
-/** The two rounds of questions. */
+/** Selects the endpoints of the two rounds of probes. */
 export const probeTargets = {
   /**
-   * @param input - candidates and what is known of them
-   * @returns the preferred endpoint, the one that seemed the least loaded, some with an idle connection, and some by chance
+   * @param input - candidates and their known loads
+   * @returns the preferred endpoint, the one with the lowest known load, some with an idle connection and some at random,
+   *   without those whose load is fresh
    */
   initial: (input: ProbeTargetInput): Endpoint[] => {
     const { candidates, preferred } = input
-    const asked = new Set<Endpoint>()
-    if (preferred !== undefined) asked.add(preferred)
+    const selected = new Set<Endpoint>()
+    if (preferred !== undefined) selected.add(preferred)
     const least = leastLoaded(input)
-    if (least !== undefined) asked.add(least)
-    addByChance(asked, candidates.filter(input.hasIdleConnection), Math.min(INITIAL_PROBES, asked.size + MAX_CONNECTED_PROBES), input.random)
-    addByChance(asked, candidates, INITIAL_PROBES, input.random)
-    return [...asked].filter(endpoint => !isFresh(input.loadOf(endpoint)))
+    if (least !== undefined) selected.add(least)
+    addRandomly(selected, candidates.filter(input.hasIdleConnection), Math.min(INITIAL_PROBES, selected.size + MAX_CONNECTED_PROBES), input.random)
+    addRandomly(selected, candidates, INITIAL_PROBES, input.random)
+    return [...selected].filter(endpoint => !isFresh(input.loadOf(endpoint)))
   },
 
   /**
-   * @param input - the same, with the answers to the first questions
-   * @param asked - who was asked first
-   * @returns further endpoints, if none whose load is known has a free slot
+   * @param input - the same, with the reports of the first round
+   * @param probed - endpoints of the first round
+   * @returns further endpoints; none if an endpoint with a fresh load has a free slot
    */
-  additional: (input: ProbeTargetInput, asked: readonly Endpoint[]): Endpoint[] => {
-    if (asked.length === 0 || input.candidates.some(endpoint => hasFreeSlot(endpoint, input.loadOf(endpoint)))) return []
-    const first = new Set(asked)
+  additional: (input: ProbeTargetInput, probed: readonly Endpoint[]): Endpoint[] => {
+    if (probed.length === 0 || input.candidates.some(endpoint => hasFreeSlot(endpoint, input.loadOf(endpoint)))) return []
+    const first = new Set(probed)
     const rest = input.candidates.filter(endpoint => !first.has(endpoint) && !isFresh(input.loadOf(endpoint)))
     const more = new Set<Endpoint>()
-    addByChance(more, rest, ADDITIONAL_PROBES, input.random)
+    addRandomly(more, rest, ADDITIONAL_PROBES, input.random)
     return [...more]
   }
 }
@@ -86,13 +88,13 @@
   return least
 }
 
-/** Adds members of `from`, each as likely as any other, until the set has `size` or holds all of them. */
-function addByChance (set: Set<Endpoint>, from: readonly Endpoint[], size: number, draw: () => number): void {
-  const left = from.filter(endpoint => !set.has(endpoint))
-  while (set.size < size && left.length > 0) {
-    const index = Math.min(left.length - 1, Math.floor(draw() * left.length))
-    set.add(left[index])
-    left[index] = left[left.length - 1]
-    left.pop()
+/** Adds members of `from` to the set, with equal probability, until it has `size` members or contains all of them. */
+function addRandomly (set: Set<Endpoint>, from: readonly Endpoint[], size: number, random: () => number): void {
+  const remaining = from.filter(endpoint => !set.has(endpoint))
+  while (set.size < size && remaining.length > 0) {
+    const index = Math.min(remaining.length - 1, Math.floor(random() * remaining.length))
+    set.add(remaining[index])
+    remaining[index] = remaining[remaining.length - 1]
+    remaining.pop()
   }
 }
--- a/packages/anvilarch-serving/src/endpoints/usageReporter.ts
+++ b/packages/anvilarch-serving/src/endpoints/usageReporter.ts
@@ -1,10 +1,10 @@
-/** Tells agents how many requests of this gateway are in progress at the engine beside them, so that batch items give way at once. */
+/** Reports to agents how many requests of this gateway are in progress at their engine, so that batch items are preempted at once. */
 import type { Clock, Timer } from 'anvilarch-utils'
 import type { Endpoint } from '../model/types'
 import type { PeerMessage } from './peerMessages'
 import type { PeerAddress } from './peerSocket'
 
-/** Counts of requests in progress, by start of an endpoint. */
+/** Counts requests in progress by start of an endpoint, and reports the counts. */
 export interface UsageReporter {
   onSent: (endpoint: Endpoint) => void
   onEnded: (endpoint: Endpoint) => void
@@ -12,39 +12,39 @@
   close: () => void
 }
 
-/** Options of `createUseNotices`. */
+/** Options of `createUsageReporter`. */
 export interface UsageReporterOptions {
   clock: Clock
   send: (message: PeerMessage, to: PeerAddress) => void
   peerPort: number
-  /** @returns whether there is an agent to tell */
+  /** @returns whether the endpoint has an agent that receives reports */
   hasAgent: (endpoint: Endpoint) => boolean
 }
 
-/** Counts above zero are told again this often, in case a datagram was lost; an agent forgets them after three times as long. */
+/** Counts above zero are reported this often, in case a datagram was lost; agents discard them after three intervals. */
 export const USAGE_REPORT_INTERVAL_MS = 1000
 
 /**
  * @param options - clock and sender
- * @returns notices without counts
+ * @returns a reporter without requests in progress
  */
 export function createUsageReporter (options: UsageReporterOptions): UsageReporter {
   const counts = new Map<string, { endpoint: Endpoint, inProgress: number }>()
 
-  const tell = (endpoint: Endpoint, inProgress: number): void => {
+  const report = (endpoint: Endpoint, inProgress: number): void => {
     if (!options.hasAgent(endpoint)) return
     options.send({ message: 'usage_report', startId: endpoint.startId, inProgress }, { ip: endpoint.address.split(':')[0], port: options.peerPort })
   }
 
-  const change = (endpoint: Endpoint, by: number): void => {
-    const inProgress = Math.max(0, (counts.get(endpoint.startId)?.inProgress ?? 0) + by)
+  const change = (endpoint: Endpoint, delta: number): void => {
+    const inProgress = Math.max(0, (counts.get(endpoint.startId)?.inProgress ?? 0) + delta)
     if (inProgress === 0) counts.delete(endpoint.startId)
     else counts.set(endpoint.startId, { endpoint, inProgress })
-    tell(endpoint, inProgress)
+    report(endpoint, inProgress)
   }
 
   const repeat = (): Timer => options.clock.after(USAGE_REPORT_INTERVAL_MS, () => {
-    for (const { endpoint, inProgress } of counts.values()) tell(endpoint, inProgress)
+    for (const { endpoint, inProgress } of counts.values()) report(endpoint, inProgress)
     timer = repeat()
   })
   let timer = repeat()
