--- a/packages/anvilarch-serving/src/model/types.ts
+++ b/packages/anvilarch-serving/src/model/types.ts
@@ -1,15 +1,15 @@
-/** What the serving core knows of routes, services, endpoints and limits. Adapters build these from their wire. */
+/** Routes, services, endpoints and limits as the serving core uses them. Adapters create them from their wire formats. */
 import type { AccountDirectory } from '../accounts/accountDirectory'
 import type { ListedAccount } from '../accounts/types'
 
 /**
- * What may be repeated.
- * `idempotent` requests may run any number of times, `once` at most once for each client attempt,
- * `stream` answers with events, and `batch` accepts jobs.
+ * Kind of a route, which determines whether its requests may be repeated.
+ * `idempotent` requests may run any number of times, `once` requests at most once for each client attempt,
+ * `stream` requests are answered with events, and `batch` routes accept jobs.
  */
 export type RouteKind = 'idempotent' | 'once' | 'stream' | 'batch'
 
-/** A service that a route sends to, and its share of the route's requests. */
+/** A service that a route sends requests to, and its share of them. */
 export interface RouteTarget {
   service: string
   /** Share relative to the other targets of the route. */
@@ -23,23 +23,23 @@
   pathPrefix: string
   kind: RouteKind
   targets: RouteTarget[]
-  /** Longest time that a request is kept waiting, from its arrival. */
+  /** Time limit of a request, from its arrival. */
   timeoutMs: number
-  /** Time to the answer, or to the first event, that still counts as on time. */
+  /** Longest time to the response, or to the first event, that counts as on time. */
   latencyObjectiveMs: number
-  /** Longest pause between two events that still counts as on time; 0 when the route has none. */
+  /** Longest pause between two events that counts as on time; 0 if the route has no such objective. */
   gapObjectiveMs: number
   /** 0 is the most urgent. */
   priority: number
-  /** Most endpoints that one client attempt may run on. */
+  /** Maximum number of endpoints on which one client attempt may run. */
   maxAttempts: number
-  /** Whether a stream may go on at another endpoint after its last event. */
+  /** Whether a stream may be resumed at another endpoint after its last event. */
   resumable: boolean
   /** Batch: time from the first submission until all results are due. */
   jobDueMs: number
   /** Batch: time from the first submission after which an item may be given up. */
   jobExpiryMs: number
-  /** Batch: most tokens of one client account that may wait on the route over all gateways; 0 means no limit. */
+  /** Batch: maximum number of waiting tokens of one client account on the route, over all gateways; 0 means no limit. */
   waitingTokenLimit: number
   /** Whether callers need no key. */
   isPublic: boolean
@@ -48,13 +48,13 @@
 /** One service of the configuration. */
 export interface Service {
   name: string
-  /** Connections that one endpoint accepts from all callers together. */
+  /** Number of connections that one endpoint accepts from all callers together. */
   maxConnections: number
-  /** Requests that a model engine runs at once; undefined for plain services. */
+  /** Number of requests that a model engine runs concurrently; undefined for plain services. */
   engineSlots: number | undefined
 }
 
-/** Bounds on what a client may send. */
+/** Limits of client requests. */
 export interface ClientLimits {
   maxHeaderBytes: number
   maxBodyBytes: number
@@ -68,25 +68,25 @@
   routes: Route[]
   services: Map<string, Service>
   limits: ClientLimits
-  /** Undefined where callers need no key. */
+  /** Undefined if callers need no key. */
   accounts: AccountDirectory | undefined
 }
 
-/** A version as the operator writes it, with the keys of accounts in clear. It goes no further than to whoever builds the directory. */
+/** A version as written by the operator, with plaintext account keys. It is passed only to the code that builds the directory. */
 export interface ListedConfiguration extends Omit<Configuration, 'accounts'> {
   accounts: ListedAccount[] | undefined
 }
 
-/** Whether an endpoint takes new requests. */
+/** Whether an endpoint accepts new requests. */
 export type EndpointState = 'ready' | 'draining'
 
-/** One start of an endpoint, as the store lists it. */
+/** One start of an endpoint, as listed in the store. */
 export interface Endpoint {
-  /** Id by which an endpoint is addressed. An endpoint that starts again may bear it again, and holds nothing of before. */
+  /** Id by which the endpoint is addressed. It may stay the same after a restart, although the endpoint keeps no state. */
   id: string
-  /** Time of day at which the endpoint says it was started, in Unix milliseconds; undefined where endpoints do not say. */
+  /** Start time as reported by the endpoint, in Unix milliseconds; undefined if the endpoint reports none. */
   bornAtMs: number | undefined
-  /** Tells one start from another: everything that is kept about an endpoint is kept under it. See `startIdOf`. */
+  /** Id of this start, the key of all state that is recorded about an endpoint. See `startIdOf`. */
   startId: string
   service: string
   /** IP and port. */
@@ -94,16 +94,16 @@
   failureDomain: string
   slots: number
   state: EndpointState
-  /** How much longer the endpoint is slow after its start. */
+  /** Remaining time for which the endpoint is slow after its start. */
   coldLeftMs: number
   /** Version of the store at which the entry was last written. */
   listedVersion: number
 }
 
-/** A row of the list of endpoints, decoded. */
+/** Decoded row of the list of endpoints. */
 export type EndpointRow = { row: 'endpoint', endpoint: Endpoint } | UnusableRow
 
-/** A row that names no endpoint: it lacks a field, or a field holds what is not known. */
+/** A row that does not describe an endpoint: a field is missing or has an unknown value. */
 export interface UnusableRow {
   row: 'unusable'
   id: string
@@ -112,22 +112,22 @@
 }
 
 /**
- * @param id - of an endpoint
- * @param bornAtMs - when it was started, if it says so
- * @returns an id that no other start has
+ * @param id - id of an endpoint
+ * @param bornAtMs - its start time, if reported
+ * @returns the id of the start; without a start time, the id of the endpoint
  */
 export function startIdOf (id: string, bornAtMs: number | undefined): string {
   return bornAtMs === undefined ? id : `${id}@${bornAtMs}`
 }
 
-/** What a client says about its request, decoded from the headers. */
+/** Metadata of a request, decoded from its headers. */
 export interface RequestMetadata {
   requestId: string
-  /** How long the client waits, from its sending; undefined when it does not say. */
+  /** How long the client waits, from the time it sent the request; undefined if not specified. */
   deadlineMs: number | undefined
-  /** Last event that the client already has. */
+  /** Last event that the client has received. */
   lastEventId: number | undefined
-  /** Shared parts of the prompt, outermost first; the last one belongs to the request or its session. */
+  /** Prompt prefixes, outermost first; the last one belongs to the request or its session. */
   promptPrefixes: string[]
   promptTokens: number
   maxOutputTokens: number
--- a/packages/anvilarch-serving/src/peers/peerDirectory.ts
+++ b/packages/anvilarch-serving/src/peers/peerDirectory.ts
@@ -1,27 +1,27 @@
-/** Peer ports of the other daemons, by which a daemon that the store turns away reaches it. */
+/** Peer addresses of the other daemons, through which a daemon whose calls the store rejects can reach the store. */
 import type { EndpointTable } from '../endpoints/endpointTable'
 import type { WorkTable } from '../jobs/workTable'
 
 /** Addresses of other daemons. */
 export interface PeerDirectory {
   addresses: () => string[]
-  /** Adds what the store has told of other daemons. */
+  /** Sets the tables from which the addresses of other daemons are read. */
   setView: (view: { work: WorkTable, endpoints: EndpointTable }) => void
 }
 
 /**
- * @param own - IP and port of this process, left out
- * @param seeds - addresses known from the settings
- * @param peerPort - the port that every daemon uses
- * @returns a directory that knows the seeds only
+ * @param own - IP and port of this process, which are excluded
+ * @param seeds - addresses from the settings
+ * @param peerPort - peer port of all daemons
+ * @returns a directory that contains only the seeds
  */
 export function createPeerDirectory (own: string, seeds: readonly string[], peerPort: number): PeerDirectory {
   let view: { work: WorkTable, endpoints: EndpointTable } | undefined
   return {
     addresses: () => {
       const members = [...view?.work.members() ?? []].map(member => member.record.peerAddress)
-      const besideEndpoints = view?.endpoints.all().map(endpoint => `${endpoint.address.split(':')[0]}:${peerPort}`) ?? []
-      const known = members.length > 1 ? members : [...members, ...seeds, ...besideEndpoints]
+      const agentAddresses = view?.endpoints.all().map(endpoint => `${endpoint.address.split(':')[0]}:${peerPort}`) ?? []
+      const known = members.length > 1 ? members : [...members, ...seeds, ...agentAddresses]
       return [...new Set(known)].filter(address => address !== own)
     },
     setView: next => { view = next }
--- a/packages/anvilarch-serving/src/peers/relayServer.ts
+++ b/packages/anvilarch-serving/src/peers/relayServer.ts
@@ -1,32 +1,32 @@
-/** Passes calls to the store on for peers that the store turns away. */
+/** Relays calls to the store for peers whose calls the store rejects. */
 import { createServer, type Server } from 'node:http'
 import type { Clock } from 'anvilarch-utils'
 import { readBody } from '../requests/readBody'
 import type { StoreTransport } from '../store/transport'
 import type { EventLog } from '../telemetry/events'
 
-/** Names the timeout of a call that is passed on. */
+/** Header with the timeout of a relayed call. */
 export const RELAY_TIMEOUT_HEADER = 'x-anvilarch-timeout-ms'
 
-/** Tells that the relay got no answer, so that the call may have been done. */
+/** Status if the relay received no response, so that the store may have executed the call. */
 export const RELAY_NO_ANSWER_STATUS = 504
 
-/** Tells that nothing has reached the store. */
+/** Status if the call did not reach the store. */
 export const RELAY_NOT_DONE_STATUS = 502
 
-/** The store takes transactions of 1 MB and objects of 8 MB. */
+/** The store accepts transactions of up to 1 MB and objects of up to 8 MB. */
 const MAX_RELAYED_BYTES = 9 * 1024 * 1024
 
 const DEFAULT_TIMEOUT_MS = 1500
 
-/** Headers of a call that the store reads. */
-const PASSED_HEADERS = ['content-type', 'if-none-match']
+/** Request headers that are passed on to the store. */
+const FORWARDED_HEADERS = ['content-type', 'if-none-match']
 
 /**
- * @param direct - straight to the store; a relay never asks another relay
+ * @param direct - transport straight to the store; a relay never uses another relay
  * @param log - logger
  * @param clock - local clock
- * @returns the server, not listening yet
+ * @returns the server, which does not listen yet
  */
 export function createRelayServer (direct: StoreTransport, log: EventLog, clock: Clock): Server {
   return createServer((request, response) => {
@@ -38,8 +38,8 @@
         response.destroy()
         return
       }
-      const headers = PASSED_HEADERS.flatMap(name => typeof request.headers[name] === 'string' ? [name, request.headers[name]] : [])
-      const answer = await direct({
+      const headers = FORWARDED_HEADERS.flatMap(name => typeof request.headers[name] === 'string' ? [name, request.headers[name]] : [])
+      const storeResponse = await direct({
         name: 'relayed',
         method: request.method ?? 'GET',
         path: request.url ?? '/',
@@ -47,8 +47,8 @@
         body: read.body.length > 0 ? read.body : undefined,
         timeoutMs
       })
-      const status = answer.outcome === 'answered' ? answer.status : answer.outcome === 'no_answer' ? RELAY_NO_ANSWER_STATUS : RELAY_NOT_DONE_STATUS
-      const body = answer.outcome === 'answered' ? answer.body : Buffer.from(answer.reason)
+      const status = storeResponse.outcome === 'answered' ? storeResponse.status : storeResponse.outcome === 'no_answer' ? RELAY_NO_ANSWER_STATUS : RELAY_NOT_DONE_STATUS
+      const body = storeResponse.outcome === 'answered' ? storeResponse.body : Buffer.from(storeResponse.reason)
       response.writeHead(status, { 'Content-Length': body.length })
       response.end(body)
     }
@@ -60,15 +60,15 @@
 }
 
 /**
- * @param transport - straight to a peer's relay
- * @returns a transport that tells the relay's own failures from answers of the store
+ * @param transport - transport to the relay of a peer
+ * @returns a transport that maps the status codes of the relay's own failures to outcomes
  */
 export function createRelayClient (transport: StoreTransport): StoreTransport {
   return async call => {
-    const answer = await transport({ ...call, headers: [...call.headers, RELAY_TIMEOUT_HEADER, String(call.timeoutMs)] })
-    if (answer.outcome !== 'answered') return answer
-    if (answer.status === RELAY_NO_ANSWER_STATUS) return { outcome: 'no_answer', reason: 'relay got no answer' }
-    if (answer.status === RELAY_NOT_DONE_STATUS) return { outcome: 'not_done', reason: 'relay did not reach the store' }
-    return answer
+    const relayResponse = await transport({ ...call, headers: [...call.headers, RELAY_TIMEOUT_HEADER, String(call.timeoutMs)] })
+    if (relayResponse.outcome !== 'answered') return relayResponse
+    if (relayResponse.status === RELAY_NO_ANSWER_STATUS) return { outcome: 'no_answer', reason: 'relay received no response from the store' }
+    if (relayResponse.status === RELAY_NOT_DONE_STATUS) return { outcome: 'not_done', reason: 'relay did not reach the store' }
+    return relayResponse
   }
 }
