--- a/packages/anvilarch-serving/src/endpoints/chooseEndpoint.ts
+++ b/packages/anvilarch-serving/src/endpoints/chooseEndpoint.ts
@@ -13,7 +13,7 @@
 export interface ChoiceInput {
   candidates: readonly Endpoint[]
   loadOf: (endpoint: Endpoint) => EndpointLoad
-  /** @returns whether the agent of the endpoint has answered recent probes */
+  /** @returns whether the agent of the endpoint responds to probes */
   isResponsive: (endpoint: Endpoint) => boolean
   /** Prompt prefixes that other requests share, outermost first. */
   sharedPrefixes: readonly string[]
--- a/packages/anvilarch-serving/src/endpoints/connectionPools.ts
+++ b/packages/anvilarch-serving/src/endpoints/connectionPools.ts
@@ -61,18 +61,18 @@
   return {
     poolOf: endpoint => {
       const id = idOf(endpoint)
-      const known = pools.get(id)
-      if (known !== undefined) return known.pool
+      const existing = pools.get(id)
+      if (existing !== undefined) return existing.pool
       const opened = openPool(endpoint)
       pools.set(id, opened)
       return opened.pool
     },
     openConnections: endpoint => pools.get(idOf(endpoint))?.openCount ?? 0,
     drain: endpoint => {
-      const known = pools.get(idOf(endpoint))
-      if (known === undefined) return
+      const existing = pools.get(idOf(endpoint))
+      if (existing === undefined) return
       pools.delete(idOf(endpoint))
-      known.pool.close().catch(() => {
+      existing.pool.close().catch(() => {
         // Fails only if the pool is already closed.
       })
     },
--- a/packages/anvilarch-serving/src/endpoints/endpointTable.ts
+++ b/packages/anvilarch-serving/src/endpoints/endpointTable.ts
@@ -16,7 +16,7 @@
   onServicesChanged: () => void
   /** @returns endpoints that accept new requests; draining or unlisted ones only if there are no others */
   usable: (service: string) => readonly Endpoint[]
-  /** @returns the endpoint listed at this address, which may be draining; undefined if its entry is no longer listed */
+  /** @returns the endpoint listed at this address, which may be draining; undefined if its entry is unlisted and not retained */
   atAddress: (address: string) => Endpoint | undefined
   /** @returns whether this start of an endpoint is listed */
   hasStart: (startId: string) => boolean
@@ -71,27 +71,27 @@
 
   /** An unusable row evicts the endpoint that it replaces at once: the entry is not retained as one that may have expired. */
   const putUnusable = (row: UnusableRow): void => {
-    const known = entries.get(row.id)
+    const existing = entries.get(row.id)
     const reason = `${row.field}: ${row.reason}`
     if (unusableReasons.get(row.id) !== reason && unusableLines.take()) {
-      log.warn('endpoint entry not usable', { endpoint: row.id, field: row.field, reason: row.reason, replacedGood: known !== undefined && !known.unlisted })
+      log.warn('endpoint entry not usable', { endpoint: row.id, field: row.field, reason: row.reason, replacedGood: existing !== undefined && !existing.unlisted })
     }
     unusableReasons.set(row.id, reason)
-    if (known !== undefined) evict(row.id, known)
+    if (existing !== undefined) evict(row.id, existing)
   }
 
   const putEndpoint = (endpoint: Endpoint): void => {
-    const known = entries.get(endpoint.id)
-    if (known !== undefined && isEarlierStart(endpoint, known.endpoint)) return
-    if (known?.endpoint.bornAtMs !== undefined && endpoint.bornAtMs === undefined) {
+    const existing = entries.get(endpoint.id)
+    if (existing !== undefined && isEarlierStart(endpoint, existing.endpoint)) return
+    if (existing?.endpoint.bornAtMs !== undefined && endpoint.bornAtMs === undefined) {
       // Endpoints that report their start time do so in each row; a row without it has another writer.
       putUnusable({ row: 'unusable', id: endpoint.id, field: 'bornAtMs', reason: 'missing, although an earlier row had it' })
       return
     }
     unusableReasons.delete(endpoint.id)
-    const restarted = known !== undefined && known.endpoint.startId !== endpoint.startId
-    if (restarted) evict(endpoint.id, known)
-    const previous = restarted ? undefined : known
+    const restarted = existing !== undefined && existing.endpoint.startId !== endpoint.startId
+    if (restarted) evict(endpoint.id, existing)
+    const previous = restarted ? undefined : existing
     if (previous === undefined || previous.endpoint.state !== endpoint.state || previous.unlisted) {
       log.info('endpoint listed', { endpoint: endpoint.startId, service: endpoint.service, address: endpoint.address, state: endpoint.state, restarted })
     }
@@ -175,8 +175,8 @@
 }
 
 /** A write of a previous start may reach the store after the entry of its successor and must not replace it. */
-function isEarlierStart (endpoint: Endpoint, known: Endpoint): boolean {
-  return endpoint.bornAtMs !== undefined && known.bornAtMs !== undefined && endpoint.bornAtMs < known.bornAtMs
+function isEarlierStart (endpoint: Endpoint, existing: Endpoint): boolean {
+  return endpoint.bornAtMs !== undefined && existing.bornAtMs !== undefined && endpoint.bornAtMs < existing.bornAtMs
 }
 
 interface EntryValidator {
--- a/packages/anvilarch-serving/src/endpoints/loadProber.ts
+++ b/packages/anvilarch-serving/src/endpoints/loadProber.ts
@@ -19,7 +19,7 @@
   probe: (endpoints: readonly Endpoint[]) => Promise<void>
   /** Accepts a response only from the address that was probed: any sender of datagrams can guess a correlation id. */
   onResponse: (response: LoadResponse, from: PeerAddress) => void
-  /** @returns whether the agent of the endpoint has answered recent probes; true before the first one */
+  /** @returns whether fewer than `MAX_CONSECUTIVE_TIMEOUTS` probes in a row to the agent of the endpoint have timed out */
   isResponsive: (endpoint: Endpoint) => boolean
   remove: (endpoint: Endpoint) => void
 }
@@ -80,9 +80,9 @@
   let lastCorrelationId = 0
 
   const stateOf = (startId: string): AgentState => {
-    const known = agents.get(startId) ?? { consecutiveTimeouts: 0, lastProbedMs: -Infinity }
-    agents.set(startId, known)
-    return known
+    const state = agents.get(startId) ?? { consecutiveTimeouts: 0, lastProbedMs: -Infinity }
+    agents.set(startId, state)
+    return state
   }
 
   const expirePending = (nowMs: number): void => {
--- a/packages/anvilarch-serving/src/endpoints/peerMessages.ts
+++ b/packages/anvilarch-serving/src/endpoints/peerMessages.ts
@@ -1,6 +1,6 @@
 /**
  * Datagrams between daemons: load reports about the engine of an agent, usage reports, and permits within the limits of
- * accounts that gateways grant each other. No datagram is retransmitted; a later one makes up for a lost one.
+ * accounts that gateways grant each other. Losses are tolerated: a later datagram makes up for a lost one.
  */
 import type { Granter } from '../accounts/limits/limitBounds'
 
--- a/packages/anvilarch-serving/src/endpoints/peerSocket.ts
+++ b/packages/anvilarch-serving/src/endpoints/peerSocket.ts
@@ -11,7 +11,7 @@
   port: number
 }
 
-/** Sends messages to peers. */
+/** Sends messages to peers; received ones are passed to `onMessage`. */
 export interface PeerSocket {
   send: (message: PeerMessage, to: PeerAddress) => void
   close: () => void
--- a/packages/anvilarch-serving/src/endpoints/probeTargets.ts
+++ b/packages/anvilarch-serving/src/endpoints/probeTargets.ts
@@ -15,7 +15,7 @@
   loadOf: (endpoint: Endpoint) => EndpointLoad
   /** @returns whether this process has a connection to the endpoint on which no request is in progress */
   hasIdleConnection: (endpoint: Endpoint) => boolean
-  /** @returns whether the agent of the endpoint has answered recent probes */
+  /** @returns whether the agent of the endpoint responds to probes */
   isResponsive: (endpoint: Endpoint) => boolean
   /** @returns a number in [0, 1) */
   random: () => number
--- a/packages/anvilarch-serving/src/peers/peerDirectory.ts
+++ b/packages/anvilarch-serving/src/peers/peerDirectory.ts
@@ -21,8 +21,8 @@
     addresses: () => {
       const members = [...view?.work.members() ?? []].map(member => member.record.peerAddress)
       const agentAddresses = view?.endpoints.all().map(endpoint => `${endpoint.address.split(':')[0]}:${peerPort}`) ?? []
-      const known = members.length > 1 ? members : [...members, ...seeds, ...agentAddresses]
-      return [...new Set(known)].filter(address => address !== own)
+      const candidates = members.length > 1 ? members : [...members, ...seeds, ...agentAddresses]
+      return [...new Set(candidates)].filter(address => address !== own)
     },
     setView: next => { view = next }
   }
