--- a/packages/anvilarch-serving/src/endpoints/endpointTable.ts
+++ b/packages/anvilarch-serving/src/endpoints/endpointTable.ts
@@ -2,7 +2,7 @@
 import type { Clock } from 'anvilarch-utils'
 import type { Endpoint, EndpointRow, UnusableRow } from '../model/types'
 import type { EventLog } from '../telemetry/events'
-import { createLineBudget } from '../telemetry/lineBudget'
+import { createLogRateLimiter } from '../telemetry/logRateLimiter'
 import { type EntryStatus, isLastResort, EXPIRED_RETENTION_MS, mayHaveExpired, type StoreFailureTimes, acceptsRequests, timeToNextChangeMs } from './entryStatus'
 
 /** Endpoints by service. */
@@ -51,7 +51,7 @@
   const entries = new Map<string, Entry>()
   /** Reasons for which rows are unusable, by id, as last logged. */
   const unusableReasons = new Map<string, string>()
-  const unusableLines = createLineBudget(clock, UNUSABLE_LINES_PER_SECOND)
+  const unusableLines = createLogRateLimiter(clock, UNUSABLE_LINES_PER_SECOND)
   const evictionListeners: Array<(endpoint: Endpoint) => void> = []
   let listed = false
   /** Cached results of `usable`, valid until an entry changes or the status of one changes with time. */
@@ -73,7 +73,7 @@
   const putUnusable = (row: UnusableRow): void => {
     const existing = entries.get(row.id)
     const reason = `${row.field}: ${row.reason}`
-    if (unusableReasons.get(row.id) !== reason && unusableLines.take()) {
+    if (unusableReasons.get(row.id) !== reason && unusableLines.tryAcquire()) {
       log.warn('endpoint entry not usable', { endpoint: row.id, field: row.field, reason: row.reason, replacedGood: existing !== undefined && !existing.unlisted })
     }
     unusableReasons.set(row.id, reason)
--- a/packages/anvilarch-serving/src/jobs/workTable.ts
+++ b/packages/anvilarch-serving/src/jobs/workTable.ts
@@ -1,5 +1,5 @@
 /** This process's copy of the jobs, claims and members in the store. */
-import { createRowCopy, type RowCopy, type Versioned } from '../store/rowCopy'
+import { createTableCache, type TableCache, type Versioned } from '../store/tableCache'
 import type { RowKey, StoredRow } from '../store/types'
 import type { TableListener } from '../store/tableFollower'
 import { CLAIM_TABLE, claimRowKey, decodeRecord, JOB_TABLE, MEMBER_TABLE } from './jobRows'
@@ -15,19 +15,19 @@
   /** @returns version of the store as of which the members were last listed; undefined before */
   membersListedAtVersion: () => number | undefined
   /** Takes a row that this process has just written or read, if it is newer than the copy. */
-  learn: (row: StoredRow) => void
+  update: (row: StoredRow) => void
   /** Forgets a row that this process has just removed. */
-  forget: (key: RowKey, version: number) => void
+  remove: (key: RowKey, version: number) => void
   /** Ends of the copy that hear of each table. */
   listeners: { jobs: TableListener, claims: TableListener, members: TableListener }
 }
 
 /** @returns an empty copy */
 export function createWorkTable (): WorkTable {
-  const jobs = createRowCopy<JobRecord>(decodeRecord)
-  const claims = createRowCopy<ClaimRecord>(decodeRecord)
-  const members = createRowCopy<MemberRecord>(decodeRecord)
-  const copies: ReadonlyMap<string, RowCopy<unknown>> = new Map<string, RowCopy<unknown>>([[JOB_TABLE, jobs], [CLAIM_TABLE, claims], [MEMBER_TABLE, members]])
+  const jobs = createTableCache<JobRecord>(decodeRecord)
+  const claims = createTableCache<ClaimRecord>(decodeRecord)
+  const members = createTableCache<MemberRecord>(decodeRecord)
+  const copies: ReadonlyMap<string, TableCache<unknown>> = new Map<string, TableCache<unknown>>([[JOB_TABLE, jobs], [CLAIM_TABLE, claims], [MEMBER_TABLE, members]])
 
   return {
     job: jobId => jobs.get(jobId),
@@ -36,8 +36,8 @@
     members: members.values,
     member: name => members.get(name),
     membersListedAtVersion: members.listedAtVersion,
-    learn: row => copies.get(row.table)?.learn(row),
-    forget: (key, version) => copies.get(key.table)?.forget(key, version),
+    update: row => copies.get(row.table)?.update(row),
+    remove: (key, version) => copies.get(key.table)?.remove(key, version),
     listeners: { jobs, claims, members }
   }
 }
--- a/packages/anvilarch-serving/src/peers/heartbeat.ts
+++ b/packages/anvilarch-serving/src/peers/heartbeat.ts
@@ -1,6 +1,6 @@
 /** Writes a heartbeat row to the store, which shows all daemons that this process is alive. */
 import { runInBackground, sleep } from 'anvilarch-utils'
-import { memberKey, recordRow } from '../jobs/jobRows'
+import { memberKey, encodeRecord } from '../jobs/jobRows'
 import type { MemberRecord } from '../jobs/types'
 import type { RoleContext } from '../roles/types'
 import type { StoredRow } from '../store/types'
@@ -75,7 +75,7 @@
         aliveUntilMs: storeNowMs + ALIVE_INTERVALS * HEARTBEAT_INTERVAL_MS[role],
         ...detailFields
       }
-      const row = recordRow(memberKey(settings.name), record)
+      const row = encodeRecord(memberKey(settings.name), record)
       const outcome = await store.commit({ conditions: [], puts: [row], removes: [] })
       written = outcome.outcome === 'committed'
       if (outcome.outcome === 'committed') onWritten({ ...row, version: outcome.version })
--- a/packages/anvilarch-serving/src/requests/__fixtures__/forwardHarness.ts
+++ b/packages/anvilarch-serving/src/requests/__fixtures__/forwardHarness.ts
@@ -4,9 +4,9 @@
 import type { Pool } from '../../endpoints/httpPool'
 import type { Endpoint, Route } from '../../model/types'
 import { createServingMetrics } from '../../telemetry/metrics'
-import { createLineBudget } from '../../telemetry/lineBudget'
+import { createLogRateLimiter } from '../../telemetry/logRateLimiter'
 import type { EventLog } from '../../telemetry/events'
-import { createTrafficTally } from '../../telemetry/trafficTally'
+import { createTrafficCounters } from '../../telemetry/trafficCounters'
 import { forwardRequest } from '../forwardRequest'
 import { createHoldTimes } from '../holdTimes'
 
@@ -252,20 +252,20 @@
       credentialScheme: 'Key',
       decodeRequest: () => { throw new Error('the head is decoded already') },
       encodeSend: (_headers, terms) => ['deadline', String(terms.deadlineMs), 'go-on-after', String(terms.lastEventId ?? '')],
-      decodeAnswer: headers => ({ requestId: headers.get('request-id'), signed: headers.has('signature'), notRun: headers.has('not-run') })
+      decodeResponse: headers => ({ requestId: headers.get('request-id'), signed: headers.has('signature'), notRun: headers.has('not-run') })
     },
-    notice: { isLeaving: () => false },
+    drainState: { isDraining: () => false },
     holdTimes: createHoldTimes(),
-    crashes: { mayRun: () => !isQuarantined, onBroken: () => {}, onEndpointLost: () => {} },
+    crashes: { mayRun: () => !isQuarantined, onConnectionLost: () => {}, onEndpointLost: () => {} },
     limits: {
-      ask: async () => options.granted === false
+      acquire: async () => options.granted === false
         ? { granted: false, retryAfterMs: 100, granter: 'home' }
-        : { granted: true, giveBack: () => { permitsGivenBack++ } }
+        : { granted: true, refund: () => { permitsGivenBack++ } }
     },
     isStillAllowed: () => hasKey,
-    traffic: createTrafficTally(),
-    lines: createLineBudget(clock, 20),
-    draw: () => 0.5
+    traffic: createTrafficCounters(),
+    logRateLimiter: createLogRateLimiter(clock, 20),
+    random: () => 0.5
   }, {
     request: { method: 'GET', url: '/', headers: {}, rawHeaders: [] } as unknown as IncomingMessage,
     response: response as unknown as ServerResponse,
--- a/packages/anvilarch-serving/src/roles/clientCalls.ts
+++ b/packages/anvilarch-serving/src/roles/clientCalls.ts
@@ -1,14 +1,14 @@
 /** Takes what clients send to a gateway to where it is answered. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { sleep } from 'anvilarch-utils'
-import type { CallerCheck } from '../accounts/callerCheck'
-import { type CallerRefusal, refusalAnswer } from '../accounts/refuseCaller'
+import type { CallerAuthenticator } from '../accounts/callerAuthenticator'
+import { type CallerRefusal, refusalResponse } from '../accounts/refuseCaller'
 import type { Caller } from '../accounts/types'
 import type { ConfigurationHolder } from '../configuration/configurationHolder'
 import type { EndpointTable } from '../endpoints/endpointTable'
 import type { JobCalls } from '../jobs/jobCalls'
 import type { Configuration, Route } from '../model/types'
-import { type ClosingNotice, type OwnAnswer, sendOwnAnswer } from '../requests/clientAnswer'
+import { type DrainState, type GatewayResponse, sendGatewayResponse } from '../requests/clientResponse'
 import { forwardRequest } from '../requests/forwardRequest'
 import type { ForwardParts } from '../requests/forwardTypes'
 import { readBody } from '../requests/readBody'
@@ -27,9 +27,9 @@
 /** A gateway that cannot reach the store may reach it again soon, and another one may reach it now. */
 const UNCONFIRMED_RETRY_AFTER_MS = 300
 
-const NO_ROUTE: OwnAnswer = { status: 404, code: 'no_route', message: 'no route matches this host and path' }
+const NO_ROUTE: GatewayResponse = { status: 404, code: 'no_route', message: 'no route matches this host and path' }
 
-const ROUTE_NOT_CONFIRMED: OwnAnswer = {
+const ROUTE_NOT_CONFIRMED: GatewayResponse = {
   status: 503,
   code: 'route_not_confirmed',
   message: 'no route that is known here matches this host and path, and the store does not say whether there is a new one',
@@ -46,12 +46,12 @@
   jobs: JobCalls
   configuration: ConfigurationHolder
   endpoints: EndpointTable
-  callers: CallerCheck
+  callers: CallerAuthenticator
   /** @returns whether too little is known of keys that were taken away */
   isConfigurationStale: () => boolean
   /** @returns whether there may be a version of the configuration of which this gateway has not heard */
-  mayMissVersions: () => boolean
-  notice: ClosingNotice
+  isConfigurationFeedOverdue: () => boolean
+  notice: DrainState
 }
 
 /**
@@ -62,7 +62,7 @@
 export async function handleClient (call: ClientCall): Promise<void> {
   const { request, response, arrivedAtMs, forward, notice } = call
   if (await waitForConfiguration(call) === undefined) {
-    sendOwnAnswer(response, { status: 503, code: 'not_ready', message: 'no configuration is known yet', retryAfterMs: NOT_READY_RETRY_AFTER_MS }, notice)
+    sendGatewayResponse(response, { status: 503, code: 'not_ready', message: 'no configuration is known yet', retryAfterMs: NOT_READY_RETRY_AFTER_MS }, notice)
     return
   }
   const caller = await letIn(call)
@@ -80,7 +80,7 @@
   const found = await findRoute(call, configuration)
   if (found.route === undefined) {
     logNoRoute(call, found.refusal)
-    sendOwnAnswer(response, found.refusal, notice)
+    sendGatewayResponse(response, found.refusal, notice)
     return
   }
   const { route } = found
@@ -103,7 +103,7 @@
   forwardRequest(forward, { request, response, body: read.body, metadata, route, caller, configurationVersion: found.configurationVersion, arrivedAtMs })
 }
 
-type FoundRoute = { route: Route, configurationVersion: number } | { route: undefined, refusal: OwnAnswer }
+type FoundRoute = { route: Route, configurationVersion: number } | { route: undefined, refusal: GatewayResponse }
 
 /** Clients do not come back after 404: it is answered only by a gateway that knows all versions. */
 async function findRoute (call: ClientCall, configuration: Configuration): Promise<FoundRoute> {
@@ -114,13 +114,13 @@
   }
   const found = findIn(configuration)
   if (found !== undefined) return found
-  const isConfirmed = !call.mayMissVersions() || await call.callers.confirm()
+  const isConfirmed = !call.isConfigurationFeedOverdue() || await call.callers.refreshConfiguration()
   return findIn(call.configuration.current() ?? configuration) ?? { route: undefined, refusal: isConfirmed ? NO_ROUTE : ROUTE_NOT_CONFIRMED }
 }
 
 /** Any client can ask for what is not there, as often as it likes. */
-function logNoRoute ({ request, forward, configuration }: ClientCall, refusal: OwnAnswer): void {
-  if (!forward.lines.take()) {
+function logNoRoute ({ request, forward, configuration }: ClientCall, refusal: GatewayResponse): void {
+  if (!forward.logRateLimiter.tryAcquire()) {
     forward.metrics.logLinesLeftOut.inc()
     return
   }
@@ -131,7 +131,7 @@
 /** @returns whose the call is; undefined when it has been refused */
 async function letIn (call: ClientCall): Promise<Caller | undefined> {
   const { request, forward } = call
-  const verdict = await call.callers.identify({
+  const verdict = await call.callers.authenticate({
     credential: forward.wire.decodeCredential(request.rawHeaders),
     routeIn: configuration => routeOf(call, configuration)
   })
@@ -163,14 +163,14 @@
     reason: refusal,
     configurationVersion: configuration.current()?.version
   })
-  sendOwnAnswer(response, refusalAnswer(refusal, forward.wire.credentialScheme), notice)
+  sendGatewayResponse(response, refusalResponse(refusal, forward.wire.credentialScheme), notice)
 }
 
 /** Answers a request that has not been read whole; what the client still sends cannot be told from its next request. */
 function rejectClient ({ request, response, forward, notice }: ClientCall, status: number, code: string, message: string): void {
   forward.log.info('client bytes rejected', { requestId: forward.wire.decodeRequest(request.headers).requestId, status, reason: code })
   response.setHeader('Connection', 'close')
-  sendOwnAnswer(response, { status, code, message }, notice)
+  sendGatewayResponse(response, { status, code, message }, notice)
 }
 
 /**
