--- a/packages/anvilarch-serving/src/endpoints/endpointTable.ts
+++ b/packages/anvilarch-serving/src/endpoints/endpointTable.ts
@@ -51,7 +51,7 @@
   const entries = new Map<string, Entry>()
   /** Reasons for which rows are unusable, by id, as last logged. */
   const unusableReasons = new Map<string, string>()
-  const unusableLines = createLogRateLimiter(clock, UNUSABLE_LINES_PER_SECOND)
+  const logRateLimiter = createLogRateLimiter(clock, UNUSABLE_LINES_PER_SECOND)
   const evictionListeners: Array<(endpoint: Endpoint) => void> = []
   let listed = false
   /** Cached results of `usable`, valid until an entry changes or the status of one changes with time. */
@@ -73,7 +73,7 @@
   const putUnusable = (row: UnusableRow): void => {
     const existing = entries.get(row.id)
     const reason = `${row.field}: ${row.reason}`
-    if (unusableReasons.get(row.id) !== reason && unusableLines.tryAcquire()) {
+    if (unusableReasons.get(row.id) !== reason && logRateLimiter.tryAcquire()) {
       log.warn('endpoint entry not usable', { endpoint: row.id, field: row.field, reason: row.reason, replacedGood: existing !== undefined && !existing.unlisted })
     }
     unusableReasons.set(row.id, reason)
--- a/packages/anvilarch-serving/src/endpoints/peerSocket.ts
+++ b/packages/anvilarch-serving/src/endpoints/peerSocket.ts
@@ -34,14 +34,14 @@
  */
 export function openPeerSocket (options: PeerSocketOptions): PeerSocket {
   const { log, own } = options
-  const unreadableLines = createLogRateLimiter(options.clock, UNREADABLE_LINES_PER_SECOND)
+  const logRateLimiter = createLogRateLimiter(options.clock, UNREADABLE_LINES_PER_SECOND)
   const socket = createSocket('udp4')
   let closed = false
   socket.on('error', error => log.warn('peer socket failed', { reason: error.message }))
   socket.on('message', (bytes, sender) => {
     const message = decodePeerMessage(bytes)
     if (message !== undefined) options.onMessage(message, { ip: sender.address, port: sender.port })
-    else if (unreadableLines.tryAcquire()) log.warn('peer message not readable', { from: sender.address, bytes: bytes.length })
+    else if (logRateLimiter.tryAcquire()) log.warn('peer message not readable', { from: sender.address, bytes: bytes.length })
   })
   socket.bind(own.port, own.ip)
   return {
