--- a/packages/anvilarch-serving/src/index.ts
+++ b/packages/anvilarch-serving/src/index.ts
@@ -1,4 +1,4 @@
-/** The serving core: gateway, agent, and the ports through which an adapter connects them to a platform. */
+/** The serving core: gateway, agent, and the interfaces through which an adapter connects them to a platform. */
 export * from './accounts/types'
 export { buildAccountDirectory, digestKey, type AccountDirectory } from './accounts/accountDirectory'
 export * from './accounts/identifyCaller'
