--- a/packages/anvilarch-serving/src/roles/gatewayRole.ts
+++ b/packages/anvilarch-serving/src/roles/gatewayRole.ts
@@ -30,7 +30,7 @@
 import { once } from './once'
 import type { RoleContext, RunningRole } from './types'
 
-/** Interval of member listings, which provide relays to the store, meter gateways and the number of gateways. */
+/** Interval of member listings. They provide relays for when the store rejects this host, meter gateways and the number of gateways. */
 const MEMBERS_INTERVAL_MS = 10_000
 
 /** Share of an endpoint's connection limit that one gateway uses, since several gateways connect to each endpoint. */
--- a/packages/anvilarch-serving/src/store/tableFollower.ts
+++ b/packages/anvilarch-serving/src/store/tableFollower.ts
@@ -1,4 +1,4 @@
-/** Follows a table: lists it once and then reads its feed of changes. */
+/** Keeps up with a table, either by a listing and the feed of changes after it or by periodic listings. */
 import { type Clock, type Random, sleep } from 'anvilarch-utils'
 import { type MetadataStore, OVER_RATE_REASON, type RowChange, type StoredRow } from './types'
 import type { EventLog } from '../telemetry/events'
--- a/packages/anvilarch-serving/src/store/transport.ts
+++ b/packages/anvilarch-serving/src/store/transport.ts
@@ -130,7 +130,7 @@
   contact: StoreContactState
 }
 
-/** Consecutive direct calls that must fail before all calls are relayed. Single calls also fail in normal operation. */
+/** Consecutive direct calls that must fail before calls go to peers first. Single calls also fail in normal operation. */
 const RELAY_FAILURE_THRESHOLD = 2
 
 /** Interval at which one call is sent directly while calls are relayed, to detect that the store serves this host again. */
