--- a/packages/anvilarch-bench/src/model/limits/limitWays.ts
+++ b/packages/anvilarch-bench/src/model/limits/limitWays.ts
@@ -63,14 +63,14 @@
   const places = Array.from({ length: gatewayCount }, (_, place) => ({ name: `g${place}`, peerAddress: `${place}:${PEER_PORT}` }))
   const meters = createAccountMeters({ clock, bounds, account, gatewayCount: () => gatewayCount })
   const sendMessage = (message: PeerMessage, to: { ip: string }): void => send(Number(to.ip), message, encodePeerMessage(message).length)
-  const asker = createPermitClient({ clock, send: sendMessage, configurationVersion: () => 1 })
-  const limits = createRateLimiter({ clock, log: SILENT_LOGGER, ownName: `g${index}`, meters, permitClient: asker, meterGatewaysOf: name => selectMeterGateways(places, name) })
+  const permitClient = createPermitClient({ clock, send: sendMessage, configurationVersion: () => 1 })
+  const limits = createRateLimiter({ clock, log: SILENT_LOGGER, ownName: `g${index}`, meters, permitClient, meterGatewaysOf: name => selectMeterGateways(places, name) })
   return {
     admit: async name => (await limits.acquire({ caller: 'account', account: account(name), keyDigest: '' })).granted,
     onMessage: (received, from) => {
       const message = received as PeerMessage
       const sender = { ip: String(from), port: PEER_PORT }
-      if (message.message === 'permit_response') asker.onResponse(message, sender)
+      if (message.message === 'permit_response') permitClient.onResponse(message, sender)
       else if (message.message === 'permit_refund') limits.onPermitRefund(message)
       else if (message.message === 'permit_request') {
         const grant = limits.onPermitRequest(message)
--- a/packages/anvilarch-bench/src/model/modelGateway.ts
+++ b/packages/anvilarch-bench/src/model/modelGateway.ts
@@ -59,10 +59,10 @@
     if (endpoint === undefined || engine === undefined || message.message !== 'load_probe') return
     clock.after(LINK_MS, () => {
       const report = { startId: endpoint.startId, online: engine.online(), batchRunning: engine.batchRunning(), reachable: true }
-      clock.after(LINK_MS, () => asker.onResponse({ message: 'load_response', correlationId: message.correlationId, report }, to))
+      clock.after(LINK_MS, () => prober.onResponse({ message: 'load_response', correlationId: message.correlationId, report }, to))
     })
   }
-  const asker = createLoadProber({ clock, send, peerPort: PEER_PORT, onReport: loads.onReport })
+  const prober = createLoadProber({ clock, send, peerPort: PEER_PORT, onReport: loads.onReport })
 
   const connectionsTo = (endpoint: Endpoint): { inUse: number, idleSinceMs: number[] } => {
     const known = connections.get(endpoint.id) ?? { inUse: 0, idleSinceMs: [] }
@@ -74,7 +74,7 @@
   const placement = createPlacement({
     endpoints: { usable: () => endpoints },
     loads,
-    prober: asker,
+    prober,
     ownFailureDomain: endpoints[0].failureDomain,
     gatewayCount: () => options.gatewayCount,
     openConnections: endpoint => {
@@ -121,7 +121,7 @@
         const endpoint = placement.choose(terms)
         if (endpoint !== undefined) sendRequest(endpoint, arrivedAtMs)
       }, () => {
-        // The asker and the clock of the model never fail.
+        // The prober and the clock of the model never fail.
       })
     }
   }
--- a/packages/anvilarch-serving/src/jobs/jobCalls.ts
+++ b/packages/anvilarch-serving/src/jobs/jobCalls.ts
@@ -19,7 +19,7 @@
   metrics: ServingMetrics
   results: ResultReader
   wire: JobWire
-  notice: DrainState
+  drainState: DrainState
 }
 
 /** A submission whose body has been read. */
@@ -109,7 +109,7 @@
   const { response, metadata, route } = call
   const items = parts.wire.decodeSubmission(call.body)
   if (!Array.isArray(items)) {
-    sendGatewayResponse(response, { status: 400, code: 'bad_job', message: items.problem }, parts.notice)
+    sendGatewayResponse(response, { status: 400, code: 'bad_job', message: items.problem }, parts.drainState)
     return
   }
   const submission: Submission = {
@@ -125,16 +125,16 @@
   parts.log.info('job submitted', { jobId: metadata.requestId, account: accountNameOf(call.caller), route: route.name, itemCount: items.length, outcome, elapsedMs: Math.round(parts.clock.nowMs() - call.arrivedAtMs) })
   switch (outcome) {
     case 'accepted':
-      sendJson(response, 202, {}, parts.notice)
+      sendJson(response, 202, {}, parts.drainState)
       return
     case 'over_limit':
-      sendGatewayResponse(response, { status: 429, code: 'over_limit', message: 'too many tokens wait on this route', retryAfterMs: OVER_LIMIT_RETRY_AFTER_MS }, parts.notice)
+      sendGatewayResponse(response, { status: 429, code: 'over_limit', message: 'too many tokens wait on this route', retryAfterMs: OVER_LIMIT_RETRY_AFTER_MS }, parts.drainState)
       return
     case 'refused':
-      sendGatewayResponse(response, { status: 503, code: 'store_unavailable', message: 'the job could not be stored and will not run', retryAfterMs: RETRY_AFTER_MS }, parts.notice)
+      sendGatewayResponse(response, { status: 503, code: 'store_unavailable', message: 'the job could not be stored and will not run', retryAfterMs: RETRY_AFTER_MS }, parts.drainState)
       return
     case 'unknown':
-      sendGatewayResponse(response, { status: 504, code: 'outcome_unknown', message: 'the store has not said whether the job is stored' }, parts.notice)
+      sendGatewayResponse(response, { status: 504, code: 'outcome_unknown', message: 'the store has not said whether the job is stored' }, parts.drainState)
   }
 }
 
@@ -157,7 +157,7 @@
     return
   }
   parts.metrics.jobCalls.inc({ call: 'read', outcome: 'answered' })
-  sendJson(response, 200, parts.wire.encodePage(page.val), parts.notice)
+  sendJson(response, 200, parts.wire.encodePage(page.val), parts.drainState)
 }
 
 /** A job as identified by a call. */
@@ -219,7 +219,7 @@
     return
   }
   parts.metrics.jobCalls.inc({ call: 'item', outcome: 'answered' })
-  if (parts.notice.isDraining()) response.setHeader('Connection', 'close')
+  if (parts.drainState.isDraining()) response.setHeader('Connection', 'close')
   response.writeHead(200, { 'Content-Type': 'application/octet-stream', 'Content-Length': body.length })
   response.end(body)
 }
@@ -228,7 +228,7 @@
   const outcome = await endStored(parts, named, parts.clock.nowMs() + CALL_TIMEOUT_MS)
   parts.metrics.jobCalls.inc({ call: 'end', outcome })
   parts.log.info('job ended by its client', { jobId: named.clientJobId, account: accountNameOf(named.caller), outcome })
-  if (outcome === 'applied' || outcome === 'not_applicable') sendJson(response, 200, {}, parts.notice)
+  if (outcome === 'applied' || outcome === 'not_applicable') sendJson(response, 200, {}, parts.drainState)
   else if (outcome === 'no_such_job') sendNotFound(parts, response, 'end')
   else sendUnavailable(parts, response, 'end')
 }
@@ -245,10 +245,10 @@
 
 function sendNotFound (parts: JobCallParts, response: ServerResponse, call: string): void {
   parts.metrics.jobCalls.inc({ call, outcome: 'not_found' })
-  sendGatewayResponse(response, { status: 404, code: 'no_such_job', message: 'no such job or item' }, parts.notice)
+  sendGatewayResponse(response, { status: 404, code: 'no_such_job', message: 'no such job or item' }, parts.drainState)
 }
 
 function sendUnavailable (parts: JobCallParts, response: ServerResponse, call: string): void {
   parts.metrics.jobCalls.inc({ call, outcome: 'unavailable' })
-  sendGatewayResponse(response, { status: 503, code: 'store_unavailable', message: 'the store does not answer', retryAfterMs: RETRY_AFTER_MS }, parts.notice)
+  sendGatewayResponse(response, { status: 503, code: 'store_unavailable', message: 'the store does not answer', retryAfterMs: RETRY_AFTER_MS }, parts.drainState)
 }
--- a/packages/anvilarch-serving/src/requests/__fixtures__/forwardHarness.ts
+++ b/packages/anvilarch-serving/src/requests/__fixtures__/forwardHarness.ts
@@ -246,7 +246,7 @@
       count: () => endpoints.length,
       loadOf: () => load
     },
-    use: { onSent: () => { inProgress.usageReports++ }, onEnded: () => { inProgress.usageReports-- }, remove: () => {}, close: () => {} },
+    usageReporter: { onSent: () => { inProgress.usageReports++ }, onEnded: () => { inProgress.usageReports-- }, remove: () => {}, close: () => {} },
     pools: { poolOf, openConnections: () => 0, drain: () => {}, closeAll: async () => {} },
     wire: {
       decodeCredential: () => ({ credential: 'none' }),
@@ -263,7 +263,7 @@
         ? { granted: false, retryAfterMs: 100, granter: 'home' }
         : { granted: true, refund: () => { permitsRefunded++ } }
     },
-    isStillAllowed: () => hasKey,
+    isStillAuthorized: () => hasKey,
     traffic: createTrafficCounters(),
     logRateLimiter: createLogRateLimiter(clock, 20),
     random: () => 0.5
--- a/packages/anvilarch-serving/src/requests/forwardTypes.ts
+++ b/packages/anvilarch-serving/src/requests/forwardTypes.ts
@@ -27,7 +27,7 @@
   metrics: ServingMetrics
   loads: LoadTable
   placement: Placement
-  use: UsageReporter
+  usageReporter: UsageReporter
   pools: ConnectionPools
   wire: RequestWire
   drainState: DrainState
@@ -35,7 +35,7 @@
   crashes: CrashMonitor
   limits: Pick<RateLimiter, 'acquire'>
   /** @returns whether new work may still be started for the caller */
-  isStillAllowed: (caller: Caller) => boolean
+  isStillAuthorized: (caller: Caller) => boolean
   traffic: TrafficCounters
   /** Limits the log lines about successful requests. */
   logRateLimiter: LogRateLimiter
--- a/packages/anvilarch-serving/src/requests/runAttempt.ts
+++ b/packages/anvilarch-serving/src/requests/runAttempt.ts
@@ -29,8 +29,8 @@
   onHead: (head: { status: number, rawHeaders: string[] }) => void
   onEvent: (bytes: Buffer, id: number | undefined, data: string) => void
   /** Called when the response was a stream of events and is complete. */
-  onEventsEnd: () => void
-  onAnswer: (response: EndpointResponse) => void
+  onStreamEnd: () => void
+  onResponse: (response: EndpointResponse) => void
   onFailure: (failure: AttemptFailure, reason: string) => void
 }
 
@@ -215,8 +215,8 @@
       return
     }
     ended = true
-    if (head.events) options.onEventsEnd()
-    else options.onAnswer({ status: head.status, rawHeaders: head.rawHeaders, body: Buffer.concat(chunks) })
+    if (head.events) options.onStreamEnd()
+    else options.onResponse({ status: head.status, rawHeaders: head.rawHeaders, body: Buffer.concat(chunks) })
   }
 
   const exchange: Exchange = startExchange(options.pool, options.request, {
--- a/packages/anvilarch-serving/src/requests/sendAttempts.ts
+++ b/packages/anvilarch-serving/src/requests/sendAttempts.ts
@@ -93,7 +93,7 @@
     silence = undefined
     if (released !== undefined) {
       loads.onEnded(released.endpoint.startId)
-      parts.use.onEnded(released.endpoint)
+      parts.usageReporter.onEnded(released.endpoint)
     }
     return released
   }
@@ -217,8 +217,8 @@
     resumable: route.resumable,
     onHead: head => onHead(endpoint, head),
     onEvent: (bytes, id) => onEvent(endpoint, bytes, id),
-    onEventsEnd: () => onStreamEnd(endpoint),
-    onAnswer: endpointResponse => onResponse(endpoint, endpointResponse),
+    onStreamEnd: () => onStreamEnd(endpoint),
+    onResponse: endpointResponse => onResponse(endpoint, endpointResponse),
     onFailure: (failure, reason) => onFailure(endpoint, failure, reason)
   })
 
@@ -257,7 +257,7 @@
       timeOut()
       return
     }
-    if (!parts.isStillAllowed(client.caller)) {
+    if (!parts.isStillAuthorized(client.caller)) {
       endForRevokedKey()
       return
     }
@@ -272,7 +272,7 @@
     state.sendCount++
     sentAtMs = clock.nowMs()
     loads.onSent(endpoint.startId)
-    parts.use.onSent(endpoint)
+    parts.usageReporter.onSent(endpoint)
     running = { endpoint, attempt: startAt(endpoint) }
     restartSilenceTimeout(endpoint)
   }
--- a/packages/anvilarch-serving/src/roles/gatewayRole.ts
+++ b/packages/anvilarch-serving/src/roles/gatewayRole.ts
@@ -113,14 +113,14 @@
     metrics: context.metrics,
     loads,
     placement,
-    use: usageReporter,
+    usageReporter,
     pools,
     wire: wire.request,
     drainState,
     holdTimes: createHoldTimes(),
     crashes,
     limits: accounts.limits,
-    isStillAllowed: caller => isStillAuthorized(view.configuration.current(), caller),
+    isStillAuthorized: caller => isStillAuthorized(view.configuration.current(), caller),
     traffic,
     logRateLimiter: createLogRateLimiter(clock, SUCCESS_LINES_PER_SECOND),
     random: () => context.random.next()
@@ -133,7 +133,7 @@
     metrics: context.metrics,
     results: createResultReader(context.store),
     wire: wire.job,
-    notice: drainState
+    drainState
   })
   startPeriodicLog({
     clock,
--- a/packages/anvilarch-serving/src/runner/itemRun.ts
+++ b/packages/anvilarch-serving/src/runner/itemRun.ts
@@ -93,8 +93,8 @@
       text.eventData.push(data)
       options.onEvent()
     },
-    onEventsEnd: () => finish(endOfEvents(text)),
-    onAnswer: answer => finish(endOfResponse(answer.status)),
+    onStreamEnd: () => finish(endOfEvents(text)),
+    onResponse: answer => finish(endOfResponse(answer.status)),
     onFailure: (_failure, reason) => finish({ end: 'interrupted', reason })
   })
   return {
--- a/packages/anvilarch-serving/src/store/__tests__/longPolls.test.ts
+++ b/packages/anvilarch-serving/src/store/__tests__/longPolls.test.ts
@@ -17,14 +17,14 @@
     const during = longPolls.begin()
     clock.advance(500)
     const after = longPolls.begin()
-    longPolls.onAnswer(2000)
+    longPolls.onResponse(2000)
     expect([before, during, after].map(call => call.signal.aborted)).toEqual([true, true, false])
   })
 
   it('aborts no long poll while all other calls get responses', () => {
     const { signal } = longPolls.begin()
     clock.advance(500)
-    longPolls.onAnswer(1500)
+    longPolls.onResponse(1500)
     expect(signal.aborted).toBe(false)
   })
 
@@ -32,11 +32,11 @@
   it('does not treat the late timeout of a call from an outage as another outage', () => {
     longPolls.onNoAnswer(1000)
     clock.advance(1000)
-    longPolls.onAnswer(2000)
+    longPolls.onResponse(2000)
     const { signal } = longPolls.begin()
     clock.advance(500)
     longPolls.onNoAnswer(1900)
-    longPolls.onAnswer(2500)
+    longPolls.onResponse(2500)
     expect(signal.aborted).toBe(false)
   })
 
@@ -45,7 +45,7 @@
     end()
     clock.advance(100)
     longPolls.onNoAnswer(1000)
-    longPolls.onAnswer(1100)
+    longPolls.onResponse(1100)
     expect(signal.aborted).toBe(false)
   })
 })
--- a/packages/anvilarch-serving/src/store/longPolls.ts
+++ b/packages/anvilarch-serving/src/store/longPolls.ts
@@ -15,7 +15,7 @@
   /** Records that a call got no response. */
   onNoAnswer: (sentAtMs: number) => void
   /** Records that a call got a response. */
-  onAnswer: (sentAtMs: number) => void
+  onResponse: (sentAtMs: number) => void
 }
 
 /**
@@ -44,7 +44,7 @@
       // Ignores calls sent before the last call that got a response: they failed in an outage that is already over.
       if (sentAtMs >= lastAnsweredSentAtMs) isUnreachable = true
     },
-    onAnswer: sentAtMs => {
+    onResponse: sentAtMs => {
       lastAnsweredSentAtMs = Math.max(lastAnsweredSentAtMs, sentAtMs)
       if (!isUnreachable) return
       isUnreachable = false
--- a/packages/anvilarch-serving/src/store/transport.ts
+++ b/packages/anvilarch-serving/src/store/transport.ts
@@ -223,7 +223,7 @@
     lastProbeMs = sentAtMs
     const response = await options.direct({ ...storeCall, timeoutMs: deadlineMs - sentAtMs })
     if (storeCall.signal?.aborted === true) return response
-    if (response.outcome === 'answered') longPolls.onAnswer(sentAtMs)
+    if (response.outcome === 'answered') longPolls.onResponse(sentAtMs)
     else if (response.outcome === 'no_answer') longPolls.onNoAnswer(sentAtMs)
     if (recordOutcome(response)) return response
     // A call without a response may have been executed. Whether to repeat it through a peer is up to the caller.
