--- a/packages/anvilarch-serving/src/roles/gatewayRole.ts
+++ b/packages/anvilarch-serving/src/roles/gatewayRole.ts
@@ -30,7 +30,7 @@
 import { once } from './once'
 import type { RoleContext, RunningRole } from './types'
 
-/** Interval of member listings, which provide relays to the store, meter gateways and the number of gateways. */
+/** Interval of member listings. They provide relays for when the store rejects this host, meter gateways and the number of gateways. */
 const MEMBERS_INTERVAL_MS = 10_000
 
 /** Share of an endpoint's connection limit that one gateway uses, since several gateways connect to each endpoint. */
@@ -113,14 +113,14 @@
     metrics: context.metrics,
     loads,
     placement,
-    use: usageReporter,
+    usageReporter,
     pools,
     wire: wire.request,
     drainState,
     holdTimes: createHoldTimes(),
     crashes,
     limits: accounts.limits,
-    isStillAllowed: caller => isStillAuthorized(view.configuration.current(), caller),
+    isStillAuthorized: caller => isStillAuthorized(view.configuration.current(), caller),
     traffic,
     logRateLimiter: createLogRateLimiter(clock, SUCCESS_LINES_PER_SECOND),
     random: () => context.random.next()
@@ -133,7 +133,7 @@
     metrics: context.metrics,
     results: createResultReader(context.store),
     wire: wire.job,
-    notice: drainState
+    drainState
   })
   startPeriodicLog({
     clock,
--- a/packages/anvilarch-serving/src/store/transport.ts
+++ b/packages/anvilarch-serving/src/store/transport.ts
@@ -130,7 +130,7 @@
   contact: StoreContactState
 }
 
-/** Consecutive direct calls that must fail before all calls are relayed. Single calls also fail in normal operation. */
+/** Consecutive direct calls that must fail before calls go to peers first. Single calls also fail in normal operation. */
 const RELAY_FAILURE_THRESHOLD = 2
 
 /** Interval at which one call is sent directly while calls are relayed, to detect that the store serves this host again. */
@@ -223,7 +223,7 @@
     lastProbeMs = sentAtMs
     const response = await options.direct({ ...storeCall, timeoutMs: deadlineMs - sentAtMs })
     if (storeCall.signal?.aborted === true) return response
-    if (response.outcome === 'answered') longPolls.onAnswer(sentAtMs)
+    if (response.outcome === 'answered') longPolls.onResponse(sentAtMs)
     else if (response.outcome === 'no_answer') longPolls.onNoAnswer(sentAtMs)
     if (recordOutcome(response)) return response
     // A call without a response may have been executed. Whether to repeat it through a peer is up to the caller.
