--- a/packages/anvilarch-serving/src/endpoints/__tests__/loadProber.test.ts
+++ b/packages/anvilarch-serving/src/endpoints/__tests__/loadProber.test.ts
@@ -44,7 +44,7 @@
   return await Promise.race([probing.then(() => true), new Promise<boolean>(resolve => setImmediate(() => resolve(false)))])
 }
 
-/** Probes all endpoints without a response until the time-out. */
+/** Probes all endpoints without a response until the timeout. */
 async function probeUntilTimeout (): Promise<void> {
   const probing = prober.probe(ENDPOINTS)
   clock.advance(PROBE_TIMEOUT_MS)
@@ -72,7 +72,7 @@
   })
 
   // Guards against each request waiting for agents that do not respond.
-  it('stops waiting for an agent after some time-outs in a row, and probes it again later', async () => {
+  it('stops waiting for an agent after some timeouts in a row, and probes it again later', async () => {
     for (let round = 0; round < MAX_CONSECUTIVE_TIMEOUTS; round++) {
       const probing = prober.probe(ENDPOINTS)
       expect(await isOver(probing)).toBe(false)
@@ -90,7 +90,7 @@
     expect(prober.isResponsive(ENDPOINTS[0])).toBe(true)
   })
 
-  it('accepts a response that arrives after the time-out', async () => {
+  it('accepts a response that arrives after the timeout', async () => {
     await probeUntilTimeout()
     respond(1)
     expect(reports).toHaveLength(1)
--- a/packages/anvilarch-serving/src/endpoints/loadProber.ts
+++ b/packages/anvilarch-serving/src/endpoints/loadProber.ts
@@ -43,7 +43,7 @@
 /** An agent is unresponsive, and not waited for, after this many probes in a row have timed out. */
 export const MAX_CONSECUTIVE_TIMEOUTS = 2
 
-/** An unresponsive agent is probed again after this time, so that its return is noticed. */
+/** An unresponsive agent is probed again after this time, so that its recovery is detected. */
 export const REPROBE_INTERVAL_MS = 500
 
 interface AgentState {
@@ -107,7 +107,7 @@
 
   const sendProbe = (endpoint: Endpoint, round: Round): void => {
     const state = stateOf(endpoint.startId)
-    // The round does not wait for an agent that is probed only to notice its return.
+    // The round does not wait for an agent that is probed only to detect its recovery.
     if (state.consecutiveTimeouts < MAX_CONSECUTIVE_TIMEOUTS) round.expected++
     state.lastProbedMs = round.startedAtMs
     lastCorrelationId++
--- a/packages/anvilarch-serving/src/model/types.ts
+++ b/packages/anvilarch-serving/src/model/types.ts
@@ -5,7 +5,7 @@
 /**
  * Kind of a route, which determines whether its requests may be repeated.
  * `idempotent` requests may run any number of times, `once` requests at most once for each client attempt,
- * `stream` requests are answered with events, and `batch` routes accept jobs.
+ * `stream` requests get a stream of events in response, and `batch` routes accept jobs.
  */
 export type RouteKind = 'idempotent' | 'once' | 'stream' | 'batch'
 
--- a/packages/anvilarch-serving/src/requests/__tests__/processPause.test.ts
+++ b/packages/anvilarch-serving/src/requests/__tests__/processPause.test.ts
@@ -39,7 +39,7 @@
   })
 })
 
-describe('a silent endpoint', () => {
+describe('an unresponsive endpoint', () => {
   it('has its stream resumed on another endpoint after three quarters of the gap objective', async () => {
     const { clock, sent } = forwardOnFakeClock({ kind: 'stream', timeoutMs: 10_000 })
     await clock.advanceAsync(0)
--- a/packages/anvilarch-serving/src/requests/__tests__/requestHistories.test.ts
+++ b/packages/anvilarch-serving/src/requests/__tests__/requestHistories.test.ts
@@ -2,7 +2,7 @@
  * Guards against: a stream with a missing, duplicate or out-of-order event; a response that looks complete and is not, or that no
  * endpoint sent; a refusal of a request that may have run; a run beyond the limit or concurrent with another; a request that does
  * not end, or continues after its end.
- * Generated histories: endpoints send wrong responses, close connections, become silent, refuse and are replaced one after
+ * Generated histories: endpoints send wrong responses, close connections, stop responding, refuse and are replaced one after
  * another, while clients disconnect, keys are revoked, requests are quarantined, and the process pauses or shuts down.
  */
 import fc from 'fast-check'
--- a/packages/anvilarch-serving/src/requests/__tests__/retryDecision.test.ts
+++ b/packages/anvilarch-serving/src/requests/__tests__/retryDecision.test.ts
@@ -1,5 +1,5 @@
 import fc from 'fast-check'
-import { type AttemptFailure, isRetryable, MIN_REMAINING_MS, nextStep, silenceTimeoutMs } from '../retryDecision'
+import { type AttemptFailure, isRetryable, MIN_REMAINING_MS, nextStep, responseTimeoutMs } from '../retryDecision'
 
 const ROUTE = fc.record({
   kind: fc.constantFrom('idempotent' as const, 'once' as const, 'stream' as const),
@@ -45,10 +45,10 @@
   })
 })
 
-describe('silenceTimeoutMs', () => {
+describe('responseTimeoutMs', () => {
   it('is shorter than the gap objective, so that a stream can be resumed on time', () => {
     const route = { kind: 'stream' as const, latencyObjectiveMs: 300, gapObjectiveMs: 400 }
-    expect(silenceTimeoutMs(route, true)).toBeLessThan(400)
-    expect(silenceTimeoutMs(route, false)).toBeGreaterThan(300)
+    expect(responseTimeoutMs(route, true)).toBeLessThan(400)
+    expect(responseTimeoutMs(route, false)).toBeGreaterThan(300)
   })
 })
--- a/packages/anvilarch-serving/src/requests/__tests__/silenceAtLastSend.test.ts
+++ b/packages/anvilarch-serving/src/requests/__tests__/silenceAtLastSend.test.ts
@@ -12,7 +12,7 @@
   return harness
 }
 
-describe('a silent endpoint at the last allowed send', () => {
+describe('an unresponsive endpoint at the last allowed send', () => {
   // Guards against aborting a slow response although the request may not be sent to another endpoint.
   it('is not timed out for a lookup', async () => {
     const { clock, sent, client } = await atLastSend({})
--- a/packages/anvilarch-serving/src/requests/overload.ts
+++ b/packages/anvilarch-serving/src/requests/overload.ts
@@ -43,7 +43,7 @@
 /** Each priority level reduces the allowed queueing time to this fraction, so that less urgent requests are refused before more urgent ones have to wait. */
 const PRIORITY_RANK_FACTOR = 0.8
 
-/** A request with less than this fraction of the route's time-out left has been refused before. It is not refused a second time for a long wait. */
+/** A request with less than this fraction of the route's timeout left has been refused before. It is not refused a second time for a long wait. */
 const FIRST_TRY_FRACTION = 0.95
 
 /** Clients honor a Retry-After of up to a third of their remaining time. */
--- a/packages/anvilarch-serving/src/requests/retryDecision.ts
+++ b/packages/anvilarch-serving/src/requests/retryDecision.ts
@@ -27,7 +27,7 @@
  */
 export type NextStep = 'send_again' | 'refuse' | 'fail' | 'time_out' | 'break_off'
 
-/** With less remaining time than this, another send would only end in the endpoint's own time-out. */
+/** With less remaining time than this, another send would only end in the endpoint's own timeout. */
 export const MIN_REMAINING_MS = 30
 
 /**
@@ -52,25 +52,25 @@
   return route.kind === 'idempotent' || (route.kind === 'stream' && route.resumable)
 }
 
-/** Fraction of the gap objective after which a silent stream is resumed on another endpoint. The rest is left for the resumption. */
-const SILENT_GAP_FRACTION = 0.75
+/** Fraction of the gap objective after which a stream without a further event is resumed on another endpoint. The rest is left for the resumption. */
+const GAP_TIMEOUT_FRACTION = 0.75
 
-/** Multiple of the latency objective after which a silent lookup is sent to another endpoint. The mean latency of lookups is a quarter of the objective. */
-const LOOKUP_SILENCE_FACTOR = 2
+/** Multiple of the latency objective after which a lookup without a response is sent to another endpoint. The mean latency of lookups is a quarter of the objective. */
+const LOOKUP_TIMEOUT_FACTOR = 2
 
-/** Multiple of the latency objective after which a missing first event indicates a silent endpoint rather than a full queue. */
-const FIRST_EVENT_SILENCE_FACTOR = 3
+/** Multiple of the latency objective after which a missing first event indicates an unresponsive endpoint rather than a full queue. */
+const FIRST_EVENT_TIMEOUT_FACTOR = 3
 
-/** Lower bound of the silence time-out: shorter silences are common under load. */
-const MIN_SILENCE_TIMEOUT_MS = 250
+/** Lower bound of the response timeout: shorter intervals are common under load. */
+const MIN_RESPONSE_TIMEOUT_MS = 250
 
 /**
  * @param route - kind and objectives
  * @param responseStarted - whether the head of the response has been sent to the client
- * @returns how long an endpoint may be silent before the request is sent to another one, if the route allows it
+ * @returns how long an endpoint may send no event or response before the request is sent to another one, if the route allows it
  */
-export function silenceTimeoutMs (route: Pick<Route, 'kind' | 'latencyObjectiveMs' | 'gapObjectiveMs'>, responseStarted: boolean): number {
-  if (route.kind !== 'stream') return Math.max(MIN_SILENCE_TIMEOUT_MS, LOOKUP_SILENCE_FACTOR * route.latencyObjectiveMs)
-  if (!responseStarted) return Math.max(MIN_SILENCE_TIMEOUT_MS, FIRST_EVENT_SILENCE_FACTOR * route.latencyObjectiveMs)
-  return Math.max(MIN_SILENCE_TIMEOUT_MS, SILENT_GAP_FRACTION * route.gapObjectiveMs)
+export function responseTimeoutMs (route: Pick<Route, 'kind' | 'latencyObjectiveMs' | 'gapObjectiveMs'>, responseStarted: boolean): number {
+  if (route.kind !== 'stream') return Math.max(MIN_RESPONSE_TIMEOUT_MS, LOOKUP_TIMEOUT_FACTOR * route.latencyObjectiveMs)
+  if (!responseStarted) return Math.max(MIN_RESPONSE_TIMEOUT_MS, FIRST_EVENT_TIMEOUT_FACTOR * route.latencyObjectiveMs)
+  return Math.max(MIN_RESPONSE_TIMEOUT_MS, GAP_TIMEOUT_FRACTION * route.gapObjectiveMs)
 }
--- a/packages/anvilarch-serving/src/requests/sendAttempts.ts
+++ b/packages/anvilarch-serving/src/requests/sendAttempts.ts
@@ -3,7 +3,7 @@
 import { forwardedCallerOf } from '../accounts/types'
 import type { Endpoint } from '../model/types'
 import { createAttemptLog } from './attemptLog'
-import { type AttemptFailure, isRetryable, type NextStep, nextStep, silenceTimeoutMs } from './retryDecision'
+import { type AttemptFailure, isRetryable, type NextStep, nextStep, responseTimeoutMs } from './retryDecision'
 import { type ClientRequest, type ForwardParts, placementCriteria, requestIdentityOf, type RequestState } from './forwardTypes'
 import type { RequestCompletion } from './requestCompletion'
 import { unauthorizedResponse } from './clientResponse'
@@ -17,7 +17,7 @@
   sendPrepared: () => void
   /** Aborts the attempt in progress and sends nothing afterwards. */
   stop: () => void
-  /** Ends the request with a time-out. */
+  /** Ends the request with a timeout response. */
   timeOut: () => void
 }
 
@@ -51,7 +51,7 @@
   const attemptLog = createAttemptLog(parts, client, state)
   const { route, response, metadata } = client
   let running: Running | undefined
-  let silence: SilenceWatch | undefined
+  let responseTimeout: SilenceWatch | undefined
   let lastEventAtMs: number | undefined
   /** Time of the send in progress; undefined after its first event or its response. */
   let sentAtMs: number | undefined
@@ -89,8 +89,8 @@
   const releaseRunning = (): Running | undefined => {
     const released = running
     running = undefined
-    silence?.cancel()
-    silence = undefined
+    responseTimeout?.cancel()
+    responseTimeout = undefined
     if (released !== undefined) {
       loads.onEnded(released.endpoint.startId)
       parts.usageReporter.onEnded(released.endpoint)
@@ -118,8 +118,8 @@
     steps[stepAfter(failure)](reason)
   }
 
-  const onSilence = (endpoint: Endpoint): void => {
-    silence = undefined
+  const onResponseTimeout = (endpoint: Endpoint): void => {
+    responseTimeout = undefined
     if (running === undefined) return
     // A request that still waits for a connection is not sent after it is aborted.
     const failure = running.attempt.mayHaveRun() ? 'may_have_run' : 'not_run'
@@ -134,13 +134,13 @@
     attemptLog.processPaused(endpoint, lateMs)
   }
 
-  /** Restarts the silence time-out. Called at a send and at each event; only the first call sets a timer. */
-  const restartSilenceTimeout = (endpoint: Endpoint): void => {
+  /** Restarts the response timeout, which limits the time without an event or a response. Called at a send and at each event; only the first call sets a timer. */
+  const restartResponseTimeout = (endpoint: Endpoint): void => {
     if (!isRetryable(route) || state.attemptsThatMayHaveRun + 1 >= route.maxAttempts) return
-    const boundMs = silenceTimeoutMs(route, state.responseStarted)
-    silence ??= createSilenceWatch({ clock, boundMs, onSilence: () => onSilence(endpoint), onOwnPause: lateMs => onProcessPause(endpoint, lateMs) })
-    silence.heard()
-    silence.setBoundMs(boundMs)
+    const boundMs = responseTimeoutMs(route, state.responseStarted)
+    responseTimeout ??= createSilenceWatch({ clock, boundMs, onSilence: () => onResponseTimeout(endpoint), onOwnPause: lateMs => onProcessPause(endpoint, lateMs) })
+    responseTimeout.heard()
+    responseTimeout.setBoundMs(boundMs)
   }
 
   /** Handles the response of an endpoint that failed, or that sent a buffered response when a stream was to be resumed. */
@@ -194,7 +194,7 @@
     observeEndpointWait()
     state.lastEventId = id ?? state.lastEventId
     response.write(bytes)
-    restartSilenceTimeout(endpoint)
+    restartResponseTimeout(endpoint)
   }
 
   const startAt = (endpoint: Endpoint): Attempt => startAttempt({
@@ -274,7 +274,7 @@
     loads.onSent(endpoint.startId)
     parts.usageReporter.onSent(endpoint)
     running = { endpoint, attempt: startAt(endpoint) }
-    restartSilenceTimeout(endpoint)
+    restartResponseTimeout(endpoint)
   }
 
   return {
--- a/packages/anvilarch-serving/src/runner/__fixtures__/runnerFleet.ts
+++ b/packages/anvilarch-serving/src/runner/__fixtures__/runnerFleet.ts
@@ -32,14 +32,14 @@
   replace: () => void
   /** Stops the process, which saves its items, and starts another in its place. */
   stop: () => Promise<void>
-  /** Sets whether the store considers the agent alive; its process runs in either case. */
+  /** Sets whether the agent counts as alive in the store; its process runs in either case. */
   setAlive: (alive: boolean) => void
   /** Sets the number of online requests at the engine. */
   setOnline: (requests: number) => void
   setReady: (ready: boolean) => void
   /** Sets a fault for all runs at the engine that overrides the script; undefined returns to the script. */
   setFault: (fault: RunFault | undefined) => void
-  /** Pauses the process for this long; meanwhile the store considers it dead, and its engine keeps running. */
+  /** Pauses the process for this long; meanwhile it counts as failed in the store, and its engine keeps running. */
   pauseProcess: (durationMs: number) => void
   /** The local copy of the process receives no changes for this long, and is then listed again. */
   loseHistory: (durationMs: number) => void
@@ -225,7 +225,7 @@
   return agent
 }
 
-/** The store as one process sees it: no call is sent and no response is received after the process has ended or while it is paused. */
+/** The store as accessed by one process: no call is sent and no response is received after the process has ended or while it is paused. */
 function withLifetime (client: MetadataStore, process: ProcessClock, lifetime: AbortSignal): MetadataStore {
   const whileAlive = async <Answer>(call: () => Promise<Answer>): Promise<Answer> => {
     const answer = lifetime.aborted ? undefined : await call()
--- a/packages/anvilarch-serving/src/runner/__tests__/engineView.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/engineView.test.ts
@@ -17,7 +17,7 @@
 })
 
 describe('createEngineView', () => {
-  // Guards against items being sent to a restarted engine because of the entry of its former start.
+  // Guards against items being sent to a restarted engine because of the entry of its previous start.
   it('has no engine between a restart and the listing of the new start', () => {
     expect(view.update({ running: 0, waiting: 0, bornAtMs: 1000 })).toBe(listed)
     expect(view.update({ running: 0, waiting: 0, bornAtMs: 2000 })).toBeUndefined()
--- a/packages/anvilarch-serving/src/runner/__tests__/failedStarts.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/failedStarts.test.ts
@@ -6,7 +6,7 @@
 afterEach(() => fleet.close())
 
 describe('an item whose runs produce no event', () => {
-  // Guards against an item that stays forever at an engine that cannot run it, while other engines could.
+  // Guards against an item that stays indefinitely at an engine that cannot run it, while other engines could.
   it.each<RunFault>([
     { fault: 'of_another' },
     { fault: 'no_stream' },
--- a/packages/anvilarch-serving/src/runner/__tests__/itemHistories.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/itemHistories.test.ts
@@ -3,7 +3,7 @@
  * positions that are rewritten, and items that keep running after their job has ended. In random histories, runners claim, run,
  * pause, save, release and take over items while engines send wrong responses, stop responding and restart; writes are refused,
  * lost or late; local copies of the work are outdated and listed again; and agents are replaced, stopped, paused and resumed, or
- * considered dead while they run. In some histories a client ends the job.
+ * considered failed while they run. In some histories a client ends the job.
  */
 import fc from 'fast-check'
 import { resultKey } from '../../jobs/jobRows'
--- a/packages/anvilarch-serving/src/runner/__tests__/onlineUsage.test.ts
+++ b/packages/anvilarch-serving/src/runner/__tests__/onlineUsage.test.ts
@@ -37,7 +37,7 @@
     expect(usage.online()).toBe(0)
   })
 
-  it('resets with another start of the engine, and ignores reports about the former one', () => {
+  it('resets with another start of the engine, and ignores reports about the previous one', () => {
     usage.onUsageReport('g1', 'e@1', 5)
     usage.onPoll('e@2', 0)
     usage.onUsageReport('g1', 'e@1', 6)
--- a/packages/anvilarch-serving/src/runner/batchRunner.ts
+++ b/packages/anvilarch-serving/src/runner/batchRunner.ts
@@ -49,7 +49,7 @@
 /** After an outage of the store, heartbeats of other runners have this long to resume before their claims are taken over. */
 const HEARTBEAT_GRACE_MS = 2500
 
-/** A heartbeat is valid for 6 s and renewed every 2 s: a listing of daemons that is older than this may show a live one as dead. */
+/** A heartbeat is valid for 6 s and renewed every 2 s: a listing of daemons that is older than this may show a live one as failed. */
 const MEMBERS_MAX_AGE_MS = 3500
 
 /** Interval between two checks of jobs for expired items. */
--- a/packages/anvilarch-serving/src/runner/engineView.ts
+++ b/packages/anvilarch-serving/src/runner/engineView.ts
@@ -1,4 +1,4 @@
-/** State of the local engine as an agent sees it: which start is running, and whether the store lists that start. */
+/** State of the local engine as observed by its agent: which start is running, and whether the store lists that start. */
 import { type Endpoint, startIdOf } from '../model/types'
 import type { EngineReport } from '../roles/types'
 import type { EventLog } from '../telemetry/events'
@@ -21,8 +21,8 @@
 }
 
 /**
- * A restarted engine may have the same id as before, so that the entry of its former start still matches by id until the first
- * heartbeat replaces it. The listed state of the former start (accepting requests, or draining) does not apply to the new one:
+ * A restarted engine may have the same id as before, so that the entry of its previous start still matches by id until the first
+ * heartbeat replaces it. The listed state of the previous start (accepting requests, or draining) does not apply to the new one:
  * nothing is sent to the new start before it is listed itself.
  *
  * @param options - list and listener
--- a/packages/anvilarch-serving/src/runner/itemRun.ts
+++ b/packages/anvilarch-serving/src/runner/itemRun.ts
@@ -38,7 +38,7 @@
   onEnd: (end: RunEnd) => void
 }
 
-/** An engine that sends no event for this long has lost the item. Events arrive every 25 ms, and at a few times that interval from a slow engine. */
+/** An engine that sends no event for this long is assumed to have stopped running the item. Events arrive every 25 ms, and at a few times that interval from a slow engine. */
 const EVENT_TIMEOUT_MS = 2500
 
 const IMPOSSIBLE_STATUS = 422
@@ -87,14 +87,14 @@
     onHead: eventTimeout.heard,
     onEvent: (_bytes, id, data) => {
       eventTimeout.heard()
-      // A block of comments, not an event.
+      // Ignores a block that holds only comments.
       if (id === undefined) return
       text.lastEventId = id
       text.eventData.push(data)
       options.onEvent()
     },
     onStreamEnd: () => finish(endOfEvents(text)),
-    onResponse: answer => finish(endOfResponse(answer.status)),
+    onResponse: response => finish(endOfResponse(response.status)),
     onFailure: (_failure, reason) => finish({ end: 'interrupted', reason })
   })
   return {
--- a/packages/anvilarch-serving/src/runner/onlineUsage.ts
+++ b/packages/anvilarch-serving/src/runner/onlineUsage.ts
@@ -15,7 +15,7 @@
   online: () => number
 }
 
-/** A gateway that has sent no report for this long is considered dead, and its connections closed. */
+/** A gateway that has sent no report for this long is considered failed, and its connections closed. */
 const USAGE_TTL_MS = 3 * USAGE_REPORT_INTERVAL_MS
 
 interface GatewayUsage {
--- a/packages/anvilarch-serving/src/store/feedWait.ts
+++ b/packages/anvilarch-serving/src/store/feedWait.ts
@@ -18,7 +18,7 @@
 }
 
 /**
- * Computes the wait of a feed call. An outage may swallow a call that was sent just before its end. With this wait, the call times out
+ * Computes the wait of a feed call. An outage may lose a call that was sent just before its end. With this wait, the call times out
  * early enough for the next one to fetch all changes while the host still counts as out of contact.
  *
  * @param options - times of the deployment and of the client
--- a/packages/anvilarch-serving/src/telemetry/events.ts
+++ b/packages/anvilarch-serving/src/telemetry/events.ts
@@ -152,7 +152,7 @@
 /** Outcomes of the requests of a gateway in the last second, and the age of its configuration and endpoint list. */
 type TrafficFields = {
   arrived: number
-  /** Answered within their objectives. */
+  /** Completed within their objectives. */
   answered: number
   late: number
   refused: number
