--- a/packages/anvilarch-bench/src/clients/answer.ts
+++ b/packages/anvilarch-bench/src/clients/answer.ts
@@ -1,5 +1,5 @@
 /** What a client got for one request, and how error answers of a gateway are read. */
-import type { Ran } from 'anvilarch-utils'
+import type { RunStatus } from 'anvilarch-utils'
 
 /**
  * How a request ended at its client. `incomplete`: the answer broke off or came short. `wrong`: it was whole in form,
@@ -15,7 +15,7 @@
   /** Error code of the typed error, or the code of a socket error; empty for a completed answer. */
   code: string
   /** What the error said about whether the request ran. */
-  ran: Ran | ''
+  ran: RunStatus | ''
   /** Value of `Retry-After`; undefined when the answer carried none. */
   retryAfterMs: number | undefined
   firstTokenAtMs: number | undefined
@@ -36,7 +36,7 @@
 
 /** The typed error body of a gateway. */
 interface ErrorBody {
-  error?: { code?: string, message?: string, ran?: Ran, retry_after_ms?: number }
+  error?: { code?: string, message?: string, ran?: RunStatus, retry_after_ms?: number }
 }
 
 /** Header value by lower-case name, as undici gives it. */
--- a/packages/anvilarch-bench/src/soak/load/sendWhole.ts
+++ b/packages/anvilarch-bench/src/soak/load/sendWhole.ts
@@ -1,5 +1,5 @@
 /** One HTTP call whose answer is read whole. */
-import type { Ran } from 'anvilarch-utils'
+import type { RunStatus } from 'anvilarch-utils'
 import { errorAnswer } from '../../clients/answer'
 import type { Told } from '../types'
 import type { GatewayAddress, LoadContext } from './types'
@@ -19,7 +19,7 @@
   told: Told
   status: number
   code: string
-  ran: Ran | ''
+  ran: RunStatus | ''
   retryAfterMs: number | undefined
   text: string
   detail: string
--- a/packages/anvilarch-bench/src/soak/types.ts
+++ b/packages/anvilarch-bench/src/soak/types.ts
@@ -1,6 +1,6 @@
 /** What a soak run records: what callers were told, what was done to the system, and what the daemons showed. */
 import type { Execution } from 'anvilarch-standins'
-import type { Ran } from 'anvilarch-utils'
+import type { RunStatus } from 'anvilarch-utils'
 
 /** Kinds of calls that the load makes. */
 export type CallKind = 'stream' | 'chat' | 'lookup' | 'order' | 'keyed_order' | 'crashing'
@@ -28,7 +28,7 @@
   told: Told
   status: number
   code: string
-  ran: Ran | ''
+  ran: RunStatus | ''
   retryAfterMs: number | undefined
   fault: AnswerFault | undefined
   detail: string
@@ -50,7 +50,7 @@
   told: Told
   status: number
   code: string
-  ran: Ran | ''
+  ran: RunStatus | ''
   retryAfterMs: number | undefined
   jobId: string | undefined
 }
--- a/packages/anvilarch-daemon/src/agent/endpoints/httpExchange.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/httpExchange.ts
@@ -3,7 +3,7 @@
  * whether the request was handed to a connection before it failed.
  */
 import type { Dispatcher } from 'undici'
-import { type Clock, createSilenceWatch, isFramed } from 'anvilarch-utils'
+import { type Clock, createInactivityTimeout, isFramed } from 'anvilarch-utils'
 import type { EndpointCall, Headers } from '../../attempts/types'
 
 /** How an exchange ended. */
@@ -136,7 +136,7 @@
     onHead: given => { status = given },
     onData: data => { chunks.push(data) }
   }, options.clock)
-  const timer = createSilenceWatch({ clock: options.clock, boundMs: options.timeoutMs, onSilence: exchange.abort })
+  const timer = createInactivityTimeout({ clock: options.clock, timeoutMs: options.timeoutMs, onTimeout: exchange.abort })
   const end = await exchange.done
   timer.cancel()
   if (end.kind !== 'complete') return { failed: end }
--- a/packages/anvilarch-daemon/src/agent/endpoints/modelRun.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/modelRun.ts
@@ -6,7 +6,7 @@
  * or its own flag, and goes on by token offset: first by attaching to the engine's stream, and where the engine no
  * longer knows it by a new generation that continues the text so far. So the output has each token once.
  */
-import { invariant, type Ran } from 'anvilarch-utils'
+import { invariant, type RunStatus } from 'anvilarch-utils'
 import { createTranscript } from '../../attempts/output/transcript'
 import type { EndpointCall } from '../../attempts/types'
 import type { EndpointConnections } from './connections'
@@ -58,12 +58,12 @@
 
   const hasEnded = (): boolean => ended !== undefined
 
-  const end = (outcome: RunEnd['outcome'], ran: Ran, detail: string): RunEnd => {
+  const end = (outcome: RunEnd['outcome'], ran: RunStatus, detail: string): RunEnd => {
     ended ??= { outcome, ran, detail, outputTokens: produced().tokens }
     return ended
   }
 
-  const ranSoFar = (): Ran => {
+  const ranSoFar = (): RunStatus => {
     if (produced().tokens > 0) return 'ran'
     return anySent || connection?.exchange.sent() === true ? 'unknown' : 'not_run'
   }
--- a/packages/anvilarch-daemon/src/agent/endpoints/plainAdapter.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/plainAdapter.ts
@@ -1,6 +1,6 @@
 /** A plain HTTP server as an endpoint. */
 import { connect } from 'node:net'
-import { type Clock, createSilenceWatch } from 'anvilarch-utils'
+import { type Clock, createInactivityTimeout } from 'anvilarch-utils'
 import { createEndpointConnections } from './connections'
 import { startPlainRun } from './plainRun'
 import type { AdapterOptions, EndpointAdapter, ProbeResult } from './types'
@@ -31,7 +31,7 @@
       socket.destroy()
       resolve(result)
     }
-    const timer = createSilenceWatch({ clock, boundMs: timeoutMs, onSilence: () => { finish({ state: 'silent', detail: `no connection within ${timeoutMs} ms` }) } })
+    const timer = createInactivityTimeout({ clock, timeoutMs, onTimeout: () => { finish({ state: 'silent', detail: `no connection within ${timeoutMs} ms` }) } })
     socket.once('connect', () => { finish({ state: 'up', incarnation: '', models: [], fencingToken: 0 }) })
     socket.once('error', (error: NodeJS.ErrnoException) => { finish({ state: error.code === 'ECONNREFUSED' ? 'refused' : 'silent', detail: error.message }) })
   })
--- a/packages/anvilarch-daemon/src/agent/endpoints/plainRun.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/plainRun.ts
@@ -9,7 +9,7 @@
  * An idempotent call that stays silent is sent again beside the first one, since a silent connection and a slow
  * service look the same; the first answer counts.
  */
-import type { Clock, Ran } from 'anvilarch-utils'
+import type { Clock, RunStatus } from 'anvilarch-utils'
 import type { EndpointConnections } from './connections'
 import { type ExchangeEnd, type HttpExchange, openExchange } from './httpExchange'
 import type { AttemptCall, EndpointRun, EndpointVerdict, RunEnd, RunSink, StopReason } from './types'
@@ -45,7 +45,7 @@
   let resolveDone: (end: RunEnd) => void = () => {}
   const done = new Promise<RunEnd>(resolve => { resolveDone = resolve })
 
-  const finish = (outcome: RunEnd['outcome'], ran: Ran, detail: string): RunEnd => {
+  const finish = (outcome: RunEnd['outcome'], ran: RunStatus, detail: string): RunEnd => {
     if (ended !== undefined) return ended
     ended = { outcome, ran, detail, outputTokens: 0 }
     for (const exchange of open) exchange.abort()
@@ -53,7 +53,7 @@
     return ended
   }
 
-  const ranWithoutAnswer = (): Ran => anySent ? 'unknown' : 'not_run'
+  const ranWithoutAnswer = (): RunStatus => anySent ? 'unknown' : 'not_run'
 
   const win = (exchange: HttpExchange): boolean => {
     if (winner !== undefined) return winner === exchange
--- a/packages/anvilarch-daemon/src/agent/endpoints/types.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/types.ts
@@ -1,6 +1,6 @@
 /** What the agent asks of an endpoint, whatever its kind. */
 import type { AttemptOutcome, WorkClass } from 'anvilarch-protocol'
-import type { Clock, Ran } from 'anvilarch-utils'
+import type { Clock, RunStatus } from 'anvilarch-utils'
 import type { EndpointCall, Headers, OutputMode } from '../../attempts/types'
 
 /** One attempt as an endpoint adapter sees it. */
@@ -16,7 +16,7 @@
 /** How a run ended. */
 export interface RunEnd {
   outcome: AttemptOutcome
-  ran: Ran
+  ran: RunStatus
   detail: string
   outputTokens: number
 }
--- a/packages/anvilarch-daemon/src/agent/liveAttempt.ts
+++ b/packages/anvilarch-daemon/src/agent/liveAttempt.ts
@@ -1,13 +1,13 @@
 /** An attempt that this agent took in, with its output and its readers. */
 import type { AttemptOutcome, WorkClass } from 'anvilarch-protocol'
-import type { Ran } from 'anvilarch-utils'
+import type { RunStatus } from 'anvilarch-utils'
 import type { EndpointCall, Headers, OutputMode } from '../attempts/types'
 import type { OutputBuffer } from './outputBuffer'
 
 /** How an attempt ended, as its final frame says. */
 export interface AttemptEnd {
   outcome: AttemptOutcome
-  ran: Ran
+  ran: RunStatus
   detail: string
   retryAfterMs: number
   outputTokens: number
--- a/packages/anvilarch-daemon/src/attempts/__tests__/intentHistories.test.ts
+++ b/packages/anvilarch-daemon/src/attempts/__tests__/intentHistories.test.ts
@@ -1,4 +1,4 @@
-import { createFakeClock, type FakeClock, SILENT_LOGGER, AnvilarchError, type Ran } from 'anvilarch-utils'
+import { createFakeClock, type FakeClock, SILENT_LOGGER, AnvilarchError, type RunStatus } from 'anvilarch-utils'
 import fc from 'fast-check'
 import { createMemoryTable, type MemoryTable } from '../__fixtures__/memoryTable'
 import { createTestContext } from '../__fixtures__/testContext'
@@ -75,7 +75,7 @@
 }
 
 const answered = (call: Call): WorkResult => ({ outcome: 'completed', status: 200, headers: {}, body: Buffer.from(`${call.key} ${call.body}`), attempts: 1, outputTokens: 0, takenBy: [] })
-const failed = (ran: Ran) => (): WorkResult => ({ outcome: 'failed', attempts: 1, takenBy: [], error: new AnvilarchError('x', { code: 'unavailable', step: 's', ran }) })
+const failed = (ran: RunStatus) => (): WorkResult => ({ outcome: 'failed', attempts: 1, takenBy: [], error: new AnvilarchError('x', { code: 'unavailable', step: 's', ran }) })
 
 const ACTIONS: Record<string, (world: World, at: number) => Promise<void> | void> = {
   call: (world, at) => { world.call(at) },
--- a/packages/anvilarch-daemon/src/attempts/attemptLedger.ts
+++ b/packages/anvilarch-daemon/src/attempts/attemptLedger.ts
@@ -2,7 +2,7 @@
  * Keeps account of a request's attempts apart from the machine that decides on them, so that a fault of the machine is
  * noticed before a caller is told something untrue.
  */
-import { invariant, type Ran } from 'anvilarch-utils'
+import { invariant, type RunStatus } from 'anvilarch-utils'
 import type { AttemptState, RequestEvent } from './machine/types'
 
 /** Account of one request. */
@@ -12,7 +12,7 @@
   event: (event: RequestEvent, attempt: AttemptState) => void
   /** Bytes go to the caller. */
   output: (attempt: AttemptState, sizeBytes: number) => void
-  ended: (ran: Ran) => void
+  ended: (ran: RunStatus) => void
 }
 
 /** What is known of one attempt. */
--- a/packages/anvilarch-daemon/src/attempts/attemptReader.ts
+++ b/packages/anvilarch-daemon/src/attempts/attemptReader.ts
@@ -1,6 +1,6 @@
 /** Reads the stream of one attempt after the other, and notices silence. */
 import type { AttemptFrame } from 'anvilarch-protocol'
-import { type Clock, createSilenceWatch, type SilenceWatch, type Timer } from 'anvilarch-utils'
+import { type Clock, createInactivityTimeout, type InactivityTimeout, type Timer } from 'anvilarch-utils'
 import { wasNeverSent } from '../peers/connectErrors'
 import type { RequestEvent } from './machine/types'
 
@@ -36,7 +36,7 @@
   stream: number
   abort: AbortController
   /** Watches for silence from the moment of the call on. */
-  silence: SilenceWatch | undefined
+  silence: InactivityTimeout | undefined
   /** The caller does not take more. A stream that this side leaves unread is not silent. */
   stalled: boolean
   /** Its last frame has come; it ends by itself. */
@@ -67,24 +67,24 @@
     else open.abort.abort()
   }
 
-  const watch = (open: OpenStream, firstFrameMs: number): SilenceWatch => createSilenceWatch({
+  const watch = (open: OpenStream, firstFrameMs: number): InactivityTimeout => createInactivityTimeout({
     clock,
-    boundMs: Math.min(firstFrameMs, silenceMs),
-    isHeldBack: () => open.stalled,
-    onSilence: () => { options.onEvent({ kind: 'silence', stream: open.stream }) },
-    onOwnPause: options.onOwnPause
+    timeoutMs: Math.min(firstFrameMs, silenceMs),
+    isReadingPaused: () => open.stalled,
+    onTimeout: () => { options.onEvent({ kind: 'silence', stream: open.stream }) },
+    onProcessPause: options.onOwnPause
   })
 
   const take = async (open: OpenStream, frame: AttemptFrame): Promise<void> => {
-    open.silence?.heard()
-    open.silence?.setBoundMs(silenceMs)
+    open.silence?.recordActivity()
+    open.silence?.setTimeoutMs(silenceMs)
     open.finished = LAST_FRAMES.has(frame.kind.case)
     const pending = options.onFrame(frame, open.stream)
     if (pending === undefined) return
     open.stalled = true
     await pending
     open.stalled = false
-    open.silence?.heard()
+    open.silence?.recordActivity()
   }
 
   const read = async (open: OpenStream, frames: AsyncIterable<AttemptFrame>): Promise<void> => {
--- a/packages/anvilarch-daemon/src/attempts/frameEvents.ts
+++ b/packages/anvilarch-daemon/src/attempts/frameEvents.ts
@@ -1,6 +1,6 @@
 /** Turns the frames of an attempt into events of the request machine. */
 import { ATTEMPT_OUTCOMES, type AttemptFrame, type AttemptOutcome, type Final, type HttpHeader, type RefusalReason } from 'anvilarch-protocol'
-import type { Ran } from 'anvilarch-utils'
+import type { RunStatus } from 'anvilarch-utils'
 import { REFUSALS } from './machine/refusals'
 import type { FinalReport, RequestEvent } from './machine/types'
 import type { Headers } from './types'
@@ -58,7 +58,7 @@
   return (ATTEMPT_OUTCOMES as readonly string[]).includes(outcome) ? outcome as AttemptOutcome : 'lost'
 }
 
-function knownRan (ran: string): Ran {
+function knownRan (ran: string): RunStatus {
   return ran === 'not_run' || ran === 'ran' ? ran : 'unknown'
 }
 
--- a/packages/anvilarch-daemon/src/attempts/intents/types.ts
+++ b/packages/anvilarch-daemon/src/attempts/intents/types.ts
@@ -1,5 +1,5 @@
 /** Calls that run at most once under a key that their caller chose. */
-import type { AnvilarchError, ErrorCode, Ran } from 'anvilarch-utils'
+import type { AnvilarchError, ErrorCode, RunStatus } from 'anvilarch-utils'
 import type { Headers, WorkResult } from '../types'
 
 /** One call with an `Idempotency-Key`. */
@@ -17,7 +17,7 @@
 export type RecordedEnd =
   | { kind: 'answer', status: number, headers: Headers, bodyBase64: string }
   | { kind: 'answer_too_large', status: number, sizeBytes: number }
-  | { kind: 'error', code: ErrorCode, message: string, step: string, ran: Ran }
+  | { kind: 'error', code: ErrorCode, message: string, step: string, ran: RunStatus }
 
 /** Value of a row `intent/<caller>/<key>`. */
 export interface IntentRow {
--- a/packages/anvilarch-daemon/src/attempts/machine/finals.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/finals.ts
@@ -1,6 +1,6 @@
 /** What follows when an agent reports that an attempt ended without its whole answer. */
 import type { AttemptOutcome } from 'anvilarch-protocol'
-import type { ErrorCode, Ran } from 'anvilarch-utils'
+import type { ErrorCode, RunStatus } from 'anvilarch-utils'
 import { combineRan, endFailed, ranOfAttempt } from './ending'
 import { CRASHES_BESIDE_OTHERS, MAX_CRASHES, MAX_FREE_RETRIES } from './limits'
 import { afterAttempt, againUnrefused, type AttemptFailure, quarantinedFailure } from './nextAttempt'
@@ -98,6 +98,6 @@
 }
 
 /** An answer that was seen outweighs a report that nothing ran. */
-function ranOfFinal (attempt: AttemptState, final: FinalReport): Ran {
+function ranOfFinal (attempt: AttemptState, final: FinalReport): RunStatus {
   return ranOfAttempt(attempt) === 'ran' ? 'ran' : final.ran
 }
--- a/packages/anvilarch-daemon/src/attempts/machine/frames.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/frames.ts
@@ -1,5 +1,5 @@
 /** What each frame of an attempt leads to. */
-import { invariant, type Ran } from 'anvilarch-utils'
+import { invariant, type RunStatus } from 'anvilarch-utils'
 import { endCompleted, ranOfAttempt } from './ending'
 import { onCrash, onFailedFinal } from './finals'
 import { afterAttempt, type AttemptFailure } from './nextAttempt'
@@ -48,7 +48,7 @@
  * A refused start never runs. A resumption that is refused as `barred` proves the same, but only while the agent can't
  * have run and forgotten the attempt; any other refused resumption leaves open what became of it.
  */
-function ranAfterRefusal (attempt: AttemptState, event: EventOf<'refused'>, input: StepInput): Ran {
+function ranAfterRefusal (attempt: AttemptState, event: EventOf<'refused'>, input: StepInput): RunStatus {
   if (!attempt.resuming && !attempt.accepted) return 'not_run'
   const soon = input.nowMs - attempt.sentMs < BAR_PROOF_WINDOW_MS
   if (event.reason === 'barred' && !attempt.accepted && soon) return 'not_run'
--- a/packages/anvilarch-daemon/src/attempts/machine/nextAttempt.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/nextAttempt.ts
@@ -1,5 +1,5 @@
 /** Decides what follows when an attempt did not bring the whole answer. */
-import type { Ran } from 'anvilarch-utils'
+import type { RunStatus } from 'anvilarch-utils'
 import { combineRan, endFailed } from './ending'
 import { DEFAULT_RETRY_AFTER_MS, MAX_ATTEMPTS, MAX_FREE_RETRIES } from './limits'
 import type { Failure, RequestCommand, RequestState, Step, StepInput } from './types'
@@ -7,7 +7,7 @@
 /** How an attempt failed. */
 export interface AttemptFailure extends Failure {
   /** Whether the attempt ran. */
-  ran: Ran
+  ran: RunStatus
   /** Going elsewhere costs no more than a round trip, so the first few take nothing from the retry budget. */
   free?: boolean
   /** Whether the endpoint may be asked again; a crashed or lost one only after the directory has heard of it again. */
@@ -84,7 +84,7 @@
 }
 
 /** A call that is not idempotent and may have run must not be sent again, by whoever reads the code of the error. */
-function unknownOr (ran: Ran, failed: AttemptFailure): Failure['code'] {
+function unknownOr (ran: RunStatus, failed: AttemptFailure): Failure['code'] {
   return ran === 'unknown' ? 'outcome_unknown' : failed.code
 }
 
--- a/packages/anvilarch-daemon/src/attempts/machine/types.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/types.ts
@@ -1,6 +1,6 @@
 /** State, events and commands of the life of one request. The machine is pure: sockets and timers belong to its driver. */
 import type { AttemptOutcome, RefusalReason } from 'anvilarch-protocol'
-import type { ErrorCode, Ran } from 'anvilarch-utils'
+import type { ErrorCode, RunStatus } from 'anvilarch-utils'
 import type { Target } from '../../routing/types'
 import type { Headers } from '../types'
 
@@ -58,7 +58,7 @@
   /** Whether an agent had taken one of its attempts, be it only to its queue. */
   taken: boolean
   /** What is proved of all attempts before the present one. */
-  ran: Ran
+  ran: RunStatus
   /** Goes elsewhere that took nothing from the retry budget. */
   freeRetries: number
   crashes: number
@@ -107,7 +107,7 @@
 export interface FinalReport {
   outcome: AttemptOutcome
   totalBytes: number
-  ran: Ran
+  ran: RunStatus
   detail: string
   retryAfterMs: number
   outputTokens: number
@@ -119,7 +119,7 @@
 /** How a request ended, as far as the machine knows. The driver adds status, headers and body. */
 export type RequestEnd =
   | { outcome: 'completed', outputTokens: number }
-  | { outcome: 'failed', ran: Ran, failure: Failure }
+  | { outcome: 'failed', ran: RunStatus, failure: Failure }
 
 /** Something for the driver to do. */
 export type RequestCommand =
--- a/packages/anvilarch-daemon/src/callers/__tests__/brokenAnswers.test.ts
+++ b/packages/anvilarch-daemon/src/callers/__tests__/brokenAnswers.test.ts
@@ -1,6 +1,6 @@
 import { createServer } from 'node:http'
 import { type AddressInfo, connect } from 'node:net'
-import { cutAnswer } from 'anvilarch-utils'
+import { abortResponse } from 'anvilarch-utils'
 import type { FakeAgentOptions } from '../../attempts/__fixtures__/fakeAgent'
 import { startTestGateway, type TestGateway } from '../../attempts/__fixtures__/testGateway'
 
@@ -66,7 +66,7 @@
   })
 })
 
-describe('cutAnswer', () => {
+describe('abortResponse', () => {
   // Guards against this: a reset drops bytes of an answer that are on their way, though its caller needs no reset to see that it is cut.
   it.each([
     ['1.0', {}, 'ECONNRESET'],
@@ -78,7 +78,7 @@
     const server = createServer((_request, response) => {
       for (const [name, value] of Object.entries(headers)) response.setHeader(name, value)
       response.write('half')
-      cut = () => { cutAnswer(response) }
+      cut = () => { abortResponse(response) }
     })
     await new Promise<void>(resolve => { server.listen(0, '127.0.0.1', resolve) })
     const { text, ending } = await readFrom((server.address() as AddressInfo).port, `GET / HTTP/${version}\r\nhost: x\r\n\r\n`, () => { cut() })
--- a/packages/anvilarch-daemon/src/callers/callersServer.ts
+++ b/packages/anvilarch-daemon/src/callers/callersServer.ts
@@ -1,7 +1,7 @@
 /** The HTTP server towards callers, with its graceful shutdown. */
 import { createServer, type Server } from 'node:http'
 import type { AddressInfo } from 'node:net'
-import { cutAnswer, type LifecycleManager, sleep } from 'anvilarch-utils'
+import { abortResponse, type LifecycleManager, sleep } from 'anvilarch-utils'
 import { createIntentKeeper } from '../attempts/intents/intentKeeper'
 import { startIntentSweep } from '../attempts/intents/intentSweep'
 import type { RequestRunner } from '../attempts/types'
@@ -70,7 +70,7 @@
     isDraining: () => draining !== undefined
   }
   const server = createServer({ keepAliveTimeout: KEEP_ALIVE_MS, requestTimeout: UPLOAD_TIMEOUT_MS }, (request, response) => {
-    handleRequest(parts, request, response).catch(() => { cutAnswer(response) })
+    handleRequest(parts, request, response).catch(() => { abortResponse(response) })
   })
   answerClientErrors(server)
   const closer = createGracefulCloser(server, context.clock)
--- a/packages/anvilarch-daemon/src/callers/completions/completionRoutes.ts
+++ b/packages/anvilarch-daemon/src/callers/completions/completionRoutes.ts
@@ -1,5 +1,5 @@
 /** The completion routes of the OpenAI-style API. */
-import { cutAnswer } from 'anvilarch-utils'
+import { abortResponse } from 'anvilarch-utils'
 import type { WorkResult } from '../../attempts/types'
 import { errorBody } from '../http/errorResponse'
 import { createAnswerSink } from '../http/answerSink'
@@ -55,7 +55,7 @@
   if (result.outcome === 'failed') {
     if (!sink.started()) throw result.error
     if (!sink.isEvents()) {
-      cutAnswer(response)
+      abortResponse(response)
       return
     }
     response.write(`data: ${JSON.stringify(errorBody(result.error, requestId))}\n\n`)
--- a/packages/anvilarch-daemon/src/callers/handleRequest.ts
+++ b/packages/anvilarch-daemon/src/callers/handleRequest.ts
@@ -1,6 +1,6 @@
 /** Takes one HTTP request from its arrival to its answer. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
-import { cutAnswer, toAnvilarchError } from 'anvilarch-utils'
+import { abortResponse, toAnvilarchError } from 'anvilarch-utils'
 import type { DaemonContext } from '../context'
 import type { DispatchTable } from './dispatchTable'
 import { sendError } from './http/errorResponse'
@@ -90,7 +90,7 @@
   if (typed.code === 'internal') parts.context.logger.error('a request failed in the gateway', { requestId, error: describe(error) })
   parts.context.metrics.refusals.inc({ class: 'front', reason: typed.code })
   if (response.headersSent || response.destroyed) {
-    cutAnswer(response)
+    abortResponse(response)
     return
   }
   if (error instanceof MethodNotAllowed) response.setHeader('allow', error.allowed.join(', '))
--- a/packages/anvilarch-daemon/src/callers/http/answerSink.ts
+++ b/packages/anvilarch-daemon/src/callers/http/answerSink.ts
@@ -1,6 +1,6 @@
 /** Writes an answer to a caller as it comes, at the pace at which the caller reads. */
 import type { ServerResponse } from 'node:http'
-import { type Clock, cutAnswer } from 'anvilarch-utils'
+import { type Clock, abortResponse } from 'anvilarch-utils'
 import type { Headers, WorkSink } from '../../attempts/types'
 import { toCaller } from './forwardedHeaders'
 
@@ -60,7 +60,7 @@
       resolve()
     }
     const timer = clock.after(stallMs, () => {
-      cutAnswer(response)
+      abortResponse(response)
       finish()
     })
     response.once('drain', finish)
--- a/packages/anvilarch-daemon/src/callers/http/gracefulClose.ts
+++ b/packages/anvilarch-daemon/src/callers/http/gracefulClose.ts
@@ -1,7 +1,7 @@
 /** Closes an HTTP server without cutting a request. */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { Socket } from 'node:net'
-import { type Clock, endsWithConnection, sleep } from 'anvilarch-utils'
+import { type Clock, isCloseDelimited, sleep } from 'anvilarch-utils'
 
 /** Closes one server. */
 export interface GracefulCloser {
@@ -59,7 +59,7 @@
 
   const cutAll = (): void => {
     for (const [socket, response] of sockets) {
-      if (response !== undefined && !response.writableFinished && endsWithConnection(response)) socket.resetAndDestroy()
+      if (response !== undefined && !response.writableFinished && isCloseDelimited(response)) socket.resetAndDestroy()
       else socket.destroy()
     }
   }
--- a/packages/anvilarch-daemon/src/callers/plain/plainRoutes.ts
+++ b/packages/anvilarch-daemon/src/callers/plain/plainRoutes.ts
@@ -1,7 +1,7 @@
 /** Passes calls through to plain services. */
 import { createHash } from 'node:crypto'
 import type { PlainRoute } from 'anvilarch-configuration'
-import { cutAnswer } from 'anvilarch-utils'
+import { abortResponse } from 'anvilarch-utils'
 import type { WorkRequest } from '../../attempts/types'
 import { createAnswerSink } from '../http/answerSink'
 import { toEndpoint } from '../http/forwardedHeaders'
@@ -49,7 +49,7 @@
     response.end()
   } else if (sink.started()) {
     // The length of the answer is known to the caller only by its end, so a cut connection is the one sign of a failure.
-    cutAnswer(response)
+    abortResponse(response)
   } else {
     throw result.error
   }
--- a/packages/anvilarch-daemon/src/jobs/resultContent.ts
+++ b/packages/anvilarch-daemon/src/jobs/resultContent.ts
@@ -2,7 +2,7 @@
 import { once } from 'node:events'
 import type { ServerResponse } from 'node:http'
 import { OBJECT_NAMES, ROW_KEYS } from 'anvilarch-protocol'
-import { AnvilarchError, cutAnswer, invariant } from 'anvilarch-utils'
+import { AnvilarchError, abortResponse, invariant } from 'anvilarch-utils'
 import type { DaemonContext } from '../context'
 import { partRows } from './readJob'
 import { type FileRow, type JobRow, parseRow, type PartRow, type ResultKind } from './rows'
@@ -94,7 +94,7 @@
     }
   } catch (error) {
     if (!response.headersSent) throw error
-    cutAnswer(response)
+    abortResponse(response)
     return
   }
   if (!response.headersSent) response.writeHead(200, { 'content-type': CONTENT_TYPE, ...headers })
--- a/packages/anvilarch-daemon/src/platform/http/httpCaller.ts
+++ b/packages/anvilarch-daemon/src/platform/http/httpCaller.ts
@@ -1,6 +1,6 @@
 /** Calls to one service of the platform, each bounded in time, counted, and with typed errors. */
 import { Pool } from 'undici'
-import { AnvilarchError, type Clock, type Ran, createSilenceWatch, isFramed } from 'anvilarch-utils'
+import { AnvilarchError, type Clock, type RunStatus, createInactivityTimeout, isFramed } from 'anvilarch-utils'
 import type { Metrics } from '../../metrics/types'
 
 /** Options of `createHttpCaller`. */
@@ -99,10 +99,10 @@
     call.signal?.addEventListener('abort', forward, { once: true })
     if (call.signal?.aborted === true) forward()
     let timedOut = false
-    const timer = createSilenceWatch({
+    const timer = createInactivityTimeout({
       clock: options.clock,
-      boundMs: options.timeoutMs,
-      onSilence: () => {
+      timeoutMs: options.timeoutMs,
+      onTimeout: () => {
         timedOut = true
         controller.abort()
       }
@@ -151,7 +151,7 @@
 }
 
 /** Whether the service may have done what was asked, though no good answer came. */
-function ranOf (error: unknown, outcome: string): Ran {
+function ranOf (error: unknown, outcome: string): RunStatus {
   if (outcome === 'timeout' || outcome === 'aborted') return 'unknown'
   if (error instanceof UnexpectedStatusError) {
     return error.status === STATUS_UNAVAILABLE || error.status === STATUS_TOO_MANY_REQUESTS ? 'not_run' : 'unknown'
--- a/packages/anvilarch-serving/src/accounts/limits/meterGateways.ts
+++ b/packages/anvilarch-serving/src/accounts/limits/meterGateways.ts
@@ -27,7 +27,7 @@
  *
  * @param gateways - gateways that may keep meters
  * @param accountName - name of the meter's account
- * @returns home and deputy, as far as there are enough gateways
+ * @returns the first two choices, home and deputy, or as many as there are gateways
  */
 export function selectMeterGateways (gateways: readonly MeterGateway[], accountName: string): MeterGateway[] {
   let home: { gateway: MeterGateway, weight: number } | undefined
--- a/packages/anvilarch-serving/src/requests/requestCompletion.ts
+++ b/packages/anvilarch-serving/src/requests/requestCompletion.ts
@@ -1,5 +1,5 @@
 /** Ends a client request exactly once: its response, its metrics and its log line. */
-import { cutAnswer } from 'anvilarch-utils'
+import { abortResponse } from 'anvilarch-utils'
 import { accountNameOf } from '../accounts/types'
 import { type DrainState, type GatewayResponse, sendGatewayResponse } from './clientResponse'
 import type { ClientRequest, ForwardParts, RequestState } from './forwardTypes'
@@ -105,7 +105,7 @@
   }
 
   const abortConnection = (reason: string): void => {
-    if (finish('broken_off', { reason, answerEnd: endForClient('cut') })) cutAnswer(response)
+    if (finish('broken_off', { reason, answerEnd: endForClient('cut') })) abortResponse(response)
   }
 
   return {
--- a/packages/anvilarch-serving/src/requests/sendAttempts.ts
+++ b/packages/anvilarch-serving/src/requests/sendAttempts.ts
@@ -1,5 +1,5 @@
 /** Sends one request to endpoints, one after another, until one responds or no further send is allowed. */
-import { createSilenceWatch, type SilenceWatch } from 'anvilarch-utils'
+import { createInactivityTimeout, type InactivityTimeout } from 'anvilarch-utils'
 import { forwardedCallerOf } from '../accounts/types'
 import type { Endpoint } from '../model/types'
 import { createAttemptLog } from './attemptLog'
@@ -51,7 +51,7 @@
   const attemptLog = createAttemptLog(parts, client, state)
   const { route, response, metadata } = client
   let running: Running | undefined
-  let responseTimeout: SilenceWatch | undefined
+  let responseTimeout: InactivityTimeout | undefined
   let lastEventAtMs: number | undefined
   /** Time of the send in progress; undefined after its first event or its response. */
   let sentAtMs: number | undefined
@@ -138,9 +138,9 @@
   const restartResponseTimeout = (endpoint: Endpoint): void => {
     if (!isRetryable(route) || state.attemptsThatMayHaveRun + 1 >= route.maxAttempts) return
     const boundMs = responseTimeoutMs(route, state.responseStarted)
-    responseTimeout ??= createSilenceWatch({ clock, boundMs, onSilence: () => onResponseTimeout(endpoint), onOwnPause: lateMs => onProcessPause(endpoint, lateMs) })
-    responseTimeout.heard()
-    responseTimeout.setBoundMs(boundMs)
+    responseTimeout ??= createInactivityTimeout({ clock, timeoutMs: boundMs, onTimeout: () => onResponseTimeout(endpoint), onProcessPause: lateMs => onProcessPause(endpoint, lateMs) })
+    responseTimeout.recordActivity()
+    responseTimeout.setTimeoutMs(boundMs)
   }
 
   /** Handles the response of an endpoint that failed, or that sent a buffered response when a stream was to be resumed. */
--- a/packages/anvilarch-serving/src/roles/__tests__/clientServer.test.ts
+++ b/packages/anvilarch-serving/src/roles/__tests__/clientServer.test.ts
@@ -1,7 +1,7 @@
 import { once } from 'node:events'
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { type AddressInfo, connect, type Socket } from 'node:net'
-import { createSystemClock, cutAnswer, SILENT_LOGGER } from 'anvilarch-utils'
+import { createSystemClock, abortResponse, SILENT_LOGGER } from 'anvilarch-utils'
 import type { EventLog } from '../../telemetry/events'
 import { type ClientServer, createClientServer } from '../clientServer'
 
@@ -66,7 +66,7 @@
     onHandled = (path, response) => {
       if (path === '/1') return
       response.write('half of the second')
-      cutAnswer(response)
+      abortResponse(response)
     }
     const { received, closed } = await openClient('/1', '/2')
     handled[0].response.end('first')
--- a/packages/anvilarch-serving/src/roles/agentRole.ts
+++ b/packages/anvilarch-serving/src/roles/agentRole.ts
@@ -11,7 +11,7 @@
 import { createRunTimeEstimator } from '../runner/runTimeEstimator'
 import { followPlatform } from './followPlatform'
 import type { EngineReport, EngineWire, RoleContext, RunningRole } from './types'
-import { type Clock, createSilenceWatch } from 'anvilarch-utils'
+import { type Clock, createInactivityTimeout } from 'anvilarch-utils'
 import { once } from './once'
 
 /** The engine is on the same host; an engine that takes longer to report is down or unresponsive. */
@@ -115,10 +115,10 @@
       onComplete: () => settle(status === 200 ? wire.decodeReport(Buffer.concat(chunks)) : undefined),
       onFailure: () => settle(undefined)
     })
-    const timeout = createSilenceWatch({
+    const timeout = createInactivityTimeout({
       clock,
-      boundMs: REPORT_TIMEOUT_MS,
-      onSilence: () => {
+      timeoutMs: REPORT_TIMEOUT_MS,
+      onTimeout: () => {
         exchange.abort()
         settle(undefined)
       }
--- a/packages/anvilarch-serving/src/roles/clientServer.ts
+++ b/packages/anvilarch-serving/src/roles/clientServer.ts
@@ -1,7 +1,7 @@
 /** HTTP server for clients: limits the size and duration of request heads and rejects bytes that do not form a request. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { Socket } from 'node:net'
-import { type Clock, cutAnswer } from 'anvilarch-utils'
+import { type Clock, abortResponse } from 'anvilarch-utils'
 import type { ClientLimits } from '../model/types'
 import type { EventLog } from '../telemetry/events'
 
@@ -98,7 +98,7 @@
 }
 
 function cutUnfinishedResponse (response: ServerResponse): void {
-  if (!response.writableEnded) cutAnswer(response)
+  if (!response.writableEnded) abortResponse(response)
 }
 
 /**
--- a/packages/anvilarch-serving/src/runner/__fixtures__/runnerFleet.ts
+++ b/packages/anvilarch-serving/src/runner/__fixtures__/runnerFleet.ts
@@ -59,7 +59,7 @@
   clearFaults: () => void
   results: () => Promise<JobResult[]>
   expectedText: (itemId: string) => string
-  /** Statuses that engines sent in place of a stream, by item. */
+  /** Error statuses, 500 or 422, that engines sent in place of a stream, by item. */
   statuses: Map<string, number[]>
   close: () => void
 }
--- a/packages/anvilarch-serving/src/runner/itemLifecycle.ts
+++ b/packages/anvilarch-serving/src/runner/itemLifecycle.ts
@@ -62,7 +62,7 @@
 type FinalEnd = Exclude<RunEnd, { end: 'interrupted' }>
 
 /** @returns whether the store has responded recently enough to start items based on its data */
-export function isWorkFresh (parts: Pick<ItemLifecycleParts, 'clock' | 'store'>): boolean {
+export function hasRecentStoreResponse (parts: Pick<ItemLifecycleParts, 'clock' | 'store'>): boolean {
   return parts.clock.nowMs() - (parts.store.lastSuccessMs() ?? -Infinity) < MAX_WORK_AGE_MS
 }
 
@@ -201,7 +201,7 @@
       return
     }
     const endpoint = parts.engine.current()
-    if (item === undefined || endpoint?.state !== 'ready' || !isWorkFresh(parts) || parts.stopping.aborted) {
+    if (item === undefined || endpoint?.state !== 'ready' || !hasRecentStoreResponse(parts) || parts.stopping.aborted) {
       entry.state = 'paused'
       return
     }
--- a/packages/anvilarch-serving/src/runner/itemRun.ts
+++ b/packages/anvilarch-serving/src/runner/itemRun.ts
@@ -1,5 +1,5 @@
 /** Runs one item at the local engine, starting after the last event that it has produced. */
-import { type Clock, createSilenceWatch } from 'anvilarch-utils'
+import { type Clock, createInactivityTimeout } from 'anvilarch-utils'
 import type { Pool } from '../endpoints/httpPool'
 import type { JobItem } from '../jobs/types'
 import { type Attempt, startAttempt } from '../requests/runAttempt'
@@ -57,10 +57,10 @@
     eventTimeout.cancel()
     options.onEnd(end)
   }
-  const eventTimeout = createSilenceWatch({
+  const eventTimeout = createInactivityTimeout({
     clock,
-    boundMs: EVENT_TIMEOUT_MS,
-    onSilence: () => {
+    timeoutMs: EVENT_TIMEOUT_MS,
+    onTimeout: () => {
       attempt.abort()
       finish({ end: 'interrupted', reason: 'silent' })
     }
@@ -84,9 +84,9 @@
     streams: true,
     afterEventId: text.lastEventId,
     resumable: true,
-    onHead: eventTimeout.heard,
+    onHead: eventTimeout.recordActivity,
     onEvent: (_bytes, id, data) => {
-      eventTimeout.heard()
+      eventTimeout.recordActivity()
       // Ignores a block that holds only comments.
       if (id === undefined) return
       text.lastEventId = id
--- a/packages/anvilarch-serving/src/runner/slotScheduler.ts
+++ b/packages/anvilarch-serving/src/runner/slotScheduler.ts
@@ -4,7 +4,7 @@
 import type { EngineReport } from '../roles/types'
 import type { ClaimedItem } from './claimedItems'
 import { chooseItems, hasTightDeadline, itemSortKey } from './itemChoice'
-import { isWorkFresh } from './itemLifecycle'
+import { hasRecentStoreResponse } from './itemLifecycle'
 import { countToStart, countToPreempt, planBatchSlots, countUnreported } from './slotPlan'
 import type { RunnerParts, RunnerState } from './types'
 
@@ -80,7 +80,7 @@
       hasUnfilledSlots = false
       const online = Math.max(0, report.running + report.waiting - running.length)
       if (plan.preempt > 0) preemptItems(plan.preempt)
-      if (plan.start > 0 && endpoint.state === 'ready' && isWorkFresh(parts)) startItems(plan.start, online)
+      if (plan.start > 0 && endpoint.state === 'ready' && hasRecentStoreResponse(parts)) startItems(plan.start, online)
     },
     hasUnfilledSlots: () => hasUnfilledSlots,
     onOnlineIncrease: (online, endpoint) => {
--- a/packages/anvilarch-serving/src/store/__tests__/transport.test.ts
+++ b/packages/anvilarch-serving/src/store/__tests__/transport.test.ts
@@ -198,7 +198,7 @@
   })
 })
 
-/** @returns the outcome of a partial response that ends with its connection */
+/** @returns the outcome of a response that is cut after its first half and ends with its connection */
 async function unframedResponse (status: number): Promise<StoreResponse> {
   const server = createServer((_request, response) => {
     response.shouldKeepAlive = false
--- a/packages/anvilarch-serving/src/store/transport.ts
+++ b/packages/anvilarch-serving/src/store/transport.ts
@@ -1,5 +1,5 @@
 /** Sends calls to the metadata store, directly or through a peer daemon that the store still serves. */
-import { type Clock, createSilenceWatch, isFramed, type Random } from 'anvilarch-utils'
+import { type Clock, createInactivityTimeout, isFramed, type Random } from 'anvilarch-utils'
 import { startExchange } from '../endpoints/exchange'
 import { createPool, type Pool } from '../endpoints/httpPool'
 import type { EventLog } from '../telemetry/events'
@@ -90,15 +90,15 @@
       onComplete: () => settle({ outcome: 'answered', status, body: Buffer.concat(chunks), readAfterPause }),
       onFailure: failure => settle({ outcome: failure.notSent ? 'not_done' : 'no_answer', reason: failure.reason })
     })
-    const timeout = createSilenceWatch({
+    const timeout = createInactivityTimeout({
       clock,
-      boundMs: call.timeoutMs,
-      onSilence: () => {
+      timeoutMs: call.timeoutMs,
+      onTimeout: () => {
         exchange.abort()
         replacePool(pool)
         settle({ outcome: 'no_answer', reason: 'timeout' })
       },
-      onOwnPause: () => { readAfterPause = true }
+      onProcessPause: () => { readAfterPause = true }
     })
     call.signal?.addEventListener('abort', onAbort, { once: true })
   })
--- a/packages/anvilarch-utils/src/__tests__/framing.test.ts
+++ b/packages/anvilarch-utils/src/__tests__/framing.test.ts
@@ -9,11 +9,11 @@
     [200, { 'transfer-encoding': 'gzip,  Chunked ' }],
     [204, {}],
     [304, { 'transfer-encoding': 'gzip' }]
-  ])('sees the end of status %d with %j', (status, headers) => {
+  ])('detects the end of a response with status %d and headers %j', (status, headers) => {
     expect(framed(status, headers)).toBe(true)
   })
 
-  // Guards against this: an answer that ends with its connection is taken for whole after it was cut.
+  // Guards against truncated close-delimited responses that are taken for complete.
   it.each([
     [200, {}],
     [206, {}],
@@ -23,7 +23,7 @@
     [200, { 'transfer-encoding': 'xchunked' }],
     [200, { 'transfer-encoding': '' }],
     [200, { 'transfer-encoding': 'gzip', 'content-length': '4' }]
-  ])('does not see the end of status %d with %j', (status, headers) => {
+  ])('does not detect the end of a response with status %d and headers %j', (status, headers) => {
     expect(framed(status, headers)).toBe(false)
   })
 })
--- a/packages/anvilarch-utils/src/__tests__/invariant.test.ts
+++ b/packages/anvilarch-utils/src/__tests__/invariant.test.ts
@@ -1,7 +1,7 @@
 import { afterViolation, invariant, InvariantViolation, onViolation } from '../invariant'
 
 describe('invariant', () => {
-  it('tells listeners of a violation and throws', () => {
+  it('calls the listeners on a violation and throws', () => {
     const seen: string[] = []
     const unsubscribe = onViolation((name, detail) => seen.push(`${name}: ${detail}`))
     expect(() => invariant(false, 'version_grows', () => 'from 5 to 4')).toThrow(InvariantViolation)
@@ -15,12 +15,12 @@
 })
 
 describe('afterViolation', () => {
-  // Guards against this: a daemon under test ended with the exit code of a violation and left no line in its log.
-  test('tells what ends the process last, whenever it was added', () => {
-    const told: string[] = []
-    const remove = [afterViolation(() => { told.push('end') }), onViolation(() => { told.push('log') })]
+  // Guards against a daemon that exits on a violation before its log line is written.
+  test('calls its listeners last, whenever they were added', () => {
+    const called: string[] = []
+    const remove = [afterViolation(() => { called.push('end') }), onViolation(() => { called.push('log') })]
     expect(() => { invariant(false, 'some_name', () => 'found') }).toThrow('some_name')
     for (const undo of remove) undo()
-    expect(told).toEqual(['log', 'end'])
+    expect(called).toEqual(['log', 'end'])
   })
 })
--- a/packages/anvilarch-utils/src/__tests__/mailbox.test.ts
+++ b/packages/anvilarch-utils/src/__tests__/mailbox.test.ts
@@ -18,7 +18,7 @@
     expect(steps).toEqual(['begin a', 'end a', 'begin b', 'end b'])
   })
 
-  it('refuses a message above its capacity and after it is closed', async () => {
+  it('rejects messages above its capacity and after it is closed', async () => {
     const mailbox = createMailbox<number>({ capacity: 1, handle: () => {}, onError: () => {} })
     expect(mailbox.send(1)).toBe(true)
     expect(mailbox.send(2)).toBe(false)
@@ -26,7 +26,7 @@
     expect(mailbox.send(3)).toBe(false)
   })
 
-  it('goes on after a handler failed', async () => {
+  it('continues after a handler has failed', async () => {
     const handled: number[] = []
     const failed: number[] = []
     const mailbox = createMailbox<number>({
--- a/packages/anvilarch-utils/src/__tests__/mixHashes.test.ts
+++ b/packages/anvilarch-utils/src/__tests__/mixHashes.test.ts
@@ -4,7 +4,7 @@
 const HASHES = Array.from({ length: 40 }, (_, index) => createRandom(index * 7919 + 1).between(0, 0x7ffffffe))
 
 describe('mixHashes', () => {
-  it('gives whole numbers of 32 bits, the same for the same pair', () => {
+  it('returns 32-bit integers, the same for the same pair', () => {
     for (const hash of HASHES) {
       const mixed = mixHashes(hash, HASHES[0])
       expect(Number.isInteger(mixed) && mixed >= 0 && mixed < 2 ** 32).toBe(true)
@@ -12,7 +12,7 @@
     }
   })
 
-  it('orders the same hashes differently for each other one, each of them first about as often', () => {
+  it('ranks the same hashes differently for each other hash, and each one first about equally often', () => {
     const firsts = new Map<number, number>()
     const random = createRandom(5)
     for (let round = 0; round < 4000; round++) {
--- a/packages/anvilarch-utils/src/background.ts
+++ b/packages/anvilarch-utils/src/background.ts
@@ -1,16 +1,16 @@
-/** Work whose end nobody waits for. */
+/** Tasks that run in the background. */
 
-/** Where the error of a task goes. */
+/** Log that receives the errors of tasks. */
 export interface BackgroundLog {
   error: (message: 'background task failed', fields: { task: string, reason: string }) => void
 }
 
 /**
- * Runs a task without waiting for it. Its error is logged: nobody else would hear of it.
+ * Runs a task without waiting for it. Its error is logged, since no caller receives it.
  *
- * @param log - where an error goes
- * @param name - of the task, for the log line
- * @param task - what is run
+ * @param log - receives the error
+ * @param name - name of the task in the log line
+ * @param task - function to run
  */
 export function runInBackground (log: BackgroundLog, name: string, task: () => Promise<unknown>): void {
   task().catch((error: unknown) => {
--- a/packages/anvilarch-utils/src/clock.ts
+++ b/packages/anvilarch-utils/src/clock.ts
@@ -1,23 +1,21 @@
-/**
- * The one source of time. Everything that waits or measures takes a `Clock`, so that a test can run it on a fake one.
- */
+/** The source of time. Code that waits or measures time takes a `Clock`, so that tests can use a fake one. */
 
-/** A pending timer that can be stopped. */
+/** A pending timer. */
 export interface Timer {
   cancel: () => void
 }
 
-/** Time in milliseconds, and waiting. */
+/** Current time and timers, in milliseconds. */
 export interface Clock {
-  /** Milliseconds on a monotonic scale. Never goes back; not comparable between processes. */
+  /** Monotonic time in milliseconds. Not comparable between processes. */
   nowMs: () => number
-  /** Milliseconds since the epoch, for what people read. Never used to decide a lease or a deadline. */
+  /** Milliseconds since the Unix epoch, for display. Not for leases or deadlines. */
   wallMs: () => number
   /** Calls `onFire` once after `delayMs`. */
   after: (delayMs: number, onFire: () => void) => Timer
 }
 
-/** @returns the clock of this process. Its timers do not keep the process alive. */
+/** @returns a clock on the system time. Its timers do not keep the process running. */
 export function createSystemClock (): Clock {
   return {
     nowMs: () => performance.now(),
@@ -31,8 +29,6 @@
 }
 
 /**
- * Waits.
- *
  * @param clock - the clock to wait on
  * @param delayMs - how long
  * @param signal - ends the wait early
--- a/packages/anvilarch-utils/src/errors.ts
+++ b/packages/anvilarch-utils/src/errors.ts
@@ -1,37 +1,37 @@
 /**
- * Typed errors. Each one carries the step and the peer at which it arose, and says whether the request ran,
- * since a caller may only send a request again when that is known.
+ * Typed errors. Each one carries the step and the peer at which it occurred and whether the request was run, since a caller
+ * can only safely retry a request when that is known.
  */
 
-/** Whether a request ran. `not_run` is said only when it is proved. */
-export type Ran = 'not_run' | 'ran' | 'unknown'
+/** Whether a request was run. `not_run` is used only when that is certain. */
+export type RunStatus = 'not_run' | 'ran' | 'unknown'
 
-/** The kinds of failure that a caller, an operator or a peer can be told. */
+/** Failures that are reported to callers, operators and peers. */
 export type ErrorCode =
   | 'bad_request' | 'not_found' | 'method_not_allowed' | 'too_large' | 'unauthorized' | 'conflict'
   | 'rate_limited' | 'overloaded' | 'deadline_exceeded' | 'unavailable' | 'draining' | 'not_ready'
   | 'quarantined' | 'endpoint_failed' | 'outcome_unknown' | 'incomplete' | 'cancelled'
   | 'platform_unavailable' | 'stale_lease' | 'stale_configuration' | 'internal'
 
-/** What an `AnvilarchError` carries. */
+/** Fields of an `AnvilarchError`. */
 export interface ErrorDetails {
   code: ErrorCode
-  /** The step that failed, in the form `slice.operation`. */
+  /** Step that failed, in the form `slice.operation`. */
   step: string
-  /** The process or service at the other end, when there is one. */
+  /** Remote process or service, if any. */
   peer?: string
-  ran?: Ran
-  /** When it is worth trying again, from now. */
+  ran?: RunStatus
+  /** Time from now after which a retry may succeed. */
   retryAfterMs?: number
   cause?: unknown
 }
 
-/** The error type of every package. */
+/** Error type of all packages. */
 export class AnvilarchError extends Error {
   readonly code: ErrorCode
   readonly step: string
   readonly peer: string | undefined
-  readonly ran: Ran
+  readonly ran: RunStatus
   readonly retryAfterMs: number | undefined
 
   constructor (message: string, details: ErrorDetails) {
@@ -46,9 +46,9 @@
 }
 
 /**
- * @param error - anything thrown
- * @param details - step and peer to report when it is not an `AnvilarchError` yet
- * @returns the same error, or a typed one around it
+ * @param error - a thrown value
+ * @param details - details to use if it is not an `AnvilarchError`
+ * @returns the same error, or a typed one that wraps it
  */
 export function toAnvilarchError (error: unknown, details: ErrorDetails): AnvilarchError {
   if (error instanceof AnvilarchError) return error
--- a/packages/anvilarch-utils/src/fakeClock.ts
+++ b/packages/anvilarch-utils/src/fakeClock.ts
@@ -1,4 +1,4 @@
-/** A clock that moves only when it is told to. Tests and the emulator run on it. */
+/** A clock that advances only on request, for tests and the emulator. */
 import type { Clock, Timer } from './clock'
 
 interface PendingTimer {
@@ -7,21 +7,21 @@
   onFire: () => void
 }
 
-/** A clock under the control of its owner. */
+/** A clock with methods to advance its time. */
 export interface FakeClock extends Clock {
-  /** Moves time forward and fires each timer that comes due, in order. */
+  /** Advances the time and fires the timers that are due, in order. */
   advance: (deltaMs: number) => void
-  /** The same, and lets pending promises settle between timers. */
+  /** Like `advance`, but lets pending promises settle between timers. */
   advanceAsync: (deltaMs: number) => Promise<void>
-  /** Lets time pass without firing timers, as when the process stands still; those that come due fire late, at the next `advance`. */
+  /** Advances the time without firing timers, as in a process pause. Timers that are due fire late, at the next `advance`. */
   stall: (deltaMs: number) => void
   /** @returns how many timers are pending */
   pendingCount: () => number
 }
 
 /**
- * @param startMs - the first value of both scales
- * @returns a clock that stands still until it is advanced
+ * @param startMs - initial monotonic and wall time
+ * @returns a clock that is stopped until it is advanced
  */
 export function createFakeClock (startMs = 0): FakeClock {
   let currentMs = startMs
@@ -73,7 +73,7 @@
   }
 }
 
-/** Promise chains of this depth settle between two timers. */
+/** Depth of the promise chains that settle between two timers. */
 const SETTLE_ROUNDS = 20
 
 async function settlePromises (): Promise<void> {
--- a/packages/anvilarch-utils/src/framing.ts
+++ b/packages/anvilarch-utils/src/framing.ts
@@ -1,15 +1,15 @@
-/** Whether the end of an HTTP answer can be told from a break of its connection. */
+/** Detection of HTTP responses whose end cannot be distinguished from a lost connection. */
 
-/** Statuses whose answers have no body. */
+/** Statuses of responses without a body. */
 const STATUSES_WITHOUT_BODY: ReadonlySet<number> = new Set([204, 304])
 
 /**
- * An answer without a length whose last coding is not `chunked` ends with its connection, so that one which was broken off looks whole.
- * The answer to a HEAD has no body; the caller of this function has to know that.
+ * A response without a length whose last transfer coding is not `chunked` ends with its connection, so a truncated one looks
+ * complete. Responses to HEAD requests have no body; callers of this function handle them.
  *
- * @param status - of the answer
- * @param header - looks up a header of the answer by its name in lower case
- * @returns whether the end of the answer can be told from a break
+ * @param status - status of the response
+ * @param header - looks up a header of the response by its lower-case name
+ * @returns whether the end of the response can be distinguished from a lost connection
  */
 export function isFramed (status: number, header: (name: string) => string | undefined): boolean {
   if (STATUSES_WITHOUT_BODY.has(status)) return true
--- a/packages/anvilarch-utils/src/index.ts
+++ b/packages/anvilarch-utils/src/index.ts
@@ -1,4 +1,4 @@
-/** What every package shares: time, tasks, life cycle, errors, invariants, random numbers and logs. */
+/** Utilities shared by all packages: time, tasks, lifecycle, errors, invariants, random numbers, HTTP responses and logs. */
 export * from './clock'
 export * from './fakeClock'
 export * from './errors'
@@ -7,9 +7,9 @@
 export * from './mailbox'
 export * from './mixHashes'
 export * from './random'
-export * from './silenceWatch'
+export * from './inactivityTimeout'
 export * from './logger'
 export * from './background'
 export * from './tokenBucket'
 export * from './framing'
-export * from './cutAnswer'
+export * from './abortResponse'
--- a/packages/anvilarch-utils/src/invariant.ts
+++ b/packages/anvilarch-utils/src/invariant.ts
@@ -1,4 +1,4 @@
-/** Assertions on what must always hold. A violation is counted, reported and, under test, ends the process. */
+/** Assertions of invariants. A violation is counted, reported and, under test, ends the process. */
 
 /** Called with each violation. */
 export type ViolationListener = (name: string, detail: string) => void
@@ -6,8 +6,8 @@
 const listeners = new Set<ViolationListener>()
 
 /**
- * @param listener - told of each violation from now on
- * @returns a function that removes it
+ * @param listener - called with each violation from now on
+ * @returns a function that removes the listener
  */
 export function onViolation (listener: ViolationListener): () => void {
   listeners.add(listener)
@@ -17,18 +17,18 @@
 const lastListeners = new Set<ViolationListener>()
 
 /**
- * For what ends the process: were it told in the order of `onViolation`, the process could be gone before the violation
- * was logged and counted, and nobody would learn which invariant it was.
+ * For listeners that end the process: in the order of `onViolation`, the process could exit before the violation is logged and
+ * counted, and the violated invariant would stay unknown.
  *
- * @param listener - told of each violation after all listeners of `onViolation`
- * @returns a function that removes it
+ * @param listener - called with each violation after all listeners of `onViolation`
+ * @returns a function that removes the listener
  */
 export function afterViolation (listener: ViolationListener): () => void {
   lastListeners.add(listener)
   return () => { lastListeners.delete(listener) }
 }
 
-/** Thrown where an invariant does not hold. */
+/** Thrown when an invariant does not hold. */
 export class InvariantViolation extends Error {
   constructor (readonly invariantName: string, detail: string) {
     super(`invariant "${invariantName}" does not hold: ${detail}`)
@@ -39,10 +39,10 @@
 /**
  * Asserts that a condition holds.
  *
- * @param condition - must be true
+ * @param condition - condition that must be true
  * @param name - short stable name, used as a metric label
- * @param detail - what was found; evaluated only on a violation
- * @throws InvariantViolation when it does not hold
+ * @param detail - describes the violation; evaluated only on a violation
+ * @throws InvariantViolation if the condition is false
  */
 export function invariant (condition: boolean, name: string, detail: () => string): asserts condition {
   if (condition) return
--- a/packages/anvilarch-utils/src/lifecycle.ts
+++ b/packages/anvilarch-utils/src/lifecycle.ts
@@ -1,21 +1,21 @@
-/** Starts the parts of a process in order and stops them in reverse, each within a bound. */
+/** Starts the components of a process in order and stops them in reverse order, each with a timeout. */
 import { type Clock, sleep } from './clock'
 
-/** A part of a process that must be started and stopped. */
+/** A component of a process that must be started and stopped. */
 export interface Component {
   name: string
   start?: () => Promise<void> | void
-  /** Finishes what is in progress, then frees what the part owns. Called once. */
+  /** Completes work in progress, then releases the component's resources. Called once. */
   stop?: () => Promise<void> | void
-  /** How long `stop` may take before the next part is stopped all the same. */
+  /** Timeout of `stop`, after which the next component is stopped. */
   stopTimeoutMs?: number
 }
 
-/** Owns the parts of one process. */
+/** Manages the components of one process. */
 export interface LifecycleManager {
-  /** Adds a part and starts it. Parts stop in the reverse order. */
+  /** Adds a component and starts it. */
   start: (component: Component) => Promise<void>
-  /** Stops everything; a second call waits for the first. */
+  /** Stops all components in reverse order; a second call waits for the first. */
   stop: () => Promise<void>
   /** Aborted as soon as `stop` is called. */
   signal: AbortSignal
@@ -24,16 +24,16 @@
 /** Options of `createLifecycleManager`. */
 export interface LifecycleOptions {
   clock: Clock
-  /** Told about a part that failed to stop or took too long. */
+  /** Called for a component that failed to stop or exceeded its timeout. */
   onStopError?: (name: string, error: unknown) => void
 }
 
-/** Used for a part that names no bound of its own. */
+/** Timeout of a component without a `stopTimeoutMs`. */
 export const DEFAULT_STOP_TIMEOUT_MS = 10_000
 
 /**
  * @param options - clock and error listener
- * @returns a manager without parts
+ * @returns a manager without components
  */
 export function createLifecycleManager (options: LifecycleOptions): LifecycleManager {
   const components: Component[] = []
@@ -43,16 +43,16 @@
   const stopOne = async (component: Component): Promise<void> => {
     if (component.stop === undefined) return
     const timeoutMs = component.stopTimeoutMs ?? DEFAULT_STOP_TIMEOUT_MS
-    const bound = new AbortController()
-    const timeout = sleep(options.clock, timeoutMs, bound.signal).then(() => {
-      if (!bound.signal.aborted) throw new Error(`stop took longer than ${timeoutMs} ms`)
+    const timeoutController = new AbortController()
+    const timeout = sleep(options.clock, timeoutMs, timeoutController.signal).then(() => {
+      if (!timeoutController.signal.aborted) throw new Error(`stop took longer than ${timeoutMs} ms`)
     })
     try {
       await Promise.race([Promise.resolve(component.stop()), timeout])
     } catch (error) {
       options.onStopError?.(component.name, error)
     } finally {
-      bound.abort()
+      timeoutController.abort()
       timeout.catch(() => {})
     }
   }
--- a/packages/anvilarch-utils/src/logger.ts
+++ b/packages/anvilarch-utils/src/logger.ts
@@ -1,13 +1,13 @@
-/** Structured logs: one JSON line each, through tslog. */
+/** Structured logging through tslog, as JSON lines. */
 import { type ILogObj, Logger as TsLogger } from 'tslog'
 
-/** Levels, from the least to the most severe. */
+/** Log levels, from the least to the most severe. */
 export const LOG_LEVELS = ['trace', 'debug', 'info', 'warn', 'error'] as const
 
-/** One of the levels. */
+/** A log level. */
 export type LogLevel = typeof LOG_LEVELS[number]
 
-/** Named fields of a log line; each carries its unit in its name. */
+/** Fields of a log line. Their names include the unit. */
 export type LogFields = Record<string, string | number | boolean | undefined>
 
 /** A logger for one slice of one process. */
@@ -21,20 +21,20 @@
   child: (slice: string) => Logger
 }
 
-/** tslog numbers its levels; these are the numbers of ours. */
+/** Numbers of the levels in tslog. */
 const TSLOG_LEVELS: Record<LogLevel, number> = { trace: 1, debug: 2, info: 3, warn: 4, error: 5 }
 
 /** Options of `createLogger`. */
 export interface LoggerOptions {
   level: LogLevel
-  /** Name of the process, on every line. */
+  /** Name of the process, added to each line. */
   process: string
-  /** Where a line goes; standard error by default. */
+  /** Writes a line; to standard error by default. */
   write?: (line: string) => void
 }
 
 /**
- * @param options - level, process name and sink
+ * @param options - level, process name and output
  * @returns a logger that writes JSON lines
  */
 export function createLogger (options: LoggerOptions): Logger {
@@ -59,7 +59,7 @@
   return forSlice(undefined)
 }
 
-/** A logger that drops everything, for tests and tools. */
+/** A logger without output, for tests and tools. */
 export const SILENT_LOGGER: Logger = {
   trace: () => {},
   debug: () => {},
--- a/packages/anvilarch-utils/src/mailbox.ts
+++ b/packages/anvilarch-utils/src/mailbox.ts
@@ -1,31 +1,31 @@
-/** A task that owns its state and handles one message at a time. */
+/** A message queue with a handler that processes one message at a time. */
 
-/** The sending side of a task. */
+/** A queue of messages for one handler. */
 export interface Mailbox<Message> {
   /**
    * Queues a message.
    *
-   * @returns false when the mailbox is full or closed; the message was not taken
+   * @returns false if the mailbox is full or closed and the message was rejected
    */
   send: (message: Message) => boolean
-  /** How many messages wait. */
+  /** @returns the number of queued messages */
   size: () => number
-  /** Takes no more messages; resolves when those taken are handled. */
+  /** Rejects further messages; resolves when the queued ones are handled. */
   close: () => Promise<void>
 }
 
 /** Options of `createMailbox`. */
 export interface MailboxOptions<Message> {
-  /** Messages that may wait; more are refused. */
+  /** Maximum number of queued messages; more are rejected. */
   capacity: number
   handle: (message: Message) => Promise<void> | void
-  /** Told about a message whose handler failed. The task goes on with the next one. */
+  /** Called for a message whose handler failed. Processing continues with the next message. */
   onError: (error: unknown, message: Message) => void
 }
 
 /**
  * @param options - capacity, handler and error listener
- * @returns the mailbox of a new task
+ * @returns an empty mailbox
  */
 export function createMailbox<Message> (options: MailboxOptions<Message>): Mailbox<Message> {
   const queue: Message[] = []
--- a/packages/anvilarch-utils/src/mixHashes.ts
+++ b/packages/anvilarch-utils/src/mixHashes.ts
@@ -1,12 +1,12 @@
-/** Combines hashes of texts, where each of many is paired with each of many others. */
+/** Combines the hashes of two texts, where many texts are each paired with many others. */
 
 /**
- * Hashing each pair of texts costs as much as the texts are long; two numbers are combined in some nanoseconds. The steps are the
- * last ones of MurmurHash3, after which each bit of the input changes each bit of the result with even chance.
+ * Combining two hashes takes a few nanoseconds, whereas the cost of hashing each pair of texts grows with their length. The steps
+ * are the finalizer of MurmurHash3, after which each bit of the input changes each bit of the result with a probability of one half.
  *
- * @param one - hash of 32 bits
- * @param other - hash of 32 bits
- * @returns a hash of 32 bits; for a fixed hash, different others give different results
+ * @param one - 32-bit hash
+ * @param other - 32-bit hash
+ * @returns a 32-bit hash; for a fixed `one`, different values of `other` give different results
  */
 export function mixHashes (one: number, other: number): number {
   let mixed = one ^ other
--- a/packages/anvilarch-utils/src/random.ts
+++ b/packages/anvilarch-utils/src/random.ts
@@ -1,22 +1,22 @@
-/** Seeded random numbers, so that every run with the same seed takes the same course. */
+/** Seeded random numbers, so that runs with the same seed are reproducible. */
 import { unsafeUniformIntDistribution, xoroshiro128plus } from 'pure-rand'
 
 /** A source of random numbers. */
 export interface Random {
   /** @returns a number in [0, 1) */
   next: () => number
-  /** @returns a whole number in [from, to], both included */
+  /** @returns an integer in [from, to], both included */
   between: (from: number, to: number) => number
-  /** @returns one of the items */
+  /** @returns a random item */
   pick: <Item>(items: readonly Item[]) => Item
-  /** @returns a duration drawn evenly from `durationMs` plus or minus `share` of it */
+  /** @returns a random duration, uniformly distributed over `durationMs` plus or minus `share` of it */
   jitter: (durationMs: number, share: number) => number
 }
 
 const RESOLUTION = 0x7fffffff
 
 /**
- * @param seed - the same seed gives the same numbers
+ * @param seed - seed that determines the sequence of numbers
  * @returns a random source
  */
 export function createRandom (seed: number): Random {
--- a/packages/anvilarch/src/gateway/failures.ts
+++ b/packages/anvilarch/src/gateway/failures.ts
@@ -1,6 +1,6 @@
 /** Turns what goes wrong between the command and a gateway into errors that say what to do. */
 import { type ConfigurationIssue, formatIssues } from 'anvilarch-configuration'
-import type { ErrorCode, Ran } from 'anvilarch-utils'
+import type { ErrorCode, RunStatus } from 'anvilarch-utils'
 import { CliError } from '../cliError'
 import type { ExitReason } from '../exitCodes'
 
@@ -41,7 +41,7 @@
 
 /** Body of an error answer. */
 interface ErrorBody {
-  error?: { message?: string, code?: string, step?: string, peer?: string, ran?: Ran, retry_after_ms?: number, request_id?: string } | string
+  error?: { message?: string, code?: string, step?: string, peer?: string, ran?: RunStatus, retry_after_ms?: number, request_id?: string } | string
   version?: number
   issues?: ConfigurationIssue[]
 }
