--- a/packages/anvilarch-daemon/src/admission/__tests__/admissionHistory.test.ts
+++ b/packages/anvilarch-daemon/src/admission/__tests__/admissionHistory.test.ts
@@ -20,7 +20,7 @@
 
 const OPTIONS = { slots: 4, maxQueuedOnline: 5, maxQueuedBatch: 4, maxPreemptions: 2 }
 
-/** Plays the agent against admission, and checks each command against what it knows of the attempt. */
+/** Simulates the agent and checks each admission command against the recorded phase of the attempt. */
 class History {
   nowMs = 0
   nextId = 0
@@ -112,7 +112,7 @@
     const phase = this.phases.get(command.id)
     switch (command.kind) {
       case 'refuse': {
-        must(event.kind === 'arrive' && event.id === command.id && phase === undefined, `"${command.id}" was refused on ${event.kind}`)
+        must(event.kind === 'arrive' && event.id === command.id && phase === undefined, `"${command.id}" was rejected on ${event.kind}`)
         break
       }
       case 'start':
@@ -122,9 +122,9 @@
         this.phases.set(command.id, 'running')
         const holders = this.holders()
         if (this.state.running.get(command.id)?.isProtected === true) this.protectedIds.add(command.id)
-        must(this.protectedIds.size === 0 || this.of(['running', 'preempting']).filter(id => this.protectedIds.has(id)).length <= 1, 'more items are protected than may be')
+        must(this.protectedIds.size === 0 || this.of(['running', 'preempting']).filter(id => this.protectedIds.has(id)).length <= 1, 'more items are protected than the limit allows')
         must(holders.length === 1 || !holders.some(id => this.isolated.has(id)), `"${command.id}" runs beside an isolated attempt`)
-        must(holders.length <= OPTIONS.slots, `${holders.length} attempts hold a slot`)
+        must(holders.length <= OPTIONS.slots, `${holders.length} attempts occupy a slot`)
         break
       }
       case 'preempt': {
@@ -156,12 +156,12 @@
 
   private check (): void {
     const load = admissionLoad(this.state)
-    must(load.runningOnline + load.runningBatch === this.holders().length, 'the load counts other attempts than those that run')
-    must(load.queued === this.of(['waiting', 'parked']).length, 'the load counts other attempts than those that wait')
+    must(load.runningOnline + load.runningBatch === this.holders().length, 'the load report does not match the running attempts')
+    must(load.queued === this.of(['waiting', 'parked']).length, 'the load report does not match the waiting attempts')
     must(this.state.batchLimit.limit <= OPTIONS.slots, 'the batch limit is above the slots')
   }
 
-  /** Whatever was taken in comes to an end once slots are freed and time goes on: nothing is stranded. */
+  /** Frees slots and advances the time until every admitted attempt has ended. */
   private settle (): void {
     for (let round = 0; round < 400 && this.of(['waiting', 'parked', 'running', 'preempting']).length > 0; round++) {
       if (this.down && !this.draining) this.apply({ kind: 'up' })
@@ -169,12 +169,12 @@
       this.apply({ kind: 'finish', pick: round })
       this.apply({ kind: 'tick', ms: 100 })
     }
-    must(this.of(['waiting', 'parked', 'running', 'preempting']).length === 0, 'work was stranded')
+    must(this.of(['waiting', 'parked', 'running', 'preempting']).length === 0, 'an admitted attempt never ended')
   }
 }
 
-describe('admissionStep over random histories', () => {
-  it('keeps slots, isolation, drain and queues, and strands nothing', () => {
+describe('admissionStep over random event sequences', () => {
+  it('respects slots, isolation, drain and queue limits, and ends every admitted attempt', () => {
     fc.assert(fc.property(ACTIONS, actions => { new History().run(actions) }), { seed: 20261202, numRuns: 1500 })
   })
 })
--- a/packages/anvilarch-daemon/src/admission/__tests__/admissionStep.test.ts
+++ b/packages/anvilarch-daemon/src/admission/__tests__/admissionStep.test.ts
@@ -33,7 +33,7 @@
 }
 
 describe('admissionStep', () => {
-  it('starts online work at once while slots are free, then queues it, lookups first', () => {
+  it('starts online work immediately while slots are free, then queues it, lookups first', () => {
     const state = endpoint({ slots: 1 })
     expect(arrive(state, 'a', 'online')).toEqual([{ kind: 'start', id: 'a' }])
     expect(arrive(state, 'b', 'online')).toEqual([])
@@ -42,7 +42,7 @@
     expect(finish(state, 'c', 20)).toEqual([{ kind: 'start', id: 'b' }])
   })
 
-  it('refuses at once, with the time to come back, what would miss its deadline by the measured service time', () => {
+  it('rejects a request that would miss its deadline by the measured service time, with a retry time', () => {
     const state = endpoint({ slots: 1 })
     arrive(state, 'a', 'online')
     finish(state, 'a', 2000)
@@ -52,7 +52,7 @@
     expect(arrive(state, 'e', 'online', { nowMs: 2000, lifetimeMs: 5000 })).toEqual([])
   })
 
-  it('refuses online work above its queue', () => {
+  it('rejects online work when its queue is full', () => {
     const state = endpoint({ slots: 1, maxQueuedOnline: 1 })
     arrive(state, 'a', 'online')
     arrive(state, 'b', 'online')
@@ -66,8 +66,8 @@
     expect(tick(state, 50)).toEqual([{ kind: 'giveUp', id: 'b', reason: 'deadline', started: false, retryAfterMs: 0 }])
   })
 
-  // Guards against this: a lookup waited for a batch item.
-  it('cuts batch off on the arrival of online work, before any time was measured, and starts that as soon as a slot is free', () => {
+  // Guards against a lookup that waits for a batch item to complete.
+  it('preempts batch items when online work arrives, before any latency is measured, and starts it once a slot is free', () => {
     const state = endpoint()
     fillWithBatch(state, 4)
     const preempted = arrive(state, 'a', 'online', { nowMs: 2000 })
@@ -75,8 +75,8 @@
     expect(release(state, preempted[0].id, 2001)).toEqual([{ kind: 'start', id: 'a' }])
   })
 
-  // Guards against this: first tokens of online requests are late by several steps of the engine.
-  it('lets few prompts of batch items be computed at a time, and cuts those off when online work arrives', () => {
+  // Guards against first tokens of online requests that are delayed by several engine steps, because batch prompts are prefilled first.
+  it('limits the batch items in prefill, and preempts them when online work arrives', () => {
     const state = endpoint({ slots: 16 })
     for (let id = 0; id < 8; id++) arrive(state, `b${id}`, 'batch')
     expect(tick(state, 100)).toHaveLength(3)
@@ -98,8 +98,8 @@
     expect(finish(state, 'a', 2010)).toEqual([{ kind: 'resume', id: 'b0' }])
   })
 
-  // Guards against this: a batch item never ended.
-  it('protects an item that was preempted often until it is done', () => {
+  // Guards against a batch item that is preempted repeatedly and never completes.
+  it('protects an item that was preempted often until it completes', () => {
     const state = endpoint({ slots: 1, maxPreemptions: 3 })
     fillWithBatch(state, 1)
     let nowMs = 2000
@@ -113,7 +113,7 @@
     expect(finish(state, 'b0', nowMs + 50)).toEqual([{ kind: 'start', id: 'last' }])
   })
 
-  it('runs isolated attempts one after another, after the others, with nothing beside them', () => {
+  it('runs isolated attempts one at a time, after the running attempts, with no other attempt beside them', () => {
     const state = endpoint()
     arrive(state, 'a', 'online')
     expect(arrive(state, 'alone', 'online', { isolated: true })).toEqual([])
@@ -128,8 +128,8 @@
     expect(finish(state, 'second', 30).map(command => command.kind)).toEqual(['start', 'start'])
   })
 
-  // Guards against this: an endpoint took no work for minutes.
-  it('gives an isolated attempt up that waited too long, and goes on with the others', () => {
+  // Guards against an endpoint that starts no work for minutes because an isolated attempt waits for it to be idle.
+  it('gives up an isolated attempt that waited too long, and starts the others', () => {
     const state = endpoint({ maxIsolationWaitMs: 500 })
     arrive(state, 'a', 'online')
     arrive(state, 'alone', 'online', { isolated: true })
@@ -137,7 +137,7 @@
     expect(tick(state, 500)).toMatchObject([{ kind: 'giveUp', id: 'alone', reason: 'isolated_busy', started: false }, { kind: 'start', id: 'b' }])
   })
 
-  it('refuses new work in a drain, hands back what waits, and lets the rest finish', () => {
+  it('rejects new work in a drain, gives up waiting attempts, and lets running ones finish', () => {
     const state = endpoint({ slots: 2 })
     arrive(state, 'a', 'online')
     arrive(state, 'b', 'online')
@@ -147,7 +147,7 @@
     expect([...state.running.keys()]).toEqual(['a', 'b'])
   })
 
-  it('counts an attempt as alone only if nothing ran beside it at any time', () => {
+  it('marks an attempt as alone only if no other attempt ran beside it at any time', () => {
     const state = endpoint()
     arrive(state, 'a', 'online')
     expect(state.running.get('a')?.alone).toBe(true)
@@ -164,7 +164,7 @@
     expect(admissionLoad(state).freeBatch).toBe(32)
   })
 
-  it('falls when online work is slower than its allowance, and rises when there is room', () => {
+  it('decreases when a latency of online work exceeds its allowance, and increases when there is room', () => {
     const state = endpoint({ slots: 16 })
     for (let step = 1; step <= 6; step++) tick(state, step * 100)
     arrive(state, 'a', 'online', { nowMs: 1000 })
@@ -180,10 +180,10 @@
     expect(afterFast).toBeGreaterThan(afterSlow)
   })
 
-  it('is taken from the line of step times at once when online work arrives', () => {
+  it('is computed from the step-time model as soon as online work arrives', () => {
     const state = endpoint({ slots: 16 })
     fillWithBatch(state, 1)
-    // Steps of 10 ms and 1 ms more for each attempt: half of the slack up to 26 ms fits (26 - 11) / 2 = 7 items.
+    // Steps take 10 ms plus 1 ms for each attempt: half of the slack up to 26 ms fits (26 - 11) / 2 = 7 items.
     for (let sample = 0; sample < 30; sample++) {
       admissionStep(state, { kind: 'interToken', nowMs: 1000, id: 'b0', gapMs: 11 })
     }
--- a/packages/anvilarch-daemon/src/admission/__tests__/soloFirstToken.test.ts
+++ b/packages/anvilarch-daemon/src/admission/__tests__/soloFirstToken.test.ts
@@ -1,6 +1,7 @@
 import { type AdmissionCommand, type AdmissionState, admissionLoad, admissionStep, createAdmissionState } from '..'
 
-// Guards against this: after a crash, harmless calls that ran beside the one that caused it miss their deadline, and so do calls that come later, though endpoints are up.
+// Guards against missed deadlines after an endpoint crash: the harmless requests that ran beside the one that caused it, and
+// later requests, must complete in time while endpoints are up.
 
 const starts = (commands: AdmissionCommand[]): string[] => commands.filter(command => command.kind === 'start').map(command => command.id)
 
@@ -16,8 +17,8 @@
 
 const firstToken = (state: AdmissionState, id: string): string[] => starts(admissionStep(state, { kind: 'decoding', nowMs: 10, id }).commands)
 
-describe('an attempt whose prompt must be computed alone', () => {
-  it('starts beside attempts that have their first token, and holds others back only until it has its own', () => {
+describe('an attempt whose prompt must be prefilled alone', () => {
+  it('starts beside attempts that have their first token, and delays others only until its own first token', () => {
     const state = endpoint()
     arrive(state, 'a')
     firstToken(state, 'a')
@@ -26,7 +27,7 @@
     expect(firstToken(state, 'suspect')).toEqual(['b'])
   })
 
-  it('waits for prompts that are being computed, and lets none begin before it', () => {
+  it('waits for prompts in prefill, and lets no other prompt start before it', () => {
     const state = endpoint()
     arrive(state, 'a')
     expect(starts(arrive(state, 'suspect', { solo: true }))).toEqual([])
@@ -34,7 +35,7 @@
     expect(firstToken(state, 'a')).toEqual(['suspect'])
   })
 
-  it('takes turns with other work, so that neither waits for all of the other', () => {
+  it('alternates with other work, so that neither waits for all of the other', () => {
     const state = endpoint(8)
     for (const id of ['s1', 's2', 's3']) arrive(state, id, { solo: true })
     for (const id of ['a', 'b']) arrive(state, id)
@@ -46,21 +47,21 @@
     expect(firstToken(state, 'c')).toEqual(['s3'])
   })
 
-  it('goes on with the next one when no other work waits', () => {
+  it('is followed by the next one when no other work waits', () => {
     const state = endpoint()
     for (const id of ['s1', 's2', 's3']) arrive(state, id, { solo: true })
     expect(firstToken(state, 's1')).toEqual(['s2'])
     expect(firstToken(state, 's2')).toEqual(['s3'])
   })
 
-  it('frees the endpoint also when it ends without a token', () => {
+  it('unblocks the endpoint when it ends without a token', () => {
     const state = endpoint()
     arrive(state, 'suspect', { solo: true })
     arrive(state, 'a')
     expect(starts(admissionStep(state, { kind: 'finished', nowMs: 5, id: 'suspect', whole: false }).commands)).toEqual(['a'])
   })
 
-  it('takes a slot from a batch item, and does not give way itself before its first token', () => {
+  it('preempts a batch item for its slot, and is not preempted itself before its first token', () => {
     const state = endpoint(1)
     arrive(state, 'item', { batch: true })
     firstToken(state, 'item')
@@ -69,7 +70,7 @@
     expect(arrive(state, 'a')).toEqual([])
   })
 
-  it('is counted as waiting, is given up at its deadline, and is refused when it cannot begin in time', () => {
+  it('counts as waiting, is given up at its deadline, and is rejected when it cannot start in time', () => {
     const state = endpoint()
     arrive(state, 'a')
     arrive(state, 'suspect', { solo: true, lifetimeMs: 50 })
@@ -81,12 +82,12 @@
   })
 })
 
-describe('how long an endpoint is kept by the suspects of a crash', () => {
-  it('is a first token each, not an answer each', () => {
-    // Guards against this: suspects run alone to their ends, one after another, and keep an endpoint from all other work meanwhile.
+describe('the time for which crash suspects block an endpoint', () => {
+  it('is one time to first token for each suspect, not one full response', () => {
+    // Guards against suspects that each run alone to completion and block the endpoint for all other work.
     const state = endpoint(32)
     const FIRST_TOKEN_MS = 100
-    const ANSWER_MS = 2_000
+    const RESPONSE_MS = 2_000
     for (let index = 0; index < 16; index++) arrive(state, `s${index}`, { solo: true })
     let nowMs = 0
     for (let index = 0; index < 16; index++) {
@@ -95,6 +96,6 @@
     }
     expect(state.solo).toEqual([])
     expect(state.running.size).toBe(16)
-    expect(nowMs).toBeLessThan(ANSWER_MS)
+    expect(nowMs).toBeLessThan(RESPONSE_MS)
   })
 })
--- a/packages/anvilarch-daemon/src/admission/admissionStep.ts
+++ b/packages/anvilarch-daemon/src/admission/admissionStep.ts
@@ -1,6 +1,6 @@
 /**
- * The step function of admission. The state passed in is changed in place and returned, since a copy for each token
- * would cost more than the decision; apart from that the step depends on its arguments alone.
+ * State machine of admission. The state passed in is modified in place and returned, because a copy for each token
+ * would cost more than the decision; otherwise a step depends on its arguments alone.
  */
 import { DEFAULT_ADMISSION_OPTIONS, type AdmissionCommand, type AdmissionEvent, type AdmissionOptions, type AdmissionState, type AdmissionStep } from './types'
 import { type BatchPolicy, DEFAULT_BATCH_POLICY } from 'anvilarch-configuration'
@@ -14,9 +14,9 @@
 import { expireWaiting, giveUpAll } from './waiting'
 
 /**
- * @param options - tunables; missing ones get their defaults
- * @param policy - how batch shares the endpoint, until the configuration names the service's own
- * @returns the state of an endpoint on which nothing runs
+ * @param options - tuning options; missing ones get their defaults
+ * @param policy - how batch work shares the endpoint, until the configuration provides the policy of the service
+ * @returns state of an idle endpoint
  */
 export function createAdmissionState (options: Partial<AdmissionOptions>, policy: BatchPolicy = DEFAULT_BATCH_POLICY): AdmissionState {
   const all = { ...DEFAULT_ADMISSION_OPTIONS, ...options }
@@ -67,13 +67,13 @@
   policy: (state, event) => { state.policy = event.policy }
 }
 
-/** Events after which nothing can have become startable; they come with each token. */
+/** Per-token events. They never make a waiting attempt startable, so the scheduler is not run after them. */
 const MEASURING: ReadonlySet<AdmissionEvent['kind']> = new Set(['firstToken', 'interToken'])
 
 /**
- * @param state - the state; changed in place
- * @param event - what happened
- * @returns the state and what to do, in order
+ * @param state - state of the endpoint; modified in place
+ * @param event - event to process
+ * @returns the state and the commands to execute, in order
  */
 export function admissionStep (state: AdmissionState, event: AdmissionEvent): AdmissionStep {
   const commands: AdmissionCommand[] = []
@@ -111,7 +111,7 @@
     commands.push({ kind: 'giveUp', id: event.id, reason: state.down ? 'endpoint_down' : 'draining', started: true, retryAfterMs: 0 })
     return
   }
-  // Behind the other preempted items, before those that never ran.
+  // Queued after the other preempted items and before items that have not run yet.
   const firstFresh = state.batch.findIndex(other => !other.started)
   state.batch.splice(firstFresh === -1 ? state.batch.length : firstFresh, 0, waiting)
 }
--- a/packages/anvilarch-daemon/src/admission/arrivals.ts
+++ b/packages/anvilarch-daemon/src/admission/arrivals.ts
@@ -1,4 +1,4 @@
-/** Decides on an arrival: taken in, or refused at once with the time to come back. */
+/** Decides on a new attempt: queued, or rejected immediately with a time after which to retry. */
 import type { RefusalReason } from 'anvilarch-protocol'
 import { noteOnlineArrival } from './batchLimit'
 import { batchLimitInput, countRunning } from './counts'
@@ -6,12 +6,13 @@
 import type { AdmissionCommand, AdmissionEvent, AdmissionState, WaitingAttempt } from './types'
 
 /**
- * Share of the time to its deadline that the expected end of a request that must wait may take. The expectation is a
- * mean: a queue planned up to the deadline itself has half of its answers come too late, and their work is lost.
+ * A request that must wait is accepted only if its expected completion is within this share of the time to its deadline.
+ * The expectation is a mean: if the queue were planned up to the deadline itself, half of the responses would be late and
+ * their work wasted.
  */
 const PLANNED_SHARE = 0.8
 
-/** An attempt whose prompt is computed alone is followed by one turn of other work. */
+/** Each attempt that is prefilled alone is followed by one turn of other work. */
 const TURNS_PER_SOLO = 2
 
 type Arrival = Extract<AdmissionEvent, { kind: 'arrive' }>
@@ -22,9 +23,9 @@
 }
 
 /**
- * @param state - state of the endpoint; changed in place
- * @param event - the arrival
- * @param commands - takes the refusal, and preemptions that make room
+ * @param state - state of the endpoint; modified in place
+ * @param event - arrival of the attempt
+ * @param commands - receives the rejection, or the preemptions that make room
  */
 export function admitArrival (state: AdmissionState, event: Arrival, commands: AdmissionCommand[]): void {
   const refusal = refusalOf(state, event)
@@ -88,7 +89,7 @@
   return { reason: 'overloaded', retryAfterMs: retryAfter(state, state.measures.serviceMs.batch / state.options.slots) }
 }
 
-// What can only be late is refused now: its caller can still go elsewhere, and the time it would take is saved.
+// A request that would miss its deadline is rejected now: its caller can still try elsewhere, and no capacity is wasted on it.
 function onlineRefusal (state: AdmissionState, event: Arrival): Refusal | undefined {
   const waitMs = expectedWaitMs(state, event)
   if (state.online.length >= state.options.maxQueuedOnline) return { reason: 'overloaded', retryAfterMs: retryAfter(state, waitMs) }
--- a/packages/anvilarch-daemon/src/admission/batchLimit.ts
+++ b/packages/anvilarch-daemon/src/admission/batchLimit.ts
@@ -1,28 +1,29 @@
 /**
- * How many batch items may run. Without online work the limit is all slots. As soon as online work
- * arrives, the limit falls at once to what the measured times allow beside it; from then on it is corrected by what
- * online work experiences: down by a factor when a time passes its allowance, up by one when there is room.
+ * Limits the number of batch items that run concurrently. Without online work the limit is all slots. When online work
+ * arrives, the limit drops immediately to what the step-time model allows beside it. From then on it is adjusted by the
+ * latencies of online work: multiplied by a factor below 1 when a latency exceeds its allowance, incremented by one when
+ * all are well below it.
  */
 import type { BatchPolicy } from 'anvilarch-configuration'
 import { clearSamples, type Measures, quantile } from './measures'
 import { createStepTimeFit, type StepTimeFit, stepTimeLine } from './stepTime'
 
-/** State of the limit. */
+/** State of the batch limit. */
 export interface BatchLimit {
-  /** In force now. */
+  /** Current limit. */
   limit: number
-  /** What online work allowed beside it, by the last corrections. */
+  /** Limit while online work runs, as of the last adjustment. */
   besideOnline: number
   lastOnlineMs: number
   lastAdjustMs: number
   fit: StepTimeFit
 }
 
-/** What the limit depends on. */
+/** Inputs of the batch limit. */
 export interface BatchLimitInput {
   nowMs: number
   slots: number
-  /** Online attempts that run or wait. */
+  /** Online attempts that run or wait for a slot. */
   online: number
   policy: BatchPolicy
   measures: Measures
@@ -32,14 +33,14 @@
 
 const TAIL = 0.95
 const DECREASE = 0.7
-/** Below this share of its allowance a time leaves room for one more item. */
+/** A latency below this share of its allowance leaves room for one more item. */
 const ROOM = 0.9
 const FIRST_GUESS_SHARE = 0.25
 const MIN_SAMPLES = 5
 
 /**
  * @param slots - slots of the endpoint
- * @returns the limit to begin with
+ * @returns initial state of the limit
  */
 export function createBatchLimit (slots: number): BatchLimit {
   return {
@@ -52,10 +53,10 @@
 }
 
 /**
- * Online work arrived: the limit falls before the first harm is measured.
+ * Lowers the limit when online work arrives, before an increased latency can be measured.
  *
- * @param state - the limit
- * @param input - the endpoint's state with the new arrival
+ * @param state - modified in place
+ * @param input - state of the endpoint including the arrival
  */
 export function noteOnlineArrival (state: BatchLimit, input: BatchLimitInput): void {
   state.lastOnlineMs = input.nowMs
@@ -63,13 +64,15 @@
 }
 
 /**
- * @param state - the limit
- * @param input - the endpoint's state
+ * Adjusts the limit to the measured latencies.
+ *
+ * @param state - modified in place
+ * @param input - state of the endpoint
  */
 export function adjustBatchLimit (state: BatchLimit, input: BatchLimitInput): void {
   if (input.online > 0) state.lastOnlineMs = input.nowMs
   if (input.nowMs - state.lastOnlineMs > input.idleHoldMs) {
-    // Samples of this burst say nothing of the next one.
+    // Samples of the last burst of online work do not apply to the next one.
     clearSamples(input.measures.firstToken)
     clearSamples(input.measures.interToken)
     state.limit = input.slots
@@ -89,7 +92,7 @@
   )
   if (pressure > 1) {
     state.besideOnline = Math.floor(Math.min(state.besideOnline, input.slots) * DECREASE)
-    // The samples tell of the limit that was; the next correction must see only those of the new one.
+    // The samples were taken under the previous limit; the next adjustment must only use samples of the new one.
     clearSamples(firstToken)
     clearSamples(interToken)
   } else if (pressure < ROOM) {
@@ -97,7 +100,7 @@
   }
 }
 
-// A time of online work against what it may reach: its value without batch, and a share of the way to its target.
+// Ratio of a latency of online work to its allowance: the baseline without batch work plus a share of the slack to the target.
 function pressureOf (measuredMs: number, quietMs: number, targetMs: number, policy: BatchPolicy): number {
   return measuredMs / allowedMs(quietMs, targetMs, policy)
 }
--- a/packages/anvilarch-daemon/src/admission/counts.ts
+++ b/packages/anvilarch-daemon/src/admission/counts.ts
@@ -1,23 +1,23 @@
-/** Counts over the state of admission, and the load that gateways are told. */
+/** Counts over the admission state, and the load that is reported to gateways. */
 import type { BatchLimitInput } from './batchLimit'
 import type { AdmissionLoad, AdmissionState, RunningAttempt } from './types'
 
-/** Attempts that hold a slot. */
+/** Counts of the attempts that occupy a slot. */
 export interface RunningCounts {
   online: number
   batch: number
-  /** Batch items that are being cut off. */
+  /** Batch items that are being preempted. */
   preempting: number
   protectedBatch: number
-  /** Batch items whose prompt is being computed. */
+  /** Batch items in prefill. */
   prefillingBatch: number
-  /** An isolated attempt runs. */
+  /** Whether an isolated attempt is running. */
   isolated: boolean
 }
 
 /**
  * @param state - state of the endpoint
- * @returns how many attempts hold a slot, by what they are
+ * @returns number of attempts that occupy a slot, by type
  */
 export function countRunning (state: AdmissionState): RunningCounts {
   const counts = { online: 0, batch: 0, preempting: 0, protectedBatch: 0, prefillingBatch: 0, isolated: false }
@@ -34,7 +34,7 @@
 
 /**
  * @param state - state of the endpoint
- * @returns attempts whose prompts the endpoint computes
+ * @returns attempts in prefill
  */
 export function prefilling (state: AdmissionState): RunningAttempt[] {
   return [...state.running.values()].filter(attempt => attempt.isPrefilling && attempt.phase === 'running')
@@ -42,8 +42,8 @@
 
 /**
  * @param state - state of the endpoint
- * @param nowMs - the time
- * @returns what the batch limit depends on
+ * @param nowMs - current time
+ * @returns inputs of the batch limit
  */
 export function batchLimitInput (state: AdmissionState, nowMs: number): BatchLimitInput {
   return {
@@ -59,7 +59,7 @@
 
 /**
  * @param state - state of the endpoint
- * @returns the load as it goes out on frames
+ * @returns the load report that is attached to frames
  */
 export function admissionLoad (state: AdmissionState): AdmissionLoad {
   const counts = countRunning(state)
--- a/packages/anvilarch-daemon/src/admission/index.ts
+++ b/packages/anvilarch-daemon/src/admission/index.ts
@@ -1,4 +1,4 @@
-/** Admission to one endpoint: pure decisions on what starts, waits, gives way or is refused. */
+/** Admission to one endpoint: decides, without side effects, which attempts start, wait, are preempted or are rejected. */
 export * from './types'
 export { admissionStep, createAdmissionState } from './admissionStep'
 export { admissionLoad } from './counts'
--- a/packages/anvilarch-daemon/src/admission/measures.ts
+++ b/packages/anvilarch-daemon/src/admission/measures.ts
@@ -1,22 +1,22 @@
-/** What online work experienced lately: times to the first token, between tokens, and of whole answers. */
+/** Recent latencies on one endpoint: time to first token, time between tokens, and service time of complete responses. */
 import type { WorkClass } from 'anvilarch-protocol'
 
-/** The latest samples of one quantity. */
+/** Ring buffer with the most recent samples of one quantity. */
 export interface SampleRing {
   values: Float64Array
   count: number
   next: number
 }
 
-/** Measured times of one endpoint. */
+/** Measured latencies of one endpoint. */
 export interface Measures {
   firstToken: SampleRing
   interToken: SampleRing
-  /** Smoothed time of a whole answer by class; 0 before the first one. */
+  /** Smoothed service time of complete responses by work class; 0 before the first one. */
   serviceMs: Record<WorkClass, number>
-  /** Smoothed first-token time of online work while no batch ran; 0 before the first one. */
+  /** Smoothed time to first token of online work while no batch item ran; 0 before the first sample. */
   quietFirstTokenMs: number
-  /** Smoothed times as gateways are told. */
+  /** Smoothed latencies that are reported to gateways. */
   recentFirstTokenMs: number
   recentInterTokenMs: number
 }
@@ -24,7 +24,7 @@
 const RING_SIZE = 64
 const SMOOTHING = 0.1
 
-/** @returns measures without samples */
+/** @returns measurements without samples */
 export function createMeasures (): Measures {
   return {
     firstToken: createRing(),
@@ -41,7 +41,7 @@
 }
 
 /**
- * @param ring - takes the sample; the oldest falls out
+ * @param ring - receives the sample; a full ring overwrites the oldest
  * @param value - the sample
  */
 export function addSample (ring: SampleRing, value: number): void {
@@ -50,7 +50,7 @@
   ring.count = Math.min(RING_SIZE, ring.count + 1)
 }
 
-/** @param ring - loses all of its samples, when what they tell of has changed */
+/** @param ring - emptied, because the conditions under which its samples were taken no longer hold */
 export function clearSamples (ring: SampleRing): void {
   ring.count = 0
   ring.next = 0
@@ -58,8 +58,8 @@
 
 /**
  * @param ring - samples
- * @param share - between 0 and 1
- * @returns the quantile, 0 without samples
+ * @param share - quantile, between 0 and 1
+ * @returns value at the quantile, 0 without samples
  */
 export function quantile (ring: SampleRing, share: number): number {
   if (ring.count === 0) return 0
@@ -68,9 +68,9 @@
 }
 
 /**
- * @param previous - the smoothed value, 0 for none
+ * @param previous - last smoothed value, 0 if there is none
  * @param sample - the new sample
- * @returns the new smoothed value
+ * @returns exponentially smoothed value
  */
 export function smooth (previous: number, sample: number): number {
   return previous === 0 ? sample : previous + SMOOTHING * (sample - previous)
--- a/packages/anvilarch-daemon/src/admission/scheduling.ts
+++ b/packages/anvilarch-daemon/src/admission/scheduling.ts
@@ -1,19 +1,19 @@
-/** Starts what fits and cuts off batch items that must give way. */
+/** Starts waiting attempts that fit on the endpoint and preempts batch items. */
 import { invariant } from 'anvilarch-utils'
 import { countRunning, prefilling, type RunningCounts } from './counts'
 import type { AdmissionCommand, AdmissionState, RunningAttempt, WaitingAttempt } from './types'
 
 /**
- * Starts waiting work: an isolated attempt once the endpoint is free, else online work before batch.
+ * Starts waiting attempts: an isolated attempt once the endpoint is idle, otherwise online work before batch work.
  *
- * Attempts that must be computed alone take turns with the others. After a crash there may be as many of them as an
- * endpoint has slots, all but one harmless; run alone to their ends they kept an endpoint from all other work for minutes,
- * and most missed their deadlines. An endpoint crashes when it first computes the request, so that alone until the first
- * token tells as much, and each costs the others the computing of one prompt.
+ * Attempts whose prompt must be prefilled alone (crash suspects) alternate with other work. After a crash there may be as
+ * many suspects as the endpoint has slots, all but one of them harmless. Running each alone to completion would block the
+ * endpoint for minutes, and most would miss their deadlines. A request that crashes an endpoint does so during its prefill,
+ * so isolation until the first token is sufficient, and each suspect delays other work by one prefill only.
  *
- * @param state - state of the endpoint; changed in place
- * @param nowMs - the time
- * @param commands - takes the starts and preemptions
+ * @param state - state of the endpoint; modified in place
+ * @param nowMs - current time
+ * @param commands - receives the start and preempt commands
  */
 export function startWhatFits (state: AdmissionState, nowMs: number, commands: AdmissionCommand[]): void {
   if (countRunning(state).isolated || prefilling(state).some(attempt => attempt.soloFirstToken)) return
@@ -63,8 +63,8 @@
   for (const waiting of state.batch.splice(0, Math.max(0, room))) start(state, waiting, nowMs, false, commands)
 }
 
-// An engine computes prompts in the order in which they came. Batch items that start together would stand before the
-// prompt of the next online request for several steps, which shows as a first token that is late by a multiple of a step.
+// An engine prefills prompts in order of arrival. Batch items started together would delay the prefill of the next online
+// request by several engine steps, and with it the first token.
 function prefillRoom (state: AdmissionState, counts: RunningCounts): number {
   if (!state.options.preemptible) return Infinity
   const { maxPrefillingBatch, maxPrefillingBesideOnline } = state.options
@@ -93,7 +93,7 @@
   commands.push({ kind: waiting.started ? 'resume' : 'start', id: waiting.id })
 }
 
-// An item that gave way often runs to its end; the number of such items is bounded, since online work waits for them.
+// An item that has been preempted often runs to completion. The number of such items is bounded, since online work waits for them.
 function mayProtect (state: AdmissionState, waiting: WaitingAttempt): boolean {
   if (waiting.preemptions < state.options.maxPreemptions) return false
   const bound = Math.max(1, Math.floor(state.options.slots * state.options.protectedSharePercent / 100))
@@ -101,11 +101,11 @@
 }
 
 /**
- * Cuts off batch items above a limit.
+ * Preempts the batch items above a limit.
  *
- * @param state - state of the endpoint; changed in place
- * @param limit - items that may go on
- * @param commands - takes the preemptions
+ * @param state - state of the endpoint; modified in place
+ * @param limit - number of items that may keep running
+ * @param commands - receives the preempt commands
  */
 export function preemptExcessBatch (state: AdmissionState, limit: number, commands: AdmissionCommand[]): void {
   const counts = countRunning(state)
@@ -113,10 +113,10 @@
 }
 
 /**
- * Cuts off the batch items that would stand before the prompt of an online request.
+ * Preempts the batch items whose prefill would delay the prefill of an online request.
  *
- * @param state - state of the endpoint; changed in place
- * @param commands - takes the preemptions
+ * @param state - state of the endpoint; modified in place
+ * @param commands - receives the preempt commands
  */
 export function preemptPrefilling (state: AdmissionState, commands: AdmissionCommand[]): void {
   if (!state.options.preemptible) return
@@ -140,7 +140,7 @@
   return attempt.workClass === 'batch' && attempt.phase === 'running' && !attempt.isProtected && !attempt.isolated && !(attempt.soloFirstToken && attempt.isPrefilling)
 }
 
-// Those that gave way least often first, and among them those that have done the least.
+// Items with the fewest preemptions first, and among those the most recently started.
 function byCostOfPreemption (left: RunningAttempt, right: RunningAttempt): number {
   return left.preemptions - right.preemptions || right.startedMs - left.startedMs
 }
--- a/packages/anvilarch-daemon/src/admission/stepTime.ts
+++ b/packages/anvilarch-daemon/src/admission/stepTime.ts
@@ -1,10 +1,10 @@
 /**
- * Time between tokens as a line over the number of attempts that run: continuous batching makes each step longer with
- * each sequence in it. The line tells, before the harm is measured, how much batch work fits beside the online work
- * that runs now. It is fitted by least squares with a weight that falls with age.
+ * Linear model of the time between tokens over the number of running attempts: with continuous batching, each sequence
+ * makes an engine step longer. The model predicts how much batch work fits beside the current online work, before an
+ * increased latency is measured. It is fitted by least squares, with weights that decrease with the age of a sample.
  */
 
-/** Weighted sums of the fit. */
+/** Weighted sums of the least-squares fit. */
 export interface StepTimeFit {
   weight: number
   sumX: number
@@ -23,9 +23,9 @@
 }
 
 /**
- * @param fit - takes the sample
- * @param running - attempts that ran at that time
- * @param gapMs - time between two tokens of one of them
+ * @param fit - receives the sample
+ * @param running - number of attempts running at that time
+ * @param gapMs - time between two tokens of one of these attempts
  */
 export function addStepTime (fit: StepTimeFit, running: number, gapMs: number): void {
   fit.weight = fit.weight * DECAY + 1
@@ -35,15 +35,15 @@
   fit.sumXY = fit.sumXY * DECAY + running * gapMs
 }
 
-/** A line: `baseMs` for none, `perAttemptMs` more for each. */
+/** Step time: `baseMs`, plus `perAttemptMs` for each running attempt. */
 export interface StepTimeLine {
   baseMs: number
   perAttemptMs: number
 }
 
 /**
- * @param fit - the sums
- * @returns the line, or undefined while the samples do not tell one
+ * @param fit - sums of the fit
+ * @returns the fitted line, or undefined while the samples are too few, too uniform or give an implausible line
  */
 export function stepTimeLine (fit: StepTimeFit): StepTimeLine | undefined {
   if (fit.weight < MIN_WEIGHT) return undefined
--- a/packages/anvilarch-daemon/src/admission/types.ts
+++ b/packages/anvilarch-daemon/src/admission/types.ts
@@ -1,112 +1,112 @@
 /**
- * Admission to one endpoint: state and event in, next state and commands out. Times are on the monotonic scale of the
- * agent's clock and come with the events.
+ * Types of the admission state machine of one endpoint: state and event in, next state and commands out. Times are on the
+ * agent's monotonic clock and are passed with the events.
  */
 import type { BatchPolicy } from 'anvilarch-configuration'
 import type { RefusalReason, WorkClass } from 'anvilarch-protocol'
 import type { BatchLimit } from './batchLimit'
 import type { Measures } from './measures'
 
-/** Something happened at the endpoint. */
+/** An event at the endpoint. */
 export type AdmissionEvent =
   | { kind: 'arrive', nowMs: number, id: string, workClass: WorkClass, deadlineMs: number, isolated: boolean, soloFirstToken?: boolean }
   | { kind: 'firstToken', nowMs: number, id: string, sinceStartMs: number }
-  /** The first token since a start or a resumption came: the engine is done with the prompt. */
+  /** The first token since a start or a resumption arrived: the prefill is complete. */
   | { kind: 'decoding', nowMs: number, id: string }
   | { kind: 'interToken', nowMs: number, id: string, gapMs: number }
-  /** A preempted attempt is off the engine. */
+  /** The engine has freed the slot of a preempted attempt. */
   | { kind: 'released', nowMs: number, id: string }
-  /** A running attempt ended; `whole` when its answer was complete, so that its time counts as a service time. */
+  /** A running attempt ended; `whole` if its response was complete, so that its duration counts as a service time. */
   | { kind: 'finished', nowMs: number, id: string, whole: boolean }
-  /** A waiting attempt was withdrawn. */
+  /** A waiting attempt was cancelled. */
   | { kind: 'cancelled', nowMs: number, id: string }
   | { kind: 'tick', nowMs: number }
   | { kind: 'drain', nowMs: number }
-  /** Running batch work is to be handed back, so that a drain is short. */
+  /** Running batch work is preempted and returned, to shorten a drain. */
   | { kind: 'handBack', nowMs: number }
   | { kind: 'endpointDown', nowMs: number }
   | { kind: 'endpointUp', nowMs: number }
   | { kind: 'policy', nowMs: number, policy: BatchPolicy }
 
-/** Why an attempt that was taken in is given up before it ran to its end. */
+/** Why an admitted attempt is given up before it completes. */
 export type GiveUpReason = 'deadline' | 'draining' | 'endpoint_down' | 'isolated_busy'
 
-/** What the agent must do. */
+/** A command for the agent to execute. */
 export type AdmissionCommand =
   | { kind: 'start', id: string }
   | { kind: 'resume', id: string }
   | { kind: 'preempt', id: string }
-  /** Answers the arrival of this id: it never runs here. */
+  /** Rejects the arriving attempt; it never runs here. */
   | { kind: 'refuse', id: string, reason: RefusalReason, retryAfterMs: number }
-  /** Ends an attempt that waits; `started` says whether it ran before it was preempted. */
+  /** Ends a waiting attempt; `started` if it had run and was preempted. */
   | { kind: 'giveUp', id: string, reason: GiveUpReason, started: boolean, retryAfterMs: number }
 
-/** An attempt that holds a slot. */
+/** An attempt that occupies a slot. */
 export interface RunningAttempt {
   id: string
   workClass: WorkClass
   startedMs: number
   deadlineMs: number
-  /** `preempting`: cut off, but the engine may not have freed its slot yet. */
+  /** `preempting`: preempted, but the engine may not have freed its slot yet. */
   phase: 'running' | 'preempting'
   preemptions: number
   isProtected: boolean
-  /** The engine still computes its prompt. */
+  /** The engine is still processing its prompt. */
   isPrefilling: boolean
   isolated: boolean
-  /** Nothing else is computed until its first token. */
+  /** No other prompt is prefilled until its first token. */
   soloFirstToken: boolean
-  /** Nothing ran beside it so far. */
+  /** No other attempt has run at the same time so far. */
   alone: boolean
 }
 
-/** An attempt that waits for a slot. */
+/** An attempt waiting for a slot. */
 export interface WaitingAttempt {
   id: string
   workClass: WorkClass
   deadlineMs: number
   preemptions: number
-  /** It ran before and was preempted. */
+  /** It has run before and was preempted. */
   started: boolean
-  /** Its first token must come while no other prompt is computed. */
+  /** Its prompt must be prefilled while no other prompt is. */
   soloFirstToken: boolean
 }
 
-/** An attempt that must run with nothing beside it. */
+/** A waiting attempt that must run with no other attempt on the endpoint. */
 export interface WaitingIsolated {
   attempt: WaitingAttempt
-  /** It is given up then, since nothing else starts while it waits. */
+  /** Time at which it is given up, since nothing else starts while it waits. */
   untilMs: number
 }
 
-/** Tunables of admission. */
+/** Tuning options of admission. */
 export interface AdmissionOptions {
-  /** Requests that the endpoint may run at the same time. */
+  /** Number of requests the endpoint can run concurrently. */
   slots: number
   maxQueuedOnline: number
   maxQueuedBatch: number
   maxQueuedIsolated: number
-  /** Whether batch work can be cut off and continued. */
+  /** Whether batch work can be preempted and resumed. */
   preemptible: boolean
-  /** Preemptions after which an item is protected until it is done. */
+  /** Preemptions after which an item is protected until it completes. */
   maxPreemptions: number
-  /** Items protected at the same time, as a share of the slots; at least one. */
+  /** Maximum of concurrently protected items, as a percentage of the slots; at least one item. */
   protectedSharePercent: number
-  /** Longest wait of an isolated attempt for the endpoint to be free, since nothing starts meanwhile. */
+  /** Maximum time an isolated attempt waits for the endpoint to be idle, since nothing else starts meanwhile. */
   maxIsolationWaitMs: number
-  /** Shortest time named in a refusal. */
+  /** Minimum retry time in a rejection. */
   minRetryAfterMs: number
-  /** Batch items whose prompts the engine computes at the same time. */
+  /** Maximum of batch items in prefill at the same time. */
   maxPrefillingBatch: number
-  /** The same while online work runs. */
+  /** The same limit while online work runs. */
   maxPrefillingBesideOnline: number
-  /** After this long without online work the batch limit is all slots. */
+  /** Time without online work after which the batch limit is all slots. */
   idleHoldMs: number
-  /** Time between two corrections of the batch limit while online work runs. */
+  /** Minimum interval between two adjustments of the batch limit while online work runs. */
   adjustIntervalMs: number
 }
 
-/** Defaults, but for `slots` and `maxQueuedOnline`, which come from the settings. */
+/** Defaults. `slots` and `maxQueuedOnline` are overridden by the settings. */
 export const DEFAULT_ADMISSION_OPTIONS: AdmissionOptions = {
   slots: 1,
   maxQueuedOnline: 64,
@@ -123,20 +123,20 @@
   adjustIntervalMs: 500
 }
 
-/** State of one endpoint's admission. */
+/** Admission state of one endpoint. */
 export interface AdmissionState {
   options: AdmissionOptions
   policy: BatchPolicy
   running: Map<string, RunningAttempt>
-  /** Lookups before online work, each in the order of arrival. */
+  /** Lookups before other online work, each in order of arrival. */
   online: WaitingAttempt[]
   /** Preempted items first. */
   batch: WaitingAttempt[]
-  /** They wait for the endpoint to be free of everything else, and run one after another. */
+  /** Attempts that wait for the endpoint to be idle, and run one at a time. */
   isolated: WaitingIsolated[]
-  /** They wait until no prompt is being computed, and are computed one after another; see `startWhatFits`. */
+  /** Attempts that wait until no prompt is in prefill, and are prefilled one at a time; see `startWaitingAttempts`. */
   solo: WaitingAttempt[]
-  /** Whether the next prompt to be computed is one of those in `solo`. */
+  /** Whether the next prompt to prefill is one of those in `solo`. */
   soloTurn: boolean
   draining: boolean
   handingBack: boolean
@@ -145,13 +145,13 @@
   batchLimit: BatchLimit
 }
 
-/** Next state and what to do. */
+/** Next state and the commands to execute. */
 export interface AdmissionStep {
   state: AdmissionState
   commands: AdmissionCommand[]
 }
 
-/** Load as gateways are told. */
+/** Load report for gateways. */
 export interface AdmissionLoad {
   runningOnline: number
   runningBatch: number
--- a/packages/anvilarch-daemon/src/admission/waiting.ts
+++ b/packages/anvilarch-daemon/src/admission/waiting.ts
@@ -1,10 +1,12 @@
-/** Gives up attempts that wait: their deadline passed, or this agent will not run them. */
+/** Gives up waiting attempts: their deadline has passed, or this agent will not run them. */
 import type { AdmissionCommand, AdmissionState, GiveUpReason, WaitingAttempt } from './types'
 
 /**
- * @param state - state of the endpoint; changed in place
- * @param nowMs - the time
- * @param commands - takes what is given up
+ * Gives up the waiting attempts whose deadline has passed.
+ *
+ * @param state - state of the endpoint; modified in place
+ * @param nowMs - current time
+ * @param commands - receives the giveUp commands
  */
 export function expireWaiting (state: AdmissionState, nowMs: number, commands: AdmissionCommand[]): void {
   state.online = keepInTime(state.online, nowMs, commands)
@@ -18,9 +20,11 @@
 }
 
 /**
- * @param state - state of the endpoint; changed in place
- * @param reason - why nothing that waits will run
- * @param commands - takes what is given up
+ * Gives up all waiting attempts.
+ *
+ * @param state - state of the endpoint; modified in place
+ * @param reason - why no waiting attempt will run
+ * @param commands - receives the giveUp commands
  */
 export function giveUpAll (state: AdmissionState, reason: GiveUpReason, commands: AdmissionCommand[]): void {
   const waiting = [...state.online, ...state.batch, ...state.solo, ...state.isolated.map(({ attempt }) => attempt)]
--- a/packages/anvilarch-daemon/src/leases/__tests__/leases.test.ts
+++ b/packages/anvilarch-daemon/src/leases/__tests__/leases.test.ts
@@ -8,7 +8,7 @@
 const LEASE_MS = 6_000
 const KEY = 'lease/test'
 
-/** One process with its leases, and no jobs. */
+/** A process with its leases, without jobs. */
 interface Process extends Pick<SimulatedGateway, 'context' | 'gate'> {
   lifecycle: LifecycleManager
   heartbeat: Heartbeat
@@ -28,7 +28,7 @@
 }
 
 describe('startHeartbeat', () => {
-  it('writes what the gateway says of itself and removes the row at the end', async () => {
+  it('writes the description of the gateway and removes the row on shutdown', async () => {
     const fleet = createSimulatedFleet(1, 0)
     const { heartbeat, lifecycle } = await startProcess(fleet)
     const row = JSON.parse(fleet.store.rows.get(`gateway/${heartbeat.instance}`)?.value ?? '{}')
@@ -39,7 +39,7 @@
     expect(heartbeat.holdsLease()).toBe(false)
   })
 
-  // Guards against this: two holders of one lease.
+  // Guards against two holders of one lease: the holder must not count the latency of a renewal as part of its lease.
   it('counts the lease from the time at which a renewal was sent', async () => {
     const fleet = createSimulatedFleet(1, 0)
     const { heartbeat, gate } = await startProcess(fleet)
@@ -53,7 +53,7 @@
     expect(heartbeat.holdsLease()).toBe(false)
   })
 
-  it('knows on its own clock that the lease lapsed while it was stopped, and counts the lapse when it renews', async () => {
+  it('detects on its own clock that the lease lapsed during a process pause, and counts the lapse at the next renewal', async () => {
     const fleet = createSimulatedFleet(1, 0)
     const { heartbeat, gate } = await startProcess(fleet)
     gate.stop()
@@ -68,7 +68,7 @@
 })
 
 describe('startLeaseObserver', () => {
-  it('finds a holder dead a little after its lease, and never before', async () => {
+  it('considers a holder dead shortly after its lease ends, and never before', async () => {
     const fleet = createSimulatedFleet(1, 0)
     const [one, other] = [await startProcess(fleet), await startProcess(fleet)]
     await fleet.clock.advanceAsync(2_000)
@@ -88,8 +88,8 @@
     expect(other.observer.stateOf(one.heartbeat.instance)).toBe('dead')
   })
 
-  // Guards against this: after an outage all gateways take over from each other.
-  it('finds nobody dead after an outage in which nobody could renew', async () => {
+  // Guards against gateways that all take over from each other after an outage of the table.
+  it('considers no holder dead after an outage in which no lease could be renewed', async () => {
     const fleet = createSimulatedFleet(1, 0)
     const processes = [await startProcess(fleet), await startProcess(fleet), await startProcess(fleet)]
     await fleet.clock.advanceAsync(3_000)
@@ -104,8 +104,8 @@
 })
 
 describe('startSingleLease', () => {
-  // Guards against this: orders of two holders at the same time.
-  it('has one holder at a time, with an epoch that grows', async () => {
+  // Guards against two holders that act under one lease at the same time, for example both sending orders.
+  it('has one holder at a time, with an increasing epoch', async () => {
     const fleet = createSimulatedFleet(1, 0)
     const processes = [await startProcess(fleet), await startProcess(fleet), await startProcess(fleet)]
     let highest = 0
@@ -136,7 +136,7 @@
     expect(JSON.parse(fleet.store.rows.get(KEY)?.value ?? '{}')).toMatchObject({ holder: '' })
   })
 
-  // Guards against this: as above.
+  // Guards against two holders at the same time: after a process pause another gateway may have acquired the lease.
   it('is not held after a lapse until the row was read again', async () => {
     const fleet = createSimulatedFleet(1, 0)
     const [one, other] = [await startProcess(fleet), await startProcess(fleet)]
@@ -150,7 +150,7 @@
     expect(one.lease.epoch()).toBeUndefined()
   })
 
-  it('goes to another one at once when it is given back', async () => {
+  it('is acquired by another gateway soon after its release', async () => {
     const fleet = createSimulatedFleet(1, 0)
     const [one, other] = [await startProcess(fleet), await startProcess(fleet)]
     expect([one.lease.epoch(), other.lease.epoch()]).toEqual([1, undefined])
--- a/packages/anvilarch-daemon/src/leases/leaseTimes.ts
+++ b/packages/anvilarch-daemon/src/leases/leaseTimes.ts
@@ -1,28 +1,28 @@
-/** The durations that holder and observer of a lease must agree on. */
+/** Durations that the holder and the observers of a lease must agree on. */
 
-/** Renewals in the time of one lease, so that two may be lost. */
+/** Renewals per lease duration; two may be lost. */
 const RENEWALS_PER_LEASE = 3
 
-/** Share of the lease by which a holder stops early and an observer waits longer, for clocks that run apart. */
+/** Share of the lease duration by which a holder stops early and an observer waits longer, to tolerate clock drift. */
 const MARGIN_SHARE = 0.1
 
-/** Leases after which the row of a dead gateway is removed. */
+/** Lease durations after which the row of a dead gateway is removed. */
 const REMOVAL_LEASES = 20
 
-/** Durations derived from the length of a lease. */
+/** Durations derived from the lease duration. */
 export interface LeaseTimes {
   renewalMs: number
-  /** A holder trusts its lease for this long after it sent the last renewal that took effect. */
+  /** Time for which a holder considers its lease valid after sending the last successful renewal. */
   holderValidMs: number
-  /** An observer gives up on a holder whose sequence did not move for this long. */
+  /** Time without a new sequence after which an observer considers a holder dead. */
   observerTimeoutMs: number
-  /** An observer removes the row of a dead holder after this long without a renewal. */
+  /** Time without a renewal after which an observer removes the row of a dead holder. */
   removalMs: number
 }
 
 /**
- * @param leaseMs - length of a lease
- * @returns the durations of holder and observer
+ * @param leaseMs - lease duration
+ * @returns durations for holder and observers
  */
 export function leaseTimes (leaseMs: number): LeaseTimes {
   const marginMs = leaseMs * MARGIN_SHARE
--- a/packages/anvilarch-daemon/src/leases/observerCore.ts
+++ b/packages/anvilarch-daemon/src/leases/observerCore.ts
@@ -1,22 +1,22 @@
 /**
- * Judges holders by their heartbeat rows: pure, times are passed in.
+ * Determines from the heartbeat rows whether lease holders are alive. Pure: times are passed in.
  *
- * Only time in which this observer could read the table and had its own renewals accepted counts against a holder. After
- * an outage every row is old; judging by it would let all gateways take over from each other at once.
+ * Time counts against a holder only while this observer could read the table and its own renewals succeeded. After an
+ * outage every row is outdated; if that counted, all gateways would take over from each other at the same time.
  */
 import type { LeaseTimes } from './leaseTimes'
 import type { GatewayRow, HolderState } from './types'
 
-/** A heartbeat row as it was read. */
+/** A heartbeat row as read from the table. */
 export interface HeartbeatReading {
   instance: string
   version: number
   row: GatewayRow
 }
 
-/** What is known of one gateway. */
+/** Last row of one gateway, and the time without progress. */
 export interface HolderRecord extends HeartbeatReading {
-  /** Time that counted against it since its sequence last moved. */
+  /** Time counted against the holder since its sequence last increased. */
   stillMs: number
 }
 
@@ -24,29 +24,29 @@
 export interface ObserverState {
   holders: ReadonlyMap<string, HolderRecord>
   lastScanMs: number | undefined
-  /** Instances that were asked for while no row of theirs was known, and when. */
+  /** Instances whose state was requested while they had no known row, with the time of the request. */
   missing: ReadonlyMap<string, { askedMs: number, gone: boolean }>
 }
 
 /** A complete scan of the heartbeat rows. */
 export interface ObserverScan {
   readings: HeartbeatReading[]
-  /** When the scan was sent. */
+  /** Time at which the scan was sent. */
   startedMs: number
-  /** Whether the observer's own lease stood at that time. */
+  /** Whether the observer's own lease was valid at that time. */
   holdsLease: boolean
 }
 
-/** Instances asked for and not seen that are remembered; more are answered `unknown` until some are forgotten. */
+/** Maximum of entries in `missing`; the oldest entry is evicted, and its instance is `unknown` again. */
 const MAX_MISSING = 1_000
 
-/** State before the first scan. */
+/** Initial state, before the first scan. */
 export const INITIAL_OBSERVER_STATE: ObserverState = { holders: new Map(), lastScanMs: undefined, missing: new Map() }
 
 /**
- * @param state - before the scan
- * @param scan - what was read
- * @param times - durations of the lease
+ * @param state - state before the scan
+ * @param scan - rows read by the scan
+ * @param times - lease durations
  * @returns state after the scan
  */
 export function afterScan (state: ObserverState, scan: ObserverScan, times: LeaseTimes): ObserverState {
@@ -65,17 +65,17 @@
   return { holders, lastScanMs: scan.startedMs, missing }
 }
 
-/** A gap between two scans counts for at most one renewal, since the observer did not look in between. */
+/** A gap between two scans counts for at most one renewal interval, since no rows were read in between. */
 function countedTime (state: ObserverState, scan: ObserverScan, times: LeaseTimes): number {
   if (state.lastScanMs === undefined || !scan.holdsLease) return 0
   return Math.min(scan.startedMs - state.lastScanMs, times.renewalMs)
 }
 
 /**
- * @param state - of the observer
- * @param instance - the holder asked for
- * @param times - durations of the lease
- * @returns what is known of it
+ * @param state - state of the observer
+ * @param instance - instance of the holder
+ * @param times - lease durations
+ * @returns state of the holder
  */
 export function holderState (state: ObserverState, instance: string, times: LeaseTimes): HolderState {
   const record = state.holders.get(instance)
@@ -84,13 +84,13 @@
 }
 
 /**
- * Notes a question about an instance without a row. A gateway writes its row before it holds anything, so a scan that
- * was sent after the question and shows no row proves that the row was removed.
+ * Records a query for an instance without a known row. A gateway writes its row before it claims anything, so a scan that
+ * was sent after the query and returns no row proves that the row was removed.
  *
- * @param state - of the observer
- * @param instance - the holder asked for
- * @param nowMs - time of the question
- * @returns state with the question noted
+ * @param state - state of the observer
+ * @param instance - instance of the holder
+ * @param nowMs - time of the query
+ * @returns state with the query recorded
  */
 export function afterQuestion (state: ObserverState, instance: string, nowMs: number): ObserverState {
   if (state.holders.has(instance) || state.missing.has(instance)) return state
@@ -102,9 +102,9 @@
 }
 
 /**
- * @param state - of the observer
- * @param times - durations of the lease
- * @returns rows of gateways that have been dead for long
+ * @param state - state of the observer
+ * @param times - lease durations
+ * @returns rows of gateways that have been dead for the removal time
  */
 export function removableRows (state: ObserverState, times: LeaseTimes): HolderRecord[] {
   return [...state.holders.values()].filter(record => record.stillMs >= times.removalMs)
--- a/packages/anvilarch-daemon/src/leases/startHeartbeat.ts
+++ b/packages/anvilarch-daemon/src/leases/startHeartbeat.ts
@@ -1,4 +1,4 @@
-/** Renews the heartbeat row of this gateway, and knows from its own clock whether the lease still stands. */
+/** Renews the heartbeat row of this gateway and tracks on its own monotonic clock whether the lease is valid. */
 import { randomUUID } from 'node:crypto'
 import { type Commit, ROW_KEYS } from 'anvilarch-protocol'
 import { type LifecycleManager, sleep } from 'anvilarch-utils'
@@ -6,16 +6,16 @@
 import { leaseTimes } from './leaseTimes'
 import type { GatewayDescription, GatewayRow, Heartbeat } from './types'
 
-/** Share by which the time to the next renewal varies, so that gateways do not write in step. */
+/** Relative jitter of the renewal interval, so that gateways do not write in lockstep. */
 const RENEWAL_JITTER = 0.1
 
 /**
- * Writes the row once, then renews it for as long as the process lives. The lease is not held until a renewal took
- * effect, so a start during an outage of the table is no error.
+ * Writes the row once, then renews it until the process shuts down. The lease is not held until a write has succeeded, so
+ * starting during an outage of the table is not an error.
  *
- * @param context - shared parts of the daemon
+ * @param context - shared context of the daemon
  * @param lifecycle - stops the renewals and removes the row
- * @param describe - what the row says besides identity and sequence; called at each renewal
+ * @param describe - returns the content of the row besides identity and sequence; called at each renewal
  * @returns the lease of this gateway
  */
 export async function startHeartbeat (
@@ -37,11 +37,11 @@
   const renew = async (): Promise<void> => {
     const sentMs = clock.nowMs()
     const row: GatewayRow = { name: settings.name, incarnation, sequence: ++sequence, ...describe() }
-    // A row of an incarnation has one writer, and a late write only shows an older sequence, so no condition is needed.
+    // The row of an incarnation has a single writer, and a delayed write only restores an older sequence, so no condition is needed.
     const commit: Commit = { commitId: randomUUID(), conditions: [], writes: [{ key, value: JSON.stringify(row) }] }
     await context.platform.table.commit(commit)
-    // A holder that was paused comes to this line with a lease that others may have judged dead meanwhile. Its commits
-    // would be refused by the epochs; counting the lapse lets it read its rows again before it works in vain.
+    // After a process pause, other gateways may already consider this holder dead. Its commits would be rejected because of
+    // their epochs; counting the lapse makes it read its rows again before it does useless work.
     if (renewedBefore && !holdsLease()) lapses += 1
     renewedBefore = true
     validUntilMs = Math.max(validUntilMs, sentMs + times.holderValidMs)
--- a/packages/anvilarch-daemon/src/leases/startLeaseObserver.ts
+++ b/packages/anvilarch-daemon/src/leases/startLeaseObserver.ts
@@ -1,4 +1,4 @@
-/** Scans the heartbeat rows at each poll and judges their writers by this gateway's monotonic clock. */
+/** Scans the heartbeat rows periodically and determines on this gateway's monotonic clock which gateways are alive. */
 import { randomUUID } from 'node:crypto'
 import { ROW_KEYS, type Row } from 'anvilarch-protocol'
 import { type LifecycleManager, sleep } from 'anvilarch-utils'
@@ -9,16 +9,16 @@
 } from './observerCore'
 import type { GatewayRow, Heartbeat, LeaseObserver } from './types'
 
-/** Rows of one page of the scan. */
+/** Maximum of rows in one page of the scan. */
 const SCAN_LIMIT = 500
 
-/** Share by which the time between scans varies, so that gateways do not read in step. */
+/** Relative jitter of the scan interval, so that gateways do not read in lockstep. */
 const SCAN_JITTER = 0.2
 
 /**
- * @param context - shared parts of the daemon
+ * @param context - shared context of the daemon
  * @param lifecycle - stops the scans
- * @param heartbeat - the lease of this gateway, without which it judges nobody
+ * @param heartbeat - lease of this gateway; while it is not valid, no time counts against other gateways
  * @returns the observer, after its first scan
  */
 export async function startLeaseObserver (
--- a/packages/anvilarch-daemon/src/leases/startSingleLease.ts
+++ b/packages/anvilarch-daemon/src/leases/startSingleLease.ts
@@ -1,4 +1,4 @@
-/** A duty with one holder in the fleet: a lease row whose epoch is the fencing token of all that is done under it. */
+/** A lease with at most one holder in the fleet. The epoch of its row is the fencing token of all actions under the lease. */
 import { randomUUID } from 'node:crypto'
 import type { Row } from 'anvilarch-protocol'
 import { invariant, type LifecycleManager, sleep } from 'anvilarch-utils'
@@ -6,7 +6,7 @@
 import { leaseTimes } from './leaseTimes'
 import type { Heartbeat, LeaseObserver, SingleLease, SingleLeaseRow } from './types'
 
-/** What a single lease needs. */
+/** Options of `startSingleLease`. */
 export interface SingleLeaseOptions {
   /** Key of the lease row. */
   key: string
@@ -14,19 +14,19 @@
   heartbeat: Heartbeat
 }
 
-/** Share by which the time between two looks at the row varies. */
+/** Relative jitter of the interval between two polls of the row. */
 const LOOK_JITTER = 0.2
 
-/** What this gateway last learned of its hold. */
+/** The lease as held by this gateway at the last read of the row. */
 interface Hold {
   epoch: number
-  /** Lapses of the heartbeat when the row was read. A later lapse makes the hold doubtful until it is read again. */
+  /** Lapse count of the heartbeat when the row was read. After a later lapse the lease is not used until the row is read again. */
   lapses: number
 }
 
 /**
- * @param context - shared parts of the daemon
- * @param lifecycle - gives the lease back and stops the looks at the row
+ * @param context - shared context of the daemon
+ * @param lifecycle - stops polling and releases the lease
  * @param options - row key, observer and heartbeat
  * @returns the lease, which this gateway may or may not hold
  */
@@ -58,7 +58,7 @@
   const isFree = (value: SingleLeaseRow | undefined): boolean =>
     value === undefined || value.holder === '' || observer.stateOf(value.holder) === 'dead'
 
-  /** Reads the row and takes the lease if nobody holds it. A take whose reply was lost shows at the next look. */
+  /** Reads the row and acquires the lease if it is free. An acquisition whose response was lost is detected at the next poll. */
   const look = async (): Promise<void> => {
     const lapses = heartbeat.lapses()
     const [row] = await platform.table.read([key], stopping.signal)
--- a/packages/anvilarch-daemon/src/leases/types.ts
+++ b/packages/anvilarch-daemon/src/leases/types.ts
@@ -1,13 +1,13 @@
-/** Leases: one heartbeat row per gateway carries all that the gateway holds; others judge it by that row. */
+/** Types of leases. The heartbeat row of a gateway is the lease on everything it holds; other gateways observe that row. */
 
-/** What a gateway says of itself in its heartbeat row, besides its identity. */
+/** Description of a gateway in its heartbeat row, besides its identity. */
 export interface GatewayDescription {
-  /** IP number and port of the callers' HTTP. */
+  /** IP address and port of the HTTP server for callers. */
   address: string
   operationsAddress: string
   configurationVersion: number
   state: 'serving' | 'draining'
-  /** Job parts that this gateway holds. */
+  /** Number of job parts that this gateway holds. */
   heldParts: number
 }
 
@@ -15,56 +15,56 @@
 export interface GatewayRow extends GatewayDescription {
   name: string
   incarnation: string
-  /** Grows with each renewal of one incarnation. */
+  /** Incremented with each renewal of one incarnation. */
   sequence: number
 }
 
 /** The lease of this gateway on everything that it holds. */
 export interface Heartbeat {
-  /** Name and incarnation of this gateway; the holder that lease rows and part rows name. */
+  /** Name and incarnation of this gateway; the holder value in lease rows and part rows. */
   instance: string
-  /** Whether the lease is valid on this gateway's own monotonic clock. */
+  /** Whether the lease is valid according to this gateway's own monotonic clock. */
   holdsLease: () => boolean
   /**
-   * How often the lease had lapsed when it was renewed. Who sees this number change must read its rows again before it
-   * goes on, since another gateway may have taken them over.
+   * Number of renewals before which the lease had lapsed. When this number changes, code that relies on held rows must read
+   * them again before it continues, since another gateway may have taken them over.
    */
   lapses: () => number
 }
 
-/** What an observer makes of a holder. `unknown` until its row, or the lack of it, was seen after the question. */
+/** Observed state of a holder. `unknown` until a scan after the query has found its row or confirmed that there is none. */
 export type HolderState = 'alive' | 'dead' | 'unknown'
 
-/** A gateway as another one sees it. */
+/** A gateway as observed by another one. */
 export interface ObservedGateway {
   instance: string
   row: GatewayRow
   state: HolderState
 }
 
-/** Judges the other gateways by their heartbeat rows. */
+/** Observes the other gateways through their heartbeat rows. */
 export interface LeaseObserver {
   /**
    * @param instance - holder named by a row that was read before this call
-   * @returns its state; `unknown` asks for the answer, which the next scan gives
+   * @returns its state; if `unknown`, the next scan resolves it
    */
   stateOf: (instance: string) => HolderState
-  /** @returns the gateways whose rows were seen at the last scan */
+  /** @returns gateways whose rows were found by the last scan */
   list: () => ObservedGateway[]
-  /** Scans now; resolves to false when the table could not be read. */
+  /** Scans immediately; resolves to false if the table could not be read. */
   scan: () => Promise<boolean>
 }
 
 /** Value of a lease row with one holder. */
 export interface SingleLeaseRow {
-  /** Instance of the holder; empty when it was given back. */
+  /** Instance of the holder; empty after a release. */
   holder: string
-  /** Only grows; the fencing token of everything done under the lease. */
+  /** Never decreases; the fencing token of all actions under the lease. */
   epoch: number
 }
 
-/** A duty that one gateway of the fleet holds. */
+/** A lease that at most one gateway of the fleet holds. */
 export interface SingleLease {
-  /** @returns the epoch while this gateway holds the lease, else undefined */
+  /** @returns the epoch while this gateway holds the lease, otherwise undefined */
   epoch: () => number | undefined
 }
--- a/packages/anvilarch-daemon/src/membership/__fixtures__/fakeAgents.ts
+++ b/packages/anvilarch-daemon/src/membership/__fixtures__/fakeAgents.ts
@@ -1,4 +1,4 @@
-/** Agents in memory behind the clients of a gateway. */
+/** In-memory agents behind the clients of a gateway. */
 import type { ExchangeRequest, HostEntry } from 'anvilarch-protocol'
 import { AnvilarchError, createFakeClock, createRandom, type FakeClock, SILENT_LOGGER, sleep } from 'anvilarch-utils'
 import { createConfigurationHolder } from '../../configuration/createConfigurationHolder'
@@ -8,7 +8,7 @@
 import { createFakePlatform, type FakePlatform } from '../../platform/__fixtures__/fakePlatform'
 import { createTimeline } from '../../timeline/createTimeline'
 
-/** One agent. */
+/** A fake agent. */
 export interface FakeAgent {
   address: string
   incarnation: string
@@ -16,19 +16,19 @@
   version: number
   documentJson: string
   hash: string
-  /** Models of its one model endpoint; none when it fronts no endpoint. */
+  /** Models of its only endpoint; undefined if it has no endpoint. */
   models?: Array<{ model: string, version: string, state: string }>
-  /** Of its endpoint; ready by default. */
+  /** Health of its endpoint; ready by default. */
   health?: string
-  /** `dead` refuses connections, `silent` never answers. */
+  /** `dead`: refuses connections; `silent`: never responds. */
   fault: 'none' | 'dead' | 'silent'
-  /** Fingerprints that its exchanges name. */
+  /** Suspect fingerprints in its exchange responses. */
   suspects?: string[]
   exchanges: ExchangeRequest[]
   pushes: number
 }
 
-/** Everything around the membership of one gateway. */
+/** Environment of the membership of one gateway. */
 export interface FakeFleet {
   clock: FakeClock
   context: DaemonContext
@@ -42,14 +42,14 @@
 
 const ANSWER_MS = 5
 
-/** @returns the entry of the host list for an agent */
+/** @returns host list entry of an agent */
 export function hostEntry (address: string, state: HostEntry['state'] = 'live'): HostEntry {
   return { host: `host-${address}`, role: 'agent', address, failureDomain: 'bole-hall', region: 'addis', state }
 }
 
 /**
- * @param count - agents, all live and listed
- * @returns the fleet on a fake clock
+ * @param count - number of agents, all live and listed
+ * @returns fleet on a fake clock
  */
 export function createFakeFleet (count: number): FakeFleet {
   const clock = createFakeClock()
--- a/packages/anvilarch-daemon/src/membership/__tests__/bootstrapConfiguration.test.ts
+++ b/packages/anvilarch-daemon/src/membership/__tests__/bootstrapConfiguration.test.ts
@@ -13,8 +13,8 @@
 }
 
 describe('chooseSource', () => {
-  // Guards against this: a version that an operator was told is accepted is replaced by the one before.
-  it('finds a version that was spread before the operator was told, whichever agents answer', () => {
+  // Guards against reverting to the previous version after a version was reported to an operator as accepted.
+  it('finds a version that a majority had when it was accepted, whichever agents respond', () => {
     const agents = fc.array(fc.record({ had: fc.boolean(), answered: fc.boolean(), answers: fc.boolean() }), { minLength: 1, maxLength: 12 })
     fc.assert(fc.property(agents, plan => {
       const spread = plan.map(({ had, answered }, index) => member(index, had ? 2 : 1, answered))
@@ -24,7 +24,7 @@
     }), { seed: SEED, numRuns: 5000 })
   })
 
-  it('has no source while half of the listed agents or more do not answer, or none has a version', () => {
+  it('has no source while half or more of the listed agents do not respond, or none has a version', () => {
     expect(chooseSource([member(0, 3, true), member(1, 3, false)])).toBeUndefined()
     expect(chooseSource([member(0, 0, true)])).toBeUndefined()
     expect(chooseSource([])).toBeUndefined()
--- a/packages/anvilarch-daemon/src/membership/__tests__/memberRecord.test.ts
+++ b/packages/anvilarch-daemon/src/membership/__tests__/memberRecord.test.ts
@@ -12,8 +12,8 @@
 }
 
 describe('afterAnswered', () => {
-  // Guards against this: requests go to an agent that was replaced, and each is refused.
-  it('does not bring back an incarnation that was met as gone after the exchange was sent', () => {
+  // Guards against requests that are sent to a replaced agent, which rejects each of them.
+  it('does not restore an incarnation that was found replaced after the exchange was sent', () => {
     const asked = afterAsked(serving(), 100)
     const met = afterIncarnation(asked, 'second', 110)
     const late = afterAnswered(met, response('first'), 120)
@@ -22,8 +22,8 @@
     expect(current.view).toMatchObject({ incarnation: 'second', state: 'serving' })
   })
 
-  // Guards against this: requests fail one after another on an endpoint that crashed.
-  it('keeps an endpoint out of use until an exchange that was sent later says it is ready', () => {
+  // Guards against successive requests that fail on a crashed endpoint.
+  it('keeps an endpoint out of use until a later exchange reports it as ready', () => {
     const down = afterEndpointDown(afterAsked(serving(), 100), 'engine-1', 110)
     expect(down.view.endpoints[0].health).toBe('crashed')
     const late = afterAnswered(down, response('first'), 120)
@@ -31,8 +31,8 @@
     expect(afterAnswered(afterAsked(late, 130), response('first'), 140).view.endpoints[0].health).toBe('ready')
   })
 
-  // Guards against this: a leaving agent gets new work again.
-  it('lets an incarnation that drains never serve again, but its successor', () => {
+  // Guards against a draining agent that gets new work again.
+  it('never returns a draining incarnation to service, only its successor', () => {
     const drained = afterDraining(afterAsked(serving(), 100))
     const late = afterAnswered(drained, response('first'), 120)
     expect(late.view.state).toBe('draining')
@@ -41,7 +41,7 @@
 })
 
 describe('afterListed', () => {
-  it('takes a leaving host out of use and an absent one not', () => {
+  it('takes a leaving host out of use, but not an absent one', () => {
     expect(afterListed(serving(), 'leaving', 30).view.state).toBe('draining')
     expect(afterListed(serving(), 'absent', 30).view.state).toBe('serving')
     expect(afterListed(afterListed(serving(), 'leaving', 30), 'live', 40).view.state).toBe('serving')
@@ -49,7 +49,7 @@
 })
 
 describe('afterMissed', () => {
-  it('takes an agent out of use after two exchanges without an answer, and at once when an attempt could not reach it', () => {
+  it('takes an agent out of use after two failed exchanges, and immediately when an attempt could not reach it', () => {
     const once = afterMissed(serving())
     expect(once.view.state).toBe('serving')
     expect(afterMissed(once).view.state).toBe('unreachable')
--- a/packages/anvilarch-daemon/src/membership/__tests__/startMembership.test.ts
+++ b/packages/anvilarch-daemon/src/membership/__tests__/startMembership.test.ts
@@ -5,9 +5,9 @@
 import { createFakeFleet, type FakeFleet, hostEntry } from '../__fixtures__/fakeAgents'
 import { type Membership, startMembership } from '../startMembership'
 
-/** The size to design for. */
+/** Fleet size that the design must support. */
 const AGENTS = 340
-/** A change of configuration is in force everywhere within this time. */
+/** Maximum time until a configuration change is active on all agents. */
 const IN_FORCE_MS = 13_000
 
 interface Started extends FakeFleet {
@@ -33,7 +33,7 @@
   await applyConfiguration(fleet.context, { documentText: documentText(variant), fileName: 'd', appliedBy: 'ana' })
 
 describe('startMembership', () => {
-  it('knows 340 agents within 5 s and then does at most 4 exchanges a second, each agent in turn', async () => {
+  it('discovers 340 agents within 5 s and then makes at most 4 exchanges a second, over all agents', async () => {
     const fleet = await startFleet(AGENTS)
     await fleet.clock.advanceAsync(5000)
     expect(fleet.directory.list().filter(agent => agent.state === 'serving')).toHaveLength(AGENTS)
@@ -43,8 +43,8 @@
     expect(Math.min(...fleet.agents.map(agent => agent.exchanges.length))).toBeGreaterThanOrEqual(3)
   })
 
-  // Guards against this: a gateway that was just started again refuses work as "no endpoint of this service is ready", although all endpoints are.
-  it('is settled only once every listed agent has been asked', async () => {
+  // Guards against a restarted gateway that rejects work with "no endpoint of this service is ready", although all endpoints are.
+  it('is initialized only once every listed agent was queried', async () => {
     const fleet = await startFleet(2)
     fleet.agents[1].fault = 'silent'
     expect(fleet.directory.isSettled()).toBe(false)
@@ -58,7 +58,7 @@
     expect(fleet.directory.isSettled()).toBe(true)
   })
 
-  it('pushes a change to 340 agents within the time in which it must be in force', async () => {
+  it('pushes a change to 340 agents within the activation time', async () => {
     const fleet = await startFleet(AGENTS)
     await fleet.clock.advanceAsync(5000)
     await apply(fleet, 1)
@@ -67,7 +67,7 @@
     expect(fleet.agents.every(agent => agent.pushes === 1)).toBe(true)
   })
 
-  // Guards against this: a change is not in force at one agent for more than a minute.
+  // Guards against a change that takes more than a minute to become active on one agent.
   it('pushes again when a push was lost', async () => {
     const fleet = await startFleet(AGENTS)
     await fleet.clock.advanceAsync(5000)
@@ -79,8 +79,8 @@
     expect(fleet.agents[7].version).toBe(1)
   })
 
-  // Guards against this: a new service is unavailable through one gateway.
-  it('asks model endpoints more often while a service waits for endpoints, but not for ever', async () => {
+  // Guards against a new service that is unavailable through one gateway, because it has not yet discovered the endpoints.
+  it('queries model endpoints more often while a service lacks endpoints, but only for a limited time', async () => {
     const fleet = await startFleet(AGENTS)
     for (const agent of fleet.agents) agent.models = []
     await fleet.clock.advanceAsync(5000)
@@ -95,8 +95,8 @@
     expect((countExchanges(fleet) - after) / 100).toBeLessThanOrEqual(4)
   })
 
-  // Guards against this: an engine that is back after a crash stands idle for seconds, since gateways ask for it too late.
-  it.each([{ health: 'crashed' }, { models: [{ model: 'm', version: '1', state: 'loading' }] }])('learns within half a second that an endpoint has changed, but asks no agent so often for ever (%j)', async change => {
+  // Guards against an engine that stays idle for seconds after a crash, because gateways query its agent too late.
+  it.each([{ health: 'crashed' }, { models: [{ model: 'm', version: '1', state: 'loading' }] }])('detects within half a second that an endpoint has changed, but queries an agent so often only for a limited time (%j)', async change => {
     const fleet = await startFleet(2)
     const [agent] = fleet.agents
     agent.models = []
@@ -114,7 +114,7 @@
     expect(agent.exchanges.length).toBeLessThanOrEqual(21)
   })
 
-  it('asks an agent that is heard through replies less often, and shows the load that they carry', async () => {
+  it('queries an agent that responds to attempts less often, and shows the load of these responses', async () => {
     const fleet = await startFleet(2)
     fleet.agents[0].models = []
     await fleet.clock.advanceAsync(2000)
@@ -128,7 +128,7 @@
     expect(fleet.directory.get(`agent-${fleet.agents[0].address}`)?.endpoints[0].load?.queued).toBeGreaterThan(290)
   })
 
-  it('reads the host list of 340 hosts in an interval that its size allows', async () => {
+  it('scales the poll interval of the host list with its size', async () => {
     const fleet = await startFleet(AGENTS)
     let reads = 0
     const { list } = fleet.platform.hosts
@@ -141,7 +141,7 @@
     expect(reads).toBeLessThanOrEqual(18)
   })
 
-  it('asks an agent soon after an order was sent to it', async () => {
+  it('queries an agent soon after an order was sent to it', async () => {
     const fleet = await startFleet(AGENTS)
     await fleet.clock.advanceAsync(10_000)
     const [agent] = fleet.agents
@@ -163,8 +163,8 @@
     expect(fleet.agents.map(agent => agent.version)).toEqual([5, 5, 5])
   })
 
-  // Guards against this: requests wait on an agent that answers nobody.
-  it('takes a silent and a dead agent out of use, opens a new connection, and takes them back', async () => {
+  // Guards against requests that wait for an unresponsive agent.
+  it('takes an unresponsive and a dead agent out of use, opens a new connection, and uses them again once they recover', async () => {
     const fleet = await startFleet(3)
     await fleet.clock.advanceAsync(2000)
     fleet.agents[0].fault = 'silent'
@@ -177,7 +177,7 @@
     expect([0, 1].map(index => stateOf(fleet, index))).toEqual(['serving', 'serving'])
   })
 
-  it('keeps an agent that the list lost while it answers, and forgets it when it does not', async () => {
+  it('keeps an unlisted agent while it responds, and removes it when it does not', async () => {
     const fleet = await startFleet(2)
     await fleet.clock.advanceAsync(2000)
     fleet.hosts.splice(0, 2, hostEntry(fleet.agents[1].address, 'leaving'))
@@ -197,8 +197,8 @@
     expect([0, 1].map(index => stateOf(fleet, index))).toEqual(['serving', 'serving'])
   })
 
-  // Guards against this: a request that crashes endpoints takes down one for each gateway that it is sent through.
-  it('learns of the suspects of a crash that another gateway caused', async () => {
+  // Guards against a request that crashes one endpoint for each gateway through which it is sent.
+  it('receives the suspects of a crash that another gateway caused', async () => {
     const fleet = await startFleet(2)
     await fleet.clock.advanceAsync(5000)
     fleet.agents[1].suspects = ['f1']
@@ -220,8 +220,8 @@
     expect(agent.exchanges.flatMap(exchange => exchange.quarantined)).toEqual(['f1', 'f2'])
   })
 
-  // Guards against this: an endpoint is given work long after the host list has said that it leaves.
-  it('reads the host list before it gives out work after a pause of its own process', async () => {
+  // Guards against an endpoint that gets work long after the host list has reported that it is leaving.
+  it('reads the host list before it sends work after a process pause', async () => {
     const fleet = await startFleet(2)
     await fleet.clock.advanceAsync(5000)
     expect(fleet.directory.catchUp?.()).toBeUndefined()
@@ -236,7 +236,7 @@
     expect(fleet.directory.catchUp?.()).toBeUndefined()
   })
 
-  it('waits for a host list that does not answer only for a moment', async () => {
+  it('waits for an unresponsive host list only briefly', async () => {
     const fleet = await startFleet(1)
     await fleet.clock.advanceAsync(5000)
     fleet.platform.hosts.list = async () => await new Promise(() => {})
--- a/packages/anvilarch-daemon/src/membership/agentDirectory.ts
+++ b/packages/anvilarch-daemon/src/membership/agentDirectory.ts
@@ -1,11 +1,11 @@
-/** The agents known to this gateway, by address and by name, and who is told when one of them changes. */
+/** Directory of the agents known to this gateway, by address and by name, with change notifications. */
 import type { DaemonContext } from '../context'
 import { afterDraining, afterEndpointDown, afterIncarnation, afterOrdered, afterUnreachable, type MemberRecord, takeLoad } from './memberRecord'
 import type { AgentDirectory, AgentView } from './types'
 
-/** The directory as membership itself uses it. */
+/** The directory with the operations that modify it. */
 export interface MutableDirectory extends AgentDirectory {
-  /** An order was sent to an agent, whose effect will show. */
+  /** Records that an order was sent to an agent, so that its effect is queried soon. */
   noteOrdered: (agent: string) => void
   records: () => MemberRecord[]
   record: (address: string) => MemberRecord | undefined
@@ -13,7 +13,7 @@
   remove: (address: string) => void
 }
 
-/** Event of the time line for each state of an agent. */
+/** Timeline event for each state of an agent. */
 const STATE_EVENTS: Record<AgentView['state'], string> = {
   serving: 'membership.agent_up',
   draining: 'membership.agent_draining',
@@ -21,7 +21,7 @@
 }
 
 /**
- * @param context - clock, time line and logger
+ * @param context - clock, timeline and logger
  * @returns an empty directory
  */
 export function createAgentDirectory (context: Pick<DaemonContext, 'clock' | 'timeline' | 'logger'>): MutableDirectory {
@@ -32,11 +32,11 @@
   const byName = new Map<string, string>()
 
   const notify = (): void => {
-    // A listener may add itself again, which would never end on the set itself.
+    // Iterates over a copy: a listener may unsubscribe and subscribe again, which would iterate over the set forever.
     for (const listener of [...listeners]) listener()
   }
 
-  /** A host that was replaced may stand in the list beside its successor of the same name; the one heard last counts. */
+  /** A replaced host may be listed together with its successor of the same name; the one with the latest response is used. */
   const index = (): void => {
     byName.clear()
     positions.clear()
--- a/packages/anvilarch-daemon/src/membership/bootstrapConfiguration.ts
+++ b/packages/anvilarch-daemon/src/membership/bootstrapConfiguration.ts
@@ -1,9 +1,9 @@
 /**
- * Finds the configuration at the agents when a gateway starts during an outage of the table.
+ * Obtains the configuration from the agents when a gateway starts during an outage of the table.
  *
- * Taking whatever the first agent has could put an older version in force here than one that an operator was told is
- * accepted. An accepted version is held by most agents before the operator is told, so the highest version among a
- * majority of the listed agents is at least that one. Without a majority the gateway stays unready and does not guess.
+ * The version of the first agent could be older than one that was reported to an operator as accepted. A majority of the
+ * agents have a version before it is reported as accepted, so the highest version among a majority of the listed agents is
+ * at least that one. Without a majority the gateway stays unready.
  */
 import type { DaemonContext } from '../context'
 import type { AgentClients } from '../peers/types'
@@ -13,8 +13,8 @@
 const PULL_TIMEOUT_MS = 3000
 
 /**
- * @param records - all agents
- * @returns the agent with the highest version, once a majority of the listed agents have answered and one has any
+ * @param records - records of all agents
+ * @returns agent with the highest version, if a majority of the listed agents have responded and one has a configuration
  */
 export function chooseSource (records: MemberRecord[]): MemberRecord | undefined {
   const listed = records.filter(record => record.listed !== 'absent')
@@ -25,9 +25,9 @@
 }
 
 /**
- * @param context - shared parts of the daemon
+ * @param context - shared context of the daemon
  * @param parts - clients and directory
- * @returns when an answer was taken or none could be had; the caller tries again later
+ * @returns once a configuration was offered or none was available; the calling code retries later
  */
 export async function bootstrapConfiguration (
   context: Pick<DaemonContext, 'configuration' | 'logger'>, parts: { clients: AgentClients, directory: MutableDirectory }
--- a/packages/anvilarch-daemon/src/membership/configurationSpread.ts
+++ b/packages/anvilarch-daemon/src/membership/configurationSpread.ts
@@ -1,38 +1,39 @@
 /**
- * Spreads the configuration between this gateway and the agents: pushes it to those behind, pulls it from one ahead.
+ * Synchronizes the configuration between this gateway and the agents: pushes it to agents with an older version, pulls it from
+ * an agent with a newer one.
  *
- * An agent asks the table only rarely, so the push is what puts a change in force within seconds. It runs beside the
- * schedule of the exchanges, which in a large fleet comes round too slowly for that.
+ * Agents rarely poll the table, so the push is what activates a change within seconds. It is independent of the exchange
+ * schedule, which is too slow for that in a large fleet.
  */
 import type { DaemonContext } from '../context'
 import type { AgentClients } from '../peers/types'
 import type { MutableDirectory } from './agentDirectory'
 import type { MemberRecord } from './memberRecord'
 
-/** What the spread works with. */
+/** Dependencies of `createConfigurationSync`. */
 export interface SpreadParts {
   clients: AgentClients
   directory: MutableDirectory
 }
 
-/** Spreads the configuration. */
+/** Synchronization of the configuration with the agents. */
 export interface ConfigurationSpread {
-  /** An agent answered an exchange; its version may differ from ours. */
+  /** Called after a response to an exchange; the version of the agent may differ from this gateway's. */
   onAnswered: (address: string) => void
   stop: () => void
 }
 
-/** Pushes under way at the same time. */
+/** Maximum of pushes in progress. */
 const MAX_PUSHES = 8
-/** A push or a pull that takes longer is given up and started again. */
+/** Timeout of a push or a pull. */
 const TRANSFER_TIMEOUT_MS = 3000
-/** Wait before a push that failed is started again; the next exchange may be a minute away. */
+/** Delay before a failed push is retried; the next exchange may be a minute later. */
 const RETRY_MS = 1000
 
 /**
- * @param context - shared parts of the daemon
+ * @param context - shared context of the daemon
  * @param parts - clients and directory
- * @returns the spread, which also follows the changes of the configuration
+ * @returns synchronization, which also reacts to changes of the configuration
  */
 export function createConfigurationSpread (context: DaemonContext, parts: SpreadParts): ConfigurationSpread {
   const { configuration, logger } = context
@@ -82,15 +83,15 @@
     pushNext()
   }
 
-  /** Every gateway pushes; in an order of its own, so that they share the agents instead of following each other. */
+  /** Every gateway pushes to all agents, each in random order, so that they share the work instead of pushing to the same agents. */
   const pushToAll = (): void => {
     const behind = directory.records().filter(isBehind).map(record => ({ address: record.address, rank: context.random.next() }))
     for (const { address } of behind.sort((left, right) => left.rank - right.rank)) want(address)
   }
 
   /**
-   * A gateway without any configuration does not take the first one it meets: during an outage of the table the agents
-   * that answer first may be those that a change has not reached yet. The bootstrap compares them instead.
+   * A gateway without a configuration does not pull from the first agent that responds: during an outage of the table, that
+   * agent may not have received the latest change. `bootstrapConfiguration` compares the agents instead.
    */
   const shouldPull = (record: MemberRecord): boolean =>
     !pulling && configuration.version() > 0 && record.view.configurationVersion > configuration.version()
--- a/packages/anvilarch-daemon/src/membership/exchangeSchedule.ts
+++ b/packages/anvilarch-daemon/src/membership/exchangeSchedule.ts
@@ -1,32 +1,32 @@
 /**
- * Which agents to ask next. Pure.
+ * Selects the agents with which to exchange state next. Pure.
  *
- * One timer serves all agents: what an idle peer costs is the wake-up, not the message, so a timer for each of 340
- * agents would spend the whole processor share of a gateway on asking. Agents whose answer somebody waits for are asked
- * soon; all others share a small allowance, since replies to requests tell what matters of those that have work.
+ * One timer serves all agents: the cost of an idle peer is the wake-up, not the message, so a timer for each of 340 agents
+ * would use the entire CPU share of a gateway. Agents whose state is awaited are queried soon; all others share a
+ * low rate limit, since the responses to attempts report the state of agents that have work.
  */
 import { isChanging, type MemberRecord } from './memberRecord'
 
-/** Why an agent is asked. */
+/** Why an exchange is due. */
 export type ExchangeReason = 'unknown' | 'changing' | 'routine'
 
 /** Options of the schedule. */
 export interface ScheduleOptions {
-  /** Time between two exchanges with an agent in a small fleet, or with one whose state has been changing for long. */
+  /** Interval between two exchanges with an agent in a small fleet, or with one whose state has been changing for a long time. */
   intervalMs: number
-  /** Time between two exchanges with an agent whose state has begun to change. */
+  /** Interval between two exchanges with an agent whose state has recently started to change. */
   changingIntervalMs: number
-  /** An agent whose state goes on changing is asked no longer than this at the shorter interval. */
+  /** Maximum time for which an agent with a changing state is queried at the shorter interval. */
   changingMs: number
-  /** Time between two looks at the schedule. */
+  /** Interval between two evaluations of the schedule. */
   tickMs: number
-  /** Exchanges a second that this gateway does at most, by their reason. */
+  /** Maximum of exchanges per second of this gateway, by reason. */
   maxPerSecond: Record<ExchangeReason, number>
-  /** Exchanges under way at the same time. */
+  /** Maximum of exchanges in progress. */
   maxConcurrent: number
-  /** An agent that was heard through replies is asked this many times less often. */
+  /** Factor by which the interval is extended for an agent that recently responded to attempts. */
   heardStretch: number
-  /** An agent that neither is on the host list nor was heard for this long is forgotten. */
+  /** Time without a response and without an entry in the host list after which an agent is removed. */
   forgetMs: number
 }
 
@@ -41,30 +41,30 @@
   forgetMs: 60_000
 }
 
-/** What the schedule is drawn up from. */
+/** Input of the schedule. */
 export interface ScheduleInput {
   records: MemberRecord[]
-  /** Whether a service waits for endpoints, so that orders of the placement are likely to change what agents have. */
+  /** Whether a service lacks endpoints, so that placement orders are likely to change the state of agents. */
   isShort: boolean
   nowMs: number
 }
 
 const MS_PER_SECOND = 1000
-/** How long after an order its effect is looked for. */
+/** Time after an order during which its agent is queried more often, to detect the effect. */
 const EXPECT_MS = 10_000
-/** Largest exponent of the back-off for agents that do not answer. */
+/** Maximum exponent of the backoff for unresponsive agents. */
 const MAX_DOUBLINGS = 4
 
 /**
- * @param agentCount - agents that this gateway knows
- * @param options - of the schedule
- * @returns time between two exchanges with a healthy agent
+ * @param agentCount - number of agents in the directory
+ * @param options - options of the schedule
+ * @returns interval between two exchanges with a healthy agent
  */
 export function stretchedIntervalMs (agentCount: number, options: ScheduleOptions): number {
   return Math.max(options.intervalMs, agentCount * MS_PER_SECOND / options.maxPerSecond.routine)
 }
 
-/** When an agent is asked next, and why. */
+/** The next exchange with an agent: when it is due, and why. */
 interface Turn {
   record: MemberRecord
   reason: ExchangeReason
@@ -72,8 +72,8 @@
 }
 
 /**
- * One that does not answer again and again is asked less and less often, or a lost failure domain would use up the
- * exchanges that tell of the others.
+ * Exchanges with an unresponsive agent back off exponentially; otherwise the agents of a failed failure domain would use up
+ * the rate limit of the others.
  */
 function turnOf (record: MemberRecord, stretchedMs: number, isShort: boolean, options: ScheduleOptions): Turn {
   const { askedMs } = record
@@ -90,7 +90,7 @@
   return { record, reason: 'routine', dueMs: Math.min(heardDueMs, latestDueMs) }
 }
 
-/** An endpoint that has crashed is back within seconds, or stays away for long. */
+/** A crashed endpoint recovers within seconds or stays down for a long time, so the shorter interval is limited in time. */
 function hasBegunToChange (record: MemberRecord, options: ScheduleOptions): boolean {
   return record.changingSinceMs !== undefined && record.askedMs - record.changingSinceMs < options.changingMs
 }
@@ -100,9 +100,9 @@
 }
 
 /**
- * @param input - all agents, and whether a service waits for endpoints
- * @param options - of the schedule
- * @returns the agents to ask now, the longest overdue of each reason first
+ * @param input - all agents, and whether a service lacks endpoints
+ * @param options - options of the schedule
+ * @returns agents to query now; within each reason, the longest overdue first
  */
 export function selectDue (input: ScheduleInput, options: ScheduleOptions): MemberRecord[] {
   const { records, isShort, nowMs } = input
@@ -123,13 +123,13 @@
 }
 
 /**
- * The host list lags by seconds in both directions: it may miss a new agent and name one that is gone. An agent that
- * still answers is therefore kept although the list does not name it.
+ * The host list lags by seconds in both directions: it may lack a new agent or still contain a removed one. An agent that
+ * responds is therefore kept even if it is not on the list.
  *
- * @param record - an agent
- * @param nowMs - time of the check
- * @param options - of the schedule
- * @returns whether to forget it
+ * @param record - record of the agent
+ * @param nowMs - current time
+ * @param options - options of the schedule
+ * @returns whether to remove the agent
  */
 export function isForgotten (record: MemberRecord, nowMs: number, options: ScheduleOptions): boolean {
   if (record.listed !== 'absent' || record.answers) return false
--- a/packages/anvilarch-daemon/src/membership/memberRecord.ts
+++ b/packages/anvilarch-daemon/src/membership/memberRecord.ts
@@ -1,54 +1,55 @@
 /**
- * What a gateway knows of one agent, and how each event changes it. Pure: times are passed in.
+ * State of one agent on a gateway, and its transitions on each event. Pure: times are passed in.
  *
- * The host list lags and the agent itself may be replaced at the same address, so neither is believed alone: the list
- * says where to ask, the agent says what it is, and what the attempts meet is believed until the agent answers anew.
+ * The host list lags, and an agent may be replaced by another one at the same address, so neither source is sufficient: the
+ * list provides the address, the agent describes itself, and failures observed by attempts apply until the next response to
+ * an exchange.
  */
 import type { EndpointLoad, EndpointState, ExchangeResponse, HostEntry } from 'anvilarch-protocol'
 import type { AgentView } from './types'
 
-/** What the host list says of an agent; `absent` when it does not name it. */
+/** State of an agent in the host list; `absent` if it is not listed. */
 export type Listed = HostEntry['state'] | 'absent'
 
-/** One agent. */
+/** State of one agent. */
 export interface MemberRecord {
-  /** Known before the first answer; everything else of `view` is not. */
+  /** Known from the host list; most of `view` is unknown until the first response. */
   address: string
   listed: Listed
-  /** When the list named it last. */
+  /** Time at which it was last on the host list. */
   listedMs: number
-  /** As the agent described itself. Its `state` is derived again at each change. */
+  /** The agent's description of itself. `state` is recomputed at each change. */
   view: AgentView
-  /** Whether the agent answered since it was last doubted. */
+  /** Whether the agent has responded to an exchange since it was last found unreachable or replaced. */
   answers: boolean
-  /** The agent said that it drains. An incarnation never comes back from that. */
+  /** Whether the agent reported that it is draining. An incarnation never stops draining. */
   drains: boolean
-  /** Exchanges in a row without an answer. */
+  /** Consecutive failed exchanges. */
   misses: number
-  /** When an exchange was last sent, and whether it is under way. */
+  /** Time at which the last exchange was sent, and whether it is in progress. */
   askedMs: number
   asking: boolean
-  /** When an exchange was last answered. */
+  /** Time of the last response to an exchange. */
   exchangedMs: number
-  /** When an incarnation was met that the last exchange did not show. */
+  /** Time at which an attempt response showed another incarnation than the last exchange. */
   doubtedMs: number
-  /** When endpoints were met that did not work, by name. */
+  /** Time at which an attempt found an endpoint down, by endpoint name. */
   downMs: ReadonlyMap<string, number>
-  /** Since when an endpoint has been about to come up or to have its model. */
+  /** Time since which an endpoint has been starting or loading a model. */
   changingSinceMs: number | undefined
-  /** When an order was last sent to it. */
+  /** Time at which the last order was sent to it. */
   orderedMs: number
-  /** Up to where the quarantined fingerprints were sent to this incarnation. */
+  /** Sequence up to which the quarantined fingerprints were sent to this incarnation. */
   quarantineSequence: number
 }
 
-/** Exchanges in a row that may stay unanswered before an agent counts as unreachable. */
+/** Consecutive failed exchanges after which an agent counts as unreachable. */
 export const MISSES_ALLOWED = 2
 
 /**
- * @param entry - of the host list
- * @param nowMs - when it was read
- * @returns a record of an agent that was not asked yet
+ * @param entry - entry of the host list
+ * @param nowMs - time at which the list was read
+ * @returns record of an agent before the first exchange
  */
 export function newMember (entry: HostEntry, nowMs: number): MemberRecord {
   const view: AgentView = {
@@ -84,32 +85,32 @@
 }
 
 /**
- * @param record - before
- * @param listed - what the list says now
- * @param nowMs - when it was read
- * @returns the record after the list was read
+ * @param record - previous record
+ * @param listed - current state in the host list
+ * @param nowMs - time at which the list was read
+ * @returns updated record
  */
 export function afterListed (record: MemberRecord, listed: Listed, nowMs: number): MemberRecord {
   return withState({ ...record, listed, listedMs: listed === 'absent' ? record.listedMs : nowMs })
 }
 
 /**
- * @param record - before
- * @param nowMs - time of sending
- * @returns the record with an exchange under way
+ * @param record - previous record
+ * @param nowMs - time at which the exchange was sent
+ * @returns record with an exchange in progress
  */
 export function afterAsked (record: MemberRecord, nowMs: number): MemberRecord {
   return { ...record, askedMs: nowMs, asking: true }
 }
 
 /**
- * An answer may be older than what an attempt has met since. Such an answer does not bring back an incarnation or an
- * endpoint that is known to be gone; the next exchange decides.
+ * Applies the response to an exchange. It may be older than a failure observed by an attempt. Such a response does not
+ * restore a replaced incarnation or an endpoint that is down; the next exchange decides.
  *
- * @param record - before; its `askedMs` is that of the answered exchange
- * @param response - what the agent says of itself
- * @param nowMs - time of the answer
- * @returns the record after the answer
+ * @param record - previous record; its `askedMs` is that of the exchange
+ * @param response - the agent's description of itself
+ * @param nowMs - time of the response
+ * @returns updated record
  */
 export function afterAnswered (record: MemberRecord, response: ExchangeResponse, nowMs: number): MemberRecord {
   const settled = { ...record, asking: false, misses: 0 }
@@ -129,8 +130,8 @@
 }
 
 /**
- * @param record - an agent
- * @returns whether an endpoint is about to come up or to have its model, which requests or orders wait for
+ * @param record - record of the agent
+ * @returns whether an endpoint is not ready or is loading a model, so that requests or orders may be waiting for it
  */
 export function isChanging (record: MemberRecord): boolean {
   return record.view.endpoints.some(endpoint => endpoint.health !== 'ready' || endpoint.models.some(model => model.state === 'loading'))
@@ -152,7 +153,7 @@
   }
 }
 
-/** Endpoints met as down after the answered exchange was sent. */
+/** Endpoints found down after the exchange was sent. */
 function stillDown (record: MemberRecord, sameIncarnation: boolean): Map<string, number> {
   if (!sameIncarnation) return new Map()
   return new Map([...record.downMs].filter(([, metMs]) => metMs >= record.askedMs))
@@ -163,8 +164,8 @@
 }
 
 /**
- * @param record - before
- * @returns the record after an exchange had no answer
+ * @param record - previous record
+ * @returns record after a failed exchange
  */
 export function afterMissed (record: MemberRecord): MemberRecord {
   const misses = record.misses + 1
@@ -172,26 +173,26 @@
 }
 
 /**
- * @param record - before
- * @returns the record after an attempt could not reach the agent; an exchange answers whether that is still so
+ * @param record - previous record
+ * @returns record after an attempt could not reach the agent; it is unreachable until the next successful exchange
  */
 export function afterUnreachable (record: MemberRecord): MemberRecord {
   return withState({ ...record, answers: false })
 }
 
 /**
- * @param record - before
- * @returns the record after the agent refused work because it drains
+ * @param record - previous record
+ * @returns record after the agent rejected work because it is draining
  */
 export function afterDraining (record: MemberRecord): MemberRecord {
   return withState({ ...record, drains: true })
 }
 
 /**
- * @param record - before
- * @param incarnation - met in a reply
- * @param nowMs - time of the reply
- * @returns the record; another incarnation gets no work until an exchange has shown its endpoints
+ * @param record - previous record
+ * @param incarnation - incarnation in a response to an attempt
+ * @param nowMs - time of the response
+ * @returns updated record; a new incarnation gets no work until an exchange has reported its endpoints
  */
 export function afterIncarnation (record: MemberRecord, incarnation: string, nowMs: number): MemberRecord {
   if (incarnation === record.view.incarnation) return record
@@ -200,10 +201,10 @@
 }
 
 /**
- * @param record - before
- * @param endpoint - name of the endpoint that did not work
- * @param nowMs - when that was met
- * @returns the record with the endpoint out of use until an exchange sent later says it is ready
+ * @param record - previous record
+ * @param endpoint - name of the failed endpoint
+ * @param nowMs - time of the failure
+ * @returns record with the endpoint out of use until a later exchange reports it as ready
  */
 export function afterEndpointDown (record: MemberRecord, endpoint: string, nowMs: number): MemberRecord {
   const downMs = new Map(record.downMs).set(endpoint, nowMs)
@@ -211,12 +212,12 @@
 }
 
 /**
- * Takes a load report in place. Every frame of every answer carries one, so that a copy of the record for each of them
- * would cost a busy gateway more than routing does; nothing is decided by comparing loads with earlier ones.
+ * Applies a load report in place. Every frame of every response contains one, so copying the record for each would cost a busy
+ * gateway more than routing does, and no decision compares a load with an earlier one.
  *
- * @param record - changed
- * @param load - carried by a reply
- * @param nowMs - time of the reply; the agent counts as heard
+ * @param record - modified in place
+ * @param load - load report of a response
+ * @param nowMs - time of the response
  */
 export function takeLoad (record: MemberRecord, load: EndpointLoad, nowMs: number): void {
   const { view } = record
@@ -226,9 +227,9 @@
 }
 
 /**
- * @param record - before
- * @param nowMs - when an order was sent to it
- * @returns the record, whose agent is asked soon
+ * @param record - previous record
+ * @param nowMs - time at which an order was sent to the agent
+ * @returns updated record; the next exchange is due soon
  */
 export function afterOrdered (record: MemberRecord, nowMs: number): MemberRecord {
   return { ...record, orderedMs: nowMs }
--- a/packages/anvilarch-daemon/src/membership/shortage.ts
+++ b/packages/anvilarch-daemon/src/membership/shortage.ts
@@ -1,25 +1,25 @@
 /**
- * Whether a service waits for endpoints. Pure.
+ * Detects whether a service lacks endpoints. Pure.
  *
- * Only the holder of the placement lease knows of its orders. The other gateways would learn of an endpoint that was
- * given to a service when they ask its agent in turn, which in a large fleet takes more than a minute; the service would
- * stay slow or unavailable through them for that long.
+ * Placement orders are only known to the holder of the placement lease. The other gateways would detect an endpoint that was
+ * assigned to a service at the next routine exchange with its agent, which in a large fleet takes more than a minute; until
+ * then the service would be slow or unavailable through these gateways.
  */
 import type { ConfigurationDocument } from 'anvilarch-configuration'
 import type { AgentView } from './types'
 
-/** Since when a service waits for endpoints under one version of the configuration. */
+/** Start of a shortage of endpoints under one configuration version. */
 export interface Shortage {
   version: number
   sinceMs: number
 }
 
-/** Fleets that are too small for their document stay short for good; they are not worth more exchanges for ever. */
+/** Maximum time of more frequent exchanges. A fleet that is too small for its document has a permanent shortage. */
 export const SHORTAGE_MS = 120_000
 
 /**
- * @param document - in force
- * @param agents - as this gateway sees them
+ * @param document - active configuration document
+ * @param agents - agents in the directory of this gateway
  * @returns whether a model service has fewer ready endpoints than replicas
  */
 export function isShortOfEndpoints (document: ConfigurationDocument, agents: AgentView[]): boolean {
@@ -37,11 +37,11 @@
 }
 
 /**
- * @param before - the shortage at the last look, if there was one
- * @param isShort - whether there is one now
- * @param version - of the configuration in force
- * @param nowMs - time of the look
- * @returns the shortage now; a new version starts it anew
+ * @param before - shortage at the last check, if any
+ * @param isShort - whether there is a shortage now
+ * @param version - active configuration version
+ * @param nowMs - time of the check
+ * @returns current shortage; a new version restarts it
  */
 export function afterLook (before: Shortage | undefined, isShort: boolean, version: number, nowMs: number): Shortage | undefined {
   if (!isShort) return undefined
--- a/packages/anvilarch-daemon/src/membership/startMembership.ts
+++ b/packages/anvilarch-daemon/src/membership/startMembership.ts
@@ -1,4 +1,4 @@
-/** Keeps a gateway's view of the agents: polls the host list and exchanges states with the agents on one timer. */
+/** Maintains the agent directory of a gateway: polls the host list and exchanges state with the agents on one timer. */
 import type { ExchangeResponse } from 'anvilarch-protocol'
 import { type LifecycleManager, sleep } from 'anvilarch-utils'
 import type { Suspects } from '../attempts/suspects'
@@ -11,42 +11,42 @@
 import { afterAnswered, afterAsked, afterListed, afterMissed, type MemberRecord, newMember } from './memberRecord'
 import { afterLook, isShortOfEndpoints, type Shortage, SHORTAGE_MS } from './shortage'
 
-/** What membership works with. */
+/** Dependencies of `startMembership`. */
 export interface MembershipParts {
   clients: AgentClients
   quarantine: QuarantineLog
-  /** Takes the suspects that agents name; shared with the requests of this gateway. */
+  /** Receives the suspects that agents report; shared with the request runner of this gateway. */
   suspects: Pick<Suspects, 'add'>
 }
 
-/** The directory, and whether it shows what there is. */
+/** The directory, and whether its initial exchanges are complete. */
 export interface Membership extends MutableDirectory {
   /**
-   * True once the host list was read and every agent on it was asked once. A gateway that took work before would refuse
-   * it for want of endpoints that are there.
+   * Whether the host list was read and every listed agent was queried once. A gateway that accepted work earlier would reject
+   * it for lack of endpoints, although they exist.
    */
   isSettled: () => boolean
 }
 
-/** Share by which the time between polls of the host list varies. */
+/** Relative jitter of the poll interval of the host list. */
 const POLL_JITTER = 0.2
-/** The list of 340 hosts takes some 50 KB, so that a gateway that reads it every two seconds spends its whole share of bytes on it. */
+/** Poll interval of the host list per entry: the list of 340 hosts has about 50 KB, too much to read every two seconds. */
 const HOST_POLL_MS_PER_ENTRY = 12
 /**
- * After a longer pause of this process the host list is read before new work is sent: an agent that has begun to leave meanwhile would be
- * given work long after the list has said so.
+ * After a longer process pause the host list is read before new work is sent. Otherwise an agent that started draining meanwhile
+ * would get work long after the list has reported it.
  */
 const LONG_PAUSE_MS = 2000
-/** Work waits no longer than this for the host list, which may be away. */
+/** Maximum wait of new work for the host list, which may be unavailable. */
 const MAX_CATCH_UP_MS = 500
-/** An exchange that takes longer counts as missed. */
+/** Timeout of an exchange, which then counts as failed. */
 const EXCHANGE_TIMEOUT_MS = 1000
 
 /**
- * @param context - shared parts of the daemon
- * @param parts - clients and quarantine
+ * @param context - shared context of the daemon
+ * @param parts - clients, quarantine and suspects
  * @param lifecycle - stops the polls and the exchanges
- * @returns the directory; it fills as agents answer
+ * @returns directory, which is populated as agents respond
  */
 export async function startMembership (
   context: DaemonContext, parts: MembershipParts, lifecycle: LifecycleManager
@@ -95,7 +95,7 @@
     }
   }
 
-  /** Called by each tick, and before a choice: after a pause either may come first. */
+  /** Called by each tick and before each routing decision: after a process pause either may run first. */
   const noticePause = (): void => {
     const nowMs = clock.nowMs()
     const pausedMs = nowMs - lastTurnMs
@@ -136,7 +136,7 @@
       if (stopping.signal.aborted) return
       const record = directory.record(address)
       if (record !== undefined) directory.put(afterMissed(record))
-      // The connection may be silent for good while a new one works, so the next exchange opens a new one.
+      // The connection may stay unresponsive while a new one would work, so the next exchange uses a new connection.
       parts.clients.renew(address, 'control', client)
       context.logger.debug('an exchange was not answered', { peer: address, error: String(error) })
     }
@@ -190,7 +190,10 @@
   return record.exchangedMs !== Number.NEGATIVE_INFINITY || record.misses > 0
 }
 
-/** A replaced agent knows nothing of what its predecessor was sent, so that its fingerprints are sent from the start. */
+/**
+ * Whether the agent now has all quarantined fingerprints. A new incarnation has none of those that were sent to its predecessor,
+ * so they are sent again from the beginning.
+ */
 function hasAllNews (before: MemberRecord, answered: MemberRecord, response: ExchangeResponse): boolean {
   const { agentIncarnation } = response
   if (answered.view.incarnation !== agentIncarnation) return false
--- a/packages/anvilarch-daemon/src/membership/types.ts
+++ b/packages/anvilarch-daemon/src/membership/types.ts
@@ -1,42 +1,42 @@
-/** What a gateway knows of the agents: the host list, control exchanges and the replies that flow anyway. */
+/** Types of a gateway's agent directory, which is fed by the host list, control exchanges and the responses to attempts. */
 import type { EndpointLoad, EndpointState } from 'anvilarch-protocol'
 
-/** An agent as this gateway sees it. */
+/** An agent in the directory of this gateway. */
 export interface AgentView {
   name: string
   host: string
-  /** IP number and port of its HTTP/2 listener. */
+  /** IP address and port of its HTTP/2 server. */
   address: string
   operationsAddress: string
   incarnation: string
   failureDomain: string
   region: string
-  /** `unreachable`: it did not answer; no new work goes there until it does. */
+  /** `unreachable`: it does not respond; it gets no new work until it does. */
   state: 'serving' | 'draining' | 'unreachable'
   configurationVersion: number
-  /** On the gateway's monotonic scale. */
+  /** Time of the last response, on the gateway's monotonic clock. */
   lastHeardMs: number
   endpoints: EndpointState[]
 }
 
-/** The agents known to this gateway. */
+/** Directory of the agents known to this gateway. */
 export interface AgentDirectory {
-  /** @returns the agents now; for use at once, since the array changes with the next event */
+  /** @returns the current agents; not to be retained, since the array is modified in place by the next event */
   list: () => AgentView[]
   get: (name: string) => AgentView | undefined
-  /** A reply carried a load report. */
+  /** Records the load report of a response. */
   noteLoad: (agent: string, load: EndpointLoad) => void
-  /** An agent refused work because it drains. */
+  /** Records that an agent rejected work because it is draining. */
   noteDraining: (agent: string) => void
-  /** An agent could not be reached, or went silent. */
+  /** Records that an agent was unreachable or unresponsive. */
   noteUnreachable: (agent: string) => void
-  /** An agent answered with an incarnation other than the known one. */
+  /** Records the incarnation of a response, which may differ from the known one. */
   noteIncarnation: (agent: string, incarnation: string) => void
-  /** An endpoint crashed or is not answering; it gets no work until the agent says it is ready. */
+  /** Records that an endpoint crashed or is unresponsive; it gets no work until the agent reports it as ready. */
   noteEndpointDown: (agent: string, endpoint: string) => void
   /**
-   * @returns a promise while this process catches up after a pause: until it resolves, what the directory shows is as old as the pause,
-   * and may name agents that have begun to leave; undefined otherwise
+   * @returns a promise while the host list is read again after a process pause; until it resolves, the directory is outdated and may
+   * contain agents that have started draining; undefined otherwise
    */
   catchUp?: () => Promise<void> | undefined
   /** @returns a function that ends the subscription */
--- a/packages/anvilarch-daemon/src/membership/waitForSpread.ts
+++ b/packages/anvilarch-daemon/src/membership/waitForSpread.ts
@@ -1,11 +1,11 @@
-/** Waits until a majority of the agents have a version of the configuration. */
+/** Waits until a majority of the agents have a configuration version. */
 import type { Clock } from 'anvilarch-utils'
 import type { AgentDirectory, AgentView } from './types'
 
 /**
- * @param agents - all known agents; those that do not answer count as behind
- * @param version - of the configuration
- * @returns whether a majority has it
+ * @param agents - all known agents; unreachable ones count as not having the version
+ * @param version - configuration version
+ * @returns whether a majority has this version or a later one
  */
 export function isSpread (agents: AgentView[], version: number): boolean {
   const having = agents.filter(agent => agent.state !== 'unreachable' && agent.configurationVersion >= version)
@@ -13,15 +13,15 @@
 }
 
 /**
- * An operator who was told that a version is accepted must find it in force from then on, also when the gateways restart
- * during an outage of the table. They then take the highest version among a majority of the agents, so a majority has it
- * before the operator is told.
+ * A version that was reported to an operator as accepted must stay active, also if the gateways restart during an outage of
+ * the table. They then adopt the highest version among a majority of the agents, so a majority must have the version before
+ * it is reported as accepted.
  *
- * @param directory - the agents
- * @param version - to wait for
- * @param clock - for the bound
- * @param timeoutMs - longest wait
- * @returns whether a majority has it
+ * @param directory - directory of the agents
+ * @param version - configuration version to wait for
+ * @param clock - clock for the timeout
+ * @param timeoutMs - maximum wait
+ * @returns whether a majority has this version or a later one
  */
 export async function waitForSpread (directory: AgentDirectory, version: number, clock: Clock, timeoutMs: number): Promise<boolean> {
   if (isSpread(directory.list(), version)) return true
--- a/packages/anvilarch-daemon/src/peers/__tests__/agentClients.test.ts
+++ b/packages/anvilarch-daemon/src/peers/__tests__/agentClients.test.ts
@@ -21,12 +21,12 @@
   const use = async (client: AgentClient): Promise<void> => { await client.cancelAttempt({ attemptId: 'x' }) }
   const condition = async (holds: () => boolean): Promise<void> => {
     for (let tries = 0; !holds(); tries++) {
-      if (tries > 1_000) throw new Error(`never held: ${holds.toString()}`)
+      if (tries > 1_000) throw new Error(`condition was never met: ${holds.toString()}`)
       await new Promise(resolve => { setImmediate(resolve) })
     }
   }
 
-  it('opens one connection for each address and class, on first use', async () => {
+  it('opens one connection per address and work class, on first use', async () => {
     const { address } = agent.view
     expect(clients.get(address, 'online')).toBe(clients.get(address, 'online'))
     expect(agent.sessions.size).toBe(0)
@@ -34,8 +34,8 @@
     expect(agent.sessions.size).toBe(2)
   })
 
-  it('opens one new connection for all streams that notice the same silence', async () => {
-    // Guards against this: hundreds of connections to one agent.
+  it('opens one new connection for all streams that detect the same unresponsive connection', async () => {
+    // Guards against hundreds of connections to one agent, one for each stream of an unresponsive connection.
     const { address } = agent.view
     const silent = clients.get(address, 'online')
     await use(silent)
@@ -46,7 +46,7 @@
     expect(clients.renew(address, 'online', renewed[0])).not.toBe(renewed[0])
   })
 
-  it('destroys a connection that was left, after a while', async () => {
+  it('destroys a replaced connection after a timeout', async () => {
     const { address } = agent.view
     const silent = clients.get(address, 'online')
     await use(silent)
@@ -57,7 +57,7 @@
     await condition(() => agent.sessions.size === 1)
   })
 
-  it('frees all connections to an agent that is gone', async () => {
+  it('destroys all connections to a removed agent', async () => {
     const { address } = agent.view
     await Promise.all([use(clients.get(address, 'online')), use(clients.get(address, 'control'))])
     clients.forget(address)
--- a/packages/anvilarch-daemon/src/peers/__tests__/attemptSession.test.ts
+++ b/packages/anvilarch-daemon/src/peers/__tests__/attemptSession.test.ts
@@ -7,7 +7,7 @@
 import { type AttemptSession, openAttemptSession } from '../attemptSession'
 import type { AgentClient } from '../types'
 
-/** Joins both sides of a session in this process. */
+/** Connects both sides of a session within this process. */
 function join (start: (attemptId: string, signal: AbortSignal) => AsyncGenerator<Frame>): { session: AttemptSession, cut: () => void } {
   const connection = new AbortController()
   const deps = {
@@ -31,7 +31,7 @@
 }
 
 describe('openAttemptSession', () => {
-  it('carries several attempts, each with its own frames in order', async () => {
+  it('multiplexes several attempts, each with its own frames in order', async () => {
     const { session } = join(async function * (id) {
       yield output(0, id.length)
       yield final
@@ -41,8 +41,8 @@
     expect(session.size()).toBe(0)
   })
 
-  it('goes on with one stream while the reader of another takes nothing', async () => {
-    // Guards against this: all answers of a class stand still.
+  it('continues one stream while the reader of another does not read', async () => {
+    // Guards against one slow reader that blocks all responses of a work class.
     let sentBytes = 0
     const portion = STREAM_CREDIT_BYTES / 4
     const { session } = join(async function * (id) {
@@ -61,7 +61,7 @@
     expect(frames).toBe(101)
   })
 
-  it('ends every stream with an error when the connection is gone', async () => {
+  it('ends every stream with an error when the connection is lost', async () => {
     const { session, cut } = join(async function * (_id, signal) {
       yield output(0, 1)
       await new Promise(resolve => { signal.addEventListener('abort', resolve) })
@@ -73,7 +73,7 @@
     expect(session.isOpen()).toBe(false)
   })
 
-  it('tells the agent when a stream is left, and leaves the others alone', async () => {
+  it('notifies the agent when a stream is cancelled, and does not affect the others', async () => {
     const left: string[] = []
     const { session } = join(async function * (id, signal) {
       yield output(0, 1)
--- a/packages/anvilarch-daemon/src/peers/agentClients.ts
+++ b/packages/anvilarch-daemon/src/peers/agentClients.ts
@@ -1,4 +1,4 @@
-/** Opens, replaces and frees the connections from a gateway to its agents. */
+/** Opens, replaces and closes the connections from a gateway to its agents. */
 import { createClient } from '@connectrpc/connect'
 import { createConnectTransport, type Http2SessionManager } from '@connectrpc/connect-node'
 import { AgentService } from 'anvilarch-protocol'
@@ -10,11 +10,11 @@
 /** Options of `createAgentClients`. */
 export interface AgentClientsOptions extends Partial<SessionLimits> {
   clock: Clock
-  /** A connection that was left is destroyed after this time, with whatever streams it still has. */
+  /** Time after which a replaced connection is destroyed, together with its remaining streams. */
   leftConnectionMs?: number
 }
 
-/** Used for what the options leave out. */
+/** Default options. */
 export const DEFAULT_OPTIONS = {
   idleMs: 60_000,
   streamWindowBytes: 64 * 1024,
@@ -22,21 +22,21 @@
   leftConnectionMs: 30_000
 } as const
 
-/** One open connection with its client. */
+/** A connection and its client. */
 interface Connection {
   manager: Http2SessionManager
   client: AgentClient
 }
 
-/** A connection that went silent and waits for its streams' owners to leave it. */
+/** A replaced connection that stays open until its streams have ended or its timer fires. */
 interface LeftConnection {
   connection: Connection
   timer: Timer
 }
 
 /**
- * @param options - clock, windows and times
- * @returns clients without any open connection yet
+ * @param options - clock, flow-control windows and timeouts
+ * @returns clients without open connections
  */
 export function createAgentClients (options: AgentClientsOptions): AgentClients {
   const settings = { ...DEFAULT_OPTIONS, ...options }
@@ -56,7 +56,7 @@
     return connection
   }
 
-  /** The socket of a silent connection never reports its end by itself, so it is destroyed after a bounded time. */
+  /** The socket of an unresponsive connection may never report an error, so it is destroyed after a timeout. */
   const leave = (connection: Connection): void => {
     const entry: LeftConnection = {
       connection,
--- a/packages/anvilarch-daemon/src/peers/attemptSession.ts
+++ b/packages/anvilarch-daemon/src/peers/attemptSession.ts
@@ -1,6 +1,6 @@
 /**
- * Starts and resumes attempts as numbered streams of one open call, in the shape of a client that opens a call for each.
- * Its users notice no difference but the cost; see docs/design/0003-sessions.md.
+ * Starts and resumes attempts as numbered streams of one open call, with the interface of a client that opens a call for each
+ * attempt but at a lower cost; see docs/design/0003-sessions.md.
  */
 import { create } from '@bufbuild/protobuf'
 import {
@@ -12,14 +12,14 @@
 import { createTurnBatch, type TurnBatch } from './turnBatch'
 import type { AgentClient } from './types'
 
-/** An open call that carries attempts. */
+/** An open call that multiplexes attempts. */
 export interface AttemptSession {
-  /** @returns frames of the attempt; the iteration throws what ended the session */
+  /** @returns frames of the attempt; the iteration throws the error that ended the session */
   start: (request: StartAttemptRequest, signal: AbortSignal | undefined) => AsyncIterable<AttemptFrame>
   resume: (request: ResumeAttemptRequest, signal: AbortSignal | undefined) => AsyncIterable<AttemptFrame>
   /** Whether new streams may be opened; false once the call has ended. */
   isOpen: () => boolean
-  /** Streams that have not ended. */
+  /** Number of streams that have not ended. */
   size: () => number
   close: () => void
 }
@@ -27,18 +27,18 @@
 /** Options of `openAttemptSession`. */
 export interface AttemptSessionOptions {
   client: Pick<AgentClient, 'session'>
-  /** Peer that errors name. */
+  /** Address of the peer, for errors. */
   address: string
-  /** Told when the last stream has ended. */
+  /** Called when the last open stream has ended. */
   onIdle: () => void
 }
 
-/** Credit is given back in portions, since each one is a message. */
+/** Credit is returned in portions of this size, since each portion is a message. */
 const CREDIT_PORTION_BYTES = STREAM_CREDIT_BYTES / 2
 
 /**
- * @param options - client to open the call with, and the listener
- * @returns a session; its call is opened at once
+ * @param options - client to open the call with, peer address and idle listener
+ * @returns session whose call is opened immediately
  */
 export function openAttemptSession (options: AttemptSessionOptions): AttemptSession {
   const streams = new Map<number, FrameQueue>()
@@ -67,7 +67,7 @@
     if (streams.delete(stream) && streams.size === 0) options.onIdle()
   }
 
-  /** Without this the owners of its streams would each wait for the full bound of silence. */
+  /** Ends all streams with the error of the session; otherwise each of their readers would wait for the full timeout. */
   const onEnded = (error: unknown): void => {
     ended = true
     outbox.close()
--- a/packages/anvilarch-daemon/src/peers/connectErrors.ts
+++ b/packages/anvilarch-daemon/src/peers/connectErrors.ts
@@ -1,21 +1,21 @@
-/** Tells from an error whether a message may have reached the other side. */
+/** Determines from an error whether a message may have reached the peer. */
 
-/** System errors of the attempt to connect; nothing of a message is sent before a connection stands. */
+/** System errors of `connect`; no part of a message is sent before a connection is established. */
 const CONNECT_ERRORS = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH'])
 
-/** What the platform adds to the error of a failed system call. */
+/** Properties that Node.js adds to the error of a failed system call. */
 interface SystemError {
   code?: unknown
   syscall?: unknown
   cause?: unknown
 }
 
-/** Depth to which causes are followed. */
+/** Maximum depth to which causes are followed. */
 const MAX_CAUSES = 5
 
 /**
- * @param error - anything thrown by a client
- * @returns true only when it is proved that the message never left this process
+ * @param error - any value thrown by a client
+ * @returns true only if the message certainly never left this process
  */
 export function wasNeverSent (error: unknown): boolean {
   let cause = error as SystemError | null | undefined
--- a/packages/anvilarch-daemon/src/peers/frameQueue.ts
+++ b/packages/anvilarch-daemon/src/peers/frameQueue.ts
@@ -1,20 +1,20 @@
-/** Frames of one stream between the session that receives them and the request that reads them. */
+/** Queue of the frames of one stream, between the session that receives them and the request that reads them. */
 import type { AttemptFrame } from 'anvilarch-protocol'
 
-/** Frames in order. Bounded by the credit of the stream. */
+/** Queue of frames. Its size is bounded by the flow-control credit of the stream. */
 export interface FrameQueue {
   put: (frame: AttemptFrame) => void
-  /** No more frames come; the iteration ends after those already there, with the error if there is one. */
+  /** Marks the end of the stream; the iteration ends after the queued frames, with the error if there is one. */
   end: (error: unknown) => void
   /**
-   * @param onDone - called once, when the reader stops
-   * @returns the frames; to be iterated once
+   * @param onDone - called once, when the iteration ends
+   * @returns frames in order; can be iterated once only
    */
   frames: (onDone: () => void) => AsyncIterable<AttemptFrame>
 }
 
 /**
- * @param onRead - told the output bytes of each frame that the reader has taken in full
+ * @param onRead - called with the number of output bytes of each frame that the reader has consumed
  * @returns an empty queue
  */
 export function createFrameQueue (onRead: (sizeBytes: number) => void): FrameQueue {
--- a/packages/anvilarch-daemon/src/peers/sessionClient.ts
+++ b/packages/anvilarch-daemon/src/peers/sessionClient.ts
@@ -1,4 +1,4 @@
-/** A client whose attempts share one open call for each connection. */
+/** Client that multiplexes its attempts over one open call per connection. */
 import { create, type MessageInitShape } from '@bufbuild/protobuf'
 import { ResumeAttemptRequestSchema, StartAttemptRequestSchema } from 'anvilarch-protocol'
 import type { Clock, Timer } from 'anvilarch-utils'
@@ -8,16 +8,16 @@
 /** Options of `createSessionClient`. */
 export interface SessionClientOptions {
   clock: Clock
-  /** Client of the same connection, for everything but attempts. */
+  /** Client of the same connection, used for all calls except attempts. */
   client: AgentClient
   address: string
-  /** A session without attempts is closed after this time, so that an agent that is rarely used costs no state. */
+  /** Time after which a session without attempts is closed, so that rarely used agents hold no state. */
   idleMs: number
 }
 
 /**
  * @param options - connection, clock and idle time
- * @returns the client; it opens a session with the first attempt, and a new one when the former has ended
+ * @returns client that opens a session with the first attempt, and a new one after the previous session has ended
  */
 export function createSessionClient (options: SessionClientOptions): AgentClient {
   const { clock, client, address, idleMs } = options
--- a/packages/anvilarch-daemon/src/peers/sessionManager.ts
+++ b/packages/anvilarch-daemon/src/peers/sessionManager.ts
@@ -1,22 +1,22 @@
-/** The HTTP/2 session of one connection to an agent. */
+/** Manages the HTTP/2 session of one connection to an agent. */
 import type { ClientHttp2Session, ClientHttp2Stream } from 'node:http2'
 import { Http2SessionManager } from '@connectrpc/connect-node'
 
 /** Limits of one connection. */
 export interface SessionLimits {
-  /** An idle connection is closed after this time. */
+  /** Time after which an idle connection is closed. */
   idleMs: number
-  /** Bytes that one stream may have under way. */
+  /** Flow-control window of one stream. */
   streamWindowBytes: number
-  /** Bytes that all streams of a connection may have under way together. */
+  /** Flow-control window of the connection, shared by all its streams. */
   connectionWindowBytes: number
 }
 
 /**
- * A session manager whose connection window is many times that of a stream.
+ * Session manager whose connection window is many times larger than that of a stream.
  *
- * With equal windows, which is the default of the library, one caller that does not read fills the window of the whole
- * connection, and every other stream on it stands still although its caller reads.
+ * With equal windows, the default of the library, one caller that does not read exhausts the window of the whole connection
+ * and blocks all other streams on it, although their callers read.
  */
 class WideSessionManager extends Http2SessionManager {
   private readonly widened = new WeakSet<ClientHttp2Session>()
@@ -38,8 +38,8 @@
 
 /**
  * @param url - base URL of the agent
- * @param limits - windows and idle time
- * @returns a session manager that connects on first use
+ * @param limits - flow-control windows and idle time
+ * @returns session manager that connects on first use
  */
 export function createSessionManager (url: string, limits: SessionLimits): Http2SessionManager {
   return new WideSessionManager(url, limits)
--- a/packages/anvilarch-daemon/src/peers/turnBatch.ts
+++ b/packages/anvilarch-daemon/src/peers/turnBatch.ts
@@ -1,15 +1,15 @@
-/** Joins what is put in one turn of the event loop, and all that is put while the transport is busy, into one message. */
+/** Combines the items that are added in one turn of the event loop, or while the transport is busy, into one message. */
 
-/** Items on their way into messages. */
+/** Collects items into batches, each of which is sent as one message. */
 export interface TurnBatch<Item> {
   put: (item: Item) => void
-  /** Ends `batches`; what is not under way by then is dropped. */
+  /** Ends `batches`; items that were not yet returned are discarded. */
   close: () => void
-  /** @returns items in the order in which they were put; never an empty batch */
+  /** @returns batches of items in the order in which they were added; never an empty batch */
   batches: () => AsyncGenerator<Item[]>
 }
 
-/** @returns a batch without items */
+/** @returns an empty batcher */
 export function createTurnBatch<Item> (): TurnBatch<Item> {
   let items: Item[] = []
   let closed = false
--- a/packages/anvilarch-daemon/src/peers/types.ts
+++ b/packages/anvilarch-daemon/src/peers/types.ts
@@ -1,8 +1,8 @@
-/** Connections from a gateway to agents: one for each class of work, so that batch bytes never stand before a lookup. */
+/** Types of the connections from a gateway to agents: one per work class, so that batch data never delays a lookup. */
 import type { Client } from '@connectrpc/connect'
 import type { AgentService, WorkClass } from 'anvilarch-protocol'
 
-/** What a connection is used for. */
+/** Purpose of a connection. */
 export type Channel = WorkClass | 'control'
 
 /** A typed client to one agent over one connection. */
@@ -12,13 +12,13 @@
 export interface AgentClients {
   get: (address: string, channel: Channel) => AgentClient
   /**
-   * Leaves a connection that went silent to its streams' end and opens a new one.
-   * Many streams notice the same silence; all but the first are given the connection that the first one opened.
+   * Replaces an unresponsive connection with a new one; the old one stays open for its remaining streams.
+   * Many streams detect the same failure; all but the first get the connection that was opened for the first one.
    *
-   * @param silent - the client whose connection went silent; whichever is current when absent
+   * @param silent - client of the unresponsive connection; if omitted, the current connection is replaced
    */
   renew: (address: string, channel: Channel, silent?: AgentClient) => AgentClient
-  /** Frees the connections to an agent that is gone. */
+  /** Removes the connections to an agent that no longer exists. */
   forget: (address: string) => void
   close: () => Promise<void>
 }
--- a/packages/anvilarch-daemon/src/placement/__fixtures__/simulatedFleet.ts
+++ b/packages/anvilarch-daemon/src/placement/__fixtures__/simulatedFleet.ts
@@ -1,4 +1,4 @@
-/** Engines in memory that carry out orders, as agents and engines do; loads take some steps. */
+/** In-memory engines that execute placement orders; a load completes when `finishLoads` is called. */
 import type { ConfigurationDocument } from 'anvilarch-configuration'
 import type { EndpointState } from 'anvilarch-protocol'
 import type { AgentView } from '../../membership/types'
@@ -11,20 +11,20 @@
   state: AgentView['state']
   health: 'ready' | 'crashed'
   service: string
-  /** Process of the agent. */
+  /** Incarnation of the agent process. */
   incarnation: string
   settledOrder: string
   models: Array<{ model: string, version: string, adapters: string[], state: string }>
 }
 
-/** @returns engines without weights, spread over the failure domains */
+/** @returns engines without weights, distributed over the failure domains */
 export function createEngines (count: number, failureDomains: string[]): SimulatedEngine[] {
   return Array.from({ length: count }, (_unused, index) => ({
     name: `agent-${index}`, failureDomain: failureDomains[index % failureDomains.length], state: 'serving', health: 'ready', service: '', incarnation: 'first', settledOrder: '', models: []
   }))
 }
 
-/** @returns the engines as a gateway sees them */
+/** @returns the engines as agent views of a gateway's directory */
 export function toViews (engines: SimulatedEngine[]): AgentView[] {
   return engines.map(engine => ({
     name: engine.name,
@@ -41,7 +41,7 @@
   }))
 }
 
-/** What an order does to an engine. */
+/** Effect of an order on an engine. */
 export const EFFECTS: Record<PlannedOrder['action'], (engine: SimulatedEngine, order: PlannedOrder) => void> = {
   load: (engine, { model, version, adapters }) => {
     engine.models = engine.models.filter(found => found.model !== model || found.version !== version)
@@ -51,20 +51,20 @@
   assign: (engine, { service }) => { engine.service = service }
 }
 
-/** The process of an engine ends and another one is there at once, so that nobody finds it away. */
+/** Replaces the process of an engine instantly: its models are lost, but no health check fails. */
 export function restart (engine: SimulatedEngine): void {
   engine.models = []
 }
 
-/** Ends every load in progress. */
+/** Completes every load in progress. */
 export function finishLoads (engines: SimulatedEngine[]): void {
   for (const engine of engines) engine.models = engine.models.map(model => ({ ...model, state: 'ready' }))
 }
 
-/** What a model service of a test document needs. */
+/** Requirements of a model service in a test document. */
 export interface TestService { replicas: number, version?: string, failureDomains?: string[] }
 
-/** @returns a document with model services, each with a model of its own name */
+/** @returns document with model services, each with its own model */
 export function documentOf (services: Record<string, TestService>, maxConcurrentLoads: number): ConfigurationDocument {
   const entries = Object.entries(services).map(([name, { replicas, version = 'v1', failureDomains = [] }]) =>
     [name, { kind: 'model', model: `model-${name}`, version, adapters: [], replicas, failureDomains }])
--- a/packages/anvilarch-daemon/src/placement/__tests__/planPlacement.test.ts
+++ b/packages/anvilarch-daemon/src/placement/__tests__/planPlacement.test.ts
@@ -11,13 +11,13 @@
 const BOUNDS = { graceMs: 10_000, loadHoldMs: 60_000, orderTimeoutMs: 60_000, unansweredTimeoutMs: 10_000, refusedPauseMs: 5000 }
 const STEP_MS = 1000
 
-/** A holder of the lease: its memory, and how many loads were under way at most. */
+/** A lease holder: its state, its orders, and the highest number of concurrent loads. */
 interface Holder {
   memory: SlotMemory
   nowMs: number
   mostLoads: number
   orders: PlannedOrder[]
-  /** What the endpoints reported; the holder sees it some steps late. */
+  /** Reports of the endpoints; the holder receives them `lagSteps` steps late. */
   reports: AgentView[][]
   lagSteps: number
 }
@@ -25,7 +25,7 @@
 const newHolder = (lagSteps = 0): Holder => ({ memory: EMPTY_MEMORY, nowMs: 0, mostLoads: 0, orders: [], reports: [], lagSteps })
 const countLoads = (engines: SimulatedEngine[]): number => engines.filter(engine => engine.models.some(model => model.state === 'loading')).length
 
-/** One plan; the orders that `takes` accepts are carried out, the others are lost on their way. */
+/** Runs one plan; the orders for which `takes` returns true are executed, the others are lost in transit. */
 function step (holder: Holder, document: ConfigurationDocument, engines: SimulatedEngine[], takes = (_order: PlannedOrder): boolean => true): void {
   holder.nowMs += STEP_MS
   holder.reports.push(toViews(engines))
@@ -58,7 +58,7 @@
 const perDomain = (engines: SimulatedEngine[]): number[] => DOMAINS.map(domain => engines.filter(engine => engine.failureDomain === domain).length)
 
 describe('planPlacement', () => {
-  it('spreads replicas over failure domains and then gives no more orders', () => {
+  it('distributes replicas over failure domains and then sends no more orders', () => {
     const engines = createEngines(12, DOMAINS)
     const document = documentOf({ writer: { replicas: 6 }, portal: { replicas: 3 } }, 2)
     const holder = newHolder()
@@ -70,7 +70,7 @@
     expect(holder.orders).toEqual([])
   })
 
-  it('loads nothing again for a new holder, nor after an agent forgot its service', () => {
+  it('reloads nothing under a new lease holder, or after agents have lost their service assignment', () => {
     const engines = createEngines(4, DOMAINS)
     const document = documentOf({ writer: { replicas: 3 } }, 2)
     settle(newHolder(), document, engines)
@@ -80,7 +80,7 @@
     expect(holder.orders.map(order => order.action)).toEqual(['assign', 'assign', 'assign'])
   })
 
-  it('replaces an endpoint that drains at once, and one that is gone after the grace', () => {
+  it('replaces a draining endpoint immediately, and a crashed one after the grace period', () => {
     const engines = createEngines(5, DOMAINS)
     const document = documentOf({ writer: { replicas: 3 } }, 2)
     const holder = newHolder()
@@ -97,8 +97,8 @@
     expect(holder.orders.map(order => order.action)).toEqual(['load'])
   })
 
-  // Guards against this: an engine whose process ended with a load stands idle until the order has timed out.
-  it.each([0, 2])('orders a load again once its endpoint shows that it was lost, seen %d steps late', lagSteps => {
+  // Guards against an engine that exits during a load and then stays idle until the order times out.
+  it.each([0, 2])('repeats a load once its endpoint reports that it was lost, with reports %d steps late', lagSteps => {
     const engines = createEngines(3, DOMAINS)
     const document = documentOf({ writer: { replicas: 3 } }, 3)
     const holder = newHolder(lagSteps)
@@ -108,8 +108,8 @@
     expect(holder.orders).toMatchObject([{ agent: engines[0].name, action: 'load' }])
   })
 
-  // Guards against this: an order that waited with an agent ends with it, and its endpoint stands idle until the order has timed out.
-  it('orders a load again once the agent that has it was replaced', () => {
+  // Guards against an order that is lost with the agent process that queued it, and leaves its endpoint idle until the order times out.
+  it('repeats a load once the agent that received it was replaced', () => {
     const engines = createEngines(3, DOMAINS)
     const document = documentOf({ writer: { replicas: 3 } }, 3)
     const holder = newHolder()
@@ -121,8 +121,8 @@
     expect(holder.orders).toMatchObject([{ agent: engines[0].name, action: 'load' }])
   })
 
-  // Guards against this: an engine that drops each load is sent the same weights several times a second.
-  it('orders a load that is lost again and again ever less often, and at once after one that was not', () => {
+  // Guards against sending the same weights several times a second to an engine that fails each load.
+  it('backs off while loads are lost repeatedly, and repeats immediately again after a load that succeeded', () => {
     const engines = createEngines(1, DOMAINS)
     const document = documentOf({ writer: { replicas: 1 } }, 1)
     const holder = newHolder()
@@ -143,7 +143,7 @@
     expect(loadsOf(3)).toBe(2)
   })
 
-  it('counts the load of an endpoint that cannot be reached', () => {
+  it('counts the load of an unreachable endpoint', () => {
     const engines = createEngines(2, DOMAINS)
     const document = documentOf({ writer: { replicas: 1 } }, 1)
     const holder = newHolder()
@@ -156,7 +156,7 @@
     }
   })
 
-  it('changes the version in place without leaving the service', () => {
+  it('changes the version in place without interrupting the service', () => {
     const engines = createEngines(3, DOMAINS)
     const holder = newHolder()
     settle(holder, documentOf({ writer: { replicas: 3 } }, 1), engines)
@@ -171,7 +171,7 @@
     expect(holder.mostLoads).toBe(1)
   })
 
-  it.each([0, 2])('gives the endpoints of a service that is gone, or smaller now, to others, seen %d steps late', lagSteps => {
+  it.each([0, 2])('reassigns the endpoints of a removed or downscaled service, with reports %d steps late', lagSteps => {
     const engines = createEngines(4, DOMAINS)
     const holder = newHolder(lagSteps)
     settle(holder, documentOf({ writer: { replicas: 2 }, old: { replicas: 2 } }, 2), engines)
@@ -186,8 +186,8 @@
     expect(engines.every(engine => engine.models.length === 1)).toBe(true)
   })
 
-  // Guards against this: the weight store refuses loads, and all of them take long.
-  it('never exceeds the limit of loads, and reaches the document when the faults end', () => {
+  // Guards against too many concurrent loads, with which the weight store rejects loads and all of them become slow.
+  it('never exceeds the limit of concurrent loads, and converges to the document when the faults end', () => {
     const services = fc.record({ writer: fc.nat(4), portal: fc.nat(3), old: fc.nat(2) })
       .map(counts => Object.fromEntries(Object.entries(counts).filter(([, replicas]) => replicas > 0).map(([name, replicas]) => [name, { replicas }])) as Record<string, TestService>)
     const event = fc.oneof(
@@ -219,7 +219,7 @@
     }), { seed: SEED, numRuns: 300 })
   })
 
-  it('keeps services in the failure domains that they name', () => {
+  it('keeps services in their configured failure domains', () => {
     const engines = createEngines(6, DOMAINS)
     settle(newHolder(), documentOf({ writer: { replicas: 4, failureDomains: ['bole-hall'] } }, 4), engines)
     expect(perDomain(serving(engines, 'writer'))).toEqual([2, 0, 0])
--- a/packages/anvilarch-daemon/src/placement/__tests__/startPlacement.test.ts
+++ b/packages/anvilarch-daemon/src/placement/__tests__/startPlacement.test.ts
@@ -11,11 +11,11 @@
   clock: FakeClock
   engines: SimulatedEngine[]
   orders: OrderRequest[]
-  /** The lease as its holder sees it. */
+  /** Lease state of the holder. */
   lease: { epoch: number | undefined }
-  /** The highest epoch that the agents have seen. */
+  /** Highest fencing token that the agents have received. */
   fence: { token: number }
-  /** Called when the plan reads the directory; which orders have their reply lost, and which never arrive. */
+  /** `onPlan` is called when planning reads the directory; `loses` selects orders whose response is lost, `drops` those that never arrive. */
   hooks: { onPlan: () => void, loses: (order: OrderRequest) => boolean, drops: (order: OrderRequest) => boolean }
 }
 
@@ -30,7 +30,7 @@
     rig.fence.token = Number(request.fencingToken)
     const engine = engines[Number(requestAgent)]
     EFFECTS[request.action as PlannedOrder['action']](engine, { ...request, agent: engine.name } as unknown as PlannedOrder)
-    if (rig.hooks.loses(request)) throw new Error('reply lost')
+    if (rig.hooks.loses(request)) throw new Error('response lost')
     return { outcome: 'started', reason: '', fencingToken: request.fencingToken }
   }
   let requestAgent = ''
@@ -53,7 +53,7 @@
 onViolation(name => { violations.push(name) })
 
 describe('startPlacement', () => {
-  it('gives no orders without the lease, nor before a new holder has settled', async () => {
+  it('sends no orders without the lease, or before the settling time of a new holder is over', async () => {
     const rig = await start(3)
     await rig.clock.advanceAsync(20_000)
     rig.lease.epoch = 4
@@ -63,8 +63,8 @@
     expect(rig.orders.map(order => [order.action, order.fencingToken])).toEqual([['load', 4n], ['load', 4n]])
   })
 
-  // Guards against this: two gateways give orders at once.
-  it('sends no order of a plan whose lease lapsed before the order was sent', async () => {
+  // Guards against two gateways that send orders at the same time.
+  it('sends no order if the lease expires between planning and sending', async () => {
     const rig = await start(3)
     rig.lease.epoch = 4
     await rig.clock.advanceAsync(DEFAULT_OPTIONS.settleMs + 500)
@@ -74,7 +74,7 @@
     expect(violations).toEqual([])
   })
 
-  // Guards against this: a new holder undoes what its predecessor has just ordered.
+  // Guards against a new holder that reverts the latest orders of its predecessor.
   it('sends no order of a plan that was made under an earlier epoch', async () => {
     const rig = await start(3)
     rig.lease.epoch = 4
@@ -86,7 +86,7 @@
     expect(new Set(rig.orders.map(order => order.fencingToken))).toEqual(new Set([6n]))
   })
 
-  it('makes nothing of orders that the agents refuse for an old epoch, and pauses before it orders again', async () => {
+  it('has no effect when agents reject orders for an outdated epoch, and backs off before it sends another one', async () => {
     const rig = await start(1)
     rig.fence.token = 9
     rig.lease.epoch = 4
@@ -95,8 +95,8 @@
     expect(rig.orders.length).toBeLessThanOrEqual(rig.engines.length)
   })
 
-  // Guards against this: an engine that is back after a crash stands idle until the next routine plan.
-  it('orders a load within half a second of the return of an endpoint', async () => {
+  // Guards against an engine that stays idle after a crash until the next regular plan.
+  it('orders a load within half a second after an endpoint is ready again', async () => {
     const rig = await start(4, 4)
     rig.lease.epoch = 4
     await rig.clock.advanceAsync(DEFAULT_OPTIONS.settleMs + 1000)
@@ -111,8 +111,8 @@
     expect(rig.orders.map(order => order.action)).toEqual(['load'])
   })
 
-  // Guards against this: an endpoint whose order was lost on its way stands idle for a minute.
-  it('gives an order again soon when it never arrived', async () => {
+  // Guards against an endpoint that stays idle for a minute because its order was lost in transit.
+  it('repeats an order that never arrived after a short timeout', async () => {
     const rig = await start(1)
     rig.hooks.drops = () => true
     rig.lease.epoch = 4
@@ -125,8 +125,8 @@
     expect(rig.engines.filter(engine => engine.models.length > 0)).toHaveLength(1)
   })
 
-  // Guards against this: the same weights are loaded on two endpoints for one replica.
-  it('counts an order whose reply was lost until the endpoint reports', async () => {
+  // Guards against loading the same weights on two endpoints for one replica.
+  it('counts an order whose response was lost until the endpoint reports its state', async () => {
     const rig = await start(1)
     rig.hooks.loses = () => true
     rig.lease.epoch = 4
--- a/packages/anvilarch-daemon/src/placement/planPlacement.ts
+++ b/packages/anvilarch-daemon/src/placement/planPlacement.ts
@@ -1,21 +1,22 @@
 /**
- * Turns the replicas of the document into orders. Pure: the same document and endpoints give the same orders.
+ * Plans the orders that bring the endpoints to the replicas of the configuration document. Pure: the same document and
+ * endpoints give the same orders.
  *
- * What is loaded stays where it is; what is missing goes to the failure domain that has the fewest replicas of the
- * service; loads are paced, since the weight store is limited in its rate.
+ * Loaded replicas stay in place; a missing replica goes to the failure domain with the fewest replicas of the service;
+ * concurrent loads are limited, because the weight store has limited throughput.
  */
 import type { ConfigurationDocument, ModelService } from 'anvilarch-configuration'
 import { invariant } from 'anvilarch-utils'
 import type { PlannedOrder, Slot } from './types'
 
-/** A model service with the slots that count for it. */
+/** A model service with the slots that count as its replicas. */
 interface ServicePlan {
   name: string
   service: ModelService
   kept: Slot[]
 }
 
-/** State of one round of planning. */
+/** State of one planning round. */
 interface Round {
   plans: ServicePlan[]
   free: Slot[]
@@ -24,9 +25,9 @@
 }
 
 /**
- * @param document - in force
+ * @param document - active configuration document
  * @param slots - all model endpoints
- * @returns the orders to send now
+ * @returns orders to send now
  */
 export function planPlacement (document: ConfigurationDocument, slots: Slot[]): PlannedOrder[] {
   const maxLoads = document.limits.maxConcurrentLoads
@@ -34,16 +35,16 @@
   const round: Round = { plans: servicePlans(document, slots), free: [], orders: [], loadsLeft: Math.max(0, maxLoads - loading) }
   releaseSurplus(round, slots)
   const kept = new Set(round.plans.flatMap(plan => plan.kept))
-  // A slot is free when no service counts on it; one whose service has other weights now is free for that service.
+  // A slot is free if it counts for no service. A slot whose service now requires other weights is free for that service.
   round.free = slots.filter(slot => takesOrders(slot) && !kept.has(slot))
   fillMissing(round)
   unloadUnused(round)
   const loads = round.orders.filter(order => order.action === 'load').length
-  invariant(loads === 0 || loading + loads <= maxLoads, 'placement_load_limit', () => `${loading} loads under way, ${loads} more planned, ${maxLoads} allowed`)
+  invariant(loads === 0 || loading + loads <= maxLoads, 'placement_load_limit', () => `${loading} loads in progress, ${loads} more planned, ${maxLoads} allowed`)
   return round.orders
 }
 
-/** A load counts from the order until the weights are there. */
+/** A load counts from sending the order until the weights are ready. */
 function isLoading (slot: Slot): boolean {
   return slot.mayLoad && (slot.sent?.action === 'load' || slot.models.some(model => model.state === 'loading'))
 }
@@ -58,7 +59,7 @@
     })
 }
 
-/** Whether the slot has, or is about to have, what the service needs. */
+/** Whether the slot has, or will have after its pending order, the model and adapters of the service. */
 function holds (slot: Slot, service: ModelService): boolean {
   const { sent } = slot
   if (sent !== undefined && sent.model === service.model && sent.version === service.version) {
@@ -75,7 +76,7 @@
   return service.failureDomains.length === 0 || service.failureDomains.includes(slot.failureDomain)
 }
 
-/** Takes slots in turn from the failure domain with the fewest taken so far. */
+/** Chooses slots one by one, each from the failure domain with the fewest chosen so far. */
 function chooseSpread (slots: Slot[], count: number): Slot[] {
   const chosen: Slot[] = []
   const rest = [...slots].sort(compareSlots)
@@ -94,7 +95,7 @@
   return candidates.reduce((best, slot) => inDomain(slot) < inDomain(best) ? slot : best)
 }
 
-/** Usable before not usable, ready before loading, then by name, so that every holder chooses alike. */
+/** Usable slots first, then ready before loading, then by key, so that every lease holder makes the same choice. */
 function compareSlots (left: Slot, right: Slot): number {
   return rank(left) - rank(right) || (left.key < right.key ? -1 : 1)
 }
@@ -103,7 +104,7 @@
   return (slot.usable ? 0 : 2) + (slot.models.some(model => model.state === 'ready') ? 0 : 1)
 }
 
-/** Endpoints beyond the replicas of their service, and those of a service that is gone, give up weights and service. */
+/** Releases endpoints that exceed the replicas of their service, and endpoints of a removed service. */
 function releaseSurplus (round: Round, slots: Slot[]): void {
   for (const slot of slots) {
     if (!takesOrders(slot) || slot.service === '') continue
@@ -118,7 +119,10 @@
   return slot.usable && slot.sent === undefined
 }
 
-/** One order at a time for a slot: weights first, or the endpoint would be taken to serve whatever fits them. */
+/**
+ * Sends one order at a time to a slot. The weights are unloaded before the service is unassigned; an unassigned endpoint with
+ * weights would be assigned to any service that they match.
+ */
 function release (round: Round, slot: Slot): void {
   const { agent, endpoint } = slot
   const model = slot.models.at(0)
@@ -126,7 +130,7 @@
   else round.orders.push({ agent, endpoint, action: 'unload', service: slot.service, model: model.model, version: model.version, adapters: [] })
 }
 
-/** Gives each service in turn one slot, the one with the smallest share of its replicas first. */
+/** Assigns missing replicas one slot at a time, to the service with the smallest share of its replicas first. */
 function fillMissing (round: Round): void {
   const busy = new Set(round.orders.map(order => `${order.agent}/${order.endpoint}`))
   const stuck = new Set<ServicePlan>()
@@ -148,7 +152,7 @@
   return plan.kept.length / plan.service.replicas
 }
 
-/** The order of preference: weights there already, own endpoint with other weights, an endpoint without a service. */
+/** Prefers a slot that already has the weights, then one of the service with other weights, then one without a service. */
 function chooseFree (round: Round, plan: ServicePlan, busy: Set<string>): Slot | undefined {
   const candidates = round.free
     .filter(slot => !busy.has(slot.key) && isAllowed(slot, plan.service))
@@ -171,7 +175,7 @@
   plan.kept.push(slot)
 }
 
-/** Once the weights of a service are ready on an endpoint, older ones beside them are given up. */
+/** Unloads older weights from an endpoint once the current weights of its service are ready. */
 function unloadUnused (round: Round): void {
   const ordered = new Set(round.orders.map(order => `${order.agent}/${order.endpoint}`))
   for (const plan of round.plans) {
--- a/packages/anvilarch-daemon/src/placement/slots.ts
+++ b/packages/anvilarch-daemon/src/placement/slots.ts
@@ -1,55 +1,57 @@
-/** The model endpoints of the fleet as the plan sees them. Pure. */
+/** Derives the slots that planning works on from the reported endpoints and the sent orders. Pure. */
 import type { EndpointState, LoadedModel } from 'anvilarch-protocol'
 import type { AgentView } from '../membership/types'
 import type { OrderAction, SentOrder, Slot } from './types'
 
-/** What the holder of the lease remembers between two plans. */
+/** State that the lease holder keeps between two plans. */
 export interface SlotMemory {
-  /** Since when an endpoint has not been usable, by slot key. */
+  /** Time since which an endpoint has not been usable, by slot key. */
   goneSinceMs: ReadonlyMap<string, number>
-  /** Orders under way, by slot key. */
+  /** Pending orders, by slot key. */
   sent: ReadonlyMap<string, SentOrder>
-  /** Endpoints whose last orders left nothing behind, by slot key. */
+  /** Endpoints whose most recent orders had no effect, by slot key. */
   lost: ReadonlyMap<string, LostOrders>
 }
 
-/** Orders to one endpoint that were lost one after another. */
+/** Consecutive lost orders to one endpoint. */
 export interface LostOrders {
   count: number
-  /** When the endpoint may get an order again. */
+  /** Time from which the endpoint may get an order again. */
   untilMs: number
 }
 
-/** Memory of a new holder. */
+/** State of a new lease holder. */
 export const EMPTY_MEMORY: SlotMemory = { goneSinceMs: new Map(), sent: new Map(), lost: new Map() }
 
 /**
  * @param agent - name of the agent
- * @param endpoint - name of the endpoint within it
- * @returns the key of its slot
+ * @param endpoint - name of the endpoint, unique within the agent
+ * @returns key of the slot
  */
 export function slotKey (agent: string, endpoint: string): string {
   return `${agent}/${endpoint}`
 }
 
-/** How long an endpoint may be gone before something follows from it. */
+/** Limits on the time for which an endpoint is unusable. */
 export interface GoneBounds {
-  /** Before it is replaced. */
+  /** Time until it is replaced. */
   graceMs: number
-  /** Before its loads are taken to have ended. */
+  /** Time until its loads are assumed to have ended. */
   loadHoldMs: number
 }
 
 /**
- * An endpoint that restarts is back within seconds with its weights in reach; loading a replacement at once would cost
- * the weight store a load for nothing, so it counts for its service during a short grace. One that can't be reached may
- * be loading all the same, so its loads count for longer.
+ * Converts the model endpoints of the agents to slots.
  *
- * @param agents - as the holder sees them
- * @param memory - of the holder
+ * An endpoint that restarts is available again within seconds and can reload its weights; an immediate replacement would
+ * cost the weight store an unnecessary load, so the endpoint counts for its service during a short grace period. An
+ * unreachable endpoint may still be loading, so its loads count for longer.
+ *
+ * @param agents - agents in the directory of the lease holder
+ * @param memory - state of the lease holder
  * @param nowMs - time of the plan
- * @param bounds - on being gone
- * @returns all model endpoints
+ * @param bounds - limits on unusable endpoints
+ * @returns slots of all model endpoints
  */
 export function toSlots (agents: AgentView[], memory: SlotMemory, nowMs: number, bounds: GoneBounds): Slot[] {
   return agents.flatMap(agent => agent.endpoints
@@ -79,32 +81,34 @@
 }
 
 /**
- * @param memory - of the holder
- * @param nowMs - the time
- * @param bounds - on being gone
- * @returns whether an endpoint may need an order, or show the effect of one, at any moment
+ * @param memory - state of the lease holder
+ * @param nowMs - current time
+ * @param bounds - limits on unusable endpoints
+ * @returns whether an endpoint recently became unusable or was sent an order, so that planning should run more often
  */
 export function hasChangedLately (memory: SlotMemory, nowMs: number, bounds: Pick<GoneBounds, 'graceMs'>): boolean {
   const sinceMs = [...memory.goneSinceMs.values(), ...[...memory.sent.values()].map(order => order.sentAtMs)]
   return sinceMs.some(startMs => nowMs - startMs < bounds.graceMs)
 }
 
-/** Bounds of an order under way. */
+/** Limits on pending orders. */
 export interface OrderBounds {
-  /** An order that the agent has taken and that shows no effect is given up after this time. */
+  /** Time after which an accepted order without a visible effect counts as lost. */
   orderTimeoutMs: number
-  /** The same for an order that the agent did not answer. */
+  /** The same for an unanswered order. */
   unansweredTimeoutMs: number
-  /** Pause after the second order in a row that was lost; doubled with each further one, up to `orderTimeoutMs`. */
+  /** Backoff after the second consecutive lost order; doubled with each further one, up to `orderTimeoutMs`. */
   refusedPauseMs: number
 }
 
 /**
- * @param memory - before
- * @param agents - as the holder sees them now
+ * Compares the pending orders with the reported endpoints.
+ *
+ * @param memory - previous state
+ * @param agents - agents in the directory of the lease holder
  * @param nowMs - time of the plan
- * @param bounds - of orders
- * @returns memory without the orders whose effect shows, and with what is gone now
+ * @param bounds - limits on pending orders
+ * @returns state without completed and lost orders, and with the endpoints that are unusable now
  */
 export function afterObserved (memory: SlotMemory, agents: AgentView[], nowMs: number, bounds: OrderBounds): SlotMemory {
   const states = new Map(agents.flatMap(agent => agent.endpoints.map(endpoint => [slotKey(agent.name, endpoint.endpoint), { agent, endpoint }])))
@@ -126,8 +130,8 @@
 }
 
 /**
- * An engine that comes back from a crash is to have its model at once. One that drops each load would otherwise be sent the
- * same weights several times a second.
+ * The first lost order is retried immediately, so that an engine that restarts after a crash gets its model without delay.
+ * Further ones back off; an engine that fails each load would otherwise be sent the same weights several times a second.
  */
 function afterLost (before: LostOrders | undefined, nowMs: number, bounds: OrderBounds): LostOrders {
   const count = (before?.count ?? 0) + 1
@@ -135,13 +139,13 @@
   return { count, untilMs: nowMs + pauseMs }
 }
 
-/** An endpoint of the fleet, with its agent. */
+/** An endpoint with its agent. */
 interface FoundEndpoint {
   agent: AgentView
   endpoint: EndpointState
 }
 
-/** What became of an order, as far as the endpoint shows. */
+/** Progress of an order according to the state of its endpoint. */
 type OrderProgress = 'done' | 'under_way' | 'lost'
 
 function progressOf ({ agent, endpoint }: FoundEndpoint, order: SentOrder, nowMs: number, bounds: OrderBounds): OrderProgress {
@@ -152,12 +156,15 @@
   return isOver(agent, endpoint, order) || nowMs - order.sentAtMs >= timeoutMs ? 'lost' : 'under_way'
 }
 
-/** The process of the endpoint that took an order, or the agent with which it waited, may end before its effect shows. */
+/**
+ * Whether an order without a visible effect is over: the endpoint has settled it, or the agent process that queued it was
+ * replaced. The process of the endpoint or the agent may exit before the effect is visible.
+ */
 function isOver (agent: AgentView, endpoint: EndpointState, order: SentOrder): boolean {
   return endpoint.settledOrder === order.orderId || agent.incarnation !== order.agentIncarnation
 }
 
-/** How the effect of an order shows in what the endpoint reports. */
+/** Checks whether the reported state of the endpoint shows the effect of an order. */
 const EFFECTS: Record<OrderAction, (order: SentOrder, endpoint: EndpointState, model: LoadedModel | undefined) => boolean> = {
   load: (order, _endpoint, model) => model?.state === 'ready' && order.adapters.every(adapter => model.adapters.includes(adapter)),
   unload: (_order, _endpoint, model) => model === undefined,
--- a/packages/anvilarch-daemon/src/placement/startPlacement.ts
+++ b/packages/anvilarch-daemon/src/placement/startPlacement.ts
@@ -1,4 +1,4 @@
-/** Sends the orders of the plan while this gateway holds the placement lease. */
+/** Plans placement periodically and sends the orders, while this gateway holds the placement lease. */
 import { randomUUID } from 'node:crypto'
 import { invariant, type LifecycleManager, sleep } from 'anvilarch-utils'
 import type { DaemonContext } from '../context'
@@ -9,7 +9,7 @@
 import { afterObserved, EMPTY_MEMORY, hasChangedLately, type SlotMemory, slotKey, toSlots } from './slots'
 import type { PlannedOrder, SentOrder } from './types'
 
-/** What placement works with. */
+/** Dependencies of placement. */
 export interface PlacementParts {
   lease: SingleLease
   directory: Pick<MutableDirectory, 'list' | 'get' | 'noteOrdered'>
@@ -19,19 +19,19 @@
 /** Options of `startPlacement`. */
 export interface PlacementOptions {
   intervalMs: number
-  /** The interval while an endpoint has just gone, or has an order that does not show yet. */
+  /** Interval while an endpoint has recently become unusable or has a pending order. */
   changingIntervalMs: number
-  /** A new holder first learns what the agents have and what its predecessor ordered. */
+  /** Time for which a new lease holder only observes, to see the state of the agents and the effect of its predecessor's orders. */
   settleMs: number
-  /** How long an endpoint may be gone before it is replaced. */
+  /** Time an endpoint may be unusable before it is replaced. */
   graceMs: number
-  /** How long the loads of an endpoint that is gone still count. */
+  /** Time for which the loads of an unusable endpoint still count. */
   loadHoldMs: number
-  /** An order that an agent has taken and that shows no effect by then is given up. */
+  /** Time after which an accepted order without a visible effect counts as lost. */
   orderTimeoutMs: number
-  /** The same for an order that the agent did not answer. To repeat one that it got all the same does no harm. */
+  /** The same for an unanswered order. Repeating an order that did arrive is harmless. */
   unansweredTimeoutMs: number
-  /** An endpoint that refused an order gets no other one for this long. */
+  /** Backoff of an endpoint after a failed or rejected order. */
   refusedPauseMs: number
 }
 
@@ -40,25 +40,25 @@
   intervalMs: 1000, changingIntervalMs: 250, settleMs: 3000, graceMs: 10_000, loadHoldMs: 60_000, orderTimeoutMs: 60_000, unansweredTimeoutMs: 10_000, refusedPauseMs: 5000
 }
 
-/** An agent that takes longer to take an order is asked again with a later plan. */
+/** Timeout of an order request; a later plan retries the order. */
 const ORDER_TIMEOUT_MS = 3000
-/** Orders sent at the same time. */
+/** Maximum of order requests in progress. */
 const MAX_CONCURRENT_ORDERS = 8
 
-/** What is known under one epoch. */
+/** State kept while the lease is held under one epoch. */
 interface Tenure {
   epoch: number
   sinceMs: number
   memory: SlotMemory
-  /** When an endpoint may get an order again, by slot key. */
+  /** End of the backoff of each endpoint, by slot key. */
   pausedUntilMs: Map<string, number>
 }
 
 /**
- * @param context - shared parts of the gateway
+ * @param context - shared context of the gateway
  * @param parts - lease, directory and clients
- * @param lifecycle - stops the orders
- * @param options - intervals and bounds
+ * @param lifecycle - stops placement
+ * @param options - intervals and timeouts
  */
 export async function startPlacement (
   context: DaemonContext, parts: PlacementParts, lifecycle: LifecycleManager, options: PlacementOptions = DEFAULT_OPTIONS
@@ -92,9 +92,9 @@
   }
 
   /**
-   * The lease may lapse between the plan and the order, when this process was paused. Its successor then gives other
-   * orders, and both would be carried out. The epoch is asked for again right before each order, and the agent refuses an
-   * epoch lower than one it has seen.
+   * If this process is paused between planning and sending, the lease may expire meanwhile, and a new holder sends other
+   * orders; the orders of both would be executed. Therefore the epoch is checked again right before each order, and the agent
+   * rejects an epoch lower than the highest it has received.
    */
   const send = async (held: Tenure, order: PlannedOrder): Promise<void> => {
     const epoch = parts.lease.epoch()
@@ -111,7 +111,7 @@
     const isTaken = outcome === 'done' || outcome === 'started'
     const sent = new Map(held.memory.sent)
     if (isTaken) sent.set(key, { ...sentOrder, isAnswered: true })
-    // Whether a call without an answer was carried out shows in what the endpoint reports; until then it counts as sent.
+    // Whether an unanswered order was executed shows in the state that the endpoint reports; until then it counts as sent.
     else if (outcome !== 'no_answer') sent.delete(key)
     held.memory = { ...held.memory, sent }
     if (!isTaken) held.pausedUntilMs.set(key, clock.nowMs() + options.refusedPauseMs)
--- a/packages/anvilarch-daemon/src/placement/types.ts
+++ b/packages/anvilarch-daemon/src/placement/types.ts
@@ -1,8 +1,8 @@
-/** Orders that put the replicas of the document on endpoints. */
+/** Slots and orders of placement, which assigns the replicas of the configuration document to endpoints. */
 import type { EndpointState } from 'anvilarch-protocol'
 
 /**
- * What an order does: `load` weights, `unload` them, or `assign` an endpoint that has them already to a service.
+ * Action of an order: `load` weights, `unload` weights, or `assign` an endpoint that already has the weights to a service.
  * An endpoint keeps its service when its weights are unloaded; it is released by assigning it to no service.
  */
 export type OrderAction = 'load' | 'unload' | 'assign'
@@ -21,29 +21,29 @@
 /** An order that was sent and whose effect the endpoint has not reported yet. */
 export interface SentOrder extends PlannedOrder {
   orderId: string
-  /** Process of the agent as it was known at the time of sending. */
+  /** Incarnation of the agent in the directory when the order was sent. */
   agentIncarnation: string
   sentAtMs: number
-  /** Whether the agent answered. Otherwise it may have the order, or may never get it. */
+  /** Whether the agent responded. If not, the order may or may not have arrived. */
   isAnswered: boolean
 }
 
-/** A model endpoint as the plan sees it. */
+/** A model endpoint as input of planning. */
 export interface Slot {
   /** `agent/endpoint`. */
   key: string
   agent: string
   endpoint: string
   failureDomain: string
-  /** Takes orders now. */
+  /** Whether it accepts orders now. */
   usable: boolean
-  /** Counts for its service: usable, or gone for a short time only. */
+  /** Whether it counts for its service: usable, or unusable for less than the grace period. */
   present: boolean
-  /** Whether weights may be on their way to it: it answers, or did until a short time ago. */
+  /** Whether it may be loading weights: usable, or was until recently. */
   mayLoad: boolean
-  /** Service that it serves, or will serve when the order under way has taken effect. */
+  /** Service it serves, or will serve after the pending order. */
   service: string
   models: EndpointState['models']
-  /** The order under way. */
+  /** Pending order. */
   sent?: SentOrder
 }
