--- a/packages/anvilarch-daemon/src/admission/__tests__/admissionHistory.test.ts
+++ b/packages/anvilarch-daemon/src/admission/__tests__/admissionHistory.test.ts
@@ -21,7 +21,7 @@
 const OPTIONS = { slots: 4, maxQueuedOnline: 5, maxQueuedBatch: 4, maxPreemptions: 2 }
 
 /** Simulates the agent and checks each admission command against the recorded phase of the attempt. */
-class History {
+class AgentSimulation {
   nowMs = 0
   nextId = 0
   draining = false
@@ -33,7 +33,7 @@
 
   run (actions: Action[]): void {
     for (const action of actions) this.apply(action)
-    this.settle()
+    this.runToEnd()
   }
 
   private apply (action: Action): void {
@@ -45,28 +45,28 @@
         break
       }
       case 'finish': {
-        this.onOne(action.pick, ['running', 'preempting'], id => {
+        this.withPicked(action.pick, ['running', 'preempting'], id => {
           this.phases.set(id, 'over')
           this.send({ kind: 'finished', nowMs: this.nowMs, id, whole: action.pick % 2 === 0 })
         })
         break
       }
       case 'release': {
-        this.onOne(action.pick, ['preempting'], id => {
+        this.withPicked(action.pick, ['preempting'], id => {
           this.phases.set(id, 'parked')
           this.send({ kind: 'released', nowMs: this.nowMs, id })
         })
         break
       }
       case 'cancel': {
-        this.onOne(action.pick, ['waiting', 'parked'], id => {
+        this.withPicked(action.pick, ['waiting', 'parked'], id => {
           this.phases.set(id, 'over')
           this.send({ kind: 'cancelled', nowMs: this.nowMs, id })
         })
         break
       }
       case 'token': {
-        this.onOne(action.pick, ['running'], id => {
+        this.withPicked(action.pick, ['running'], id => {
           this.send({ kind: 'decoding', nowMs: this.nowMs, id })
           this.send({ kind: 'firstToken', nowMs: this.nowMs, id, sinceStartMs: action.pick * 200 })
           this.send({ kind: 'interToken', nowMs: this.nowMs, id, gapMs: action.pick * 4 })
@@ -104,11 +104,11 @@
   private send (event: AdmissionEvent): void {
     const { commands } = admissionStep(this.state, event)
     if (event.kind === 'arrive' && !commands.some(command => command.kind === 'refuse')) this.phases.set(event.id, 'waiting')
-    for (const command of commands) this.take(command, event)
+    for (const command of commands) this.applyCommand(command, event)
     this.check()
   }
 
-  private take (command: AdmissionCommand, event: AdmissionEvent): void {
+  private applyCommand (command: AdmissionCommand, event: AdmissionEvent): void {
     const phase = this.phases.get(command.id)
     switch (command.kind) {
       case 'refuse': {
@@ -120,11 +120,11 @@
         must(phase === (command.kind === 'start' ? 'waiting' : 'parked'), `${command.kind} of "${command.id}", which is ${phase ?? 'unknown'}`)
         must(!this.draining && !this.down, `"${command.id}" was started in a drain or on an endpoint that is down`)
         this.phases.set(command.id, 'running')
-        const holders = this.holders()
+        const runningIds = this.holders()
         if (this.state.running.get(command.id)?.isProtected === true) this.protectedIds.add(command.id)
-        must(this.protectedIds.size === 0 || this.of(['running', 'preempting']).filter(id => this.protectedIds.has(id)).length <= 1, 'more items are protected than the limit allows')
-        must(holders.length === 1 || !holders.some(id => this.isolated.has(id)), `"${command.id}" runs beside an isolated attempt`)
-        must(holders.length <= OPTIONS.slots, `${holders.length} attempts occupy a slot`)
+        must(this.protectedIds.size === 0 || this.idsIn(['running', 'preempting']).filter(id => this.protectedIds.has(id)).length <= 1, 'more items are protected than the limit allows')
+        must(runningIds.length === 1 || !runningIds.some(id => this.isolated.has(id)), `"${command.id}" runs beside an isolated attempt`)
+        must(runningIds.length <= OPTIONS.slots, `${runningIds.length} attempts occupy a slot`)
         break
       }
       case 'preempt': {
@@ -142,39 +142,39 @@
   }
 
   private holders (): string[] {
-    return this.of(['running', 'preempting'])
+    return this.idsIn(['running', 'preempting'])
   }
 
-  private of (phases: Phase[]): string[] {
+  private idsIn (phases: Phase[]): string[] {
     return [...this.phases].filter(([, phase]) => phases.includes(phase)).map(([id]) => id)
   }
 
-  private onOne (pick: number, phases: Phase[], use: (id: string) => void): void {
-    const ids = this.of(phases)
-    if (ids.length > 0) use(ids[pick % ids.length])
+  private withPicked (pick: number, phases: Phase[], act: (id: string) => void): void {
+    const ids = this.idsIn(phases)
+    if (ids.length > 0) act(ids[pick % ids.length])
   }
 
   private check (): void {
     const load = admissionLoad(this.state)
     must(load.runningOnline + load.runningBatch === this.holders().length, 'the load report does not match the running attempts')
-    must(load.queued === this.of(['waiting', 'parked']).length, 'the load report does not match the waiting attempts')
+    must(load.queued === this.idsIn(['waiting', 'parked']).length, 'the load report does not match the waiting attempts')
     must(this.state.batchLimit.limit <= OPTIONS.slots, 'the batch limit is above the slots')
   }
 
   /** Frees slots and advances the time until every admitted attempt has ended. */
-  private settle (): void {
-    for (let round = 0; round < 400 && this.of(['waiting', 'parked', 'running', 'preempting']).length > 0; round++) {
+  private runToEnd (): void {
+    for (let round = 0; round < 400 && this.idsIn(['waiting', 'parked', 'running', 'preempting']).length > 0; round++) {
       if (this.down && !this.draining) this.apply({ kind: 'up' })
       this.apply({ kind: 'release', pick: round })
       this.apply({ kind: 'finish', pick: round })
       this.apply({ kind: 'tick', ms: 100 })
     }
-    must(this.of(['waiting', 'parked', 'running', 'preempting']).length === 0, 'an admitted attempt never ended')
+    must(this.idsIn(['waiting', 'parked', 'running', 'preempting']).length === 0, 'an admitted attempt never ended')
   }
 }
 
 describe('admissionStep over random event sequences', () => {
   it('respects slots, isolation, drain and queue limits, and ends every admitted attempt', () => {
-    fc.assert(fc.property(ACTIONS, actions => { new History().run(actions) }), { seed: 20261202, numRuns: 1500 })
+    fc.assert(fc.property(ACTIONS, actions => { new AgentSimulation().run(actions) }), { seed: 20261202, numRuns: 1500 })
   })
 })
--- a/packages/anvilarch-daemon/src/admission/admissionStep.ts
+++ b/packages/anvilarch-daemon/src/admission/admissionStep.ts
@@ -7,7 +7,7 @@
 import { admitArrival } from './arrivals'
 import { adjustBatchLimit, createBatchLimit } from './batchLimit'
 import { addSample, createMeasures, smooth } from './measures'
-import { preemptExcessBatch, startWhatFits } from './scheduling'
+import { preemptExcessBatch, startWaitingAttempts } from './scheduling'
 import { addStepTime } from './stepTime'
 import { assertAdmission } from './assertions'
 import { batchLimitInput, countRunning } from './counts'
@@ -68,7 +68,7 @@
 }
 
 /** Per-token events. They never make a waiting attempt startable, so the scheduler is not run after them. */
-const MEASURING: ReadonlySet<AdmissionEvent['kind']> = new Set(['firstToken', 'interToken'])
+const PER_TOKEN_EVENTS: ReadonlySet<AdmissionEvent['kind']> = new Set(['firstToken', 'interToken'])
 
 /**
  * @param state - state of the endpoint; modified in place
@@ -79,8 +79,8 @@
   const commands: AdmissionCommand[] = []
   const handle = HANDLERS[event.kind] as Handler<typeof event.kind>
   handle(state, event as never, commands)
-  if (!MEASURING.has(event.kind)) {
-    startWhatFits(state, event.nowMs, commands)
+  if (!PER_TOKEN_EVENTS.has(event.kind)) {
+    startWaitingAttempts(state, event.nowMs, commands)
     assertAdmission(state)
   }
   return { state, commands }
@@ -91,7 +91,7 @@
   if (attempt === undefined || attempt.workClass === 'batch') return
   addSample(state.measures.firstToken, event.sinceStartMs)
   state.measures.recentFirstTokenMs = smooth(state.measures.recentFirstTokenMs, event.sinceStartMs)
-  if (countRunning(state).batch === 0) state.measures.quietFirstTokenMs = smooth(state.measures.quietFirstTokenMs, event.sinceStartMs)
+  if (countRunning(state).batch === 0) state.measures.baselineFirstTokenMs = smooth(state.measures.baselineFirstTokenMs, event.sinceStartMs)
 }
 
 function onInterToken (state: AdmissionState, event: Extract<AdmissionEvent, { kind: 'interToken' }>): void {
@@ -112,8 +112,8 @@
     return
   }
   // Queued after the other preempted items and before items that have not run yet.
-  const firstFresh = state.batch.findIndex(other => !other.started)
-  state.batch.splice(firstFresh === -1 ? state.batch.length : firstFresh, 0, waiting)
+  const firstNeverStarted = state.batch.findIndex(other => !other.started)
+  state.batch.splice(firstNeverStarted === -1 ? state.batch.length : firstNeverStarted, 0, waiting)
 }
 
 function onFinished (state: AdmissionState, event: Extract<AdmissionEvent, { kind: 'finished' }>): void {
--- a/packages/anvilarch-daemon/src/admission/arrivals.ts
+++ b/packages/anvilarch-daemon/src/admission/arrivals.ts
@@ -1,6 +1,6 @@
 /** Decides on a new attempt: queued, or rejected immediately with a time after which to retry. */
 import type { RefusalReason } from 'anvilarch-protocol'
-import { noteOnlineArrival } from './batchLimit'
+import { limitForOnlineArrival } from './batchLimit'
 import { batchLimitInput, countRunning } from './counts'
 import { preemptExcessBatch, preemptPrefilling } from './scheduling'
 import type { AdmissionCommand, AdmissionEvent, AdmissionState, WaitingAttempt } from './types'
@@ -10,7 +10,7 @@
  * The expectation is a mean: if the queue were planned up to the deadline itself, half of the responses would be late and
  * their work wasted.
  */
-const PLANNED_SHARE = 0.8
+const MAX_PLANNED_DEADLINE_SHARE = 0.8
 
 /** Each attempt that is prefilled alone is followed by one turn of other work. */
 const TURNS_PER_SOLO = 2
@@ -28,7 +28,7 @@
  * @param commands - receives the rejection, or the preemptions that make room
  */
 export function admitArrival (state: AdmissionState, event: Arrival, commands: AdmissionCommand[]): void {
-  const refusal = refusalOf(state, event)
+  const refusal = findRefusal(state, event)
   if (refusal !== undefined) {
     commands.push({ kind: 'refuse', id: event.id, ...refusal })
     return
@@ -49,16 +49,16 @@
   }
   enqueueOnline(state, waiting)
   preemptPrefilling(state, commands)
-  noteOnlineArrival(state.batchLimit, batchLimitInput(state, event.nowMs))
+  limitForOnlineArrival(state.batchLimit, batchLimitInput(state, event.nowMs))
   preemptExcessBatch(state, state.batchLimit.limit, commands)
 }
 
 function enqueueOnline (state: AdmissionState, waiting: WaitingAttempt): void {
-  const behind = waiting.workClass === 'lookup' ? state.online.findIndex(other => other.workClass !== 'lookup') : -1
-  state.online.splice(behind === -1 ? state.online.length : behind, 0, waiting)
+  const firstOther = waiting.workClass === 'lookup' ? state.online.findIndex(other => other.workClass !== 'lookup') : -1
+  state.online.splice(firstOther === -1 ? state.online.length : firstOther, 0, waiting)
 }
 
-function refusalOf (state: AdmissionState, event: Arrival): Refusal | undefined {
+function findRefusal (state: AdmissionState, event: Arrival): Refusal | undefined {
   if (state.draining) return { reason: 'draining', retryAfterMs: 0 }
   if (state.down) return { reason: 'endpoint_down', retryAfterMs: state.options.minRetryAfterMs }
   if (event.deadlineMs <= event.nowMs) return { reason: 'deadline', retryAfterMs: 0 }
@@ -69,14 +69,14 @@
 
 function isolatedRefusal (state: AdmissionState, event: Arrival): Refusal | undefined {
   const waitMs = (countRunning(state).online > 0 ? meanServiceMs(state) : 0) + state.isolated.length * meanServiceMs(state)
-  const canBegin = state.isolated.length < state.options.maxQueuedIsolated && event.nowMs + waitMs < event.deadlineMs
-  return canBegin ? undefined : { reason: 'isolated_busy', retryAfterMs: retryAfter(state, waitMs) }
+  const canStart = state.isolated.length < state.options.maxQueuedIsolated && event.nowMs + waitMs < event.deadlineMs
+  return canStart ? undefined : { reason: 'isolated_busy', retryAfterMs: retryAfter(state, waitMs) }
 }
 
 function soloRefusal (state: AdmissionState, event: Arrival): Refusal | undefined {
   const waitMs = soloWaitMs(state)
-  const canBegin = state.solo.length < state.options.maxQueuedIsolated && event.nowMs + waitMs < event.deadlineMs
-  return canBegin ? undefined : { reason: 'isolated_busy', retryAfterMs: retryAfter(state, waitMs) }
+  const canStart = state.solo.length < state.options.maxQueuedIsolated && event.nowMs + waitMs < event.deadlineMs
+  return canStart ? undefined : { reason: 'isolated_busy', retryAfterMs: retryAfter(state, waitMs) }
 }
 
 function soloWaitMs (state: AdmissionState): number {
@@ -84,8 +84,8 @@
 }
 
 function batchRefusal (state: AdmissionState): Refusal | undefined {
-  const fresh = state.batch.filter(waiting => !waiting.started).length
-  if (fresh < state.options.maxQueuedBatch) return undefined
+  const neverStarted = state.batch.filter(waiting => !waiting.started).length
+  if (neverStarted < state.options.maxQueuedBatch) return undefined
   return { reason: 'overloaded', retryAfterMs: retryAfter(state, state.measures.serviceMs.batch / state.options.slots) }
 }
 
@@ -95,7 +95,7 @@
   if (state.online.length >= state.options.maxQueuedOnline) return { reason: 'overloaded', retryAfterMs: retryAfter(state, waitMs) }
   if (waitMs === 0) return undefined
   const endMs = event.nowMs + waitMs + state.measures.serviceMs[event.workClass]
-  const latestMs = event.nowMs + (event.deadlineMs - event.nowMs) * PLANNED_SHARE
+  const latestMs = event.nowMs + (event.deadlineMs - event.nowMs) * MAX_PLANNED_DEADLINE_SHARE
   return endMs > latestMs ? { reason: 'deadline', retryAfterMs: retryAfter(state, endMs - latestMs) } : undefined
 }
 
@@ -103,8 +103,8 @@
   const counts = countRunning(state)
   const isolatedMs = (state.isolated.length + (counts.isolated ? 1 : 0)) * meanServiceMs(state)
   const ahead = event.workClass === 'lookup' ? state.online.filter(waiting => waiting.workClass === 'lookup').length : state.online.length
-  const movable = state.options.preemptible ? counts.batch - counts.protectedBatch : 0
-  const free = state.options.slots - state.running.size + movable
+  const preemptible = state.options.preemptible ? counts.batch - counts.protectedBatch : 0
+  const free = state.options.slots - state.running.size + preemptible
   const turns = Math.max(0, ahead + 1 - free)
   return isolatedMs + soloWaitMs(state) + turns * meanServiceMs(state) / state.options.slots
 }
--- a/packages/anvilarch-daemon/src/admission/assertions.ts
+++ b/packages/anvilarch-daemon/src/admission/assertions.ts
@@ -11,9 +11,9 @@
   const { running, options } = state
   invariant(running.size <= options.slots, 'running_within_slots', () => `${running.size} attempts run on ${options.slots} slots`)
   invariant(state.online.length <= options.maxQueuedOnline, 'online_queue_bounded', () => `${state.online.length} online attempts are queued, the limit is ${options.maxQueuedOnline}`)
-  const computed = prefilling(state)
-  invariant(computed.length <= 1 || !computed.some(attempt => attempt.soloFirstToken), 'solo_first_token',
-    () => `${computed.length} prompts are in prefill, one of which must be prefilled alone`)
+  const inPrefill = prefilling(state)
+  invariant(inPrefill.length <= 1 || !inPrefill.some(attempt => attempt.soloFirstToken), 'solo_first_token',
+    () => `${inPrefill.length} prompts are in prefill, one of which must be prefilled alone`)
   for (const attempt of running.values()) {
     if (!attempt.isolated) continue
     invariant(running.size === 1, 'isolated_runs_alone', () => `${running.size - 1} attempts run beside "${attempt.id}"`)
--- a/packages/anvilarch-daemon/src/admission/batchLimit.ts
+++ b/packages/anvilarch-daemon/src/admission/batchLimit.ts
@@ -27,15 +27,15 @@
   online: number
   policy: BatchPolicy
   measures: Measures
-  idleHoldMs: number
+  onlineIdleMs: number
   adjustIntervalMs: number
 }
 
-const TAIL = 0.95
-const DECREASE = 0.7
+const TAIL_QUANTILE = 0.95
+const DECREASE_FACTOR = 0.7
 /** A latency below this share of its allowance leaves room for one more item. */
-const ROOM = 0.9
-const FIRST_GUESS_SHARE = 0.25
+const HEADROOM_SHARE = 0.9
+const INITIAL_SLOT_SHARE = 0.25
 const MIN_SAMPLES = 5
 
 /**
@@ -45,7 +45,7 @@
 export function createBatchLimit (slots: number): BatchLimit {
   return {
     limit: 1,
-    besideOnline: Math.max(1, Math.floor(slots * FIRST_GUESS_SHARE)),
+    besideOnline: Math.max(1, Math.floor(slots * INITIAL_SLOT_SHARE)),
     lastOnlineMs: -Infinity,
     lastAdjustMs: -Infinity,
     fit: createStepTimeFit()
@@ -58,7 +58,7 @@
  * @param state - modified in place
  * @param input - state of the endpoint including the arrival
  */
-export function noteOnlineArrival (state: BatchLimit, input: BatchLimitInput): void {
+export function limitForOnlineArrival (state: BatchLimit, input: BatchLimitInput): void {
   state.lastOnlineMs = input.nowMs
   state.limit = Math.min(state.limit, allowedBesideOnline(state, input))
 }
@@ -71,46 +71,46 @@
  */
 export function adjustBatchLimit (state: BatchLimit, input: BatchLimitInput): void {
   if (input.online > 0) state.lastOnlineMs = input.nowMs
-  if (input.nowMs - state.lastOnlineMs > input.idleHoldMs) {
+  if (input.nowMs - state.lastOnlineMs > input.onlineIdleMs) {
     // Samples of the last burst of online work do not apply to the next one.
     clearSamples(input.measures.firstToken)
     clearSamples(input.measures.interToken)
     state.limit = input.slots
     return
   }
-  if (input.nowMs - state.lastAdjustMs >= input.adjustIntervalMs) correct(state, input)
+  if (input.nowMs - state.lastAdjustMs >= input.adjustIntervalMs) adjustBesideOnline(state, input)
   state.limit = Math.min(input.slots, allowedBesideOnline(state, input))
 }
 
-function correct (state: BatchLimit, input: BatchLimitInput): void {
+function adjustBesideOnline (state: BatchLimit, input: BatchLimitInput): void {
   const { firstToken, interToken } = input.measures
   if (firstToken.count + interToken.count < MIN_SAMPLES) return
   state.lastAdjustMs = input.nowMs
-  const pressure = Math.max(
-    pressureOf(quantile(firstToken, TAIL), input.measures.quietFirstTokenMs, input.policy.firstTokenTargetMs, input.policy),
-    pressureOf(quantile(interToken, TAIL), quietInterTokenMs(state, input), input.policy.interTokenTargetMs, input.policy)
+  const highestRatio = Math.max(
+    latencyRatio(quantile(firstToken, TAIL_QUANTILE), input.measures.baselineFirstTokenMs, input.policy.firstTokenTargetMs, input.policy),
+    latencyRatio(quantile(interToken, TAIL_QUANTILE), baselineInterTokenMs(state, input), input.policy.interTokenTargetMs, input.policy)
   )
-  if (pressure > 1) {
-    state.besideOnline = Math.floor(Math.min(state.besideOnline, input.slots) * DECREASE)
+  if (highestRatio > 1) {
+    state.besideOnline = Math.floor(Math.min(state.besideOnline, input.slots) * DECREASE_FACTOR)
     // The samples were taken under the previous limit; the next adjustment must only use samples of the new one.
     clearSamples(firstToken)
     clearSamples(interToken)
-  } else if (pressure < ROOM) {
+  } else if (highestRatio < HEADROOM_SHARE) {
     state.besideOnline = Math.min(input.slots, state.besideOnline + 1)
   }
 }
 
 // Ratio of a latency of online work to its allowance: the baseline without batch work plus a share of the slack to the target.
-function pressureOf (measuredMs: number, quietMs: number, targetMs: number, policy: BatchPolicy): number {
-  return measuredMs / allowedMs(quietMs, targetMs, policy)
+function latencyRatio (measuredMs: number, baselineMs: number, targetMs: number, policy: BatchPolicy): number {
+  return measuredMs / allowedMs(baselineMs, targetMs, policy)
 }
 
-function allowedMs (quietMs: number, targetMs: number, policy: BatchPolicy): number {
-  const slackMs = Math.max(0, targetMs - quietMs)
-  return quietMs + slackMs * policy.slackSharePercent / 100
+function allowedMs (baselineMs: number, targetMs: number, policy: BatchPolicy): number {
+  const slackMs = Math.max(0, targetMs - baselineMs)
+  return baselineMs + slackMs * policy.slackSharePercent / 100
 }
 
-function quietInterTokenMs (state: BatchLimit, input: BatchLimitInput): number {
+function baselineInterTokenMs (state: BatchLimit, input: BatchLimitInput): number {
   const line = stepTimeLine(state.fit)
   return line === undefined ? 0 : line.baseMs + line.perAttemptMs * input.online
 }
@@ -118,7 +118,7 @@
 function allowedBesideOnline (state: BatchLimit, input: BatchLimitInput): number {
   const line = stepTimeLine(state.fit)
   if (line === undefined) return state.besideOnline
-  const quietMs = line.baseMs + line.perAttemptMs * input.online
-  const roomMs = allowedMs(quietMs, input.policy.interTokenTargetMs, input.policy) - quietMs
-  return Math.min(state.besideOnline, Math.max(0, Math.floor(roomMs / line.perAttemptMs)))
+  const baselineMs = line.baseMs + line.perAttemptMs * input.online
+  const headroomMs = allowedMs(baselineMs, input.policy.interTokenTargetMs, input.policy) - baselineMs
+  return Math.min(state.besideOnline, Math.max(0, Math.floor(headroomMs / line.perAttemptMs)))
 }
--- a/packages/anvilarch-daemon/src/admission/counts.ts
+++ b/packages/anvilarch-daemon/src/admission/counts.ts
@@ -52,7 +52,7 @@
     online: countRunning(state).online + state.online.length,
     policy: state.policy,
     measures: state.measures,
-    idleHoldMs: state.options.idleHoldMs,
+    onlineIdleMs: state.options.onlineIdleMs,
     adjustIntervalMs: state.options.adjustIntervalMs
   }
 }
@@ -66,13 +66,13 @@
   const open = !state.draining && !state.down && state.isolated.length === 0 && !counts.isolated
   const fixed = counts.online + (state.options.preemptible ? counts.protectedBatch : counts.batch)
   const freeOnline = Math.max(0, state.options.slots - fixed - state.online.length - state.solo.length)
-  const room = Math.min(state.batchLimit.limit - counts.batch, state.options.slots - state.running.size)
+  const batchCapacity = Math.min(state.batchLimit.limit - counts.batch, state.options.slots - state.running.size)
   return {
     runningOnline: counts.online,
     runningBatch: counts.batch,
     queued: state.online.length + state.batch.length + state.isolated.length + state.solo.length,
     freeOnline: open ? freeOnline : 0,
-    freeBatch: open ? Math.max(0, room - state.batch.length) : 0,
+    freeBatch: open ? Math.max(0, batchCapacity - state.batch.length) : 0,
     firstTokenMs: state.measures.recentFirstTokenMs,
     interTokenMs: state.measures.recentInterTokenMs
   }
--- a/packages/anvilarch-daemon/src/admission/measures.ts
+++ b/packages/anvilarch-daemon/src/admission/measures.ts
@@ -15,14 +15,14 @@
   /** Smoothed service time of complete responses by work class; 0 before the first one. */
   serviceMs: Record<WorkClass, number>
   /** Smoothed time to first token of online work while no batch item ran; 0 before the first sample. */
-  quietFirstTokenMs: number
+  baselineFirstTokenMs: number
   /** Smoothed latencies that are reported to gateways. */
   recentFirstTokenMs: number
   recentInterTokenMs: number
 }
 
 const RING_SIZE = 64
-const SMOOTHING = 0.1
+const SMOOTHING_FACTOR = 0.1
 
 /** @returns measurements without samples */
 export function createMeasures (): Measures {
@@ -30,7 +30,7 @@
     firstToken: createRing(),
     interToken: createRing(),
     serviceMs: { lookup: 0, online: 0, batch: 0 },
-    quietFirstTokenMs: 0,
+    baselineFirstTokenMs: 0,
     recentFirstTokenMs: 0,
     recentInterTokenMs: 0
   }
@@ -58,13 +58,13 @@
 
 /**
  * @param ring - samples
- * @param share - quantile, between 0 and 1
+ * @param fraction - quantile, between 0 and 1
  * @returns value at the quantile, 0 without samples
  */
-export function quantile (ring: SampleRing, share: number): number {
+export function quantile (ring: SampleRing, fraction: number): number {
   if (ring.count === 0) return 0
   const sorted = ring.values.slice(0, ring.count).sort()
-  return sorted[Math.min(ring.count - 1, Math.floor(share * ring.count))]
+  return sorted[Math.min(ring.count - 1, Math.floor(fraction * ring.count))]
 }
 
 /**
@@ -73,5 +73,5 @@
  * @returns exponentially smoothed value
  */
 export function smooth (previous: number, sample: number): number {
-  return previous === 0 ? sample : previous + SMOOTHING * (sample - previous)
+  return previous === 0 ? sample : previous + SMOOTHING_FACTOR * (sample - previous)
 }
--- a/packages/anvilarch-daemon/src/admission/scheduling.ts
+++ b/packages/anvilarch-daemon/src/admission/scheduling.ts
@@ -15,7 +15,7 @@
  * @param nowMs - current time
  * @param commands - receives the start and preempt commands
  */
-export function startWhatFits (state: AdmissionState, nowMs: number, commands: AdmissionCommand[]): void {
+export function startWaitingAttempts (state: AdmissionState, nowMs: number, commands: AdmissionCommand[]): void {
   if (countRunning(state).isolated || prefilling(state).some(attempt => attempt.soloFirstToken)) return
   if (state.isolated.length > 0) {
     startIsolated(state, nowMs, commands)
@@ -59,13 +59,13 @@
 function startBatch (state: AdmissionState, nowMs: number, commands: AdmissionCommand[]): void {
   if (state.online.length > 0 || state.handingBack) return
   const counts = countRunning(state)
-  const room = Math.min(state.batchLimit.limit - counts.batch, state.options.slots - state.running.size, prefillRoom(state, counts))
-  for (const waiting of state.batch.splice(0, Math.max(0, room))) start(state, waiting, nowMs, false, commands)
+  const capacity = Math.min(state.batchLimit.limit - counts.batch, state.options.slots - state.running.size, prefillCapacity(state, counts))
+  for (const waiting of state.batch.splice(0, Math.max(0, capacity))) start(state, waiting, nowMs, false, commands)
 }
 
 // An engine prefills prompts in order of arrival. Batch items started together would delay the prefill of the next online
 // request by several engine steps, and with it the first token.
-function prefillRoom (state: AdmissionState, counts: RunningCounts): number {
+function prefillCapacity (state: AdmissionState, counts: RunningCounts): number {
   if (!state.options.preemptible) return Infinity
   const { maxPrefillingBatch, maxPrefillingBesideOnline } = state.options
   return (counts.online > 0 ? maxPrefillingBesideOnline : maxPrefillingBatch) - counts.prefillingBatch
--- a/packages/anvilarch-daemon/src/admission/types.ts
+++ b/packages/anvilarch-daemon/src/admission/types.ts
@@ -101,7 +101,7 @@
   /** The same limit while online work runs. */
   maxPrefillingBesideOnline: number
   /** Time without online work after which the batch limit is all slots. */
-  idleHoldMs: number
+  onlineIdleMs: number
   /** Minimum interval between two adjustments of the batch limit while online work runs. */
   adjustIntervalMs: number
 }
@@ -119,7 +119,7 @@
   minRetryAfterMs: 100,
   maxPrefillingBatch: 4,
   maxPrefillingBesideOnline: 1,
-  idleHoldMs: 50,
+  onlineIdleMs: 50,
   adjustIntervalMs: 500
 }
 
--- a/packages/anvilarch-daemon/src/admission/waiting.ts
+++ b/packages/anvilarch-daemon/src/admission/waiting.ts
@@ -9,9 +9,9 @@
  * @param commands - receives the giveUp commands
  */
 export function expireWaiting (state: AdmissionState, nowMs: number, commands: AdmissionCommand[]): void {
-  state.online = keepInTime(state.online, nowMs, commands)
-  state.batch = keepInTime(state.batch, nowMs, commands)
-  state.solo = keepInTime(state.solo, nowMs, commands)
+  state.online = giveUpExpired(state.online, nowMs, commands)
+  state.batch = giveUpExpired(state.batch, nowMs, commands)
+  state.solo = giveUpExpired(state.solo, nowMs, commands)
   state.isolated = state.isolated.filter(({ attempt, untilMs }) => {
     if (untilMs > nowMs) return true
     commands.push(giveUp(attempt, 'isolated_busy', state.options.minRetryAfterMs))
@@ -35,7 +35,7 @@
   for (const attempt of waiting) commands.push(giveUp(attempt, reason, 0))
 }
 
-function keepInTime (waiting: WaitingAttempt[], nowMs: number, commands: AdmissionCommand[]): WaitingAttempt[] {
+function giveUpExpired (waiting: WaitingAttempt[], nowMs: number, commands: AdmissionCommand[]): WaitingAttempt[] {
   if (waiting.every(attempt => attempt.deadlineMs > nowMs)) return waiting
   return waiting.filter(attempt => {
     if (attempt.deadlineMs > nowMs) return true
--- a/packages/anvilarch-daemon/src/leases/__tests__/leases.test.ts
+++ b/packages/anvilarch-daemon/src/leases/__tests__/leases.test.ts
@@ -109,7 +109,7 @@
     const fleet = createSimulatedFleet(1, 0)
     const processes = [await startProcess(fleet), await startProcess(fleet), await startProcess(fleet)]
     let highest = 0
-    const look = (): number => {
+    const checkHolders = (): number => {
       const epochs = processes.filter(({ gate }) => gate.state() === 'running').flatMap(({ lease }) => lease.epoch() ?? [])
       expect(epochs.length).toBeLessThanOrEqual(1)
       for (const epoch of epochs) expect(epoch).toBeGreaterThanOrEqual(highest)
@@ -119,17 +119,17 @@
     const run = async (durationMs: number): Promise<void> => {
       for (let ranMs = 0; ranMs < durationMs; ranMs += 100) {
         await fleet.clock.advanceAsync(100)
-        look()
+        checkHolders()
       }
     }
     for (let turn = 0; turn < 4; turn++) {
       await run(2 * LEASE_MS)
-      expect(look()).toBe(1)
+      expect(checkHolders()).toBe(1)
       const holder = processes.find(({ lease }) => lease.epoch() !== undefined)
       holder?.gate.stop()
       await run(2 * LEASE_MS)
       holder?.gate.proceed()
-      look()
+      checkHolders()
     }
     expect(highest).toBeGreaterThanOrEqual(5)
     for (const { lifecycle } of processes) await lifecycle.stop()
--- a/packages/anvilarch-daemon/src/leases/observerCore.ts
+++ b/packages/anvilarch-daemon/src/leases/observerCore.ts
@@ -38,7 +38,7 @@
 }
 
 /** Maximum of entries in `missing`; the oldest entry is evicted, and its instance is `unknown` again. */
-const MAX_MISSING = 1_000
+const MAX_MISSING_INSTANCES = 1_000
 
 /** Initial state, before the first scan. */
 export const INITIAL_OBSERVER_STATE: ObserverState = { holders: new Map(), lastScanMs: undefined, missing: new Map() }
@@ -54,8 +54,8 @@
   const holders = new Map<string, HolderRecord>()
   for (const reading of scan.readings) {
     const known = state.holders.get(reading.instance)
-    const moved = known === undefined || reading.row.sequence > known.row.sequence
-    holders.set(reading.instance, { ...reading, stillMs: moved ? 0 : known.stillMs + countedMs })
+    const advanced = known === undefined || reading.row.sequence > known.row.sequence
+    holders.set(reading.instance, { ...reading, stillMs: advanced ? 0 : known.stillMs + countedMs })
   }
   const missing = new Map<string, { askedMs: number, gone: boolean }>()
   for (const [instance, entry] of state.missing) {
@@ -92,11 +92,11 @@
  * @param nowMs - time of the query
  * @returns state with the query recorded
  */
-export function afterQuestion (state: ObserverState, instance: string, nowMs: number): ObserverState {
+export function afterQuery (state: ObserverState, instance: string, nowMs: number): ObserverState {
   if (state.holders.has(instance) || state.missing.has(instance)) return state
   const missing = new Map(state.missing)
   const oldest = missing.keys().next()
-  if (missing.size >= MAX_MISSING && oldest.done !== true) missing.delete(oldest.value)
+  if (missing.size >= MAX_MISSING_INSTANCES && oldest.done !== true) missing.delete(oldest.value)
   missing.set(instance, { askedMs: nowMs, gone: false })
   return { ...state, missing }
 }
--- a/packages/anvilarch-daemon/src/leases/startLeaseObserver.ts
+++ b/packages/anvilarch-daemon/src/leases/startLeaseObserver.ts
@@ -5,7 +5,7 @@
 import type { DaemonContext } from '../context'
 import { leaseTimes } from './leaseTimes'
 import {
-  afterQuestion, afterScan, type HeartbeatReading, type HolderRecord, holderState, INITIAL_OBSERVER_STATE, removableRows
+  afterQuery, afterScan, type HeartbeatReading, type HolderRecord, holderState, INITIAL_OBSERVER_STATE, removableRows
 } from './observerCore'
 import type { GatewayRow, Heartbeat, LeaseObserver } from './types'
 
@@ -83,7 +83,7 @@
   return {
     stateOf: instance => {
       if (instance === heartbeat.instance) return 'alive'
-      state = afterQuestion(state, instance, clock.nowMs())
+      state = afterQuery(state, instance, clock.nowMs())
       return holderState(state, instance, times)
     },
     list: () => [...state.holders.values()].map(record => ({
--- a/packages/anvilarch-daemon/src/leases/startSingleLease.ts
+++ b/packages/anvilarch-daemon/src/leases/startSingleLease.ts
@@ -15,10 +15,10 @@
 }
 
 /** Relative jitter of the interval between two polls of the row. */
-const LOOK_JITTER = 0.2
+const POLL_JITTER = 0.2
 
 /** The lease as held by this gateway at the last read of the row. */
-interface Hold {
+interface HeldLease {
   epoch: number
   /** Lapse count of the heartbeat when the row was read. After a later lapse the lease is not used until the row is read again. */
   lapses: number
@@ -37,11 +37,11 @@
   const { heartbeat, key, observer } = options
   const times = leaseTimes(context.settings.gateway.leaseMs)
   const stopping = new AbortController()
-  let hold: Hold | undefined
+  let held: HeldLease | undefined
   let highestEpoch = 0
   let loop: Promise<void> | undefined
 
-  const noteEpoch = (epoch: number): void => {
+  const recordEpoch = (epoch: number): void => {
     invariant(epoch >= highestEpoch, 'lease_epoch_grows', () => `row "${key}" went from epoch ${highestEpoch} to ${epoch}`)
     highestEpoch = epoch
   }
@@ -59,27 +59,27 @@
     value === undefined || value.holder === '' || observer.stateOf(value.holder) === 'dead'
 
   /** Reads the row and acquires the lease if it is free. An acquisition whose response was lost is detected at the next poll. */
-  const look = async (): Promise<void> => {
+  const poll = async (): Promise<void> => {
     const lapses = heartbeat.lapses()
     const [row] = await platform.table.read([key], stopping.signal)
     const value = row === null ? undefined : JSON.parse(row.value) as SingleLeaseRow
-    noteEpoch(value?.epoch ?? highestEpoch)
+    recordEpoch(value?.epoch ?? highestEpoch)
     if (value?.holder === heartbeat.instance) {
-      hold = { epoch: value.epoch, lapses }
+      held = { epoch: value.epoch, lapses }
       return
     }
-    hold = undefined
+    held = undefined
     if (!heartbeat.holdsLease() || !isFree(value)) return
     const epoch = highestEpoch + 1
     if (!await write(row, { holder: heartbeat.instance, epoch })) return
-    noteEpoch(epoch)
-    hold = { epoch, lapses }
+    recordEpoch(epoch)
+    held = { epoch, lapses }
     context.timeline.record('leases.taken', { detail: { key, epoch } })
   }
 
-  const tryLook = async (): Promise<void> => {
+  const tryPoll = async (): Promise<void> => {
     try {
-      await look()
+      await poll()
     } catch (error) {
       if (!stopping.signal.aborted) context.logger.debug('lease row was not read', { key, error: String(error) })
     }
@@ -87,17 +87,17 @@
 
   const run = async (): Promise<void> => {
     while (!stopping.signal.aborted) {
-      await sleep(clock, context.random.jitter(times.renewalMs, LOOK_JITTER), stopping.signal)
-      if (!stopping.signal.aborted) await tryLook()
+      await sleep(clock, context.random.jitter(times.renewalMs, POLL_JITTER), stopping.signal)
+      if (!stopping.signal.aborted) await tryPoll()
     }
   }
 
-  const giveBack = async (): Promise<void> => {
+  const release = async (): Promise<void> => {
     stopping.abort()
     await loop
-    if (hold === undefined) return
-    const { epoch } = hold
-    hold = undefined
+    if (held === undefined) return
+    const { epoch } = held
+    held = undefined
     const [row] = await platform.table.read([key])
     if (row === null) return
     const value = JSON.parse(row.value) as SingleLeaseRow
@@ -107,16 +107,16 @@
   await lifecycle.start({
     name: `lease ${key}`,
     start: async () => {
-      await tryLook()
+      await tryPoll()
       loop = run()
     },
-    stop: giveBack
+    stop: release
   })
   return {
     epoch: () => {
-      if (hold === undefined || stopping.signal.aborted) return undefined
-      if (!heartbeat.holdsLease() || hold.lapses !== heartbeat.lapses()) return undefined
-      return hold.epoch
+      if (held === undefined || stopping.signal.aborted) return undefined
+      if (!heartbeat.holdsLease() || held.lapses !== heartbeat.lapses()) return undefined
+      return held.epoch
     }
   }
 }
--- a/packages/anvilarch-daemon/src/membership/__fixtures__/fakeAgents.ts
+++ b/packages/anvilarch-daemon/src/membership/__fixtures__/fakeAgents.ts
@@ -36,11 +36,11 @@
   agents: FakeAgent[]
   hosts: HostEntry[]
   clients: AgentClients
-  renewed: string[]
-  forgotten: string[]
+  reconnected: string[]
+  removed: string[]
 }
 
-const ANSWER_MS = 5
+const RESPONSE_MS = 5
 
 /** @returns host list entry of an agent */
 export function hostEntry (address: string, state: HostEntry['state'] = 'live'): HostEntry {
@@ -57,7 +57,7 @@
   const agents = Array.from({ length: count }, (_unused, index): FakeAgent => ({
     address: `10.0.0.1:${index}`, incarnation: `i${index}`, state: 'serving', version: 0, documentJson: '', hash: '', fault: 'none', exchanges: [], pushes: 0
   }))
-  const fleet = { clock, platform, agents, hosts: agents.map(agent => hostEntry(agent.address)), renewed: [] as string[], forgotten: [] as string[] }
+  const fleet = { clock, platform, agents, hosts: agents.map(agent => hostEntry(agent.address)), reconnected: [] as string[], removed: [] as string[] }
   platform.hosts.list = async () => {
     if (platform.outage) throw new Error('outage')
     return fleet.hosts
@@ -73,36 +73,36 @@
   } as unknown as DaemonContext
 }
 
-function createClients (fleet: Pick<FakeFleet, 'clock' | 'agents' | 'renewed' | 'forgotten'>): AgentClients {
-  const answer = async <Answer>(address: string, timeoutMs: number, give: (agent: FakeAgent) => Answer): Promise<Answer> => {
+function createClients (fleet: Pick<FakeFleet, 'clock' | 'agents' | 'reconnected' | 'removed'>): AgentClients {
+  const respond = async <Result>(address: string, timeoutMs: number, createResponse: (agent: FakeAgent) => Result): Promise<Result> => {
     const agent = fleet.agents.find(found => found.address === address)
     if (agent === undefined || agent.fault === 'dead') throw new AnvilarchError('refused', { code: 'unavailable', step: 'test' })
-    await sleep(fleet.clock, agent.fault === 'silent' ? timeoutMs : ANSWER_MS)
+    await sleep(fleet.clock, agent.fault === 'silent' ? timeoutMs : RESPONSE_MS)
     if (agent.fault === 'silent') throw new AnvilarchError('timeout', { code: 'deadline_exceeded', step: 'test' })
-    return give(agent)
+    return createResponse(agent)
   }
   const get = (address: string): unknown => ({
-    exchange: async (request: ExchangeRequest, { timeoutMs }: { timeoutMs: number }) => await answer(address, timeoutMs, agent => {
+    exchange: async (request: ExchangeRequest, { timeoutMs }: { timeoutMs: number }) => await respond(address, timeoutMs, agent => {
       agent.exchanges.push(request)
       return {
         agent: `agent-${address}`, agentIncarnation: agent.incarnation, host: 'h', failureDomain: 'bole-hall', region: 'addis', configurationVersion: BigInt(agent.version), state: agent.state, endpoints: agent.models === undefined ? [] : [{ endpoint: 'engine', kind: 'model', service: '', health: agent.health ?? 'ready', models: agent.models }], operationsAddress: 'o', suspects: agent.suspects ?? []
       }
     }),
-    pushConfiguration: async (offered: { version: bigint, hash: string, documentJson: string }, { timeoutMs }: { timeoutMs: number }) => await answer(address, timeoutMs, agent => {
+    pushConfiguration: async (offered: { version: bigint, hash: string, documentJson: string }, { timeoutMs }: { timeoutMs: number }) => await respond(address, timeoutMs, agent => {
       agent.pushes++
       if (Number(offered.version) > agent.version) Object.assign(agent, { version: Number(offered.version), hash: offered.hash, documentJson: offered.documentJson })
       return { version: BigInt(agent.version) }
     }),
-    pullConfiguration: async (_request: unknown, { timeoutMs }: { timeoutMs: number }) => await answer(address, timeoutMs, agent =>
+    pullConfiguration: async (_request: unknown, { timeoutMs }: { timeoutMs: number }) => await respond(address, timeoutMs, agent =>
       ({ version: BigInt(agent.version), hash: agent.hash, documentJson: agent.documentJson }))
   })
   return {
     get: get as AgentClients['get'],
     renew: address => {
-      fleet.renewed.push(address)
+      fleet.reconnected.push(address)
       return get(address) as ReturnType<AgentClients['renew']>
     },
-    forget: address => { fleet.forgotten.push(address) },
+    forget: address => { fleet.removed.push(address) },
     close: async () => {}
   }
 }
--- a/packages/anvilarch-daemon/src/membership/__tests__/bootstrapConfiguration.test.ts
+++ b/packages/anvilarch-daemon/src/membership/__tests__/bootstrapConfiguration.test.ts
@@ -2,7 +2,7 @@
 import { hostEntry } from '../__fixtures__/fakeAgents'
 import { chooseSource } from '../bootstrapConfiguration'
 import { type MemberRecord, newMember } from '../memberRecord'
-import { isSpread } from '../waitForSpread'
+import { hasMajority } from '../waitForSpread'
 
 const SEED = 20261202
 
@@ -15,11 +15,11 @@
 describe('chooseSource', () => {
   // Guards against reverting to the previous version after a version was reported to an operator as accepted.
   it('finds a version that a majority had when it was accepted, whichever agents respond', () => {
-    const agents = fc.array(fc.record({ had: fc.boolean(), answered: fc.boolean(), answers: fc.boolean() }), { minLength: 1, maxLength: 12 })
+    const agents = fc.array(fc.record({ hadVersion: fc.boolean(), respondedThen: fc.boolean(), answers: fc.boolean() }), { minLength: 1, maxLength: 12 })
     fc.assert(fc.property(agents, plan => {
-      const spread = plan.map(({ had, answered }, index) => member(index, had ? 2 : 1, answered))
-      if (!isSpread(spread.map(record => record.view), 2)) return
-      const source = chooseSource(plan.map(({ had, answers }, index) => member(index, had ? 2 : 1, answers)))
+      const accepted = plan.map(({ hadVersion, respondedThen }, index) => member(index, hadVersion ? 2 : 1, respondedThen))
+      if (!hasMajority(accepted.map(record => record.view), 2)) return
+      const source = chooseSource(plan.map(({ hadVersion, answers }, index) => member(index, hadVersion ? 2 : 1, answers)))
       expect(source?.view.configurationVersion ?? 2).toBe(2)
     }), { seed: SEED, numRuns: 5000 })
   })
--- a/packages/anvilarch-daemon/src/membership/__tests__/startMembership.test.ts
+++ b/packages/anvilarch-daemon/src/membership/__tests__/startMembership.test.ts
@@ -12,19 +12,19 @@
 
 interface Started extends FakeFleet {
   directory: Membership
-  news: string[]
+  fingerprints: string[]
   suspects: string[]
 }
 
 async function startFleet (count: number): Promise<Started> {
   const fleet = createFakeFleet(count)
   const lifecycle = createLifecycleManager({ clock: fleet.clock })
-  const news: string[] = []
-  const quarantine = { has: () => false, add: () => {}, list: () => news, addedSince: (sequence: number) => ({ fingerprints: news.slice(sequence), sequence: news.length }) }
+  const fingerprints: string[] = []
+  const quarantine = { has: () => false, add: () => {}, list: () => fingerprints, addedSince: (sequence: number) => ({ fingerprints: fingerprints.slice(sequence), sequence: fingerprints.length }) }
   const suspects: string[] = []
   const parts = { clients: fleet.clients, quarantine, suspects: { add: (fingerprint: string) => { suspects.push(fingerprint) } } }
   const directory = await startMembership(fleet.context, parts, lifecycle)
-  return { ...fleet, directory, news, suspects }
+  return { ...fleet, directory, fingerprints, suspects }
 }
 
 const countExchanges = (fleet: FakeFleet): number => fleet.agents.reduce((sum, agent) => sum + agent.exchanges.length, 0)
@@ -171,7 +171,7 @@
     fleet.agents[1].fault = 'dead'
     await fleet.clock.advanceAsync(6000)
     expect([0, 1, 2].map(index => stateOf(fleet, index))).toEqual(['unreachable', 'unreachable', 'serving'])
-    expect(fleet.renewed).toContain(fleet.agents[0].address)
+    expect(fleet.reconnected).toContain(fleet.agents[0].address)
     for (const agent of fleet.agents) agent.fault = 'none'
     await fleet.clock.advanceAsync(20_000)
     expect([0, 1].map(index => stateOf(fleet, index))).toEqual(['serving', 'serving'])
@@ -186,7 +186,7 @@
     fleet.agents[0].fault = 'dead'
     await fleet.clock.advanceAsync(90_000)
     expect(stateOf(fleet, 0)).toBeUndefined()
-    expect(fleet.forgotten).toEqual([fleet.agents[0].address])
+    expect(fleet.removed).toEqual([fleet.agents[0].address])
   })
 
   it('keeps its agents during an outage of the host list', async () => {
@@ -208,9 +208,9 @@
 
   it('sends each quarantined fingerprint once to an incarnation, and all of them to its successor', async () => {
     const fleet = await startFleet(1)
-    fleet.news.push('f1')
+    fleet.fingerprints.push('f1')
     await fleet.clock.advanceAsync(5000)
-    fleet.news.push('f2')
+    fleet.fingerprints.push('f2')
     await fleet.clock.advanceAsync(5000)
     const [agent] = fleet.agents
     expect(agent.exchanges.flatMap(exchange => exchange.quarantined)).toEqual(['f1', 'f2'])
--- a/packages/anvilarch-daemon/src/membership/agentDirectory.ts
+++ b/packages/anvilarch-daemon/src/membership/agentDirectory.ts
@@ -1,6 +1,6 @@
 /** Directory of the agents known to this gateway, by address and by name, with change notifications. */
 import type { DaemonContext } from '../context'
-import { afterDraining, afterEndpointDown, afterIncarnation, afterOrdered, afterUnreachable, type MemberRecord, takeLoad } from './memberRecord'
+import { afterDraining, afterEndpointDown, afterIncarnation, afterOrdered, afterUnreachable, type MemberRecord, updateLoad } from './memberRecord'
 import type { AgentDirectory, AgentView } from './types'
 
 /** The directory with the operations that modify it. */
@@ -87,7 +87,7 @@
     get: name => byAgent(name)?.view,
     noteLoad: (agent, load) => {
       const found = byAgent(agent)
-      if (found !== undefined) takeLoad(found, load, context.clock.nowMs())
+      if (found !== undefined) updateLoad(found, load, context.clock.nowMs())
     },
     noteDraining: agent => { change(agent, afterDraining) },
     noteUnreachable: agent => { change(agent, afterUnreachable) },
--- a/packages/anvilarch-daemon/src/membership/configurationSpread.ts
+++ b/packages/anvilarch-daemon/src/membership/configurationSync.ts
@@ -11,15 +11,15 @@
 import type { MemberRecord } from './memberRecord'
 
 /** Dependencies of `createConfigurationSync`. */
-export interface SpreadParts {
+export interface ConfigurationSyncParts {
   clients: AgentClients
   directory: MutableDirectory
 }
 
 /** Synchronization of the configuration with the agents. */
-export interface ConfigurationSpread {
+export interface ConfigurationSync {
   /** Called after a response to an exchange; the version of the agent may differ from this gateway's. */
-  onAnswered: (address: string) => void
+  onResponse: (address: string) => void
   stop: () => void
 }
 
@@ -35,12 +35,12 @@
  * @param parts - clients and directory
  * @returns synchronization, which also reacts to changes of the configuration
  */
-export function createConfigurationSpread (context: DaemonContext, parts: SpreadParts): ConfigurationSpread {
+export function createConfigurationSync (context: DaemonContext, parts: ConfigurationSyncParts): ConfigurationSync {
   const { configuration, logger } = context
   const { clients, directory } = parts
   const stopping = new AbortController()
   const waiting: string[] = []
-  const wanted = new Set<string>()
+  const queued = new Set<string>()
   let pushing = 0
   let pulling = false
 
@@ -62,12 +62,12 @@
   const pushNext = (): void => {
     while (pushing < MAX_PUSHES && waiting.length > 0 && !stopping.signal.aborted) {
       const address = waiting.shift() as string
-      wanted.delete(address)
+      queued.delete(address)
       pushing++
       push(address)
         .catch((error: unknown) => {
           logger.debug('a configuration was not pushed', { peer: address, error: String(error) })
-          context.clock.after(RETRY_MS, () => { if (!stopping.signal.aborted) want(address) })
+          context.clock.after(RETRY_MS, () => { if (!stopping.signal.aborted) enqueue(address) })
         })
         .finally(() => {
           pushing--
@@ -76,9 +76,9 @@
     }
   }
 
-  const want = (address: string): void => {
-    if (wanted.has(address)) return
-    wanted.add(address)
+  const enqueue = (address: string): void => {
+    if (queued.has(address)) return
+    queued.add(address)
     waiting.push(address)
     pushNext()
   }
@@ -86,7 +86,7 @@
   /** Every gateway pushes to all agents, each in random order, so that they share the work instead of pushing to the same agents. */
   const pushToAll = (): void => {
     const behind = directory.records().filter(isBehind).map(record => ({ address: record.address, rank: context.random.next() }))
-    for (const { address } of behind.sort((left, right) => left.rank - right.rank)) want(address)
+    for (const { address } of behind.sort((left, right) => left.rank - right.rank)) enqueue(address)
   }
 
   /**
@@ -110,10 +110,10 @@
 
   const unsubscribe = configuration.onChange(pushToAll)
   return {
-    onAnswered: address => {
+    onResponse: address => {
       const record = directory.record(address)
       if (record === undefined) return
-      if (isBehind(record)) want(address)
+      if (isBehind(record)) enqueue(address)
       if (shouldPull(record)) pull(address).catch(() => {})
     },
     stop: () => {
--- a/packages/anvilarch-daemon/src/membership/exchangeSchedule.ts
+++ b/packages/anvilarch-daemon/src/membership/exchangeSchedule.ts
@@ -25,9 +25,9 @@
   /** Maximum of exchanges in progress. */
   maxConcurrent: number
   /** Factor by which the interval is extended for an agent that recently responded to attempts. */
-  heardStretch: number
+  respondingIntervalFactor: number
   /** Time without a response and without an entry in the host list after which an agent is removed. */
-  forgetMs: number
+  removalMs: number
 }
 
 /** Defaults of the schedule. */
@@ -37,8 +37,8 @@
   tickMs: 250,
   maxPerSecond: { unknown: 100, changing: 20, routine: 4 },
   maxConcurrent: 32,
-  heardStretch: 2,
-  forgetMs: 60_000
+  respondingIntervalFactor: 2,
+  removalMs: 60_000
 }
 
 /** Input of the schedule. */
@@ -51,21 +51,21 @@
 
 const MS_PER_SECOND = 1000
 /** Time after an order during which its agent is queried more often, to detect the effect. */
-const EXPECT_MS = 10_000
+const ORDER_EFFECT_MS = 10_000
 /** Maximum exponent of the backoff for unresponsive agents. */
-const MAX_DOUBLINGS = 4
+const MAX_BACKOFF_EXPONENT = 4
 
 /**
  * @param agentCount - number of agents in the directory
  * @param options - options of the schedule
  * @returns interval between two exchanges with a healthy agent
  */
-export function stretchedIntervalMs (agentCount: number, options: ScheduleOptions): number {
+export function routineIntervalMs (agentCount: number, options: ScheduleOptions): number {
   return Math.max(options.intervalMs, agentCount * MS_PER_SECOND / options.maxPerSecond.routine)
 }
 
 /** The next exchange with an agent: when it is due, and why. */
-interface Turn {
+interface DueExchange {
   record: MemberRecord
   reason: ExchangeReason
   dueMs: number
@@ -75,23 +75,23 @@
  * Exchanges with an unresponsive agent back off exponentially; otherwise the agents of a failed failure domain would use up
  * the rate limit of the others.
  */
-function turnOf (record: MemberRecord, stretchedMs: number, isShort: boolean, options: ScheduleOptions): Turn {
+function nextExchange (record: MemberRecord, routineMs: number, isShort: boolean, options: ScheduleOptions): DueExchange {
   const { askedMs } = record
   if (record.misses > 0) {
-    const backedOffMs = options.intervalMs * 2 ** Math.min(record.misses - 1, MAX_DOUBLINGS)
-    return { record, reason: 'changing', dueMs: askedMs + Math.min(backedOffMs, stretchedMs) }
+    const backedOffMs = options.intervalMs * 2 ** Math.min(record.misses - 1, MAX_BACKOFF_EXPONENT)
+    return { record, reason: 'changing', dueMs: askedMs + Math.min(backedOffMs, routineMs) }
   }
   if (!record.answers) return { record, reason: 'unknown', dueMs: askedMs + options.tickMs }
-  if (record.orderedMs >= askedMs || hasBegunToChange(record, options)) return { record, reason: 'changing', dueMs: askedMs + options.changingIntervalMs }
-  if (isChanging(record) || askedMs < record.orderedMs + EXPECT_MS) return { record, reason: 'changing', dueMs: askedMs + options.intervalMs }
+  if (record.orderedMs >= askedMs || isRecentlyChanging(record, options)) return { record, reason: 'changing', dueMs: askedMs + options.changingIntervalMs }
+  if (isChanging(record) || askedMs < record.orderedMs + ORDER_EFFECT_MS) return { record, reason: 'changing', dueMs: askedMs + options.intervalMs }
   if (isShort && hasModelEndpoint(record)) return { record, reason: 'changing', dueMs: askedMs + options.intervalMs }
-  const heardDueMs = record.view.lastHeardMs + stretchedMs
-  const latestDueMs = record.exchangedMs + stretchedMs * options.heardStretch
+  const heardDueMs = record.view.lastHeardMs + routineMs
+  const latestDueMs = record.exchangedMs + routineMs * options.respondingIntervalFactor
   return { record, reason: 'routine', dueMs: Math.min(heardDueMs, latestDueMs) }
 }
 
 /** A crashed endpoint recovers within seconds or stays down for a long time, so the shorter interval is limited in time. */
-function hasBegunToChange (record: MemberRecord, options: ScheduleOptions): boolean {
+function isRecentlyChanging (record: MemberRecord, options: ScheduleOptions): boolean {
   return record.changingSinceMs !== undefined && record.askedMs - record.changingSinceMs < options.changingMs
 }
 
@@ -106,16 +106,16 @@
  */
 export function selectDue (input: ScheduleInput, options: ScheduleOptions): MemberRecord[] {
   const { records, isShort, nowMs } = input
-  const stretchedMs = stretchedIntervalMs(records.length, options)
+  const routineMs = routineIntervalMs(records.length, options)
   const free = Math.max(0, options.maxConcurrent - records.filter(record => record.asking).length)
   const due = records
     .filter(record => !record.asking)
-    .map(record => turnOf(record, stretchedMs, isShort, options))
-    .filter(turn => turn.dueMs <= nowMs)
+    .map(record => nextExchange(record, routineMs, isShort, options))
+    .filter(exchange => exchange.dueMs <= nowMs)
     .sort((left, right) => left.dueMs === right.dueMs ? 0 : left.dueMs - right.dueMs)
-  const ofReason = (reason: ExchangeReason): Turn[] =>
-    due.filter(turn => turn.reason === reason).slice(0, perTick(options.maxPerSecond[reason], options.tickMs))
-  return [...ofReason('unknown'), ...ofReason('changing'), ...ofReason('routine')].slice(0, free).map(turn => turn.record)
+  const ofReason = (reason: ExchangeReason): DueExchange[] =>
+    due.filter(exchange => exchange.reason === reason).slice(0, perTick(options.maxPerSecond[reason], options.tickMs))
+  return [...ofReason('unknown'), ...ofReason('changing'), ...ofReason('routine')].slice(0, free).map(exchange => exchange.record)
 }
 
 function perTick (perSecond: number, tickMs: number): number {
@@ -131,7 +131,7 @@
  * @param options - options of the schedule
  * @returns whether to remove the agent
  */
-export function isForgotten (record: MemberRecord, nowMs: number, options: ScheduleOptions): boolean {
+export function isRemovable (record: MemberRecord, nowMs: number, options: ScheduleOptions): boolean {
   if (record.listed !== 'absent' || record.answers) return false
-  return nowMs - Math.max(record.listedMs, record.view.lastHeardMs) >= options.forgetMs
+  return nowMs - Math.max(record.listedMs, record.view.lastHeardMs) >= options.removalMs
 }
--- a/packages/anvilarch-daemon/src/membership/memberRecord.ts
+++ b/packages/anvilarch-daemon/src/membership/memberRecord.ts
@@ -44,7 +44,7 @@
 }
 
 /** Consecutive failed exchanges after which an agent counts as unreachable. */
-export const MISSES_ALLOWED = 2
+export const MAX_CONSECUTIVE_FAILURES = 2
 
 /**
  * @param entry - entry of the host list
@@ -90,7 +90,7 @@
  * @param nowMs - time at which the list was read
  * @returns updated record
  */
-export function afterListed (record: MemberRecord, listed: Listed, nowMs: number): MemberRecord {
+export function afterHostList (record: MemberRecord, listed: Listed, nowMs: number): MemberRecord {
   return withState({ ...record, listed, listedMs: listed === 'absent' ? record.listedMs : nowMs })
 }
 
@@ -99,7 +99,7 @@
  * @param nowMs - time at which the exchange was sent
  * @returns record with an exchange in progress
  */
-export function afterAsked (record: MemberRecord, nowMs: number): MemberRecord {
+export function afterExchangeSent (record: MemberRecord, nowMs: number): MemberRecord {
   return { ...record, askedMs: nowMs, asking: true }
 }
 
@@ -112,20 +112,20 @@
  * @param nowMs - time of the response
  * @returns updated record
  */
-export function afterAnswered (record: MemberRecord, response: ExchangeResponse, nowMs: number): MemberRecord {
-  const settled = { ...record, asking: false, misses: 0 }
+export function afterExchangeResponse (record: MemberRecord, response: ExchangeResponse, nowMs: number): MemberRecord {
+  const completed = { ...record, asking: false, misses: 0 }
   const outdated = record.doubtedMs >= record.askedMs && response.agentIncarnation !== record.view.incarnation
-  if (outdated) return settled
+  if (outdated) return completed
   const sameIncarnation = response.agentIncarnation === record.view.incarnation
-  const downMs = stillDown(record, sameIncarnation)
+  const downMs = downSinceExchange(record, sameIncarnation)
   return withState(withChange({
-    ...settled,
+    ...completed,
     answers: true,
     exchangedMs: nowMs,
     drains: (sameIncarnation && record.drains) || response.state === 'draining',
     downMs,
     quarantineSequence: sameIncarnation ? record.quarantineSequence : 0,
-    view: { ...record.view, ...described(response), lastHeardMs: nowMs, endpoints: withDown(response.endpoints, downMs) }
+    view: { ...record.view, ...describedView(response), lastHeardMs: nowMs, endpoints: withDown(response.endpoints, downMs) }
   }, nowMs))
 }
 
@@ -141,7 +141,7 @@
   return { ...record, changingSinceMs: isChanging(record) ? record.changingSinceMs ?? nowMs : undefined }
 }
 
-function described (response: ExchangeResponse): Partial<AgentView> {
+function describedView (response: ExchangeResponse): Partial<AgentView> {
   return {
     name: response.agent,
     host: response.host,
@@ -154,9 +154,9 @@
 }
 
 /** Endpoints found down after the exchange was sent. */
-function stillDown (record: MemberRecord, sameIncarnation: boolean): Map<string, number> {
+function downSinceExchange (record: MemberRecord, sameIncarnation: boolean): Map<string, number> {
   if (!sameIncarnation) return new Map()
-  return new Map([...record.downMs].filter(([, metMs]) => metMs >= record.askedMs))
+  return new Map([...record.downMs].filter(([, downAtMs]) => downAtMs >= record.askedMs))
 }
 
 function withDown (endpoints: EndpointState[], downMs: ReadonlyMap<string, number>): EndpointState[] {
@@ -167,9 +167,9 @@
  * @param record - previous record
  * @returns record after a failed exchange
  */
-export function afterMissed (record: MemberRecord): MemberRecord {
+export function afterExchangeFailure (record: MemberRecord): MemberRecord {
   const misses = record.misses + 1
-  return withState({ ...record, asking: false, misses, answers: record.answers && misses < MISSES_ALLOWED })
+  return withState({ ...record, asking: false, misses, answers: record.answers && misses < MAX_CONSECUTIVE_FAILURES })
 }
 
 /**
@@ -219,7 +219,7 @@
  * @param load - load report of a response
  * @param nowMs - time of the response
  */
-export function takeLoad (record: MemberRecord, load: EndpointLoad, nowMs: number): void {
+export function updateLoad (record: MemberRecord, load: EndpointLoad, nowMs: number): void {
   const { view } = record
   view.lastHeardMs = nowMs
   const endpoint = view.endpoints.find(found => found.endpoint === load.endpoint)
--- a/packages/anvilarch-daemon/src/membership/shortage.ts
+++ b/packages/anvilarch-daemon/src/membership/shortage.ts
@@ -15,7 +15,7 @@
 }
 
 /** Maximum time of more frequent exchanges. A fleet that is too small for its document has a permanent shortage. */
-export const SHORTAGE_MS = 120_000
+export const MAX_SHORTAGE_MS = 120_000
 
 /**
  * @param document - active configuration document
@@ -43,7 +43,7 @@
  * @param nowMs - time of the check
  * @returns current shortage; a new version restarts it
  */
-export function afterLook (before: Shortage | undefined, isShort: boolean, version: number, nowMs: number): Shortage | undefined {
+export function updateShortage (before: Shortage | undefined, isShort: boolean, version: number, nowMs: number): Shortage | undefined {
   if (!isShort) return undefined
   return before?.version === version ? before : { version, sinceMs: nowMs }
 }
--- a/packages/anvilarch-daemon/src/membership/startMembership.ts
+++ b/packages/anvilarch-daemon/src/membership/startMembership.ts
@@ -6,10 +6,10 @@
 import type { AgentClients } from '../peers/types'
 import type { QuarantineLog } from '../quarantine/types'
 import { createAgentDirectory, type MutableDirectory } from './agentDirectory'
-import { createConfigurationSpread } from './configurationSpread'
-import { DEFAULT_OPTIONS, isForgotten, selectDue, type ScheduleOptions } from './exchangeSchedule'
-import { afterAnswered, afterAsked, afterListed, afterMissed, type MemberRecord, newMember } from './memberRecord'
-import { afterLook, isShortOfEndpoints, type Shortage, SHORTAGE_MS } from './shortage'
+import { createConfigurationSync } from './configurationSync'
+import { DEFAULT_OPTIONS, isRemovable, selectDue, type ScheduleOptions } from './exchangeSchedule'
+import { afterExchangeResponse, afterExchangeSent, afterHostList, afterExchangeFailure, type MemberRecord, newMember } from './memberRecord'
+import { updateShortage, isShortOfEndpoints, type Shortage, MAX_SHORTAGE_MS } from './shortage'
 
 /** Dependencies of `startMembership`. */
 export interface MembershipParts {
@@ -54,19 +54,19 @@
   const { clock, settings } = context
   const options: ScheduleOptions = { ...DEFAULT_OPTIONS, intervalMs: settings.gateway.exchangeIntervalMs }
   const directory = createAgentDirectory(context)
-  const spread = createConfigurationSpread(context, { clients: parts.clients, directory })
+  const configurationSync = createConfigurationSync(context, { clients: parts.clients, directory })
   const stopping = new AbortController()
   let listedCount = 0
   let shortage: Shortage | undefined
   const loops: Array<Promise<void>> = []
   let listRead = false
-  let settled = false
-  let lastTurnMs = clock.nowMs()
+  let initialized = false
+  let lastCheckMs = clock.nowMs()
   let catchingUp: Promise<void> | undefined
 
-  const every = async (intervalMs: () => number, act: () => Promise<void> | void): Promise<void> => {
+  const repeat = async (intervalMs: () => number, action: () => Promise<void> | void): Promise<void> => {
     while (!stopping.signal.aborted) {
-      await act()
+      await action()
       await sleep(clock, intervalMs(), stopping.signal)
     }
   }
@@ -87,7 +87,7 @@
         if (directory.record(entry.address) === undefined) directory.put(newMember(entry, nowMs))
       }
       for (const record of directory.records()) {
-        directory.put(afterListed(record, byAddress.get(record.address)?.state ?? 'absent', nowMs))
+        directory.put(afterHostList(record, byAddress.get(record.address)?.state ?? 'absent', nowMs))
       }
       listRead = true
     } catch (error) {
@@ -96,18 +96,18 @@
   }
 
   /** Called by each tick and before each routing decision: after a process pause either may run first. */
-  const noticePause = (): void => {
+  const detectPause = (): void => {
     const nowMs = clock.nowMs()
-    const pausedMs = nowMs - lastTurnMs
-    lastTurnMs = nowMs
+    const pausedMs = nowMs - lastCheckMs
+    lastCheckMs = nowMs
     if (pausedMs < LONG_PAUSE_MS || catchingUp !== undefined) return
     context.logger.info('this process stood still; the host list is read before new work is sent', { pausedMs: Math.round(pausedMs) })
     catchingUp = Promise.race([pollHosts(), sleep(clock, MAX_CATCH_UP_MS, stopping.signal)]).finally(() => { catchingUp = undefined })
   }
 
-  const forgetOld = (): void => {
+  const removeExpired = (): void => {
     for (const record of directory.records()) {
-      if (!isForgotten(record, clock.nowMs(), options)) continue
+      if (!isRemovable(record, clock.nowMs(), options)) continue
       directory.remove(record.address)
       parts.clients.forget(record.address)
     }
@@ -116,77 +116,77 @@
   const exchange = async (due: MemberRecord): Promise<void> => {
     const { address } = due
     const askedMs = clock.nowMs()
-    directory.put(afterAsked(due, askedMs))
-    const news = parts.quarantine.addedSince(due.quarantineSequence)
+    directory.put(afterExchangeSent(due, askedMs))
+    const quarantined = parts.quarantine.addedSince(due.quarantineSequence)
     const client = parts.clients.get(address, 'control')
     try {
       const response = await client.exchange({
         gateway: settings.name,
         gatewayIncarnation: context.incarnation,
         configurationVersion: BigInt(context.configuration.version()),
-        quarantined: news.fingerprints
+        quarantined: quarantined.fingerprints
       }, { timeoutMs: EXCHANGE_TIMEOUT_MS, signal: stopping.signal })
       const record = directory.record(address)
       if (record === undefined) return
-      const answered = afterAnswered(record, response, clock.nowMs())
-      directory.put(hasAllNews(record, answered, response) ? { ...answered, quarantineSequence: news.sequence } : answered)
+      const updated = afterExchangeResponse(record, response, clock.nowMs())
+      directory.put(hasAllFingerprints(record, updated, response) ? { ...updated, quarantineSequence: quarantined.sequence } : updated)
       for (const fingerprint of response.suspects) parts.suspects.add(fingerprint)
-      spread.onAnswered(address)
+      configurationSync.onResponse(address)
     } catch (error) {
       if (stopping.signal.aborted) return
       const record = directory.record(address)
-      if (record !== undefined) directory.put(afterMissed(record))
+      if (record !== undefined) directory.put(afterExchangeFailure(record))
       // The connection may stay unresponsive while a new one would work, so the next exchange uses a new connection.
       parts.clients.renew(address, 'control', client)
       context.logger.debug('an exchange was not answered', { peer: address, error: String(error) })
     }
   }
 
-  const lookForShortage = (): boolean => {
+  const checkShortage = (): boolean => {
     const current = context.configuration.current()
     const nowMs = clock.nowMs()
     const isShort = current !== undefined && isShortOfEndpoints(current.document, directory.list())
-    shortage = afterLook(shortage, isShort, context.configuration.version(), nowMs)
-    return shortage !== undefined && nowMs - shortage.sinceMs < SHORTAGE_MS
+    shortage = updateShortage(shortage, isShort, context.configuration.version(), nowMs)
+    return shortage !== undefined && nowMs - shortage.sinceMs < MAX_SHORTAGE_MS
   }
 
-  const reportFault = (error: unknown): void => {
+  const logFailure = (error: unknown): void => {
     context.logger.error('an exchange failed', { error: String(error) })
   }
 
   const tick = (): void => {
-    noticePause()
-    forgetOld()
-    const input = { records: directory.records(), isShort: lookForShortage(), nowMs: clock.nowMs() }
-    for (const record of selectDue(input, options)) exchange(record).catch(reportFault)
+    detectPause()
+    removeExpired()
+    const input = { records: directory.records(), isShort: checkShortage(), nowMs: clock.nowMs() }
+    for (const record of selectDue(input, options)) exchange(record).catch(logFailure)
   }
 
   await lifecycle.start({
     name: 'membership',
     start: () => {
-      loops.push(every(hostPollMs, pollHosts))
-      loops.push(every(() => options.tickMs, tick))
+      loops.push(repeat(hostPollMs, pollHosts))
+      loops.push(repeat(() => options.tickMs, tick))
     },
     stop: async () => {
       stopping.abort()
-      spread.stop()
+      configurationSync.stop()
       await Promise.all(loops)
     }
   })
   return {
     ...directory,
     catchUp: () => {
-      noticePause()
+      detectPause()
       return catchingUp
     },
     isSettled: () => {
-      settled ||= listRead && directory.records().every(wasAsked)
-      return settled
+      initialized ||= listRead && directory.records().every(wasQueried)
+      return initialized
     }
   }
 }
 
-function wasAsked (record: MemberRecord): boolean {
+function wasQueried (record: MemberRecord): boolean {
   return record.exchangedMs !== Number.NEGATIVE_INFINITY || record.misses > 0
 }
 
@@ -194,8 +194,8 @@
  * Whether the agent now has all quarantined fingerprints. A new incarnation has none of those that were sent to its predecessor,
  * so they are sent again from the beginning.
  */
-function hasAllNews (before: MemberRecord, answered: MemberRecord, response: ExchangeResponse): boolean {
+function hasAllFingerprints (before: MemberRecord, updated: MemberRecord, response: ExchangeResponse): boolean {
   const { agentIncarnation } = response
-  if (answered.view.incarnation !== agentIncarnation) return false
+  if (updated.view.incarnation !== agentIncarnation) return false
   return before.view.incarnation === agentIncarnation || before.quarantineSequence === 0
 }
--- a/packages/anvilarch-daemon/src/membership/waitForSpread.ts
+++ b/packages/anvilarch-daemon/src/membership/waitForSpread.ts
@@ -7,9 +7,9 @@
  * @param version - configuration version
  * @returns whether a majority has this version or a later one
  */
-export function isSpread (agents: AgentView[], version: number): boolean {
-  const having = agents.filter(agent => agent.state !== 'unreachable' && agent.configurationVersion >= version)
-  return agents.length === 0 || having.length * 2 > agents.length
+export function hasMajority (agents: AgentView[], version: number): boolean {
+  const current = agents.filter(agent => agent.state !== 'unreachable' && agent.configurationVersion >= version)
+  return agents.length === 0 || current.length * 2 > agents.length
 }
 
 /**
@@ -24,7 +24,7 @@
  * @returns whether a majority has this version or a later one
  */
 export async function waitForSpread (directory: AgentDirectory, version: number, clock: Clock, timeoutMs: number): Promise<boolean> {
-  if (isSpread(directory.list(), version)) return true
+  if (hasMajority(directory.list(), version)) return true
   return await new Promise<boolean>(resolve => {
     const finish = (isDone: boolean): void => {
       timer.cancel()
@@ -33,7 +33,7 @@
     }
     const timer = clock.after(timeoutMs, () => { finish(false) })
     const unsubscribe = directory.onChange(() => {
-      if (isSpread(directory.list(), version)) finish(true)
+      if (hasMajority(directory.list(), version)) finish(true)
     })
   })
 }
--- a/packages/anvilarch-daemon/src/peers/__tests__/agentClients.test.ts
+++ b/packages/anvilarch-daemon/src/peers/__tests__/agentClients.test.ts
@@ -11,17 +11,17 @@
   beforeAll(() => { jest.spyOn(console, 'error').mockImplementation(() => {}) })
   beforeEach(async () => {
     agent = await startFakeAgent({ name: 'a1' })
-    clients = createAgentClients({ clock, leftConnectionMs: 5_000 })
+    clients = createAgentClients({ clock, replacedConnectionMs: 5_000 })
   })
   afterEach(async () => {
     await clients.close()
     await agent.close()
   })
 
-  const use = async (client: AgentClient): Promise<void> => { await client.cancelAttempt({ attemptId: 'x' }) }
-  const condition = async (holds: () => boolean): Promise<void> => {
-    for (let tries = 0; !holds(); tries++) {
-      if (tries > 1_000) throw new Error(`condition was never met: ${holds.toString()}`)
+  const callAgent = async (client: AgentClient): Promise<void> => { await client.cancelAttempt({ attemptId: 'x' }) }
+  const waitUntil = async (isMet: () => boolean): Promise<void> => {
+    for (let tries = 0; !isMet(); tries++) {
+      if (tries > 1_000) throw new Error(`condition was never met: ${isMet.toString()}`)
       await new Promise(resolve => { setImmediate(resolve) })
     }
   }
@@ -30,38 +30,38 @@
     const { address } = agent.view
     expect(clients.get(address, 'online')).toBe(clients.get(address, 'online'))
     expect(agent.sessions.size).toBe(0)
-    await Promise.all([use(clients.get(address, 'online')), use(clients.get(address, 'online')), use(clients.get(address, 'lookup'))])
+    await Promise.all([callAgent(clients.get(address, 'online')), callAgent(clients.get(address, 'online')), callAgent(clients.get(address, 'lookup'))])
     expect(agent.sessions.size).toBe(2)
   })
 
   it('opens one new connection for all streams that detect the same unresponsive connection', async () => {
     // Guards against hundreds of connections to one agent, one for each stream of an unresponsive connection.
     const { address } = agent.view
-    const silent = clients.get(address, 'online')
-    await use(silent)
-    const renewed = Array.from({ length: 50 }, () => clients.renew(address, 'online', silent))
-    expect(new Set(renewed).size).toBe(1)
-    await use(renewed[0])
+    const unresponsive = clients.get(address, 'online')
+    await callAgent(unresponsive)
+    const reconnected = Array.from({ length: 50 }, () => clients.renew(address, 'online', unresponsive))
+    expect(new Set(reconnected).size).toBe(1)
+    await callAgent(reconnected[0])
     expect(agent.sessions.size).toBe(2)
-    expect(clients.renew(address, 'online', renewed[0])).not.toBe(renewed[0])
+    expect(clients.renew(address, 'online', reconnected[0])).not.toBe(reconnected[0])
   })
 
   it('destroys a replaced connection after a timeout', async () => {
     const { address } = agent.view
-    const silent = clients.get(address, 'online')
-    await use(silent)
-    await use(clients.renew(address, 'online', silent))
+    const unresponsive = clients.get(address, 'online')
+    await callAgent(unresponsive)
+    await callAgent(clients.renew(address, 'online', unresponsive))
     clock.advance(4_999)
     expect(agent.sessions.size).toBe(2)
     clock.advance(1)
-    await condition(() => agent.sessions.size === 1)
+    await waitUntil(() => agent.sessions.size === 1)
   })
 
   it('destroys all connections to a removed agent', async () => {
     const { address } = agent.view
-    await Promise.all([use(clients.get(address, 'online')), use(clients.get(address, 'control'))])
+    await Promise.all([callAgent(clients.get(address, 'online')), callAgent(clients.get(address, 'control'))])
     clients.forget(address)
     clock.advance(5_000)
-    await condition(() => agent.sessions.size === 0)
+    await waitUntil(() => agent.sessions.size === 0)
   })
 })
--- a/packages/anvilarch-daemon/src/peers/__tests__/attemptSession.test.ts
+++ b/packages/anvilarch-daemon/src/peers/__tests__/attemptSession.test.ts
@@ -8,7 +8,7 @@
 import type { AgentClient } from '../types'
 
 /** Connects both sides of a session within this process. */
-function join (start: (attemptId: string, signal: AbortSignal) => AsyncGenerator<Frame>): { session: AttemptSession, cut: () => void } {
+function connect (start: (attemptId: string, signal: AbortSignal) => AsyncGenerator<Frame>): { session: AttemptSession, cut: () => void } {
   const connection = new AbortController()
   const deps = {
     registry: { start: (request: { attemptId: string }, signal: AbortSignal) => start(request.attemptId, signal), resume: (request: { attemptId: string }, signal: AbortSignal) => start(request.attemptId, signal) },
@@ -32,7 +32,7 @@
 
 describe('openAttemptSession', () => {
   it('multiplexes several attempts, each with its own frames in order', async () => {
-    const { session } = join(async function * (id) {
+    const { session } = connect(async function * (id) {
       yield output(0, id.length)
       yield final
     })
@@ -45,7 +45,7 @@
     // Guards against one slow reader that blocks all responses of a work class.
     let sentBytes = 0
     const portion = STREAM_CREDIT_BYTES / 4
-    const { session } = join(async function * (id) {
+    const { session } = connect(async function * (id) {
       for (let part = 0; part < (id === 'slow' ? 100 : 1); part++) {
         sentBytes += portion
         yield output(part * portion, portion)
@@ -62,7 +62,7 @@
   })
 
   it('ends every stream with an error when the connection is lost', async () => {
-    const { session, cut } = join(async function * (_id, signal) {
+    const { session, cut } = connect(async function * (_id, signal) {
       yield output(0, 1)
       await new Promise(resolve => { signal.addEventListener('abort', resolve) })
     })
@@ -74,11 +74,11 @@
   })
 
   it('notifies the agent when a stream is cancelled, and does not affect the others', async () => {
-    const left: string[] = []
-    const { session } = join(async function * (id, signal) {
+    const cancelled: string[] = []
+    const { session } = connect(async function * (id, signal) {
       yield output(0, 1)
       await new Promise(resolve => { signal.addEventListener('abort', resolve) })
-      left.push(id)
+      cancelled.push(id)
     })
     const abort = new AbortController()
     const first = collect(session.start(startOf('first'), abort.signal))
@@ -86,8 +86,8 @@
     await second.next()
     abort.abort()
     await first
-    while (left.length === 0) await new Promise(resolve => { setImmediate(resolve) })
-    expect(left).toEqual(['first'])
+    while (cancelled.length === 0) await new Promise(resolve => { setImmediate(resolve) })
+    expect(cancelled).toEqual(['first'])
     expect(session.size()).toBe(1)
   })
 })
--- a/packages/anvilarch-daemon/src/peers/agentClients.ts
+++ b/packages/anvilarch-daemon/src/peers/agentClients.ts
@@ -11,7 +11,7 @@
 export interface AgentClientsOptions extends Partial<SessionLimits> {
   clock: Clock
   /** Time after which a replaced connection is destroyed, together with its remaining streams. */
-  leftConnectionMs?: number
+  replacedConnectionMs?: number
 }
 
 /** Default options. */
@@ -19,7 +19,7 @@
   idleMs: 60_000,
   streamWindowBytes: 64 * 1024,
   connectionWindowBytes: 16 * 1024 * 1024,
-  leftConnectionMs: 30_000
+  replacedConnectionMs: 30_000
 } as const
 
 /** A connection and its client. */
@@ -29,7 +29,7 @@
 }
 
 /** A replaced connection that stays open until its streams have ended or its timer fires. */
-interface LeftConnection {
+interface ReplacedConnection {
   connection: Connection
   timer: Timer
 }
@@ -41,7 +41,7 @@
 export function createAgentClients (options: AgentClientsOptions): AgentClients {
   const settings = { ...DEFAULT_OPTIONS, ...options }
   const connections = new Map<string, Map<Channel, Connection>>()
-  const left = new Set<LeftConnection>()
+  const replaced = new Set<ReplacedConnection>()
 
   const open = (address: string, channel: Channel): Connection => {
     const baseUrl = `http://${address}`
@@ -57,15 +57,15 @@
   }
 
   /** The socket of an unresponsive connection may never report an error, so it is destroyed after a timeout. */
-  const leave = (connection: Connection): void => {
-    const entry: LeftConnection = {
+  const closeLater = (connection: Connection): void => {
+    const entry: ReplacedConnection = {
       connection,
-      timer: settings.clock.after(settings.leftConnectionMs, () => {
-        left.delete(entry)
+      timer: settings.clock.after(settings.replacedConnectionMs, () => {
+        replaced.delete(entry)
         connection.manager.abort()
       })
     }
-    left.add(entry)
+    replaced.add(entry)
   }
 
   const get = (address: string, channel: Channel): AgentClient => {
@@ -75,27 +75,27 @@
 
   return {
     get,
-    renew: (address, channel, silent) => {
+    renew: (address, channel, unresponsive) => {
       const known = connections.get(address)?.get(channel)
       if (known === undefined) return open(address, channel).client
-      if (silent !== undefined && known.client !== silent) return known.client
-      leave(known)
+      if (unresponsive !== undefined && known.client !== unresponsive) return known.client
+      closeLater(known)
       return open(address, channel).client
     },
     forget: address => {
-      for (const connection of connections.get(address)?.values() ?? []) leave(connection)
+      for (const connection of connections.get(address)?.values() ?? []) closeLater(connection)
       connections.delete(address)
     },
     close: async () => {
       for (const channels of connections.values()) {
         for (const connection of channels.values()) connection.manager.abort()
       }
-      for (const entry of left) {
+      for (const entry of replaced) {
         entry.timer.cancel()
         entry.connection.manager.abort()
       }
       connections.clear()
-      left.clear()
+      replaced.clear()
     }
   }
 }
--- a/packages/anvilarch-daemon/src/peers/attemptSession.ts
+++ b/packages/anvilarch-daemon/src/peers/attemptSession.ts
@@ -78,14 +78,14 @@
 
   const open = (kind: SessionCommand['kind'], signal: AbortSignal | undefined): AsyncIterable<AttemptFrame> => {
     const stream = ++lastStream
-    let unpaidBytes = 0
+    let unreturnedBytes = 0
     const queue = createFrameQueue(sizeBytes => {
-      unpaidBytes += sizeBytes
-      if (unpaidBytes < CREDIT_PORTION_BYTES) return
-      outbox.put(create(SessionCommandSchema, { stream, kind: { case: 'creditBytes', value: unpaidBytes } }))
-      unpaidBytes = 0
+      unreturnedBytes += sizeBytes
+      if (unreturnedBytes < CREDIT_PORTION_BYTES) return
+      outbox.put(create(SessionCommandSchema, { stream, kind: { case: 'creditBytes', value: unreturnedBytes } }))
+      unreturnedBytes = 0
     })
-    const leave = (): void => {
+    const cancel = (): void => {
       if (!streams.has(stream)) return
       remove(stream)
       outbox.put(create(SessionCommandSchema, { stream, kind: { case: 'leave', value: {} } }))
@@ -93,10 +93,10 @@
     }
     streams.set(stream, queue)
     outbox.put(create(SessionCommandSchema, { stream, kind }))
-    signal?.addEventListener('abort', leave, { once: true })
+    signal?.addEventListener('abort', cancel, { once: true })
     return queue.frames(() => {
-      signal?.removeEventListener('abort', leave)
-      leave()
+      signal?.removeEventListener('abort', cancel)
+      cancel()
     })
   }
 
--- a/packages/anvilarch-daemon/src/peers/types.ts
+++ b/packages/anvilarch-daemon/src/peers/types.ts
@@ -15,9 +15,9 @@
    * Replaces an unresponsive connection with a new one; the old one stays open for its remaining streams.
    * Many streams detect the same failure; all but the first get the connection that was opened for the first one.
    *
-   * @param silent - client of the unresponsive connection; if omitted, the current connection is replaced
+   * @param unresponsive - client of the unresponsive connection; if omitted, the current connection is replaced
    */
-  renew: (address: string, channel: Channel, silent?: AgentClient) => AgentClient
+  renew: (address: string, channel: Channel, unresponsive?: AgentClient) => AgentClient
   /** Removes the connections to an agent that no longer exists. */
   forget: (address: string) => void
   close: () => Promise<void>
--- a/packages/anvilarch-daemon/src/placement/__tests__/planPlacement.test.ts
+++ b/packages/anvilarch-daemon/src/placement/__tests__/planPlacement.test.ts
@@ -3,47 +3,47 @@
 import type { AgentView } from '../../membership/types'
 import { createEngines, documentOf, EFFECTS, finishLoads, restart, type SimulatedEngine, type TestService, toViews } from '../__fixtures__/simulatedFleet'
 import { planPlacement } from '../planPlacement'
-import { afterObserved, EMPTY_MEMORY, type SlotMemory, slotKey, toSlots } from '../slots'
+import { afterReports, INITIAL_PLACEMENT_STATE, type PlacementState, slotKey, toSlots } from '../slots'
 import type { PlannedOrder } from '../types'
 
 const SEED = 20261202
 const DOMAINS = ['bole-hall', 'kirkos-hall', 'arada-hall']
-const BOUNDS = { graceMs: 10_000, loadHoldMs: 60_000, orderTimeoutMs: 60_000, unansweredTimeoutMs: 10_000, refusedPauseMs: 5000 }
+const LIMITS = { graceMs: 10_000, loadExpiryMs: 60_000, orderTimeoutMs: 60_000, unansweredTimeoutMs: 10_000, failureBackoffMs: 5000 }
 const STEP_MS = 1000
 
 /** A lease holder: its state, its orders, and the highest number of concurrent loads. */
 interface Holder {
-  memory: SlotMemory
+  state: PlacementState
   nowMs: number
-  mostLoads: number
+  maxConcurrentLoads: number
   orders: PlannedOrder[]
   /** Reports of the endpoints; the holder receives them `lagSteps` steps late. */
   reports: AgentView[][]
   lagSteps: number
 }
 
-const newHolder = (lagSteps = 0): Holder => ({ memory: EMPTY_MEMORY, nowMs: 0, mostLoads: 0, orders: [], reports: [], lagSteps })
+const newHolder = (lagSteps = 0): Holder => ({ state: INITIAL_PLACEMENT_STATE, nowMs: 0, maxConcurrentLoads: 0, orders: [], reports: [], lagSteps })
 const countLoads = (engines: SimulatedEngine[]): number => engines.filter(engine => engine.models.some(model => model.state === 'loading')).length
 
-/** Runs one plan; the orders for which `takes` returns true are executed, the others are lost in transit. */
-function step (holder: Holder, document: ConfigurationDocument, engines: SimulatedEngine[], takes = (_order: PlannedOrder): boolean => true): void {
+/** Runs one plan; the orders for which `arrives` returns true are executed, the others are lost in transit. */
+function step (holder: Holder, document: ConfigurationDocument, engines: SimulatedEngine[], arrives = (_order: PlannedOrder): boolean => true): void {
   holder.nowMs += STEP_MS
   holder.reports.push(toViews(engines))
   const views = holder.reports[Math.max(0, holder.reports.length - 1 - holder.lagSteps)]
-  holder.memory = afterObserved(holder.memory, views, holder.nowMs, BOUNDS)
-  const orders = planPlacement(document, toSlots(views, holder.memory, holder.nowMs, BOUNDS))
-  const sent = new Map(holder.memory.sent)
+  holder.state = afterReports(holder.state, views, holder.nowMs, LIMITS)
+  const orders = planPlacement(document, toSlots(views, holder.state, holder.nowMs, LIMITS))
+  const sent = new Map(holder.state.sent)
   for (const order of orders) {
     const engine = engines.find(found => found.name === order.agent) as SimulatedEngine
     const orderId = `${order.agent} at ${holder.nowMs}`
-    sent.set(slotKey(order.agent, order.endpoint), { ...order, orderId, agentIncarnation: engine.incarnation, sentAtMs: holder.nowMs, isAnswered: takes(order) })
-    if (!takes(order)) continue
+    sent.set(slotKey(order.agent, order.endpoint), { ...order, orderId, agentIncarnation: engine.incarnation, sentAtMs: holder.nowMs, isAnswered: arrives(order) })
+    if (!arrives(order)) continue
     EFFECTS[order.action](engine, order)
     engine.settledOrder = orderId
   }
   holder.orders = orders
-  holder.memory = { ...holder.memory, sent }
-  holder.mostLoads = Math.max(holder.mostLoads, countLoads(engines))
+  holder.state = { ...holder.state, sent }
+  holder.maxConcurrentLoads = Math.max(holder.maxConcurrentLoads, countLoads(engines))
 }
 
 function settle (holder: Holder, document: ConfigurationDocument, engines: SimulatedEngine[], steps = 100): void {
@@ -65,7 +65,7 @@
     settle(holder, document, engines)
     expect(perDomain(serving(engines, 'writer'))).toEqual([2, 2, 2])
     expect(perDomain(serving(engines, 'portal'))).toEqual([1, 1, 1])
-    expect(holder.mostLoads).toBe(2)
+    expect(holder.maxConcurrentLoads).toBe(2)
     step(holder, document, engines)
     expect(holder.orders).toEqual([])
   })
@@ -91,7 +91,7 @@
     expect(holder.orders.map(order => order.action)).toEqual(['load'])
     settle(holder, document, engines, 5)
     crashes.health = 'crashed'
-    for (let waitedMs = 0; waitedMs < BOUNDS.graceMs; waitedMs += STEP_MS) step(holder, document, engines)
+    for (let waitedMs = 0; waitedMs < LIMITS.graceMs; waitedMs += STEP_MS) step(holder, document, engines)
     expect(holder.orders).toEqual([])
     step(holder, document, engines)
     expect(holder.orders.map(order => order.action)).toEqual(['load'])
@@ -150,7 +150,7 @@
     step(holder, document, engines)
     const loading = engines.find(engine => engine.models.length > 0) as SimulatedEngine
     loading.state = 'unreachable'
-    for (let waitedMs = 0; waitedMs < BOUNDS.loadHoldMs; waitedMs += STEP_MS) {
+    for (let waitedMs = 0; waitedMs < LIMITS.loadExpiryMs; waitedMs += STEP_MS) {
       step(holder, document, engines)
       expect(holder.orders).toEqual([])
     }
@@ -168,7 +168,7 @@
     }
     expect(serving(engines, 'writer', 'v2')).toHaveLength(3)
     expect(engines.map(engine => engine.models.length)).toEqual([1, 1, 1])
-    expect(holder.mostLoads).toBe(1)
+    expect(holder.maxConcurrentLoads).toBe(1)
   })
 
   it.each([0, 2])('reassigns the endpoints of a removed or downscaled service, with reports %d steps late', lagSteps => {
@@ -202,20 +202,20 @@
     fc.assert(fc.property(services, fc.array(event, { maxLength: 60 }), fc.integer({ min: 1, max: 3 }), fc.nat(3), (first, events, maxLoads, lagSteps) => {
       const engines = createEngines(9, DOMAINS)
       const holder = newHolder(lagSteps)
-      let wanted = first
+      let currentServices = first
       for (const found of events) {
-        if (found.kind === 'step') step(holder, documentOf(wanted, maxLoads), engines, () => !found.lost)
+        if (found.kind === 'step') step(holder, documentOf(currentServices, maxLoads), engines, () => !found.lost)
         if (found.kind === 'finish') finishLoads(engines)
-        if (found.kind === 'document') wanted = found.services
+        if (found.kind === 'document') currentServices = found.services
         if (found.kind === 'crash') Object.assign(engines[found.engine], { health: 'crashed', models: [] })
         if (found.kind === 'restart') restart(engines[found.engine])
         if (found.kind === 'drain') Object.assign(engines[found.engine], { state: 'draining' })
         if (found.kind === 'back') Object.assign(engines[found.engine], { health: 'ready', state: 'serving' })
       }
       for (const engine of engines) Object.assign(engine, { health: 'ready', state: 'serving' })
-      settle(holder, documentOf(wanted, maxLoads), engines, 200)
-      expect(holder.mostLoads).toBeLessThanOrEqual(maxLoads)
-      for (const [name, { replicas }] of Object.entries(wanted)) expect(serving(engines, name)).toHaveLength(replicas)
+      settle(holder, documentOf(currentServices, maxLoads), engines, 200)
+      expect(holder.maxConcurrentLoads).toBeLessThanOrEqual(maxLoads)
+      for (const [name, { replicas }] of Object.entries(currentServices)) expect(serving(engines, name)).toHaveLength(replicas)
     }), { seed: SEED, numRuns: 300 })
   })
 
--- a/packages/anvilarch-daemon/src/placement/__tests__/startPlacement.test.ts
+++ b/packages/anvilarch-daemon/src/placement/__tests__/startPlacement.test.ts
@@ -15,22 +15,22 @@
   lease: { epoch: number | undefined }
   /** Highest fencing token that the agents have received. */
   fence: { token: number }
-  /** `onPlan` is called when planning reads the directory; `loses` selects orders whose response is lost, `drops` those that never arrive. */
-  hooks: { onPlan: () => void, loses: (order: OrderRequest) => boolean, drops: (order: OrderRequest) => boolean }
+  /** `onPlan` is called when planning reads the directory; `losesResponse` and `dropsRequest` select the orders that fail. */
+  hooks: { onPlan: () => void, losesResponse: (order: OrderRequest) => boolean, dropsRequest: (order: OrderRequest) => boolean }
 }
 
 async function start (replicas: number, maxLoads = 2): Promise<Rig> {
   const clock = createFakeClock()
   const engines = createEngines(4, ['bole-hall', 'kirkos-hall'])
-  const rig: Rig = { clock, engines, orders: [], lease: { epoch: undefined }, fence: { token: 0 }, hooks: { onPlan: () => {}, loses: () => false, drops: () => false } }
+  const rig: Rig = { clock, engines, orders: [], lease: { epoch: undefined }, fence: { token: 0 }, hooks: { onPlan: () => {}, losesResponse: () => false, dropsRequest: () => false } }
   const order = async (request: OrderRequest): Promise<unknown> => {
     rig.orders.push(request)
-    if (rig.hooks.drops(request)) throw new Error('the connection was lost')
+    if (rig.hooks.dropsRequest(request)) throw new Error('the connection was lost')
     if (Number(request.fencingToken) < rig.fence.token) return { outcome: 'refused', reason: 'stale_fencing_token', fencingToken: BigInt(rig.fence.token) }
     rig.fence.token = Number(request.fencingToken)
     const engine = engines[Number(requestAgent)]
     EFFECTS[request.action as PlannedOrder['action']](engine, { ...request, agent: engine.name } as unknown as PlannedOrder)
-    if (rig.hooks.loses(request)) throw new Error('response lost')
+    if (rig.hooks.losesResponse(request)) throw new Error('response lost')
     return { outcome: 'started', reason: '', fencingToken: request.fencingToken }
   }
   let requestAgent = ''
@@ -90,7 +90,7 @@
     const rig = await start(1)
     rig.fence.token = 9
     rig.lease.epoch = 4
-    await rig.clock.advanceAsync(DEFAULT_OPTIONS.settleMs + DEFAULT_OPTIONS.refusedPauseMs)
+    await rig.clock.advanceAsync(DEFAULT_OPTIONS.settleMs + DEFAULT_OPTIONS.failureBackoffMs)
     expect(rig.engines.every(engine => engine.models.length === 0)).toBe(true)
     expect(rig.orders.length).toBeLessThanOrEqual(rig.engines.length)
   })
@@ -114,11 +114,11 @@
   // Guards against an endpoint that stays idle for a minute because its order was lost in transit.
   it('repeats an order that never arrived after a short timeout', async () => {
     const rig = await start(1)
-    rig.hooks.drops = () => true
+    rig.hooks.dropsRequest = () => true
     rig.lease.epoch = 4
     await rig.clock.advanceAsync(DEFAULT_OPTIONS.settleMs + 1000)
     expect(rig.orders.map(order => order.action)).toEqual(['load'])
-    rig.hooks.drops = () => false
+    rig.hooks.dropsRequest = () => false
     await rig.clock.advanceAsync(DEFAULT_OPTIONS.graceMs + DEFAULT_OPTIONS.intervalMs)
     expect(rig.orders.map(order => order.action)).toEqual(['load', 'load'])
     await rig.clock.advanceAsync(60_000)
@@ -128,7 +128,7 @@
   // Guards against loading the same weights on two endpoints for one replica.
   it('counts an order whose response was lost until the endpoint reports its state', async () => {
     const rig = await start(1)
-    rig.hooks.loses = () => true
+    rig.hooks.losesResponse = () => true
     rig.lease.epoch = 4
     await rig.clock.advanceAsync(DEFAULT_OPTIONS.settleMs + 10_000)
     finishLoads(rig.engines)
--- a/packages/anvilarch-daemon/src/placement/planPlacement.ts
+++ b/packages/anvilarch-daemon/src/placement/planPlacement.ts
@@ -21,7 +21,7 @@
   plans: ServicePlan[]
   free: Slot[]
   orders: PlannedOrder[]
-  loadsLeft: number
+  remainingLoads: number
 }
 
 /**
@@ -32,11 +32,11 @@
 export function planPlacement (document: ConfigurationDocument, slots: Slot[]): PlannedOrder[] {
   const maxLoads = document.limits.maxConcurrentLoads
   const loading = slots.filter(isLoading).length
-  const round: Round = { plans: servicePlans(document, slots), free: [], orders: [], loadsLeft: Math.max(0, maxLoads - loading) }
+  const round: Round = { plans: servicePlans(document, slots), free: [], orders: [], remainingLoads: Math.max(0, maxLoads - loading) }
   releaseSurplus(round, slots)
   const kept = new Set(round.plans.flatMap(plan => plan.kept))
   // A slot is free if it counts for no service. A slot whose service now requires other weights is free for that service.
-  round.free = slots.filter(slot => takesOrders(slot) && !kept.has(slot))
+  round.free = slots.filter(slot => acceptsOrders(slot) && !kept.has(slot))
   fillMissing(round)
   unloadUnused(round)
   const loads = round.orders.filter(order => order.action === 'load').length
@@ -54,13 +54,13 @@
     .filter((entry): entry is [string, ModelService] => entry[1].kind === 'model')
     .sort(([left], [right]) => left < right ? -1 : 1)
     .map(([name, service]) => {
-      const right = slots.filter(slot => slot.present && slot.service === name && holds(slot, service) && isAllowed(slot, service))
-      return { name, service, kept: chooseSpread(right, service.replicas) }
+      const matching = slots.filter(slot => slot.present && slot.service === name && hasModelOf(slot, service) && isAllowed(slot, service))
+      return { name, service, kept: chooseSpread(matching, service.replicas) }
     })
 }
 
 /** Whether the slot has, or will have after its pending order, the model and adapters of the service. */
-function holds (slot: Slot, service: ModelService): boolean {
+function hasModelOf (slot: Slot, service: ModelService): boolean {
   const { sent } = slot
   if (sent !== undefined && sent.model === service.model && sent.version === service.version) {
     return sent.action !== 'unload' && hasAdapters(sent.adapters, service)
@@ -79,20 +79,20 @@
 /** Chooses slots one by one, each from the failure domain with the fewest chosen so far. */
 function chooseSpread (slots: Slot[], count: number): Slot[] {
   const chosen: Slot[] = []
-  const rest = [...slots].sort(compareSlots)
-  while (chosen.length < count && rest.length > 0) {
-    const next = leastUsedDomain(rest, chosen)
+  const remaining = [...slots].sort(compareSlots)
+  while (chosen.length < count && remaining.length > 0) {
+    const next = slotInLeastUsedDomain(remaining, chosen)
     chosen.push(next)
-    rest.splice(rest.indexOf(next), 1)
+    remaining.splice(remaining.indexOf(next), 1)
   }
   return chosen
 }
 
-function leastUsedDomain (candidates: Slot[], taken: Slot[]): Slot {
-  const takenIn = new Map<string, number>()
-  for (const { failureDomain } of taken) takenIn.set(failureDomain, (takenIn.get(failureDomain) ?? 0) + 1)
-  const inDomain = (slot: Slot): number => takenIn.get(slot.failureDomain) ?? 0
-  return candidates.reduce((best, slot) => inDomain(slot) < inDomain(best) ? slot : best)
+function slotInLeastUsedDomain (candidates: Slot[], taken: Slot[]): Slot {
+  const takenByDomain = new Map<string, number>()
+  for (const { failureDomain } of taken) takenByDomain.set(failureDomain, (takenByDomain.get(failureDomain) ?? 0) + 1)
+  const takenInDomainOf = (slot: Slot): number => takenByDomain.get(slot.failureDomain) ?? 0
+  return candidates.reduce((best, slot) => takenInDomainOf(slot) < takenInDomainOf(best) ? slot : best)
 }
 
 /** Usable slots first, then ready before loading, then by key, so that every lease holder makes the same choice. */
@@ -107,7 +107,7 @@
 /** Releases endpoints that exceed the replicas of their service, and endpoints of a removed service. */
 function releaseSurplus (round: Round, slots: Slot[]): void {
   for (const slot of slots) {
-    if (!takesOrders(slot) || slot.service === '') continue
+    if (!acceptsOrders(slot) || slot.service === '') continue
     const plan = round.plans.find(found => found.name === slot.service)
     if (plan?.kept.includes(slot) === true) continue
     if (plan !== undefined && plan.kept.length < plan.service.replicas && isAllowed(slot, plan.service)) continue
@@ -115,7 +115,7 @@
   }
 }
 
-function takesOrders (slot: Slot): boolean {
+function acceptsOrders (slot: Slot): boolean {
   return slot.usable && slot.sent === undefined
 }
 
@@ -133,14 +133,14 @@
 /** Assigns missing replicas one slot at a time, to the service with the smallest share of its replicas first. */
 function fillMissing (round: Round): void {
   const busy = new Set(round.orders.map(order => `${order.agent}/${order.endpoint}`))
-  const stuck = new Set<ServicePlan>()
+  const unplaceable = new Set<ServicePlan>()
   for (;;) {
-    const open = round.plans.filter(plan => plan.kept.length < plan.service.replicas && !stuck.has(plan))
+    const open = round.plans.filter(plan => plan.kept.length < plan.service.replicas && !unplaceable.has(plan))
     if (open.length === 0) return
     const plan = open.reduce((best, other) => share(other) < share(best) ? other : best)
     const slot = chooseFree(round, plan, busy)
     if (slot === undefined) {
-      stuck.add(plan)
+      unplaceable.add(plan)
       continue
     }
     place(round, plan, slot)
@@ -159,17 +159,17 @@
     .filter(slot => slot.service === plan.name || !round.plans.some(other => other.name === slot.service))
     .sort(compareSlots)
   const groups = [
-    candidates.filter(slot => holds(slot, plan.service)),
-    round.loadsLeft > 0 ? candidates.filter(slot => slot.service === plan.name) : [],
-    round.loadsLeft > 0 ? candidates : []
+    candidates.filter(slot => hasModelOf(slot, plan.service)),
+    round.remainingLoads > 0 ? candidates.filter(slot => slot.service === plan.name) : [],
+    round.remainingLoads > 0 ? candidates : []
   ]
   const group = groups.find(slotsOfGroup => slotsOfGroup.length > 0)
-  return group === undefined ? undefined : leastUsedDomain(group, plan.kept)
+  return group === undefined ? undefined : slotInLeastUsedDomain(group, plan.kept)
 }
 
 function place (round: Round, plan: ServicePlan, slot: Slot): void {
-  const action = holds(slot, plan.service) ? 'assign' : 'load'
-  if (action === 'load') round.loadsLeft--
+  const action = hasModelOf(slot, plan.service) ? 'assign' : 'load'
+  if (action === 'load') round.remainingLoads--
   const { model, version, adapters } = plan.service
   round.orders.push({ agent: slot.agent, endpoint: slot.endpoint, action, service: plan.name, model, version, adapters })
   plan.kept.push(slot)
@@ -180,10 +180,10 @@
   const ordered = new Set(round.orders.map(order => `${order.agent}/${order.endpoint}`))
   for (const plan of round.plans) {
     for (const slot of plan.kept) {
-      if (!takesOrders(slot) || ordered.has(slot.key) || !isReady(slot, plan.service)) continue
-      const old = slot.models.find(model => model.model !== plan.service.model || model.version !== plan.service.version)
-      if (old === undefined) continue
-      round.orders.push({ agent: slot.agent, endpoint: slot.endpoint, action: 'unload', service: plan.name, model: old.model, version: old.version, adapters: [] })
+      if (!acceptsOrders(slot) || ordered.has(slot.key) || !isReady(slot, plan.service)) continue
+      const outdated = slot.models.find(model => model.model !== plan.service.model || model.version !== plan.service.version)
+      if (outdated === undefined) continue
+      round.orders.push({ agent: slot.agent, endpoint: slot.endpoint, action: 'unload', service: plan.name, model: outdated.model, version: outdated.version, adapters: [] })
     }
   }
 }
--- a/packages/anvilarch-daemon/src/placement/slots.ts
+++ b/packages/anvilarch-daemon/src/placement/slots.ts
@@ -4,9 +4,9 @@
 import type { OrderAction, SentOrder, Slot } from './types'
 
 /** State that the lease holder keeps between two plans. */
-export interface SlotMemory {
+export interface PlacementState {
   /** Time since which an endpoint has not been usable, by slot key. */
-  goneSinceMs: ReadonlyMap<string, number>
+  unusableSinceMs: ReadonlyMap<string, number>
   /** Pending orders, by slot key. */
   sent: ReadonlyMap<string, SentOrder>
   /** Endpoints whose most recent orders had no effect, by slot key. */
@@ -21,7 +21,7 @@
 }
 
 /** State of a new lease holder. */
-export const EMPTY_MEMORY: SlotMemory = { goneSinceMs: new Map(), sent: new Map(), lost: new Map() }
+export const INITIAL_PLACEMENT_STATE: PlacementState = { unusableSinceMs: new Map(), sent: new Map(), lost: new Map() }
 
 /**
  * @param agent - name of the agent
@@ -33,11 +33,11 @@
 }
 
 /** Limits on the time for which an endpoint is unusable. */
-export interface GoneBounds {
+export interface UnusableLimits {
   /** Time until it is replaced. */
   graceMs: number
   /** Time until its loads are assumed to have ended. */
-  loadHoldMs: number
+  loadExpiryMs: number
 }
 
 /**
@@ -48,23 +48,23 @@
  * unreachable endpoint may still be loading, so its loads count for longer.
  *
  * @param agents - agents in the directory of the lease holder
- * @param memory - state of the lease holder
+ * @param state - state of the lease holder
  * @param nowMs - time of the plan
- * @param bounds - limits on unusable endpoints
+ * @param limits - limits on unusable endpoints
  * @returns slots of all model endpoints
  */
-export function toSlots (agents: AgentView[], memory: SlotMemory, nowMs: number, bounds: GoneBounds): Slot[] {
+export function toSlots (agents: AgentView[], state: PlacementState, nowMs: number, limits: UnusableLimits): Slot[] {
   return agents.flatMap(agent => agent.endpoints
     .filter(endpoint => endpoint.kind === 'model')
-    .map(endpoint => toSlot(agent, endpoint, memory, nowMs, bounds)))
+    .map(endpoint => toSlot(agent, endpoint, state, nowMs, limits)))
 }
 
-function toSlot (agent: AgentView, endpoint: EndpointState, memory: SlotMemory, nowMs: number, bounds: GoneBounds): Slot {
+function toSlot (agent: AgentView, endpoint: EndpointState, state: PlacementState, nowMs: number, limits: UnusableLimits): Slot {
   const key = slotKey(agent.name, endpoint.endpoint)
   const usable = agent.state === 'serving' && endpoint.health === 'ready'
-  const goneMs = nowMs - (memory.goneSinceMs.get(key) ?? nowMs)
-  const sent = memory.sent.get(key)
-  const isPaused = nowMs < (memory.lost.get(key)?.untilMs ?? nowMs)
+  const unusableMs = nowMs - (state.unusableSinceMs.get(key) ?? nowMs)
+  const sent = state.sent.get(key)
+  const isPaused = nowMs < (state.lost.get(key)?.untilMs ?? nowMs)
   const willServe = sent !== undefined && sent.action !== 'unload'
   return {
     key,
@@ -72,8 +72,8 @@
     endpoint: endpoint.endpoint,
     failureDomain: agent.failureDomain,
     usable: usable && !isPaused,
-    present: usable || (agent.state !== 'draining' && goneMs < bounds.graceMs),
-    mayLoad: usable || goneMs < bounds.loadHoldMs,
+    present: usable || (agent.state !== 'draining' && unusableMs < limits.graceMs),
+    mayLoad: usable || unusableMs < limits.loadExpiryMs,
     service: willServe ? sent.service : endpoint.service,
     models: endpoint.models,
     sent
@@ -81,61 +81,61 @@
 }
 
 /**
- * @param memory - state of the lease holder
+ * @param state - state of the lease holder
  * @param nowMs - current time
- * @param bounds - limits on unusable endpoints
+ * @param limits - limits on unusable endpoints
  * @returns whether an endpoint recently became unusable or was sent an order, so that planning should run more often
  */
-export function hasChangedLately (memory: SlotMemory, nowMs: number, bounds: Pick<GoneBounds, 'graceMs'>): boolean {
-  const sinceMs = [...memory.goneSinceMs.values(), ...[...memory.sent.values()].map(order => order.sentAtMs)]
-  return sinceMs.some(startMs => nowMs - startMs < bounds.graceMs)
+export function hasRecentChange (state: PlacementState, nowMs: number, limits: Pick<UnusableLimits, 'graceMs'>): boolean {
+  const sinceMs = [...state.unusableSinceMs.values(), ...[...state.sent.values()].map(order => order.sentAtMs)]
+  return sinceMs.some(startMs => nowMs - startMs < limits.graceMs)
 }
 
 /** Limits on pending orders. */
-export interface OrderBounds {
+export interface OrderLimits {
   /** Time after which an accepted order without a visible effect counts as lost. */
   orderTimeoutMs: number
   /** The same for an unanswered order. */
   unansweredTimeoutMs: number
   /** Backoff after the second consecutive lost order; doubled with each further one, up to `orderTimeoutMs`. */
-  refusedPauseMs: number
+  failureBackoffMs: number
 }
 
 /**
  * Compares the pending orders with the reported endpoints.
  *
- * @param memory - previous state
+ * @param previous - previous state
  * @param agents - agents in the directory of the lease holder
  * @param nowMs - time of the plan
- * @param bounds - limits on pending orders
+ * @param limits - limits on pending orders
  * @returns state without completed and lost orders, and with the endpoints that are unusable now
  */
-export function afterObserved (memory: SlotMemory, agents: AgentView[], nowMs: number, bounds: OrderBounds): SlotMemory {
+export function afterReports (previous: PlacementState, agents: AgentView[], nowMs: number, limits: OrderLimits): PlacementState {
   const states = new Map(agents.flatMap(agent => agent.endpoints.map(endpoint => [slotKey(agent.name, endpoint.endpoint), { agent, endpoint }])))
   const isUsable = ({ agent, endpoint }: FoundEndpoint): boolean =>
     agent.state === 'serving' && endpoint.health === 'ready'
-  const gone = [...states].filter(([, state]) => !isUsable(state))
-  const goneSinceMs = new Map(gone.map(([key]) => [key, memory.goneSinceMs.get(key) ?? nowMs]))
-  const known = [...memory.sent].flatMap(([key, order]) => {
+  const unusable = [...states].filter(([, state]) => !isUsable(state))
+  const unusableSinceMs = new Map(unusable.map(([key]) => [key, previous.unusableSinceMs.get(key) ?? nowMs]))
+  const known = [...previous.sent].flatMap(([key, order]) => {
     const state = states.get(key)
-    return state === undefined ? [] : [{ key, order, progress: progressOf(state, order, nowMs, bounds) }]
+    return state === undefined ? [] : [{ key, order, progress: progressOf(state, order, nowMs, limits) }]
   })
   const sent = new Map(known.filter(({ progress }) => progress === 'under_way').map(({ key, order }) => [key, order]))
-  const lost = new Map([...memory.lost].filter(([key]) => states.has(key)))
+  const lost = new Map([...previous.lost].filter(([key]) => states.has(key)))
   for (const { key, progress } of known) {
     if (progress === 'done') lost.delete(key)
-    if (progress === 'lost') lost.set(key, afterLost(lost.get(key), nowMs, bounds))
+    if (progress === 'lost') lost.set(key, afterLost(lost.get(key), nowMs, limits))
   }
-  return { goneSinceMs, sent, lost }
+  return { unusableSinceMs, sent, lost }
 }
 
 /**
  * The first lost order is retried immediately, so that an engine that restarts after a crash gets its model without delay.
  * Further ones back off; an engine that fails each load would otherwise be sent the same weights several times a second.
  */
-function afterLost (before: LostOrders | undefined, nowMs: number, bounds: OrderBounds): LostOrders {
+function afterLost (before: LostOrders | undefined, nowMs: number, limits: OrderLimits): LostOrders {
   const count = (before?.count ?? 0) + 1
-  const pauseMs = count === 1 ? 0 : Math.min(bounds.refusedPauseMs * 2 ** (count - 2), bounds.orderTimeoutMs)
+  const pauseMs = count === 1 ? 0 : Math.min(limits.failureBackoffMs * 2 ** (count - 2), limits.orderTimeoutMs)
   return { count, untilMs: nowMs + pauseMs }
 }
 
@@ -148,11 +148,11 @@
 /** Progress of an order according to the state of its endpoint. */
 type OrderProgress = 'done' | 'under_way' | 'lost'
 
-function progressOf ({ agent, endpoint }: FoundEndpoint, order: SentOrder, nowMs: number, bounds: OrderBounds): OrderProgress {
+function progressOf ({ agent, endpoint }: FoundEndpoint, order: SentOrder, nowMs: number, limits: OrderLimits): OrderProgress {
   const model = endpoint.models.find(found => found.model === order.model && found.version === order.version)
   if (EFFECTS[order.action](order, endpoint, model)) return 'done'
   if (order.action === 'load' && model?.state === 'loading') return 'under_way'
-  const timeoutMs = order.isAnswered ? bounds.orderTimeoutMs : bounds.unansweredTimeoutMs
+  const timeoutMs = order.isAnswered ? limits.orderTimeoutMs : limits.unansweredTimeoutMs
   return isOver(agent, endpoint, order) || nowMs - order.sentAtMs >= timeoutMs ? 'lost' : 'under_way'
 }
 
--- a/packages/anvilarch-daemon/src/placement/startPlacement.ts
+++ b/packages/anvilarch-daemon/src/placement/startPlacement.ts
@@ -6,7 +6,7 @@
 import type { MutableDirectory } from '../membership/agentDirectory'
 import type { AgentClients } from '../peers/types'
 import { planPlacement } from './planPlacement'
-import { afterObserved, EMPTY_MEMORY, hasChangedLately, type SlotMemory, slotKey, toSlots } from './slots'
+import { afterReports, INITIAL_PLACEMENT_STATE, hasRecentChange, type PlacementState, slotKey, toSlots } from './slots'
 import type { PlannedOrder, SentOrder } from './types'
 
 /** Dependencies of placement. */
@@ -26,18 +26,18 @@
   /** Time an endpoint may be unusable before it is replaced. */
   graceMs: number
   /** Time for which the loads of an unusable endpoint still count. */
-  loadHoldMs: number
+  loadExpiryMs: number
   /** Time after which an accepted order without a visible effect counts as lost. */
   orderTimeoutMs: number
   /** The same for an unanswered order. Repeating an order that did arrive is harmless. */
   unansweredTimeoutMs: number
   /** Backoff of an endpoint after a failed or rejected order. */
-  refusedPauseMs: number
+  failureBackoffMs: number
 }
 
 /** Defaults of placement. */
 export const DEFAULT_OPTIONS: PlacementOptions = {
-  intervalMs: 1000, changingIntervalMs: 250, settleMs: 3000, graceMs: 10_000, loadHoldMs: 60_000, orderTimeoutMs: 60_000, unansweredTimeoutMs: 10_000, refusedPauseMs: 5000
+  intervalMs: 1000, changingIntervalMs: 250, settleMs: 3000, graceMs: 10_000, loadExpiryMs: 60_000, orderTimeoutMs: 60_000, unansweredTimeoutMs: 10_000, failureBackoffMs: 5000
 }
 
 /** Timeout of an order request; a later plan retries the order. */
@@ -49,9 +49,9 @@
 interface Tenure {
   epoch: number
   sinceMs: number
-  memory: SlotMemory
+  state: PlacementState
   /** End of the backoff of each endpoint, by slot key. */
-  pausedUntilMs: Map<string, number>
+  backoffUntilMs: Map<string, number>
 }
 
 /**
@@ -71,23 +71,23 @@
   const currentTenure = (): Tenure | undefined => {
     const epoch = parts.lease.epoch()
     if (epoch === undefined) tenure = undefined
-    else if (tenure?.epoch !== epoch) tenure = { epoch, sinceMs: clock.nowMs(), memory: EMPTY_MEMORY, pausedUntilMs: new Map() }
+    else if (tenure?.epoch !== epoch) tenure = { epoch, sinceMs: clock.nowMs(), state: INITIAL_PLACEMENT_STATE, backoffUntilMs: new Map() }
     return tenure
   }
 
   const round = async (): Promise<void> => {
-    const held = currentTenure()
+    const current = currentTenure()
     const configuration = context.configuration.current()
-    if (held === undefined || configuration === undefined) return
+    if (current === undefined || configuration === undefined) return
     const nowMs = clock.nowMs()
     const agents = parts.directory.list()
-    held.memory = afterObserved(held.memory, agents, nowMs, options)
-    if (nowMs - held.sinceMs < options.settleMs) return
-    const slots = toSlots(agents, held.memory, nowMs, options)
-      .map(slot => (held.pausedUntilMs.get(slot.key) ?? 0) > nowMs ? { ...slot, usable: false } : slot)
+    current.state = afterReports(current.state, agents, nowMs, options)
+    if (nowMs - current.sinceMs < options.settleMs) return
+    const slots = toSlots(agents, current.state, nowMs, options)
+      .map(slot => (current.backoffUntilMs.get(slot.key) ?? 0) > nowMs ? { ...slot, usable: false } : slot)
     const orders = planPlacement(configuration.document, slots)
     for (let index = 0; index < orders.length; index += MAX_CONCURRENT_ORDERS) {
-      await Promise.all(orders.slice(index, index + MAX_CONCURRENT_ORDERS).map(async order => { await send(held, order) }))
+      await Promise.all(orders.slice(index, index + MAX_CONCURRENT_ORDERS).map(async order => { await send(current, order) }))
     }
   }
 
@@ -96,25 +96,25 @@
    * orders; the orders of both would be executed. Therefore the epoch is checked again right before each order, and the agent
    * rejects an epoch lower than the highest it has received.
    */
-  const send = async (held: Tenure, order: PlannedOrder): Promise<void> => {
+  const send = async (current: Tenure, order: PlannedOrder): Promise<void> => {
     const epoch = parts.lease.epoch()
-    if (epoch !== held.epoch || stopping.signal.aborted) return
+    if (epoch !== current.epoch || stopping.signal.aborted) return
     const agent = parts.directory.get(order.agent)
     if (agent === undefined) return
     const key = slotKey(order.agent, order.endpoint)
     const sentOrder: SentOrder = { ...order, orderId: randomUUID(), agentIncarnation: agent.incarnation, sentAtMs: clock.nowMs(), isAnswered: false }
-    held.memory = { ...held.memory, sent: new Map(held.memory.sent).set(key, sentOrder) }
+    current.state = { ...current.state, sent: new Map(current.state.sent).set(key, sentOrder) }
     const outcome = await callAgent(agent.address, sentOrder, epoch)
     parts.directory.noteOrdered(order.agent)
     context.timeline.record('placement.order', { detail: { ...order, adapters: order.adapters.join(','), epoch, outcome } })
     context.logger.info('placement order', { agent: order.agent, endpoint: order.endpoint, action: order.action, service: order.service, model: order.model, outcome })
-    const isTaken = outcome === 'done' || outcome === 'started'
-    const sent = new Map(held.memory.sent)
-    if (isTaken) sent.set(key, { ...sentOrder, isAnswered: true })
+    const isAccepted = outcome === 'done' || outcome === 'started'
+    const sent = new Map(current.state.sent)
+    if (isAccepted) sent.set(key, { ...sentOrder, isAnswered: true })
     // Whether an unanswered order was executed shows in the state that the endpoint reports; until then it counts as sent.
     else if (outcome !== 'no_answer') sent.delete(key)
-    held.memory = { ...held.memory, sent }
-    if (!isTaken) held.pausedUntilMs.set(key, clock.nowMs() + options.refusedPauseMs)
+    current.state = { ...current.state, sent }
+    if (!isAccepted) current.backoffUntilMs.set(key, clock.nowMs() + options.failureBackoffMs)
   }
 
   const callAgent = async (address: string, order: SentOrder, epoch: number | undefined): Promise<string> => {
@@ -131,9 +131,9 @@
     }
   }
 
-  const pauseMs = (): number => {
-    const { memory } = tenure ?? { memory: EMPTY_MEMORY }
-    return hasChangedLately(memory, clock.nowMs(), options) ? options.changingIntervalMs : options.intervalMs
+  const nextIntervalMs = (): number => {
+    const { state } = tenure ?? { state: INITIAL_PLACEMENT_STATE }
+    return hasRecentChange(state, clock.nowMs(), options) ? options.changingIntervalMs : options.intervalMs
   }
 
   const run = async (): Promise<void> => {
@@ -143,7 +143,7 @@
       } catch (error) {
         context.logger.error('a round of placement failed', { error: String(error) })
       }
-      await sleep(clock, pauseMs(), stopping.signal)
+      await sleep(clock, nextIntervalMs(), stopping.signal)
     }
   }
 
