--- a/packages/anvilarch-daemon/src/agent/attemptSessions.ts
+++ b/packages/anvilarch-daemon/src/agent/attemptSessions.ts
@@ -7,7 +7,7 @@
   AttemptFrameSchema, type SessionCommand, type SessionFrame, SessionFrameSchema, type SessionRequest, type SessionResponse,
   SessionResponseSchema, STREAM_CREDIT_BYTES
 } from 'anvilarch-protocol'
-import { createTurnBatch, type TurnBatch } from '../peers/turnBatch'
+import { createMessageBatcher, type MessageBatcher } from '../peers/messageBatcher'
 import type { Frame } from './attemptReader'
 import type { AttemptRegistry } from './attemptRegistry'
 
@@ -37,7 +37,7 @@
   deps: AttemptSessionsDeps, requests: AsyncIterable<SessionRequest>, signal: AbortSignal
 ): AsyncGenerator<SessionResponse> {
   const streams = new Map<number, SessionStream>()
-  const outbox = createTurnBatch<SessionFrame>()
+  const outbox = createMessageBatcher<SessionFrame>()
   const end = (): void => { outbox.close() }
   signal.addEventListener('abort', end, { once: true })
   deps.stopped.addEventListener('abort', end, { once: true })
@@ -52,14 +52,14 @@
 }
 
 async function readRequests (
-  deps: AttemptSessionsDeps, requests: AsyncIterable<SessionRequest>, streams: Map<number, SessionStream>, outbox: TurnBatch<SessionFrame>
+  deps: AttemptSessionsDeps, requests: AsyncIterable<SessionRequest>, streams: Map<number, SessionStream>, outbox: MessageBatcher<SessionFrame>
 ): Promise<void> {
   for await (const request of requests) {
     for (const command of request.commands) carryOut(deps, command, streams, outbox)
   }
 }
 
-function carryOut (deps: AttemptSessionsDeps, command: SessionCommand, streams: Map<number, SessionStream>, outbox: TurnBatch<SessionFrame>): void {
+function carryOut (deps: AttemptSessionsDeps, command: SessionCommand, streams: Map<number, SessionStream>, outbox: MessageBatcher<SessionFrame>): void {
   const { kind, stream: number } = command
   if (kind.case === 'start') open(streams, outbox, number, signal => deps.registry.start(kind.value, signal))
   if (kind.case === 'resume') open(streams, outbox, number, signal => deps.registry.resume(kind.value, signal))
@@ -73,7 +73,7 @@
 }
 
 function open (
-  streams: Map<number, SessionStream>, outbox: TurnBatch<SessionFrame>, number: number, call: (signal: AbortSignal) => AsyncGenerator<Frame>
+  streams: Map<number, SessionStream>, outbox: MessageBatcher<SessionFrame>, number: number, call: (signal: AbortSignal) => AsyncGenerator<Frame>
 ): void {
   const stream: SessionStream = { abort: new AbortController(), creditBytes: STREAM_CREDIT_BYTES, onCredit: undefined }
   streams.set(number, stream)
--- a/packages/anvilarch-daemon/src/attempts/attemptCalls.ts
+++ b/packages/anvilarch-daemon/src/attempts/attemptCalls.ts
@@ -54,7 +54,7 @@
       const { address, incarnation } = attempt.target
       const message = { requestId, attemptId: attempt.attemptId, offsetBytes: BigInt(attempt.receivedBytes), agentIncarnation: incarnation }
       const call = (signal: AbortSignal): AsyncIterable<AttemptFrame> => {
-        client = newConnection ? clients.renew(address, workClass, client) : clients.get(address, workClass)
+        client = newConnection ? clients.reconnect(address, workClass, client) : clients.get(address, workClass)
         return client.resumeAttempt(message, { signal })
       }
       reader.open(attempt.stream, call, timing(delayMs))
--- a/packages/anvilarch-daemon/src/membership/__fixtures__/fakeAgents.ts
+++ b/packages/anvilarch-daemon/src/membership/__fixtures__/fakeAgents.ts
@@ -98,11 +98,11 @@
   })
   return {
     get: get as AgentClients['get'],
-    renew: address => {
+    reconnect: address => {
       fleet.reconnected.push(address)
-      return get(address) as ReturnType<AgentClients['renew']>
+      return get(address) as ReturnType<AgentClients['reconnect']>
     },
-    forget: address => { fleet.removed.push(address) },
+    remove: address => { fleet.removed.push(address) },
     close: async () => {}
   }
 }
--- a/packages/anvilarch-daemon/src/membership/__tests__/bootstrapConfiguration.test.ts
+++ b/packages/anvilarch-daemon/src/membership/__tests__/bootstrapConfiguration.test.ts
@@ -2,7 +2,7 @@
 import { hostEntry } from '../__fixtures__/fakeAgents'
 import { chooseSource } from '../bootstrapConfiguration'
 import { type MemberRecord, newMember } from '../memberRecord'
-import { hasMajority } from '../waitForSpread'
+import { hasPropagated } from '../waitForPropagation'
 
 const SEED = 20261202
 
@@ -18,7 +18,7 @@
     const agents = fc.array(fc.record({ hadVersion: fc.boolean(), respondedThen: fc.boolean(), answers: fc.boolean() }), { minLength: 1, maxLength: 12 })
     fc.assert(fc.property(agents, plan => {
       const accepted = plan.map(({ hadVersion, respondedThen }, index) => member(index, hadVersion ? 2 : 1, respondedThen))
-      if (!hasMajority(accepted.map(record => record.view), 2)) return
+      if (!hasPropagated(accepted.map(record => record.view), 2)) return
       const source = chooseSource(plan.map(({ hadVersion, answers }, index) => member(index, hadVersion ? 2 : 1, answers)))
       expect(source?.view.configurationVersion ?? 2).toBe(2)
     }), { seed: SEED, numRuns: 5000 })
--- a/packages/anvilarch-daemon/src/membership/__tests__/startMembership.test.ts
+++ b/packages/anvilarch-daemon/src/membership/__tests__/startMembership.test.ts
@@ -47,15 +47,15 @@
   it('is initialized only once every listed agent was queried', async () => {
     const fleet = await startFleet(2)
     fleet.agents[1].fault = 'silent'
-    expect(fleet.directory.isSettled()).toBe(false)
+    expect(fleet.directory.isInitialized()).toBe(false)
     await fleet.clock.advanceAsync(500)
     expect(fleet.agents[0].exchanges.length).toBeGreaterThan(0)
-    expect(fleet.directory.isSettled()).toBe(false)
+    expect(fleet.directory.isInitialized()).toBe(false)
     await fleet.clock.advanceAsync(5000)
-    expect(fleet.directory.isSettled()).toBe(true)
+    expect(fleet.directory.isInitialized()).toBe(true)
     fleet.hosts.push(hostEntry('10.0.0.1:9'))
     await fleet.clock.advanceAsync(2500)
-    expect(fleet.directory.isSettled()).toBe(true)
+    expect(fleet.directory.isInitialized()).toBe(true)
   })
 
   it('pushes a change to 340 agents within the activation time', async () => {
--- a/packages/anvilarch-daemon/src/membership/configurationSync.ts
+++ b/packages/anvilarch-daemon/src/membership/configurationPropagation.ts
@@ -1,5 +1,5 @@
 /**
- * Synchronizes the configuration between this gateway and the agents: pushes it to agents with an older version, pulls it from
+ * Propagates the configuration between this gateway and the agents: pushes it to agents with an older version, pulls it from
  * an agent with a newer one.
  *
  * Agents rarely poll the table, so the push is what activates a change within seconds. It is independent of the exchange
@@ -10,14 +10,14 @@
 import type { MutableDirectory } from './agentDirectory'
 import type { MemberRecord } from './memberRecord'
 
-/** Dependencies of `createConfigurationSync`. */
-export interface ConfigurationSyncParts {
+/** Dependencies of `createConfigurationPropagation`. */
+export interface ConfigurationPropagationParts {
   clients: AgentClients
   directory: MutableDirectory
 }
 
-/** Synchronization of the configuration with the agents. */
-export interface ConfigurationSync {
+/** Propagation of the configuration between this gateway and the agents. */
+export interface ConfigurationPropagation {
   /** Called after a response to an exchange; the version of the agent may differ from this gateway's. */
   onResponse: (address: string) => void
   stop: () => void
@@ -33,9 +33,9 @@
 /**
  * @param context - shared context of the daemon
  * @param parts - clients and directory
- * @returns synchronization, which also reacts to changes of the configuration
+ * @returns propagation, which also reacts to changes of the configuration
  */
-export function createConfigurationSync (context: DaemonContext, parts: ConfigurationSyncParts): ConfigurationSync {
+export function createConfigurationPropagation (context: DaemonContext, parts: ConfigurationPropagationParts): ConfigurationPropagation {
   const { configuration, logger } = context
   const { clients, directory } = parts
   const stopping = new AbortController()
--- a/packages/anvilarch-daemon/src/membership/memberRecord.ts
+++ b/packages/anvilarch-daemon/src/membership/memberRecord.ts
@@ -43,8 +43,8 @@
   quarantineSequence: number
 }
 
-/** Consecutive failed exchanges after which an agent counts as unreachable. */
-export const MAX_CONSECUTIVE_FAILURES = 2
+/** An agent counts as unreachable after this many consecutive exchanges without a response. */
+export const MAX_MISSED_EXCHANGES = 2
 
 /**
  * @param entry - entry of the host list
@@ -169,7 +169,7 @@
  */
 export function afterExchangeFailure (record: MemberRecord): MemberRecord {
   const misses = record.misses + 1
-  return withState({ ...record, asking: false, misses, answers: record.answers && misses < MAX_CONSECUTIVE_FAILURES })
+  return withState({ ...record, asking: false, misses, answers: record.answers && misses < MAX_MISSED_EXCHANGES })
 }
 
 /**
--- a/packages/anvilarch-daemon/src/membership/startMembership.ts
+++ b/packages/anvilarch-daemon/src/membership/startMembership.ts
@@ -6,7 +6,7 @@
 import type { AgentClients } from '../peers/types'
 import type { QuarantineLog } from '../quarantine/types'
 import { createAgentDirectory, type MutableDirectory } from './agentDirectory'
-import { createConfigurationSync } from './configurationSync'
+import { createConfigurationPropagation } from './configurationPropagation'
 import { DEFAULT_OPTIONS, isRemovable, selectDue, type ScheduleOptions } from './exchangeSchedule'
 import { afterExchangeResponse, afterExchangeSent, afterHostList, afterExchangeFailure, type MemberRecord, newMember } from './memberRecord'
 import { updateShortage, isShortOfEndpoints, type Shortage, MAX_SHORTAGE_MS } from './shortage'
@@ -25,7 +25,7 @@
    * Whether the host list was read and every listed agent was queried once. A gateway that accepted work earlier would reject
    * it for lack of endpoints, although they exist.
    */
-  isSettled: () => boolean
+  isInitialized: () => boolean
 }
 
 /** Relative jitter of the poll interval of the host list. */
@@ -54,7 +54,7 @@
   const { clock, settings } = context
   const options: ScheduleOptions = { ...DEFAULT_OPTIONS, intervalMs: settings.gateway.exchangeIntervalMs }
   const directory = createAgentDirectory(context)
-  const configurationSync = createConfigurationSync(context, { clients: parts.clients, directory })
+  const propagation = createConfigurationPropagation(context, { clients: parts.clients, directory })
   const stopping = new AbortController()
   let listedCount = 0
   let shortage: Shortage | undefined
@@ -109,7 +109,7 @@
     for (const record of directory.records()) {
       if (!isRemovable(record, clock.nowMs(), options)) continue
       directory.remove(record.address)
-      parts.clients.forget(record.address)
+      parts.clients.remove(record.address)
     }
   }
 
@@ -131,13 +131,13 @@
       const updated = afterExchangeResponse(record, response, clock.nowMs())
       directory.put(hasAllFingerprints(record, updated, response) ? { ...updated, quarantineSequence: quarantined.sequence } : updated)
       for (const fingerprint of response.suspects) parts.suspects.add(fingerprint)
-      configurationSync.onResponse(address)
+      propagation.onResponse(address)
     } catch (error) {
       if (stopping.signal.aborted) return
       const record = directory.record(address)
       if (record !== undefined) directory.put(afterExchangeFailure(record))
       // The connection may stay unresponsive while a new one would work, so the next exchange uses a new connection.
-      parts.clients.renew(address, 'control', client)
+      parts.clients.reconnect(address, 'control', client)
       context.logger.debug('an exchange was not answered', { peer: address, error: String(error) })
     }
   }
@@ -169,7 +169,7 @@
     },
     stop: async () => {
       stopping.abort()
-      configurationSync.stop()
+      propagation.stop()
       await Promise.all(loops)
     }
   })
@@ -179,7 +179,7 @@
       detectPause()
       return catchingUp
     },
-    isSettled: () => {
+    isInitialized: () => {
       initialized ||= listRead && directory.records().every(wasQueried)
       return initialized
     }
--- a/packages/anvilarch-daemon/src/membership/waitForSpread.ts
+++ b/packages/anvilarch-daemon/src/membership/waitForPropagation.ts
@@ -7,7 +7,7 @@
  * @param version - configuration version
  * @returns whether a majority has this version or a later one
  */
-export function hasMajority (agents: AgentView[], version: number): boolean {
+export function hasPropagated (agents: AgentView[], version: number): boolean {
   const current = agents.filter(agent => agent.state !== 'unreachable' && agent.configurationVersion >= version)
   return agents.length === 0 || current.length * 2 > agents.length
 }
@@ -23,8 +23,8 @@
  * @param timeoutMs - maximum wait
  * @returns whether a majority has this version or a later one
  */
-export async function waitForSpread (directory: AgentDirectory, version: number, clock: Clock, timeoutMs: number): Promise<boolean> {
-  if (hasMajority(directory.list(), version)) return true
+export async function waitForPropagation (directory: AgentDirectory, version: number, clock: Clock, timeoutMs: number): Promise<boolean> {
+  if (hasPropagated(directory.list(), version)) return true
   return await new Promise<boolean>(resolve => {
     const finish = (isDone: boolean): void => {
       timer.cancel()
@@ -33,7 +33,7 @@
     }
     const timer = clock.after(timeoutMs, () => { finish(false) })
     const unsubscribe = directory.onChange(() => {
-      if (hasMajority(directory.list(), version)) finish(true)
+      if (hasPropagated(directory.list(), version)) finish(true)
     })
   })
 }
--- a/packages/anvilarch-daemon/src/operations/adminRoutes.ts
+++ b/packages/anvilarch-daemon/src/operations/adminRoutes.ts
@@ -9,7 +9,7 @@
 import type { DaemonContext } from '../context'
 import type { LeaseObserver } from '../leases/types'
 import type { AgentDirectory, AgentView } from '../membership/types'
-import { waitForSpread } from '../membership/waitForSpread'
+import { waitForPropagation } from '../membership/waitForPropagation'
 import type { AgentClients } from '../peers/types'
 import { sendView } from './adminHttp'
 import { endpointViews, type GatewayView, gatewayViews, isInForce, serviceViews } from './adminViews'
@@ -74,7 +74,7 @@
 async function apply (context: DaemonContext, parts: AdminParts, call: CallerContext): Promise<void> {
   const input = parseApplyInput(parseJsonObject(await readBody(call.request, MAX_BODY_BYTES)), call.caller)
   const result = await applyConfiguration(context, input)
-  if (result.outcome === 'applied') await waitForSpread(parts.directory, result.version, context.clock, SPREAD_TIMEOUT_MS)
+  if (result.outcome === 'applied') await waitForPropagation(parts.directory, result.version, context.clock, SPREAD_TIMEOUT_MS)
   const answer = APPLY_ANSWERS[result.outcome](result as never)
   sendView(call.response, answer.status, answer.body)
 }
--- a/packages/anvilarch-daemon/src/peers/__tests__/agentClients.test.ts
+++ b/packages/anvilarch-daemon/src/peers/__tests__/agentClients.test.ts
@@ -39,18 +39,18 @@
     const { address } = agent.view
     const unresponsive = clients.get(address, 'online')
     await callAgent(unresponsive)
-    const reconnected = Array.from({ length: 50 }, () => clients.renew(address, 'online', unresponsive))
+    const reconnected = Array.from({ length: 50 }, () => clients.reconnect(address, 'online', unresponsive))
     expect(new Set(reconnected).size).toBe(1)
     await callAgent(reconnected[0])
     expect(agent.sessions.size).toBe(2)
-    expect(clients.renew(address, 'online', reconnected[0])).not.toBe(reconnected[0])
+    expect(clients.reconnect(address, 'online', reconnected[0])).not.toBe(reconnected[0])
   })
 
   it('destroys a replaced connection after a timeout', async () => {
     const { address } = agent.view
     const unresponsive = clients.get(address, 'online')
     await callAgent(unresponsive)
-    await callAgent(clients.renew(address, 'online', unresponsive))
+    await callAgent(clients.reconnect(address, 'online', unresponsive))
     clock.advance(4_999)
     expect(agent.sessions.size).toBe(2)
     clock.advance(1)
@@ -60,7 +60,7 @@
   it('destroys all connections to a removed agent', async () => {
     const { address } = agent.view
     await Promise.all([callAgent(clients.get(address, 'online')), callAgent(clients.get(address, 'control'))])
-    clients.forget(address)
+    clients.remove(address)
     clock.advance(5_000)
     await waitUntil(() => agent.sessions.size === 0)
   })
--- a/packages/anvilarch-daemon/src/peers/agentClients.ts
+++ b/packages/anvilarch-daemon/src/peers/agentClients.ts
@@ -75,14 +75,14 @@
 
   return {
     get,
-    renew: (address, channel, unresponsive) => {
+    reconnect: (address, channel, unresponsive) => {
       const known = connections.get(address)?.get(channel)
       if (known === undefined) return open(address, channel).client
       if (unresponsive !== undefined && known.client !== unresponsive) return known.client
       closeLater(known)
       return open(address, channel).client
     },
-    forget: address => {
+    remove: address => {
       for (const connection of connections.get(address)?.values() ?? []) closeLater(connection)
       connections.delete(address)
     },
--- a/packages/anvilarch-daemon/src/peers/attemptSession.ts
+++ b/packages/anvilarch-daemon/src/peers/attemptSession.ts
@@ -9,7 +9,7 @@
 } from 'anvilarch-protocol'
 import { AnvilarchError } from 'anvilarch-utils'
 import { createFrameQueue, type FrameQueue } from './frameQueue'
-import { createTurnBatch, type TurnBatch } from './turnBatch'
+import { createMessageBatcher, type MessageBatcher } from './messageBatcher'
 import type { AgentClient } from './types'
 
 /** An open call that multiplexes attempts. */
@@ -42,7 +42,7 @@
  */
 export function openAttemptSession (options: AttemptSessionOptions): AttemptSession {
   const streams = new Map<number, FrameQueue>()
-  const outbox = createTurnBatch<SessionCommand>()
+  const outbox = createMessageBatcher<SessionCommand>()
   const abort = new AbortController()
   let lastStream = 0
   let ended = false
@@ -113,6 +113,6 @@
   }
 }
 
-async function * requests (outbox: TurnBatch<SessionCommand>): AsyncGenerator<SessionRequest> {
+async function * requests (outbox: MessageBatcher<SessionCommand>): AsyncGenerator<SessionRequest> {
   for await (const commands of outbox.batches()) yield create(SessionRequestSchema, { commands })
 }
--- a/packages/anvilarch-daemon/src/peers/turnBatch.ts
+++ b/packages/anvilarch-daemon/src/peers/messageBatcher.ts
@@ -1,7 +1,7 @@
 /** Combines the items that are added in one turn of the event loop, or while the transport is busy, into one message. */
 
 /** Collects items into batches, each of which is sent as one message. */
-export interface TurnBatch<Item> {
+export interface MessageBatcher<Item> {
   put: (item: Item) => void
   /** Ends `batches`; items that were not yet returned are discarded. */
   close: () => void
@@ -10,7 +10,7 @@
 }
 
 /** @returns an empty batcher */
-export function createTurnBatch<Item> (): TurnBatch<Item> {
+export function createMessageBatcher<Item> (): MessageBatcher<Item> {
   let items: Item[] = []
   let closed = false
   let wake: () => void = () => {}
--- a/packages/anvilarch-daemon/src/peers/types.ts
+++ b/packages/anvilarch-daemon/src/peers/types.ts
@@ -17,8 +17,8 @@
    *
    * @param unresponsive - client of the unresponsive connection; if omitted, the current connection is replaced
    */
-  renew: (address: string, channel: Channel, unresponsive?: AgentClient) => AgentClient
+  reconnect: (address: string, channel: Channel, unresponsive?: AgentClient) => AgentClient
   /** Removes the connections to an agent that no longer exists. */
-  forget: (address: string) => void
+  remove: (address: string) => void
   close: () => Promise<void>
 }
--- a/packages/anvilarch-daemon/src/roles/startGatewayRole.ts
+++ b/packages/anvilarch-daemon/src/roles/startGatewayRole.ts
@@ -73,7 +73,7 @@
   return {
     readiness: () => {
       if (callers.state() !== 'serving') return { ready: false, reason: 'draining' }
-      return directory.isSettled() ? { ready: true, reason: '' } : { ready: false, reason: 'agents not asked yet' }
+      return directory.isInitialized() ? { ready: true, reason: '' } : { ready: false, reason: 'agents not asked yet' }
     },
     drain: async () => { await Promise.all([callers.drain(), jobs.drain()]) }
   }
