--- a/packages/anvilarch-daemon/src/admission/__tests__/admissionHistory.test.ts
+++ b/packages/anvilarch-daemon/src/admission/__tests__/admissionHistory.test.ts
@@ -120,7 +120,7 @@
         must(phase === (command.kind === 'start' ? 'waiting' : 'parked'), `${command.kind} of "${command.id}", which is ${phase ?? 'unknown'}`)
         must(!this.draining && !this.down, `"${command.id}" was started in a drain or on an endpoint that is down`)
         this.phases.set(command.id, 'running')
-        const runningIds = this.holders()
+        const runningIds = this.occupyingIds()
         if (this.state.running.get(command.id)?.isProtected === true) this.protectedIds.add(command.id)
         must(this.protectedIds.size === 0 || this.idsIn(['running', 'preempting']).filter(id => this.protectedIds.has(id)).length <= 1, 'more items are protected than the limit allows')
         must(runningIds.length === 1 || !runningIds.some(id => this.isolated.has(id)), `"${command.id}" runs beside an isolated attempt`)
@@ -141,7 +141,7 @@
     }
   }
 
-  private holders (): string[] {
+  private occupyingIds (): string[] {
     return this.idsIn(['running', 'preempting'])
   }
 
@@ -156,7 +156,7 @@
 
   private check (): void {
     const load = admissionLoad(this.state)
-    must(load.runningOnline + load.runningBatch === this.holders().length, 'the load report does not match the running attempts')
+    must(load.runningOnline + load.runningBatch === this.occupyingIds().length, 'the load report does not match the running attempts')
     must(load.queued === this.idsIn(['waiting', 'parked']).length, 'the load report does not match the waiting attempts')
     must(this.state.batchLimit.limit <= OPTIONS.slots, 'the batch limit is above the slots')
   }
--- a/packages/anvilarch-daemon/src/membership/configurationPropagation.ts
+++ b/packages/anvilarch-daemon/src/membership/configurationPropagation.ts
@@ -25,7 +25,7 @@
 
 /** Maximum of pushes in progress. */
 const MAX_PUSHES = 8
-/** Timeout of a push or a pull. */
+/** Timeout of a push or a pull, which is then retried. */
 const TRANSFER_TIMEOUT_MS = 3000
 /** Delay before a failed push is retried; the next exchange may be a minute later. */
 const RETRY_MS = 1000
--- a/packages/anvilarch-daemon/src/membership/memberRecord.ts
+++ b/packages/anvilarch-daemon/src/membership/memberRecord.ts
@@ -35,7 +35,7 @@
   doubtedMs: number
   /** Time at which an attempt found an endpoint down, by endpoint name. */
   downMs: ReadonlyMap<string, number>
-  /** Time since which an endpoint has been starting or loading a model. */
+  /** Time since which an endpoint has been not ready or loading a model. */
   changingSinceMs: number | undefined
   /** Time at which the last order was sent to it. */
   orderedMs: number
--- a/packages/anvilarch-daemon/src/membership/startMembership.ts
+++ b/packages/anvilarch-daemon/src/membership/startMembership.ts
@@ -30,7 +30,7 @@
 
 /** Relative jitter of the poll interval of the host list. */
 const POLL_JITTER = 0.2
-/** Poll interval of the host list per entry: the list of 340 hosts has about 50 KB, too much to read every two seconds. */
+/** Minimum poll interval per entry: reading the list of 340 hosts (some 50 KB) every two seconds would use the whole byte budget. */
 const HOST_POLL_MS_PER_ENTRY = 12
 /**
  * After a longer process pause the host list is read before new work is sent. Otherwise an agent that started draining meanwhile
--- a/packages/anvilarch-daemon/src/placement/__tests__/startPlacement.test.ts
+++ b/packages/anvilarch-daemon/src/placement/__tests__/startPlacement.test.ts
@@ -7,7 +7,7 @@
 import { DEFAULT_OPTIONS, type PlacementParts, startPlacement } from '../startPlacement'
 import type { PlannedOrder } from '../types'
 
-interface Rig {
+interface TestSetup {
   clock: FakeClock
   engines: SimulatedEngine[]
   orders: OrderRequest[]
@@ -19,18 +19,18 @@
   hooks: { onPlan: () => void, losesResponse: (order: OrderRequest) => boolean, dropsRequest: (order: OrderRequest) => boolean }
 }
 
-async function start (replicas: number, maxLoads = 2): Promise<Rig> {
+async function start (replicas: number, maxLoads = 2): Promise<TestSetup> {
   const clock = createFakeClock()
   const engines = createEngines(4, ['bole-hall', 'kirkos-hall'])
-  const rig: Rig = { clock, engines, orders: [], lease: { epoch: undefined }, fence: { token: 0 }, hooks: { onPlan: () => {}, losesResponse: () => false, dropsRequest: () => false } }
+  const setup: TestSetup = { clock, engines, orders: [], lease: { epoch: undefined }, fence: { token: 0 }, hooks: { onPlan: () => {}, losesResponse: () => false, dropsRequest: () => false } }
   const order = async (request: OrderRequest): Promise<unknown> => {
-    rig.orders.push(request)
-    if (rig.hooks.dropsRequest(request)) throw new Error('the connection was lost')
-    if (Number(request.fencingToken) < rig.fence.token) return { outcome: 'refused', reason: 'stale_fencing_token', fencingToken: BigInt(rig.fence.token) }
-    rig.fence.token = Number(request.fencingToken)
+    setup.orders.push(request)
+    if (setup.hooks.dropsRequest(request)) throw new Error('the connection was lost')
+    if (Number(request.fencingToken) < setup.fence.token) return { outcome: 'refused', reason: 'stale_fencing_token', fencingToken: BigInt(setup.fence.token) }
+    setup.fence.token = Number(request.fencingToken)
     const engine = engines[Number(requestAgent)]
     EFFECTS[request.action as PlannedOrder['action']](engine, { ...request, agent: engine.name } as unknown as PlannedOrder)
-    if (rig.hooks.losesResponse(request)) throw new Error('response lost')
+    if (setup.hooks.losesResponse(request)) throw new Error('response lost')
     return { outcome: 'started', reason: '', fencingToken: request.fencingToken }
   }
   let requestAgent = ''
@@ -38,15 +38,15 @@
   const directory: PlacementParts['directory'] = {
     noteOrdered: () => {},
     list: () => {
-      rig.hooks.onPlan()
+      setup.hooks.onPlan()
       return toViews(engines)
     },
     get: (name: string) => toViews(engines).find(view => view.name === name)
   }
   const configuration = { current: () => ({ document: documentOf({ writer: { replicas } }, maxLoads) }) }
   const context = { clock, logger: SILENT_LOGGER, timeline: createTimeline({ clock, process: 'g', capacity: 100 }), configuration } as unknown as DaemonContext
-  await startPlacement(context, { lease: { epoch: () => rig.lease.epoch }, directory, clients }, createLifecycleManager({ clock }))
-  return rig
+  await startPlacement(context, { lease: { epoch: () => setup.lease.epoch }, directory, clients }, createLifecycleManager({ clock }))
+  return setup
 }
 
 const violations: string[] = []
@@ -54,85 +54,85 @@
 
 describe('startPlacement', () => {
   it('sends no orders without the lease, or before the settling time of a new holder is over', async () => {
-    const rig = await start(3)
-    await rig.clock.advanceAsync(20_000)
-    rig.lease.epoch = 4
-    await rig.clock.advanceAsync(DEFAULT_OPTIONS.settleMs - 1000)
-    expect(rig.orders).toEqual([])
-    await rig.clock.advanceAsync(3000)
-    expect(rig.orders.map(order => [order.action, order.fencingToken])).toEqual([['load', 4n], ['load', 4n]])
+    const setup = await start(3)
+    await setup.clock.advanceAsync(20_000)
+    setup.lease.epoch = 4
+    await setup.clock.advanceAsync(DEFAULT_OPTIONS.settleMs - 1000)
+    expect(setup.orders).toEqual([])
+    await setup.clock.advanceAsync(3000)
+    expect(setup.orders.map(order => [order.action, order.fencingToken])).toEqual([['load', 4n], ['load', 4n]])
   })
 
   // Guards against two gateways that send orders at the same time.
   it('sends no order if the lease expires between planning and sending', async () => {
-    const rig = await start(3)
-    rig.lease.epoch = 4
-    await rig.clock.advanceAsync(DEFAULT_OPTIONS.settleMs + 500)
-    rig.hooks.onPlan = () => { rig.lease.epoch = undefined }
-    await rig.clock.advanceAsync(10_000)
-    expect(rig.orders).toEqual([])
+    const setup = await start(3)
+    setup.lease.epoch = 4
+    await setup.clock.advanceAsync(DEFAULT_OPTIONS.settleMs + 500)
+    setup.hooks.onPlan = () => { setup.lease.epoch = undefined }
+    await setup.clock.advanceAsync(10_000)
+    expect(setup.orders).toEqual([])
     expect(violations).toEqual([])
   })
 
   // Guards against a new holder that reverts the latest orders of its predecessor.
   it('sends no order of a plan that was made under an earlier epoch', async () => {
-    const rig = await start(3)
-    rig.lease.epoch = 4
-    await rig.clock.advanceAsync(DEFAULT_OPTIONS.settleMs + 500)
-    rig.hooks.onPlan = () => { rig.lease.epoch = 6 }
-    await rig.clock.advanceAsync(2000)
-    expect(rig.orders).toEqual([])
-    await rig.clock.advanceAsync(DEFAULT_OPTIONS.settleMs + 2000)
-    expect(new Set(rig.orders.map(order => order.fencingToken))).toEqual(new Set([6n]))
+    const setup = await start(3)
+    setup.lease.epoch = 4
+    await setup.clock.advanceAsync(DEFAULT_OPTIONS.settleMs + 500)
+    setup.hooks.onPlan = () => { setup.lease.epoch = 6 }
+    await setup.clock.advanceAsync(2000)
+    expect(setup.orders).toEqual([])
+    await setup.clock.advanceAsync(DEFAULT_OPTIONS.settleMs + 2000)
+    expect(new Set(setup.orders.map(order => order.fencingToken))).toEqual(new Set([6n]))
   })
 
   it('has no effect when agents reject orders for an outdated epoch, and backs off before it sends another one', async () => {
-    const rig = await start(1)
-    rig.fence.token = 9
-    rig.lease.epoch = 4
-    await rig.clock.advanceAsync(DEFAULT_OPTIONS.settleMs + DEFAULT_OPTIONS.failureBackoffMs)
-    expect(rig.engines.every(engine => engine.models.length === 0)).toBe(true)
-    expect(rig.orders.length).toBeLessThanOrEqual(rig.engines.length)
+    const setup = await start(1)
+    setup.fence.token = 9
+    setup.lease.epoch = 4
+    await setup.clock.advanceAsync(DEFAULT_OPTIONS.settleMs + DEFAULT_OPTIONS.failureBackoffMs)
+    expect(setup.engines.every(engine => engine.models.length === 0)).toBe(true)
+    expect(setup.orders.length).toBeLessThanOrEqual(setup.engines.length)
   })
 
   // Guards against an engine that stays idle after a crash until the next regular plan.
   it('orders a load within half a second after an endpoint is ready again', async () => {
-    const rig = await start(4, 4)
-    rig.lease.epoch = 4
-    await rig.clock.advanceAsync(DEFAULT_OPTIONS.settleMs + 1000)
-    finishLoads(rig.engines)
-    await rig.clock.advanceAsync(60_000)
-    rig.engines[0].health = 'crashed'
-    rig.engines[0].models = []
-    await rig.clock.advanceAsync(2000)
-    rig.orders.length = 0
-    rig.engines[0].health = 'ready'
-    await rig.clock.advanceAsync(500)
-    expect(rig.orders.map(order => order.action)).toEqual(['load'])
+    const setup = await start(4, 4)
+    setup.lease.epoch = 4
+    await setup.clock.advanceAsync(DEFAULT_OPTIONS.settleMs + 1000)
+    finishLoads(setup.engines)
+    await setup.clock.advanceAsync(60_000)
+    setup.engines[0].health = 'crashed'
+    setup.engines[0].models = []
+    await setup.clock.advanceAsync(2000)
+    setup.orders.length = 0
+    setup.engines[0].health = 'ready'
+    await setup.clock.advanceAsync(500)
+    expect(setup.orders.map(order => order.action)).toEqual(['load'])
   })
 
   // Guards against an endpoint that stays idle for a minute because its order was lost in transit.
   it('repeats an order that never arrived after a short timeout', async () => {
-    const rig = await start(1)
-    rig.hooks.dropsRequest = () => true
-    rig.lease.epoch = 4
-    await rig.clock.advanceAsync(DEFAULT_OPTIONS.settleMs + 1000)
-    expect(rig.orders.map(order => order.action)).toEqual(['load'])
-    rig.hooks.dropsRequest = () => false
-    await rig.clock.advanceAsync(DEFAULT_OPTIONS.graceMs + DEFAULT_OPTIONS.intervalMs)
-    expect(rig.orders.map(order => order.action)).toEqual(['load', 'load'])
-    await rig.clock.advanceAsync(60_000)
-    expect(rig.engines.filter(engine => engine.models.length > 0)).toHaveLength(1)
+    const setup = await start(1)
+    setup.hooks.dropsRequest = () => true
+    setup.lease.epoch = 4
+    await setup.clock.advanceAsync(DEFAULT_OPTIONS.settleMs + 1000)
+    expect(setup.orders.map(order => order.action)).toEqual(['load'])
+    setup.hooks.dropsRequest = () => false
+    await setup.clock.advanceAsync(DEFAULT_OPTIONS.graceMs + DEFAULT_OPTIONS.intervalMs)
+    expect(setup.orders.map(order => order.action)).toEqual(['load', 'load'])
+    await setup.clock.advanceAsync(60_000)
+    expect(setup.engines.filter(engine => engine.models.length > 0)).toHaveLength(1)
   })
 
   // Guards against loading the same weights on two endpoints for one replica.
   it('counts an order whose response was lost until the endpoint reports its state', async () => {
-    const rig = await start(1)
-    rig.hooks.losesResponse = () => true
-    rig.lease.epoch = 4
-    await rig.clock.advanceAsync(DEFAULT_OPTIONS.settleMs + 10_000)
-    finishLoads(rig.engines)
-    await rig.clock.advanceAsync(10_000)
-    expect(rig.orders.map(order => order.action)).toEqual(['load', 'assign'])
+    const setup = await start(1)
+    setup.hooks.losesResponse = () => true
+    setup.lease.epoch = 4
+    await setup.clock.advanceAsync(DEFAULT_OPTIONS.settleMs + 10_000)
+    finishLoads(setup.engines)
+    await setup.clock.advanceAsync(10_000)
+    expect(setup.orders.map(order => order.action)).toEqual(['load', 'assign'])
   })
 })
