--- a/packages/anvilarch-daemon/src/admission/batchLimit.ts
+++ b/packages/anvilarch-daemon/src/admission/batchLimit.ts
@@ -1,50 +1,51 @@
 /**
- * How many batch items may run. Without online work the limit is all slots. As soon as online work
- * arrives, the limit falls at once to what the measured times allow beside it; from then on it is corrected by what
- * online work experiences: down by a factor when a time passes its allowance, up by one when there is room.
+ * Limits the number of batch items that run concurrently. Without online work the limit is all slots. When online work
+ * arrives, the limit drops immediately to what the step-time model allows beside it. From then on it is adjusted by the
+ * latencies of online work: multiplied by a factor below 1 when a latency exceeds its allowance, incremented by one when
+ * all are well below it.
  */
 import type { BatchPolicy } from 'anvilarch-configuration'
 import { clearSamples, type Measures, quantile } from './measures'
 import { createStepTimeFit, type StepTimeFit, stepTimeLine } from './stepTime'
 
-/** State of the limit. */
+/** State of the batch limit. */
 export interface BatchLimit {
-  /** In force now. */
+  /** Current limit. */
   limit: number
-  /** What online work allowed beside it, by the last corrections. */
+  /** Limit while online work runs, as of the last adjustment. */
   besideOnline: number
   lastOnlineMs: number
   lastAdjustMs: number
   fit: StepTimeFit
 }
 
-/** What the limit depends on. */
+/** Inputs of the batch limit. */
 export interface BatchLimitInput {
   nowMs: number
   slots: number
-  /** Online attempts that run or wait. */
+  /** Online attempts that run or wait for a slot. */
   online: number
   policy: BatchPolicy
   measures: Measures
-  idleHoldMs: number
+  onlineIdleMs: number
   adjustIntervalMs: number
 }
 
-const TAIL = 0.95
-const DECREASE = 0.7
-/** Below this share of its allowance a time leaves room for one more item. */
-const ROOM = 0.9
-const FIRST_GUESS_SHARE = 0.25
+const TAIL_QUANTILE = 0.95
+const DECREASE_FACTOR = 0.7
+/** A latency below this share of its allowance leaves room for one more item. */
+const HEADROOM_SHARE = 0.9
+const INITIAL_SLOT_SHARE = 0.25
 const MIN_SAMPLES = 5
 
 /**
  * @param slots - slots of the endpoint
- * @returns the limit to begin with
+ * @returns initial state of the limit
  */
 export function createBatchLimit (slots: number): BatchLimit {
   return {
     limit: 1,
-    besideOnline: Math.max(1, Math.floor(slots * FIRST_GUESS_SHARE)),
+    besideOnline: Math.max(1, Math.floor(slots * INITIAL_SLOT_SHARE)),
     lastOnlineMs: -Infinity,
     lastAdjustMs: -Infinity,
     fit: createStepTimeFit()
@@ -52,62 +53,64 @@
 }
 
 /**
- * Online work arrived: the limit falls before the first harm is measured.
+ * Lowers the limit when online work arrives, before an increased latency can be measured.
  *
- * @param state - the limit
- * @param input - the endpoint's state with the new arrival
+ * @param state - modified in place
+ * @param input - state of the endpoint including the arrival
  */
-export function noteOnlineArrival (state: BatchLimit, input: BatchLimitInput): void {
+export function limitForOnlineArrival (state: BatchLimit, input: BatchLimitInput): void {
   state.lastOnlineMs = input.nowMs
   state.limit = Math.min(state.limit, allowedBesideOnline(state, input))
 }
 
 /**
- * @param state - the limit
- * @param input - the endpoint's state
+ * Adjusts the limit to the measured latencies.
+ *
+ * @param state - modified in place
+ * @param input - state of the endpoint
  */
 export function adjustBatchLimit (state: BatchLimit, input: BatchLimitInput): void {
   if (input.online > 0) state.lastOnlineMs = input.nowMs
-  if (input.nowMs - state.lastOnlineMs > input.idleHoldMs) {
-    // Samples of this burst say nothing of the next one.
+  if (input.nowMs - state.lastOnlineMs > input.onlineIdleMs) {
+    // Samples of the last burst of online work do not apply to the next one.
     clearSamples(input.measures.firstToken)
     clearSamples(input.measures.interToken)
     state.limit = input.slots
     return
   }
-  if (input.nowMs - state.lastAdjustMs >= input.adjustIntervalMs) correct(state, input)
+  if (input.nowMs - state.lastAdjustMs >= input.adjustIntervalMs) adjustBesideOnline(state, input)
   state.limit = Math.min(input.slots, allowedBesideOnline(state, input))
 }
 
-function correct (state: BatchLimit, input: BatchLimitInput): void {
+function adjustBesideOnline (state: BatchLimit, input: BatchLimitInput): void {
   const { firstToken, interToken } = input.measures
   if (firstToken.count + interToken.count < MIN_SAMPLES) return
   state.lastAdjustMs = input.nowMs
-  const pressure = Math.max(
-    pressureOf(quantile(firstToken, TAIL), input.measures.quietFirstTokenMs, input.policy.firstTokenTargetMs, input.policy),
-    pressureOf(quantile(interToken, TAIL), quietInterTokenMs(state, input), input.policy.interTokenTargetMs, input.policy)
+  const highestRatio = Math.max(
+    latencyRatio(quantile(firstToken, TAIL_QUANTILE), input.measures.baselineFirstTokenMs, input.policy.firstTokenTargetMs, input.policy),
+    latencyRatio(quantile(interToken, TAIL_QUANTILE), baselineInterTokenMs(state, input), input.policy.interTokenTargetMs, input.policy)
   )
-  if (pressure > 1) {
-    state.besideOnline = Math.floor(Math.min(state.besideOnline, input.slots) * DECREASE)
-    // The samples tell of the limit that was; the next correction must see only those of the new one.
+  if (highestRatio > 1) {
+    state.besideOnline = Math.floor(Math.min(state.besideOnline, input.slots) * DECREASE_FACTOR)
+    // The samples were taken under the previous limit; the next adjustment must only use samples of the new one.
     clearSamples(firstToken)
     clearSamples(interToken)
-  } else if (pressure < ROOM) {
+  } else if (highestRatio < HEADROOM_SHARE) {
     state.besideOnline = Math.min(input.slots, state.besideOnline + 1)
   }
 }
 
-// A time of online work against what it may reach: its value without batch, and a share of the way to its target.
-function pressureOf (measuredMs: number, quietMs: number, targetMs: number, policy: BatchPolicy): number {
-  return measuredMs / allowedMs(quietMs, targetMs, policy)
+// Ratio of a latency of online work to its allowance: the baseline without batch work plus a share of the slack to the target.
+function latencyRatio (measuredMs: number, baselineMs: number, targetMs: number, policy: BatchPolicy): number {
+  return measuredMs / allowedMs(baselineMs, targetMs, policy)
 }
 
-function allowedMs (quietMs: number, targetMs: number, policy: BatchPolicy): number {
-  const slackMs = Math.max(0, targetMs - quietMs)
-  return quietMs + slackMs * policy.slackSharePercent / 100
+function allowedMs (baselineMs: number, targetMs: number, policy: BatchPolicy): number {
+  const slackMs = Math.max(0, targetMs - baselineMs)
+  return baselineMs + slackMs * policy.slackSharePercent / 100
 }
 
-function quietInterTokenMs (state: BatchLimit, input: BatchLimitInput): number {
+function baselineInterTokenMs (state: BatchLimit, input: BatchLimitInput): number {
   const line = stepTimeLine(state.fit)
   return line === undefined ? 0 : line.baseMs + line.perAttemptMs * input.online
 }
@@ -115,7 +118,7 @@
 function allowedBesideOnline (state: BatchLimit, input: BatchLimitInput): number {
   const line = stepTimeLine(state.fit)
   if (line === undefined) return state.besideOnline
-  const quietMs = line.baseMs + line.perAttemptMs * input.online
-  const roomMs = allowedMs(quietMs, input.policy.interTokenTargetMs, input.policy) - quietMs
-  return Math.min(state.besideOnline, Math.max(0, Math.floor(roomMs / line.perAttemptMs)))
+  const baselineMs = line.baseMs + line.perAttemptMs * input.online
+  const headroomMs = allowedMs(baselineMs, input.policy.interTokenTargetMs, input.policy) - baselineMs
+  return Math.min(state.besideOnline, Math.max(0, Math.floor(headroomMs / line.perAttemptMs)))
 }
--- a/packages/anvilarch-daemon/src/leases/startSingleLease.ts
+++ b/packages/anvilarch-daemon/src/leases/startSingleLease.ts
@@ -1,4 +1,4 @@
-/** A duty with one holder in the fleet: a lease row whose epoch is the fencing token of all that is done under it. */
+/** A lease with at most one holder in the fleet. The epoch of its row is the fencing token of all actions under the lease. */
 import { randomUUID } from 'node:crypto'
 import type { Row } from 'anvilarch-protocol'
 import { invariant, type LifecycleManager, sleep } from 'anvilarch-utils'
@@ -6,7 +6,7 @@
 import { leaseTimes } from './leaseTimes'
 import type { Heartbeat, LeaseObserver, SingleLease, SingleLeaseRow } from './types'
 
-/** What a single lease needs. */
+/** Options of `startSingleLease`. */
 export interface SingleLeaseOptions {
   /** Key of the lease row. */
   key: string
@@ -14,19 +14,19 @@
   heartbeat: Heartbeat
 }
 
-/** Share by which the time between two looks at the row varies. */
-const LOOK_JITTER = 0.2
+/** Relative jitter of the interval between two polls of the row. */
+const POLL_JITTER = 0.2
 
-/** What this gateway last learned of its hold. */
-interface Hold {
+/** The lease as held by this gateway at the last read of the row. */
+interface HeldLease {
   epoch: number
-  /** Lapses of the heartbeat when the row was read. A later lapse makes the hold doubtful until it is read again. */
+  /** Lapse count of the heartbeat when the row was read. After a later lapse the lease is not used until the row is read again. */
   lapses: number
 }
 
 /**
- * @param context - shared parts of the daemon
- * @param lifecycle - gives the lease back and stops the looks at the row
+ * @param context - shared context of the daemon
+ * @param lifecycle - stops polling and releases the lease
  * @param options - row key, observer and heartbeat
  * @returns the lease, which this gateway may or may not hold
  */
@@ -37,11 +37,11 @@
   const { heartbeat, key, observer } = options
   const times = leaseTimes(context.settings.gateway.leaseMs)
   const stopping = new AbortController()
-  let hold: Hold | undefined
+  let held: HeldLease | undefined
   let highestEpoch = 0
   let loop: Promise<void> | undefined
 
-  const noteEpoch = (epoch: number): void => {
+  const recordEpoch = (epoch: number): void => {
     invariant(epoch >= highestEpoch, 'lease_epoch_grows', () => `row "${key}" went from epoch ${highestEpoch} to ${epoch}`)
     highestEpoch = epoch
   }
@@ -58,28 +58,28 @@
   const isFree = (value: SingleLeaseRow | undefined): boolean =>
     value === undefined || value.holder === '' || observer.stateOf(value.holder) === 'dead'
 
-  /** Reads the row and takes the lease if nobody holds it. A take whose reply was lost shows at the next look. */
-  const look = async (): Promise<void> => {
+  /** Reads the row and acquires the lease if it is free. An acquisition whose response was lost is detected at the next poll. */
+  const poll = async (): Promise<void> => {
     const lapses = heartbeat.lapses()
     const [row] = await platform.table.read([key], stopping.signal)
     const value = row === null ? undefined : JSON.parse(row.value) as SingleLeaseRow
-    noteEpoch(value?.epoch ?? highestEpoch)
+    recordEpoch(value?.epoch ?? highestEpoch)
     if (value?.holder === heartbeat.instance) {
-      hold = { epoch: value.epoch, lapses }
+      held = { epoch: value.epoch, lapses }
       return
     }
-    hold = undefined
+    held = undefined
     if (!heartbeat.holdsLease() || !isFree(value)) return
     const epoch = highestEpoch + 1
     if (!await write(row, { holder: heartbeat.instance, epoch })) return
-    noteEpoch(epoch)
-    hold = { epoch, lapses }
+    recordEpoch(epoch)
+    held = { epoch, lapses }
     context.timeline.record('leases.taken', { detail: { key, epoch } })
   }
 
-  const tryLook = async (): Promise<void> => {
+  const tryPoll = async (): Promise<void> => {
     try {
-      await look()
+      await poll()
     } catch (error) {
       if (!stopping.signal.aborted) context.logger.debug('lease row was not read', { key, error: String(error) })
     }
@@ -87,17 +87,17 @@
 
   const run = async (): Promise<void> => {
     while (!stopping.signal.aborted) {
-      await sleep(clock, context.random.jitter(times.renewalMs, LOOK_JITTER), stopping.signal)
-      if (!stopping.signal.aborted) await tryLook()
+      await sleep(clock, context.random.jitter(times.renewalMs, POLL_JITTER), stopping.signal)
+      if (!stopping.signal.aborted) await tryPoll()
     }
   }
 
-  const giveBack = async (): Promise<void> => {
+  const release = async (): Promise<void> => {
     stopping.abort()
     await loop
-    if (hold === undefined) return
-    const { epoch } = hold
-    hold = undefined
+    if (held === undefined) return
+    const { epoch } = held
+    held = undefined
     const [row] = await platform.table.read([key])
     if (row === null) return
     const value = JSON.parse(row.value) as SingleLeaseRow
@@ -107,16 +107,16 @@
   await lifecycle.start({
     name: `lease ${key}`,
     start: async () => {
-      await tryLook()
+      await tryPoll()
       loop = run()
     },
-    stop: giveBack
+    stop: release
   })
   return {
     epoch: () => {
-      if (hold === undefined || stopping.signal.aborted) return undefined
-      if (!heartbeat.holdsLease() || hold.lapses !== heartbeat.lapses()) return undefined
-      return hold.epoch
+      if (held === undefined || stopping.signal.aborted) return undefined
+      if (!heartbeat.holdsLease() || held.lapses !== heartbeat.lapses()) return undefined
+      return held.epoch
     }
   }
 }
--- a/packages/anvilarch-daemon/src/membership/__tests__/bootstrapConfiguration.test.ts
+++ b/packages/anvilarch-daemon/src/membership/__tests__/bootstrapConfiguration.test.ts
@@ -2,7 +2,7 @@
 import { hostEntry } from '../__fixtures__/fakeAgents'
 import { chooseSource } from '../bootstrapConfiguration'
 import { type MemberRecord, newMember } from '../memberRecord'
-import { isSpread } from '../waitForSpread'
+import { hasPropagated } from '../waitForPropagation'
 
 const SEED = 20261202
 
@@ -13,18 +13,18 @@
 }
 
 describe('chooseSource', () => {
-  // Guards against this: a version that an operator was told is accepted is replaced by the one before.
-  it('finds a version that was spread before the operator was told, whichever agents answer', () => {
-    const agents = fc.array(fc.record({ had: fc.boolean(), answered: fc.boolean(), answers: fc.boolean() }), { minLength: 1, maxLength: 12 })
+  // Guards against reverting to the previous version after a version was reported to an operator as accepted.
+  it('finds a version that a majority had when it was accepted, whichever agents respond', () => {
+    const agents = fc.array(fc.record({ hadVersion: fc.boolean(), respondedThen: fc.boolean(), answers: fc.boolean() }), { minLength: 1, maxLength: 12 })
     fc.assert(fc.property(agents, plan => {
-      const spread = plan.map(({ had, answered }, index) => member(index, had ? 2 : 1, answered))
-      if (!isSpread(spread.map(record => record.view), 2)) return
-      const source = chooseSource(plan.map(({ had, answers }, index) => member(index, had ? 2 : 1, answers)))
+      const accepted = plan.map(({ hadVersion, respondedThen }, index) => member(index, hadVersion ? 2 : 1, respondedThen))
+      if (!hasPropagated(accepted.map(record => record.view), 2)) return
+      const source = chooseSource(plan.map(({ hadVersion, answers }, index) => member(index, hadVersion ? 2 : 1, answers)))
       expect(source?.view.configurationVersion ?? 2).toBe(2)
     }), { seed: SEED, numRuns: 5000 })
   })
 
-  it('has no source while half of the listed agents or more do not answer, or none has a version', () => {
+  it('has no source while half or more of the listed agents do not respond, or none has a version', () => {
     expect(chooseSource([member(0, 3, true), member(1, 3, false)])).toBeUndefined()
     expect(chooseSource([member(0, 0, true)])).toBeUndefined()
     expect(chooseSource([])).toBeUndefined()
--- a/packages/anvilarch-daemon/src/membership/exchangeSchedule.ts
+++ b/packages/anvilarch-daemon/src/membership/exchangeSchedule.ts
@@ -1,33 +1,33 @@
 /**
- * Which agents to ask next. Pure.
+ * Selects the agents with which to exchange state next. Pure.
  *
- * One timer serves all agents: what an idle peer costs is the wake-up, not the message, so a timer for each of 340
- * agents would spend the whole processor share of a gateway on asking. Agents whose answer somebody waits for are asked
- * soon; all others share a small allowance, since replies to requests tell what matters of those that have work.
+ * One timer serves all agents: the cost of an idle peer is the wake-up, not the message, so a timer for each of 340 agents
+ * would use the entire CPU share of a gateway. Agents whose state is awaited are queried soon; all others share a
+ * low rate limit, since the responses to attempts report the state of agents that have work.
  */
 import { isChanging, type MemberRecord } from './memberRecord'
 
-/** Why an agent is asked. */
+/** Why an exchange is due. */
 export type ExchangeReason = 'unknown' | 'changing' | 'routine'
 
 /** Options of the schedule. */
 export interface ScheduleOptions {
-  /** Time between two exchanges with an agent in a small fleet, or with one whose state has been changing for long. */
+  /** Interval between two exchanges with an agent in a small fleet, or with one whose state has been changing for a long time. */
   intervalMs: number
-  /** Time between two exchanges with an agent whose state has begun to change. */
+  /** Interval between two exchanges with an agent whose state has recently started to change. */
   changingIntervalMs: number
-  /** An agent whose state goes on changing is asked no longer than this at the shorter interval. */
+  /** Maximum time for which an agent with a changing state is queried at the shorter interval. */
   changingMs: number
-  /** Time between two looks at the schedule. */
+  /** Interval between two evaluations of the schedule. */
   tickMs: number
-  /** Exchanges a second that this gateway does at most, by their reason. */
+  /** Maximum of exchanges per second of this gateway, by reason. */
   maxPerSecond: Record<ExchangeReason, number>
-  /** Exchanges under way at the same time. */
+  /** Maximum of exchanges in progress. */
   maxConcurrent: number
-  /** An agent that was heard through replies is asked this many times less often. */
-  heardStretch: number
-  /** An agent that neither is on the host list nor was heard for this long is forgotten. */
-  forgetMs: number
+  /** Factor by which the interval is extended for an agent that recently responded to attempts. */
+  respondingIntervalFactor: number
+  /** Time without a response and without an entry in the host list after which an agent is removed. */
+  removalMs: number
 }
 
 /** Defaults of the schedule. */
@@ -37,61 +37,61 @@
   tickMs: 250,
   maxPerSecond: { unknown: 100, changing: 20, routine: 4 },
   maxConcurrent: 32,
-  heardStretch: 2,
-  forgetMs: 60_000
+  respondingIntervalFactor: 2,
+  removalMs: 60_000
 }
 
-/** What the schedule is drawn up from. */
+/** Input of the schedule. */
 export interface ScheduleInput {
   records: MemberRecord[]
-  /** Whether a service waits for endpoints, so that orders of the placement are likely to change what agents have. */
+  /** Whether a service lacks endpoints, so that placement orders are likely to change the state of agents. */
   isShort: boolean
   nowMs: number
 }
 
 const MS_PER_SECOND = 1000
-/** How long after an order its effect is looked for. */
-const EXPECT_MS = 10_000
-/** Largest exponent of the back-off for agents that do not answer. */
-const MAX_DOUBLINGS = 4
+/** Time after an order during which its agent is queried more often, to detect the effect. */
+const ORDER_EFFECT_MS = 10_000
+/** Maximum exponent of the backoff for unresponsive agents. */
+const MAX_BACKOFF_EXPONENT = 4
 
 /**
- * @param agentCount - agents that this gateway knows
- * @param options - of the schedule
- * @returns time between two exchanges with a healthy agent
+ * @param agentCount - number of agents in the directory
+ * @param options - options of the schedule
+ * @returns interval between two exchanges with a healthy agent
  */
-export function stretchedIntervalMs (agentCount: number, options: ScheduleOptions): number {
+export function routineIntervalMs (agentCount: number, options: ScheduleOptions): number {
   return Math.max(options.intervalMs, agentCount * MS_PER_SECOND / options.maxPerSecond.routine)
 }
 
-/** When an agent is asked next, and why. */
-interface Turn {
+/** The next exchange with an agent: when it is due, and why. */
+interface DueExchange {
   record: MemberRecord
   reason: ExchangeReason
   dueMs: number
 }
 
 /**
- * One that does not answer again and again is asked less and less often, or a lost failure domain would use up the
- * exchanges that tell of the others.
+ * Exchanges with an unresponsive agent back off exponentially; otherwise the agents of a failed failure domain would use up
+ * the rate limit of the others.
  */
-function turnOf (record: MemberRecord, stretchedMs: number, isShort: boolean, options: ScheduleOptions): Turn {
+function nextExchange (record: MemberRecord, routineMs: number, isShort: boolean, options: ScheduleOptions): DueExchange {
   const { askedMs } = record
   if (record.misses > 0) {
-    const backedOffMs = options.intervalMs * 2 ** Math.min(record.misses - 1, MAX_DOUBLINGS)
-    return { record, reason: 'changing', dueMs: askedMs + Math.min(backedOffMs, stretchedMs) }
+    const backedOffMs = options.intervalMs * 2 ** Math.min(record.misses - 1, MAX_BACKOFF_EXPONENT)
+    return { record, reason: 'changing', dueMs: askedMs + Math.min(backedOffMs, routineMs) }
   }
   if (!record.answers) return { record, reason: 'unknown', dueMs: askedMs + options.tickMs }
-  if (record.orderedMs >= askedMs || hasBegunToChange(record, options)) return { record, reason: 'changing', dueMs: askedMs + options.changingIntervalMs }
-  if (isChanging(record) || askedMs < record.orderedMs + EXPECT_MS) return { record, reason: 'changing', dueMs: askedMs + options.intervalMs }
+  if (record.orderedMs >= askedMs || isRecentlyChanging(record, options)) return { record, reason: 'changing', dueMs: askedMs + options.changingIntervalMs }
+  if (isChanging(record) || askedMs < record.orderedMs + ORDER_EFFECT_MS) return { record, reason: 'changing', dueMs: askedMs + options.intervalMs }
   if (isShort && hasModelEndpoint(record)) return { record, reason: 'changing', dueMs: askedMs + options.intervalMs }
-  const heardDueMs = record.view.lastHeardMs + stretchedMs
-  const latestDueMs = record.exchangedMs + stretchedMs * options.heardStretch
+  const heardDueMs = record.view.lastHeardMs + routineMs
+  const latestDueMs = record.exchangedMs + routineMs * options.respondingIntervalFactor
   return { record, reason: 'routine', dueMs: Math.min(heardDueMs, latestDueMs) }
 }
 
-/** An endpoint that has crashed is back within seconds, or stays away for long. */
-function hasBegunToChange (record: MemberRecord, options: ScheduleOptions): boolean {
+/** A crashed endpoint recovers within seconds or stays down for a long time, so the shorter interval is limited in time. */
+function isRecentlyChanging (record: MemberRecord, options: ScheduleOptions): boolean {
   return record.changingSinceMs !== undefined && record.askedMs - record.changingSinceMs < options.changingMs
 }
 
@@ -100,22 +100,22 @@
 }
 
 /**
- * @param input - all agents, and whether a service waits for endpoints
- * @param options - of the schedule
- * @returns the agents to ask now, the longest overdue of each reason first
+ * @param input - all agents, and whether a service lacks endpoints
+ * @param options - options of the schedule
+ * @returns agents to query now; within each reason, the longest overdue first
  */
 export function selectDue (input: ScheduleInput, options: ScheduleOptions): MemberRecord[] {
   const { records, isShort, nowMs } = input
-  const stretchedMs = stretchedIntervalMs(records.length, options)
+  const routineMs = routineIntervalMs(records.length, options)
   const free = Math.max(0, options.maxConcurrent - records.filter(record => record.asking).length)
   const due = records
     .filter(record => !record.asking)
-    .map(record => turnOf(record, stretchedMs, isShort, options))
-    .filter(turn => turn.dueMs <= nowMs)
+    .map(record => nextExchange(record, routineMs, isShort, options))
+    .filter(exchange => exchange.dueMs <= nowMs)
     .sort((left, right) => left.dueMs === right.dueMs ? 0 : left.dueMs - right.dueMs)
-  const ofReason = (reason: ExchangeReason): Turn[] =>
-    due.filter(turn => turn.reason === reason).slice(0, perTick(options.maxPerSecond[reason], options.tickMs))
-  return [...ofReason('unknown'), ...ofReason('changing'), ...ofReason('routine')].slice(0, free).map(turn => turn.record)
+  const ofReason = (reason: ExchangeReason): DueExchange[] =>
+    due.filter(exchange => exchange.reason === reason).slice(0, perTick(options.maxPerSecond[reason], options.tickMs))
+  return [...ofReason('unknown'), ...ofReason('changing'), ...ofReason('routine')].slice(0, free).map(exchange => exchange.record)
 }
 
 function perTick (perSecond: number, tickMs: number): number {
@@ -123,15 +123,15 @@
 }
 
 /**
- * The host list lags by seconds in both directions: it may miss a new agent and name one that is gone. An agent that
- * still answers is therefore kept although the list does not name it.
+ * The host list lags by seconds in both directions: it may lack a new agent or still contain a removed one. An agent that
+ * responds is therefore kept even if it is not on the list.
  *
- * @param record - an agent
- * @param nowMs - time of the check
- * @param options - of the schedule
- * @returns whether to forget it
+ * @param record - record of the agent
+ * @param nowMs - current time
+ * @param options - options of the schedule
+ * @returns whether to remove the agent
  */
-export function isForgotten (record: MemberRecord, nowMs: number, options: ScheduleOptions): boolean {
+export function isRemovable (record: MemberRecord, nowMs: number, options: ScheduleOptions): boolean {
   if (record.listed !== 'absent' || record.answers) return false
-  return nowMs - Math.max(record.listedMs, record.view.lastHeardMs) >= options.forgetMs
+  return nowMs - Math.max(record.listedMs, record.view.lastHeardMs) >= options.removalMs
 }
--- a/packages/anvilarch-daemon/src/peers/__tests__/attemptSession.test.ts
+++ b/packages/anvilarch-daemon/src/peers/__tests__/attemptSession.test.ts
@@ -7,8 +7,8 @@
 import { type AttemptSession, openAttemptSession } from '../attemptSession'
 import type { AgentClient } from '../types'
 
-/** Joins both sides of a session in this process. */
-function join (start: (attemptId: string, signal: AbortSignal) => AsyncGenerator<Frame>): { session: AttemptSession, cut: () => void } {
+/** Connects both sides of a session within this process. */
+function connect (start: (attemptId: string, signal: AbortSignal) => AsyncGenerator<Frame>): { session: AttemptSession, cut: () => void } {
   const connection = new AbortController()
   const deps = {
     registry: { start: (request: { attemptId: string }, signal: AbortSignal) => start(request.attemptId, signal), resume: (request: { attemptId: string }, signal: AbortSignal) => start(request.attemptId, signal) },
@@ -31,8 +31,8 @@
 }
 
 describe('openAttemptSession', () => {
-  it('carries several attempts, each with its own frames in order', async () => {
-    const { session } = join(async function * (id) {
+  it('multiplexes several attempts, each with its own frames in order', async () => {
+    const { session } = connect(async function * (id) {
       yield output(0, id.length)
       yield final
     })
@@ -41,11 +41,11 @@
     expect(session.size()).toBe(0)
   })
 
-  it('goes on with one stream while the reader of another takes nothing', async () => {
-    // Guards against this: all answers of a class stand still.
+  it('continues one stream while the reader of another does not read', async () => {
+    // Guards against one slow reader that blocks all responses of a work class.
     let sentBytes = 0
     const portion = STREAM_CREDIT_BYTES / 4
-    const { session } = join(async function * (id) {
+    const { session } = connect(async function * (id) {
       for (let part = 0; part < (id === 'slow' ? 100 : 1); part++) {
         sentBytes += portion
         yield output(part * portion, portion)
@@ -61,8 +61,8 @@
     expect(frames).toBe(101)
   })
 
-  it('ends every stream with an error when the connection is gone', async () => {
-    const { session, cut } = join(async function * (_id, signal) {
+  it('ends every stream with an error when the connection is lost', async () => {
+    const { session, cut } = connect(async function * (_id, signal) {
       yield output(0, 1)
       await new Promise(resolve => { signal.addEventListener('abort', resolve) })
     })
@@ -73,12 +73,12 @@
     expect(session.isOpen()).toBe(false)
   })
 
-  it('tells the agent when a stream is left, and leaves the others alone', async () => {
-    const left: string[] = []
-    const { session } = join(async function * (id, signal) {
+  it('notifies the agent when a stream is cancelled, and does not affect the others', async () => {
+    const cancelled: string[] = []
+    const { session } = connect(async function * (id, signal) {
       yield output(0, 1)
       await new Promise(resolve => { signal.addEventListener('abort', resolve) })
-      left.push(id)
+      cancelled.push(id)
     })
     const abort = new AbortController()
     const first = collect(session.start(startOf('first'), abort.signal))
@@ -86,8 +86,8 @@
     await second.next()
     abort.abort()
     await first
-    while (left.length === 0) await new Promise(resolve => { setImmediate(resolve) })
-    expect(left).toEqual(['first'])
+    while (cancelled.length === 0) await new Promise(resolve => { setImmediate(resolve) })
+    expect(cancelled).toEqual(['first'])
     expect(session.size()).toBe(1)
   })
 })
--- a/packages/anvilarch-daemon/src/peers/agentClients.ts
+++ b/packages/anvilarch-daemon/src/peers/agentClients.ts
@@ -1,4 +1,4 @@
-/** Opens, replaces and frees the connections from a gateway to its agents. */
+/** Opens, replaces and closes the connections from a gateway to its agents. */
 import { createClient } from '@connectrpc/connect'
 import { createConnectTransport, type Http2SessionManager } from '@connectrpc/connect-node'
 import { AgentService } from 'anvilarch-protocol'
@@ -10,38 +10,38 @@
 /** Options of `createAgentClients`. */
 export interface AgentClientsOptions extends Partial<SessionLimits> {
   clock: Clock
-  /** A connection that was left is destroyed after this time, with whatever streams it still has. */
-  leftConnectionMs?: number
+  /** Time after which a replaced connection is destroyed, together with its remaining streams. */
+  replacedConnectionMs?: number
 }
 
-/** Used for what the options leave out. */
+/** Default options. */
 export const DEFAULT_OPTIONS = {
   idleMs: 60_000,
   streamWindowBytes: 64 * 1024,
   connectionWindowBytes: 16 * 1024 * 1024,
-  leftConnectionMs: 30_000
+  replacedConnectionMs: 30_000
 } as const
 
-/** One open connection with its client. */
+/** A connection and its client. */
 interface Connection {
   manager: Http2SessionManager
   client: AgentClient
 }
 
-/** A connection that went silent and waits for its streams' owners to leave it. */
-interface LeftConnection {
+/** A replaced connection that stays open until its streams have ended or its timer fires. */
+interface ReplacedConnection {
   connection: Connection
   timer: Timer
 }
 
 /**
- * @param options - clock, windows and times
- * @returns clients without any open connection yet
+ * @param options - clock, flow-control windows and timeouts
+ * @returns clients without open connections
  */
 export function createAgentClients (options: AgentClientsOptions): AgentClients {
   const settings = { ...DEFAULT_OPTIONS, ...options }
   const connections = new Map<string, Map<Channel, Connection>>()
-  const left = new Set<LeftConnection>()
+  const replaced = new Set<ReplacedConnection>()
 
   const open = (address: string, channel: Channel): Connection => {
     const baseUrl = `http://${address}`
@@ -56,16 +56,16 @@
     return connection
   }
 
-  /** The socket of a silent connection never reports its end by itself, so it is destroyed after a bounded time. */
-  const leave = (connection: Connection): void => {
-    const entry: LeftConnection = {
+  /** The socket of an unresponsive connection may never report an error, so it is destroyed after a timeout. */
+  const closeLater = (connection: Connection): void => {
+    const entry: ReplacedConnection = {
       connection,
-      timer: settings.clock.after(settings.leftConnectionMs, () => {
-        left.delete(entry)
+      timer: settings.clock.after(settings.replacedConnectionMs, () => {
+        replaced.delete(entry)
         connection.manager.abort()
       })
     }
-    left.add(entry)
+    replaced.add(entry)
   }
 
   const get = (address: string, channel: Channel): AgentClient => {
@@ -75,27 +75,27 @@
 
   return {
     get,
-    renew: (address, channel, silent) => {
+    reconnect: (address, channel, unresponsive) => {
       const known = connections.get(address)?.get(channel)
       if (known === undefined) return open(address, channel).client
-      if (silent !== undefined && known.client !== silent) return known.client
-      leave(known)
+      if (unresponsive !== undefined && known.client !== unresponsive) return known.client
+      closeLater(known)
       return open(address, channel).client
     },
-    forget: address => {
-      for (const connection of connections.get(address)?.values() ?? []) leave(connection)
+    remove: address => {
+      for (const connection of connections.get(address)?.values() ?? []) closeLater(connection)
       connections.delete(address)
     },
     close: async () => {
       for (const channels of connections.values()) {
         for (const connection of channels.values()) connection.manager.abort()
       }
-      for (const entry of left) {
+      for (const entry of replaced) {
         entry.timer.cancel()
         entry.connection.manager.abort()
       }
       connections.clear()
-      left.clear()
+      replaced.clear()
     }
   }
 }
--- a/packages/anvilarch-daemon/src/peers/attemptSession.ts
+++ b/packages/anvilarch-daemon/src/peers/attemptSession.ts
@@ -1,6 +1,6 @@
 /**
- * Starts and resumes attempts as numbered streams of one open call, in the shape of a client that opens a call for each.
- * Its users notice no difference but the cost; see docs/design/0003-sessions.md.
+ * Starts and resumes attempts as numbered streams of one open call, with the interface of a client that opens a call for each
+ * attempt but at a lower cost; see docs/design/0003-sessions.md.
  */
 import { create } from '@bufbuild/protobuf'
 import {
@@ -9,17 +9,17 @@
 } from 'anvilarch-protocol'
 import { AnvilarchError } from 'anvilarch-utils'
 import { createFrameQueue, type FrameQueue } from './frameQueue'
-import { createTurnBatch, type TurnBatch } from './turnBatch'
+import { createMessageBatcher, type MessageBatcher } from './messageBatcher'
 import type { AgentClient } from './types'
 
-/** An open call that carries attempts. */
+/** An open call that multiplexes attempts. */
 export interface AttemptSession {
-  /** @returns frames of the attempt; the iteration throws what ended the session */
+  /** @returns frames of the attempt; the iteration throws the error that ended the session */
   start: (request: StartAttemptRequest, signal: AbortSignal | undefined) => AsyncIterable<AttemptFrame>
   resume: (request: ResumeAttemptRequest, signal: AbortSignal | undefined) => AsyncIterable<AttemptFrame>
   /** Whether new streams may be opened; false once the call has ended. */
   isOpen: () => boolean
-  /** Streams that have not ended. */
+  /** Number of streams that have not ended. */
   size: () => number
   close: () => void
 }
@@ -27,22 +27,22 @@
 /** Options of `openAttemptSession`. */
 export interface AttemptSessionOptions {
   client: Pick<AgentClient, 'session'>
-  /** Peer that errors name. */
+  /** Address of the peer, for errors. */
   address: string
-  /** Told when the last stream has ended. */
+  /** Called when the last open stream has ended. */
   onIdle: () => void
 }
 
-/** Credit is given back in portions, since each one is a message. */
+/** Credit is returned in portions of this size, since each portion is a message. */
 const CREDIT_PORTION_BYTES = STREAM_CREDIT_BYTES / 2
 
 /**
- * @param options - client to open the call with, and the listener
- * @returns a session; its call is opened at once
+ * @param options - client to open the call with, peer address and idle listener
+ * @returns session whose call is opened immediately
  */
 export function openAttemptSession (options: AttemptSessionOptions): AttemptSession {
   const streams = new Map<number, FrameQueue>()
-  const outbox = createTurnBatch<SessionCommand>()
+  const outbox = createMessageBatcher<SessionCommand>()
   const abort = new AbortController()
   let lastStream = 0
   let ended = false
@@ -67,7 +67,7 @@
     if (streams.delete(stream) && streams.size === 0) options.onIdle()
   }
 
-  /** Without this the owners of its streams would each wait for the full bound of silence. */
+  /** Ends all streams with the error of the session; otherwise each of their readers would wait for the full timeout. */
   const onEnded = (error: unknown): void => {
     ended = true
     outbox.close()
@@ -78,14 +78,14 @@
 
   const open = (kind: SessionCommand['kind'], signal: AbortSignal | undefined): AsyncIterable<AttemptFrame> => {
     const stream = ++lastStream
-    let unpaidBytes = 0
+    let unreturnedBytes = 0
     const queue = createFrameQueue(sizeBytes => {
-      unpaidBytes += sizeBytes
-      if (unpaidBytes < CREDIT_PORTION_BYTES) return
-      outbox.put(create(SessionCommandSchema, { stream, kind: { case: 'creditBytes', value: unpaidBytes } }))
-      unpaidBytes = 0
+      unreturnedBytes += sizeBytes
+      if (unreturnedBytes < CREDIT_PORTION_BYTES) return
+      outbox.put(create(SessionCommandSchema, { stream, kind: { case: 'creditBytes', value: unreturnedBytes } }))
+      unreturnedBytes = 0
     })
-    const leave = (): void => {
+    const cancel = (): void => {
       if (!streams.has(stream)) return
       remove(stream)
       outbox.put(create(SessionCommandSchema, { stream, kind: { case: 'leave', value: {} } }))
@@ -93,10 +93,10 @@
     }
     streams.set(stream, queue)
     outbox.put(create(SessionCommandSchema, { stream, kind }))
-    signal?.addEventListener('abort', leave, { once: true })
+    signal?.addEventListener('abort', cancel, { once: true })
     return queue.frames(() => {
-      signal?.removeEventListener('abort', leave)
-      leave()
+      signal?.removeEventListener('abort', cancel)
+      cancel()
     })
   }
 
@@ -113,6 +113,6 @@
   }
 }
 
-async function * requests (outbox: TurnBatch<SessionCommand>): AsyncGenerator<SessionRequest> {
+async function * requests (outbox: MessageBatcher<SessionCommand>): AsyncGenerator<SessionRequest> {
   for await (const commands of outbox.batches()) yield create(SessionRequestSchema, { commands })
 }
--- a/packages/anvilarch-daemon/src/placement/__tests__/planPlacement.test.ts
+++ b/packages/anvilarch-daemon/src/placement/__tests__/planPlacement.test.ts
@@ -3,47 +3,47 @@
 import type { AgentView } from '../../membership/types'
 import { createEngines, documentOf, EFFECTS, finishLoads, restart, type SimulatedEngine, type TestService, toViews } from '../__fixtures__/simulatedFleet'
 import { planPlacement } from '../planPlacement'
-import { afterObserved, EMPTY_MEMORY, type SlotMemory, slotKey, toSlots } from '../slots'
+import { afterReports, INITIAL_PLACEMENT_STATE, type PlacementState, slotKey, toSlots } from '../slots'
 import type { PlannedOrder } from '../types'
 
 const SEED = 20261202
 const DOMAINS = ['bole-hall', 'kirkos-hall', 'arada-hall']
-const BOUNDS = { graceMs: 10_000, loadHoldMs: 60_000, orderTimeoutMs: 60_000, unansweredTimeoutMs: 10_000, refusedPauseMs: 5000 }
+const LIMITS = { graceMs: 10_000, loadExpiryMs: 60_000, orderTimeoutMs: 60_000, unansweredTimeoutMs: 10_000, failureBackoffMs: 5000 }
 const STEP_MS = 1000
 
-/** A holder of the lease: its memory, and how many loads were under way at most. */
+/** A lease holder: its state, its orders, and the highest number of concurrent loads. */
 interface Holder {
-  memory: SlotMemory
+  state: PlacementState
   nowMs: number
-  mostLoads: number
+  maxConcurrentLoads: number
   orders: PlannedOrder[]
-  /** What the endpoints reported; the holder sees it some steps late. */
+  /** Reports of the endpoints; the holder receives them `lagSteps` steps late. */
   reports: AgentView[][]
   lagSteps: number
 }
 
-const newHolder = (lagSteps = 0): Holder => ({ memory: EMPTY_MEMORY, nowMs: 0, mostLoads: 0, orders: [], reports: [], lagSteps })
+const newHolder = (lagSteps = 0): Holder => ({ state: INITIAL_PLACEMENT_STATE, nowMs: 0, maxConcurrentLoads: 0, orders: [], reports: [], lagSteps })
 const countLoads = (engines: SimulatedEngine[]): number => engines.filter(engine => engine.models.some(model => model.state === 'loading')).length
 
-/** One plan; the orders that `takes` accepts are carried out, the others are lost on their way. */
-function step (holder: Holder, document: ConfigurationDocument, engines: SimulatedEngine[], takes = (_order: PlannedOrder): boolean => true): void {
+/** Runs one plan; the orders for which `arrives` returns true are executed, the others are lost in transit. */
+function step (holder: Holder, document: ConfigurationDocument, engines: SimulatedEngine[], arrives = (_order: PlannedOrder): boolean => true): void {
   holder.nowMs += STEP_MS
   holder.reports.push(toViews(engines))
   const views = holder.reports[Math.max(0, holder.reports.length - 1 - holder.lagSteps)]
-  holder.memory = afterObserved(holder.memory, views, holder.nowMs, BOUNDS)
-  const orders = planPlacement(document, toSlots(views, holder.memory, holder.nowMs, BOUNDS))
-  const sent = new Map(holder.memory.sent)
+  holder.state = afterReports(holder.state, views, holder.nowMs, LIMITS)
+  const orders = planPlacement(document, toSlots(views, holder.state, holder.nowMs, LIMITS))
+  const sent = new Map(holder.state.sent)
   for (const order of orders) {
     const engine = engines.find(found => found.name === order.agent) as SimulatedEngine
     const orderId = `${order.agent} at ${holder.nowMs}`
-    sent.set(slotKey(order.agent, order.endpoint), { ...order, orderId, agentIncarnation: engine.incarnation, sentAtMs: holder.nowMs, isAnswered: takes(order) })
-    if (!takes(order)) continue
+    sent.set(slotKey(order.agent, order.endpoint), { ...order, orderId, agentIncarnation: engine.incarnation, sentAtMs: holder.nowMs, isAnswered: arrives(order) })
+    if (!arrives(order)) continue
     EFFECTS[order.action](engine, order)
     engine.settledOrder = orderId
   }
   holder.orders = orders
-  holder.memory = { ...holder.memory, sent }
-  holder.mostLoads = Math.max(holder.mostLoads, countLoads(engines))
+  holder.state = { ...holder.state, sent }
+  holder.maxConcurrentLoads = Math.max(holder.maxConcurrentLoads, countLoads(engines))
 }
 
 function settle (holder: Holder, document: ConfigurationDocument, engines: SimulatedEngine[], steps = 100): void {
@@ -58,19 +58,19 @@
 const perDomain = (engines: SimulatedEngine[]): number[] => DOMAINS.map(domain => engines.filter(engine => engine.failureDomain === domain).length)
 
 describe('planPlacement', () => {
-  it('spreads replicas over failure domains and then gives no more orders', () => {
+  it('distributes replicas over failure domains and then sends no more orders', () => {
     const engines = createEngines(12, DOMAINS)
     const document = documentOf({ writer: { replicas: 6 }, portal: { replicas: 3 } }, 2)
     const holder = newHolder()
     settle(holder, document, engines)
     expect(perDomain(serving(engines, 'writer'))).toEqual([2, 2, 2])
     expect(perDomain(serving(engines, 'portal'))).toEqual([1, 1, 1])
-    expect(holder.mostLoads).toBe(2)
+    expect(holder.maxConcurrentLoads).toBe(2)
     step(holder, document, engines)
     expect(holder.orders).toEqual([])
   })
 
-  it('loads nothing again for a new holder, nor after an agent forgot its service', () => {
+  it('reloads nothing under a new lease holder, or after agents have lost their service assignment', () => {
     const engines = createEngines(4, DOMAINS)
     const document = documentOf({ writer: { replicas: 3 } }, 2)
     settle(newHolder(), document, engines)
@@ -80,7 +80,7 @@
     expect(holder.orders.map(order => order.action)).toEqual(['assign', 'assign', 'assign'])
   })
 
-  it('replaces an endpoint that drains at once, and one that is gone after the grace', () => {
+  it('replaces a draining endpoint immediately, and a crashed one after the grace period', () => {
     const engines = createEngines(5, DOMAINS)
     const document = documentOf({ writer: { replicas: 3 } }, 2)
     const holder = newHolder()
@@ -91,14 +91,14 @@
     expect(holder.orders.map(order => order.action)).toEqual(['load'])
     settle(holder, document, engines, 5)
     crashes.health = 'crashed'
-    for (let waitedMs = 0; waitedMs < BOUNDS.graceMs; waitedMs += STEP_MS) step(holder, document, engines)
+    for (let waitedMs = 0; waitedMs < LIMITS.graceMs; waitedMs += STEP_MS) step(holder, document, engines)
     expect(holder.orders).toEqual([])
     step(holder, document, engines)
     expect(holder.orders.map(order => order.action)).toEqual(['load'])
   })
 
-  // Guards against this: an engine whose process ended with a load stands idle until the order has timed out.
-  it.each([0, 2])('orders a load again once its endpoint shows that it was lost, seen %d steps late', lagSteps => {
+  // Guards against an engine that exits during a load and then stays idle until the order times out.
+  it.each([0, 2])('repeats a load once its endpoint reports that it was lost, with reports %d steps late', lagSteps => {
     const engines = createEngines(3, DOMAINS)
     const document = documentOf({ writer: { replicas: 3 } }, 3)
     const holder = newHolder(lagSteps)
@@ -108,8 +108,8 @@
     expect(holder.orders).toMatchObject([{ agent: engines[0].name, action: 'load' }])
   })
 
-  // Guards against this: an order that waited with an agent ends with it, and its endpoint stands idle until the order has timed out.
-  it('orders a load again once the agent that has it was replaced', () => {
+  // Guards against an order that is lost with the agent process that queued it, and leaves its endpoint idle until the order times out.
+  it('repeats a load once the agent that received it was replaced', () => {
     const engines = createEngines(3, DOMAINS)
     const document = documentOf({ writer: { replicas: 3 } }, 3)
     const holder = newHolder()
@@ -121,8 +121,8 @@
     expect(holder.orders).toMatchObject([{ agent: engines[0].name, action: 'load' }])
   })
 
-  // Guards against this: an engine that drops each load is sent the same weights several times a second.
-  it('orders a load that is lost again and again ever less often, and at once after one that was not', () => {
+  // Guards against sending the same weights several times a second to an engine that fails each load.
+  it('backs off while loads are lost repeatedly, and repeats immediately again after a load that succeeded', () => {
     const engines = createEngines(1, DOMAINS)
     const document = documentOf({ writer: { replicas: 1 } }, 1)
     const holder = newHolder()
@@ -143,20 +143,20 @@
     expect(loadsOf(3)).toBe(2)
   })
 
-  it('counts the load of an endpoint that cannot be reached', () => {
+  it('counts the load of an unreachable endpoint', () => {
     const engines = createEngines(2, DOMAINS)
     const document = documentOf({ writer: { replicas: 1 } }, 1)
     const holder = newHolder()
     step(holder, document, engines)
     const loading = engines.find(engine => engine.models.length > 0) as SimulatedEngine
     loading.state = 'unreachable'
-    for (let waitedMs = 0; waitedMs < BOUNDS.loadHoldMs; waitedMs += STEP_MS) {
+    for (let waitedMs = 0; waitedMs < LIMITS.loadExpiryMs; waitedMs += STEP_MS) {
       step(holder, document, engines)
       expect(holder.orders).toEqual([])
     }
   })
 
-  it('changes the version in place without leaving the service', () => {
+  it('changes the version in place without interrupting the service', () => {
     const engines = createEngines(3, DOMAINS)
     const holder = newHolder()
     settle(holder, documentOf({ writer: { replicas: 3 } }, 1), engines)
@@ -168,10 +168,10 @@
     }
     expect(serving(engines, 'writer', 'v2')).toHaveLength(3)
     expect(engines.map(engine => engine.models.length)).toEqual([1, 1, 1])
-    expect(holder.mostLoads).toBe(1)
+    expect(holder.maxConcurrentLoads).toBe(1)
   })
 
-  it.each([0, 2])('gives the endpoints of a service that is gone, or smaller now, to others, seen %d steps late', lagSteps => {
+  it.each([0, 2])('reassigns the endpoints of a removed or downscaled service, with reports %d steps late', lagSteps => {
     const engines = createEngines(4, DOMAINS)
     const holder = newHolder(lagSteps)
     settle(holder, documentOf({ writer: { replicas: 2 }, old: { replicas: 2 } }, 2), engines)
@@ -186,8 +186,8 @@
     expect(engines.every(engine => engine.models.length === 1)).toBe(true)
   })
 
-  // Guards against this: the weight store refuses loads, and all of them take long.
-  it('never exceeds the limit of loads, and reaches the document when the faults end', () => {
+  // Guards against too many concurrent loads, with which the weight store rejects loads and all of them become slow.
+  it('never exceeds the limit of concurrent loads, and converges to the document when the faults end', () => {
     const services = fc.record({ writer: fc.nat(4), portal: fc.nat(3), old: fc.nat(2) })
       .map(counts => Object.fromEntries(Object.entries(counts).filter(([, replicas]) => replicas > 0).map(([name, replicas]) => [name, { replicas }])) as Record<string, TestService>)
     const event = fc.oneof(
@@ -202,24 +202,24 @@
     fc.assert(fc.property(services, fc.array(event, { maxLength: 60 }), fc.integer({ min: 1, max: 3 }), fc.nat(3), (first, events, maxLoads, lagSteps) => {
       const engines = createEngines(9, DOMAINS)
       const holder = newHolder(lagSteps)
-      let wanted = first
+      let currentServices = first
       for (const found of events) {
-        if (found.kind === 'step') step(holder, documentOf(wanted, maxLoads), engines, () => !found.lost)
+        if (found.kind === 'step') step(holder, documentOf(currentServices, maxLoads), engines, () => !found.lost)
         if (found.kind === 'finish') finishLoads(engines)
-        if (found.kind === 'document') wanted = found.services
+        if (found.kind === 'document') currentServices = found.services
         if (found.kind === 'crash') Object.assign(engines[found.engine], { health: 'crashed', models: [] })
         if (found.kind === 'restart') restart(engines[found.engine])
         if (found.kind === 'drain') Object.assign(engines[found.engine], { state: 'draining' })
         if (found.kind === 'back') Object.assign(engines[found.engine], { health: 'ready', state: 'serving' })
       }
       for (const engine of engines) Object.assign(engine, { health: 'ready', state: 'serving' })
-      settle(holder, documentOf(wanted, maxLoads), engines, 200)
-      expect(holder.mostLoads).toBeLessThanOrEqual(maxLoads)
-      for (const [name, { replicas }] of Object.entries(wanted)) expect(serving(engines, name)).toHaveLength(replicas)
+      settle(holder, documentOf(currentServices, maxLoads), engines, 200)
+      expect(holder.maxConcurrentLoads).toBeLessThanOrEqual(maxLoads)
+      for (const [name, { replicas }] of Object.entries(currentServices)) expect(serving(engines, name)).toHaveLength(replicas)
     }), { seed: SEED, numRuns: 300 })
   })
 
-  it('keeps services in the failure domains that they name', () => {
+  it('keeps services in their configured failure domains', () => {
     const engines = createEngines(6, DOMAINS)
     settle(newHolder(), documentOf({ writer: { replicas: 4, failureDomains: ['bole-hall'] } }, 4), engines)
     expect(perDomain(serving(engines, 'writer'))).toEqual([2, 0, 0])
--- a/packages/anvilarch-daemon/src/placement/planPlacement.ts
+++ b/packages/anvilarch-daemon/src/placement/planPlacement.ts
@@ -1,49 +1,50 @@
 /**
- * Turns the replicas of the document into orders. Pure: the same document and endpoints give the same orders.
+ * Plans the orders that bring the endpoints to the replicas of the configuration document. Pure: the same document and
+ * endpoints give the same orders.
  *
- * What is loaded stays where it is; what is missing goes to the failure domain that has the fewest replicas of the
- * service; loads are paced, since the weight store is limited in its rate.
+ * Loaded replicas stay in place; a missing replica goes to the failure domain with the fewest replicas of the service;
+ * concurrent loads are limited, because the weight store has limited throughput.
  */
 import type { ConfigurationDocument, ModelService } from 'anvilarch-configuration'
 import { invariant } from 'anvilarch-utils'
 import type { PlannedOrder, Slot } from './types'
 
-/** A model service with the slots that count for it. */
+/** A model service with the slots that count as its replicas. */
 interface ServicePlan {
   name: string
   service: ModelService
   kept: Slot[]
 }
 
-/** State of one round of planning. */
+/** State of one planning round. */
 interface Round {
   plans: ServicePlan[]
   free: Slot[]
   orders: PlannedOrder[]
-  loadsLeft: number
+  remainingLoads: number
 }
 
 /**
- * @param document - in force
+ * @param document - active configuration document
  * @param slots - all model endpoints
- * @returns the orders to send now
+ * @returns orders to send now
  */
 export function planPlacement (document: ConfigurationDocument, slots: Slot[]): PlannedOrder[] {
   const maxLoads = document.limits.maxConcurrentLoads
   const loading = slots.filter(isLoading).length
-  const round: Round = { plans: servicePlans(document, slots), free: [], orders: [], loadsLeft: Math.max(0, maxLoads - loading) }
+  const round: Round = { plans: servicePlans(document, slots), free: [], orders: [], remainingLoads: Math.max(0, maxLoads - loading) }
   releaseSurplus(round, slots)
   const kept = new Set(round.plans.flatMap(plan => plan.kept))
-  // A slot is free when no service counts on it; one whose service has other weights now is free for that service.
-  round.free = slots.filter(slot => takesOrders(slot) && !kept.has(slot))
+  // A slot is free if it counts for no service. A slot whose service now requires other weights is free for that service.
+  round.free = slots.filter(slot => acceptsOrders(slot) && !kept.has(slot))
   fillMissing(round)
   unloadUnused(round)
   const loads = round.orders.filter(order => order.action === 'load').length
-  invariant(loads === 0 || loading + loads <= maxLoads, 'placement_load_limit', () => `${loading} loads under way, ${loads} more planned, ${maxLoads} allowed`)
+  invariant(loads === 0 || loading + loads <= maxLoads, 'placement_load_limit', () => `${loading} loads in progress, ${loads} more planned, ${maxLoads} allowed`)
   return round.orders
 }
 
-/** A load counts from the order until the weights are there. */
+/** A load counts from sending the order until the weights are ready. */
 function isLoading (slot: Slot): boolean {
   return slot.mayLoad && (slot.sent?.action === 'load' || slot.models.some(model => model.state === 'loading'))
 }
@@ -53,13 +54,13 @@
     .filter((entry): entry is [string, ModelService] => entry[1].kind === 'model')
     .sort(([left], [right]) => left < right ? -1 : 1)
     .map(([name, service]) => {
-      const right = slots.filter(slot => slot.present && slot.service === name && holds(slot, service) && isAllowed(slot, service))
-      return { name, service, kept: chooseSpread(right, service.replicas) }
+      const matching = slots.filter(slot => slot.present && slot.service === name && hasModelOf(slot, service) && isAllowed(slot, service))
+      return { name, service, kept: chooseSpread(matching, service.replicas) }
     })
 }
 
-/** Whether the slot has, or is about to have, what the service needs. */
-function holds (slot: Slot, service: ModelService): boolean {
+/** Whether the slot has, or will have after its pending order, the model and adapters of the service. */
+function hasModelOf (slot: Slot, service: ModelService): boolean {
   const { sent } = slot
   if (sent !== undefined && sent.model === service.model && sent.version === service.version) {
     return sent.action !== 'unload' && hasAdapters(sent.adapters, service)
@@ -75,26 +76,26 @@
   return service.failureDomains.length === 0 || service.failureDomains.includes(slot.failureDomain)
 }
 
-/** Takes slots in turn from the failure domain with the fewest taken so far. */
+/** Chooses slots one by one, each from the failure domain with the fewest chosen so far. */
 function chooseSpread (slots: Slot[], count: number): Slot[] {
   const chosen: Slot[] = []
-  const rest = [...slots].sort(compareSlots)
-  while (chosen.length < count && rest.length > 0) {
-    const next = leastUsedDomain(rest, chosen)
+  const remaining = [...slots].sort(compareSlots)
+  while (chosen.length < count && remaining.length > 0) {
+    const next = slotInLeastUsedDomain(remaining, chosen)
     chosen.push(next)
-    rest.splice(rest.indexOf(next), 1)
+    remaining.splice(remaining.indexOf(next), 1)
   }
   return chosen
 }
 
-function leastUsedDomain (candidates: Slot[], taken: Slot[]): Slot {
-  const takenIn = new Map<string, number>()
-  for (const { failureDomain } of taken) takenIn.set(failureDomain, (takenIn.get(failureDomain) ?? 0) + 1)
-  const inDomain = (slot: Slot): number => takenIn.get(slot.failureDomain) ?? 0
-  return candidates.reduce((best, slot) => inDomain(slot) < inDomain(best) ? slot : best)
+function slotInLeastUsedDomain (candidates: Slot[], taken: Slot[]): Slot {
+  const takenByDomain = new Map<string, number>()
+  for (const { failureDomain } of taken) takenByDomain.set(failureDomain, (takenByDomain.get(failureDomain) ?? 0) + 1)
+  const takenInDomainOf = (slot: Slot): number => takenByDomain.get(slot.failureDomain) ?? 0
+  return candidates.reduce((best, slot) => takenInDomainOf(slot) < takenInDomainOf(best) ? slot : best)
 }
 
-/** Usable before not usable, ready before loading, then by name, so that every holder chooses alike. */
+/** Usable slots first, then ready before loading, then by key, so that every lease holder makes the same choice. */
 function compareSlots (left: Slot, right: Slot): number {
   return rank(left) - rank(right) || (left.key < right.key ? -1 : 1)
 }
@@ -103,10 +104,10 @@
   return (slot.usable ? 0 : 2) + (slot.models.some(model => model.state === 'ready') ? 0 : 1)
 }
 
-/** Endpoints beyond the replicas of their service, and those of a service that is gone, give up weights and service. */
+/** Releases endpoints that exceed the replicas of their service, and endpoints of a removed service. */
 function releaseSurplus (round: Round, slots: Slot[]): void {
   for (const slot of slots) {
-    if (!takesOrders(slot) || slot.service === '') continue
+    if (!acceptsOrders(slot) || slot.service === '') continue
     const plan = round.plans.find(found => found.name === slot.service)
     if (plan?.kept.includes(slot) === true) continue
     if (plan !== undefined && plan.kept.length < plan.service.replicas && isAllowed(slot, plan.service)) continue
@@ -114,11 +115,14 @@
   }
 }
 
-function takesOrders (slot: Slot): boolean {
+function acceptsOrders (slot: Slot): boolean {
   return slot.usable && slot.sent === undefined
 }
 
-/** One order at a time for a slot: weights first, or the endpoint would be taken to serve whatever fits them. */
+/**
+ * Sends one order at a time to a slot. The weights are unloaded before the service is unassigned; an unassigned endpoint with
+ * weights would be assigned to any service that they match.
+ */
 function release (round: Round, slot: Slot): void {
   const { agent, endpoint } = slot
   const model = slot.models.at(0)
@@ -126,17 +130,17 @@
   else round.orders.push({ agent, endpoint, action: 'unload', service: slot.service, model: model.model, version: model.version, adapters: [] })
 }
 
-/** Gives each service in turn one slot, the one with the smallest share of its replicas first. */
+/** Assigns missing replicas one slot at a time, to the service with the smallest share of its replicas first. */
 function fillMissing (round: Round): void {
   const busy = new Set(round.orders.map(order => `${order.agent}/${order.endpoint}`))
-  const stuck = new Set<ServicePlan>()
+  const unplaceable = new Set<ServicePlan>()
   for (;;) {
-    const open = round.plans.filter(plan => plan.kept.length < plan.service.replicas && !stuck.has(plan))
+    const open = round.plans.filter(plan => plan.kept.length < plan.service.replicas && !unplaceable.has(plan))
     if (open.length === 0) return
     const plan = open.reduce((best, other) => share(other) < share(best) ? other : best)
     const slot = chooseFree(round, plan, busy)
     if (slot === undefined) {
-      stuck.add(plan)
+      unplaceable.add(plan)
       continue
     }
     place(round, plan, slot)
@@ -148,38 +152,38 @@
   return plan.kept.length / plan.service.replicas
 }
 
-/** The order of preference: weights there already, own endpoint with other weights, an endpoint without a service. */
+/** Prefers a slot that already has the weights, then one of the service with other weights, then one without a service. */
 function chooseFree (round: Round, plan: ServicePlan, busy: Set<string>): Slot | undefined {
   const candidates = round.free
     .filter(slot => !busy.has(slot.key) && isAllowed(slot, plan.service))
     .filter(slot => slot.service === plan.name || !round.plans.some(other => other.name === slot.service))
     .sort(compareSlots)
   const groups = [
-    candidates.filter(slot => holds(slot, plan.service)),
-    round.loadsLeft > 0 ? candidates.filter(slot => slot.service === plan.name) : [],
-    round.loadsLeft > 0 ? candidates : []
+    candidates.filter(slot => hasModelOf(slot, plan.service)),
+    round.remainingLoads > 0 ? candidates.filter(slot => slot.service === plan.name) : [],
+    round.remainingLoads > 0 ? candidates : []
   ]
   const group = groups.find(slotsOfGroup => slotsOfGroup.length > 0)
-  return group === undefined ? undefined : leastUsedDomain(group, plan.kept)
+  return group === undefined ? undefined : slotInLeastUsedDomain(group, plan.kept)
 }
 
 function place (round: Round, plan: ServicePlan, slot: Slot): void {
-  const action = holds(slot, plan.service) ? 'assign' : 'load'
-  if (action === 'load') round.loadsLeft--
+  const action = hasModelOf(slot, plan.service) ? 'assign' : 'load'
+  if (action === 'load') round.remainingLoads--
   const { model, version, adapters } = plan.service
   round.orders.push({ agent: slot.agent, endpoint: slot.endpoint, action, service: plan.name, model, version, adapters })
   plan.kept.push(slot)
 }
 
-/** Once the weights of a service are ready on an endpoint, older ones beside them are given up. */
+/** Unloads older weights from an endpoint once the current weights of its service are ready. */
 function unloadUnused (round: Round): void {
   const ordered = new Set(round.orders.map(order => `${order.agent}/${order.endpoint}`))
   for (const plan of round.plans) {
     for (const slot of plan.kept) {
-      if (!takesOrders(slot) || ordered.has(slot.key) || !isReady(slot, plan.service)) continue
-      const old = slot.models.find(model => model.model !== plan.service.model || model.version !== plan.service.version)
-      if (old === undefined) continue
-      round.orders.push({ agent: slot.agent, endpoint: slot.endpoint, action: 'unload', service: plan.name, model: old.model, version: old.version, adapters: [] })
+      if (!acceptsOrders(slot) || ordered.has(slot.key) || !isReady(slot, plan.service)) continue
+      const outdated = slot.models.find(model => model.model !== plan.service.model || model.version !== plan.service.version)
+      if (outdated === undefined) continue
+      round.orders.push({ agent: slot.agent, endpoint: slot.endpoint, action: 'unload', service: plan.name, model: outdated.model, version: outdated.version, adapters: [] })
     }
   }
 }
