--- a/packages/anvilarch-daemon/src/agent/__fixtures__/agentHarness.ts
+++ b/packages/anvilarch-daemon/src/agent/__fixtures__/agentHarness.ts
@@ -194,13 +194,13 @@
   const read: ReadAttempt = { frames: [], refused: undefined, status: 0, output: Buffer.alloc(0), final: undefined }
   for await (const frame of frames) {
     read.frames.push(frame)
-    takeFrame(read, frame, fromByte)
+    addFrame(read, frame, fromByte)
   }
   if (read.final !== undefined && read.final.totalBytes > 0n) expect(Number(read.final.totalBytes)).toBe(fromByte + read.output.length)
   return read
 }
 
-function takeFrame (read: ReadAttempt, frame: AttemptFrame, fromByte: number): void {
+function addFrame (read: ReadAttempt, frame: AttemptFrame, fromByte: number): void {
   const { kind } = frame
   if (kind.case === 'refused') read.refused = kind.value
   if (kind.case === 'head') read.status = kind.value.status
@@ -229,8 +229,8 @@
   return { text, tokens, isWhole }
 }
 
-const CONDITION_TRIES = 4000
-const CONDITION_PAUSE_MS = 5
+const MAX_CONDITION_CHECKS = 4000
+const CONDITION_INTERVAL_MS = 5
 
 /**
  * Waits for a condition.
@@ -238,10 +238,10 @@
  * @param condition - looked at every few milliseconds
  * @throws Error when it has not come true for so long that it never will
  */
-export async function until (condition: () => boolean): Promise<void> {
-  for (let tries = 0; tries < CONDITION_TRIES; tries++) {
+export async function waitUntil (condition: () => boolean): Promise<void> {
+  for (let tries = 0; tries < MAX_CONDITION_CHECKS; tries++) {
     if (condition()) return
-    await new Promise(resolve => { setTimeout(resolve, CONDITION_PAUSE_MS) })
+    await new Promise(resolve => { setTimeout(resolve, CONDITION_INTERVAL_MS) })
   }
   throw new Error(`never came true: ${String(condition)}`)
 }
--- a/packages/anvilarch-daemon/src/agent/__fixtures__/rawServer.ts
+++ b/packages/anvilarch-daemon/src/agent/__fixtures__/rawServer.ts
@@ -12,7 +12,7 @@
 }
 
 /** An answer with a body, after which the connection is kept open. */
-export const WHOLE_ANSWER = 'HTTP/1.1 200 OK\r\ncontent-length: 2\r\nconnection: keep-alive\r\n\r\nok'
+export const COMPLETE_RESPONSE = 'HTTP/1.1 200 OK\r\ncontent-length: 2\r\nconnection: keep-alive\r\n\r\nok'
 
 /**
  * @param onRequest - called with the connection and the number of the request, from 0
@@ -50,7 +50,7 @@
 /** Passes a connection on until it goes silent, as something between two hosts does that has lost track of it. */
 export interface Relay {
   address: string
-  goSilent: () => void
+  stopForwarding: () => void
   close: () => void
 }
 
@@ -72,7 +72,7 @@
   await new Promise<void>(resolve => { server.listen(0, '127.0.0.1', resolve) })
   return {
     address: `127.0.0.1:${(server.address() as AddressInfo).port}`,
-    goSilent: () => {
+    stopForwarding: () => {
       for (const socket of sockets) {
         socket.unpipe()
         socket.pause()
--- a/packages/anvilarch-daemon/src/agent/__tests__/agentControl.test.ts
+++ b/packages/anvilarch-daemon/src/agent/__tests__/agentControl.test.ts
@@ -1,6 +1,6 @@
 import { ROW_KEYS } from 'anvilarch-protocol'
 import { type EngineStandin, type EngineStandinOptions, startEngineStandin } from 'anvilarch-standins'
-import { type AgentHarness, type HarnessOptions, offerDocument, readFrames, startAgentHarness, startMessage, TEST_DOCUMENT, until } from '../__fixtures__/agentHarness'
+import { type AgentHarness, type HarnessOptions, offerDocument, readFrames, startAgentHarness, startMessage, TEST_DOCUMENT, waitUntil } from '../__fixtures__/agentHarness'
 
 const ENGINE = { baseStepMs: 5, perSequenceMs: 0, prefillPerTokenMs: 0, perThousandContextTokensMs: 0 }
 
@@ -26,7 +26,7 @@
       // No test waits for the end of this bound, however slowly its attempts run.
       agent: { drainTimeoutMs: 60_000 },
       ...given,
-      options: { orderAnswerMs: 50, ...given.options }
+      options: { orderResponseTimeoutMs: 50, ...given.options }
     })
   }
 
@@ -62,20 +62,20 @@
     expect(await order('load', 4)).toMatchObject({ outcome: 'refused', reason: 'stale_fencing_token', fencingToken: 9n })
     expect(await order('load', 9)).toMatchObject({ outcome: 'started' })
     expect(await order('unload', 8)).toMatchObject({ outcome: 'refused', reason: 'stale_fencing_token' })
-    await until(isReady)
+    await waitUntil(isReady)
     expect(engine.ledger().orders).toMatchObject([{ action: 'load', fencingToken: 9, accepted: true }])
   })
 
   it('checks the token again right before the engine is told', async () => {
     await start()
     const running = run('long', { body: chat(200) })
-    await until(() => harness.events('long').includes('attempts.first_token'))
+    await waitUntil(() => harness.events('long').includes('attempts.first_token'))
     expect(await order('unload', 6)).toMatchObject({ outcome: 'started' })
     expect(await order('assign', 7)).toMatchObject({ outcome: 'started' })
     expect((await running).final?.outcome).toBe('completed')
-    await until(() => harness.context.timeline.query().some(event => event.event === 'orders.refused'))
+    await waitUntil(() => harness.context.timeline.query().some(event => event.event === 'orders.refused'))
     expect(engine.ledger().orders).toEqual([])
-    await until(() => harness.context.timeline.query().filter(event => event.event === 'orders.done').length === 1)
+    await waitUntil(() => harness.context.timeline.query().filter(event => event.event === 'orders.done').length === 1)
   })
 
   // Guards against this: a load that is still to show counts as lost and is ordered twice, or a lost one counts as still to show.
@@ -83,20 +83,20 @@
     const settledOrder = (): string => harness.agent.state().endpoints[0].settledOrder
     await start({}, { preload: ['small:1'] })
     const running = run('long', { body: chat(200) })
-    await until(() => harness.events('long').includes('attempts.first_token'))
+    await waitUntil(() => harness.events('long').includes('attempts.first_token'))
     expect(await order('unload', 6)).toMatchObject({ outcome: 'started' })
     // The unload waits for the run, however many probes are answered meanwhile.
-    await until(() => {
+    await waitUntil(() => {
       const isOver = harness.events('long').includes('attempts.ended')
       if (!isOver) expect(settledOrder()).toBe('')
       return isOver
     })
     await running
-    await until(() => settledOrder() === 'unload-6')
+    await waitUntil(() => settledOrder() === 'unload-6')
     expect(harness.agent.state().endpoints[0].models).toEqual([])
     await order('load', 7)
     await restartEngine()
-    await until(() => settledOrder() === 'load-7' && harness.agent.state().endpoints[0].models.length === 0)
+    await waitUntil(() => settledOrder() === 'load-7' && harness.agent.state().endpoints[0].models.length === 0)
   })
 
   it('passes the token on, and the refusal of an engine that knows a newer one', async () => {
@@ -110,7 +110,7 @@
     await start({}, { preload: [] })
     expect((await run('early')).refused?.reason).toBe('model_not_loaded')
     await order('load', 6)
-    await until(isReady)
+    await waitUntil(isReady)
     expect((await run('loaded')).final?.outcome).toBe('completed')
     await order('assign', 6, { service: 'other' })
     expect((await run('late')).refused?.reason).toBe('model_not_loaded')
@@ -131,11 +131,11 @@
     await start({}, { preload: [], checksFencing: true })
     await order('load', 9)
     await order('assign', 10, { service: 'assistant' })
-    await until(isReady)
+    await waitUntil(isReady)
     tableIsDown = true
     await restartEngine({ checksFencing: true })
-    await until(() => engine.models().length > 0)
-    await until(isReady)
+    await waitUntil(() => engine.models().length > 0)
+    await waitUntil(isReady)
     expect(await run('after')).toMatchObject({ status: 200, final: { outcome: 'completed' } })
     expect(engine.ledger().orders).toMatchObject([{ action: 'load', model: 'small', version: '1', fencingToken: 9, accepted: true }])
   })
@@ -144,7 +144,7 @@
   it('goes on with the service of its last load after a crash', async () => {
     await start({}, { preload: [] })
     await order('load', 9)
-    await until(isReady)
+    await waitUntil(isReady)
     tableIsDown = true
     const { assistant } = TEST_DOCUMENT.services
     offerDocument(harness.context, 2, {
@@ -153,8 +153,8 @@
       services: { ...TEST_DOCUMENT.services, assistant: { ...assistant, adapters: ['notes'] } as typeof assistant }
     })
     await restartEngine()
-    await until(() => engine.models().length > 0)
-    await until(isReady)
+    await waitUntil(() => engine.models().length > 0)
+    await waitUntil(isReady)
     expect((await run('after', { configurationVersion: 2n })).final?.outcome).toBe('completed')
   })
 
@@ -162,25 +162,25 @@
   it('leaves the load after a crash to the placement while the table answers', async () => {
     await start({}, { preload: [] })
     await order('load', 9)
-    await until(isReady)
+    await waitUntil(isReady)
     const readsBefore = tableReads
     await restartEngine()
-    await until(() => tableReads >= readsBefore + 3)
+    await waitUntil(() => tableReads >= readsBefore + 3)
     expect(engine.ledger().orders).toEqual([])
     expect(await order('load', 9)).toMatchObject({ outcome: 'started' })
-    await until(isReady)
+    await waitUntil(isReady)
   })
 
   it('gives up a load after a crash that the engine refuses for a newer order', async () => {
     await start({}, { preload: [] })
     await order('load', 9)
-    await until(isReady)
+    await waitUntil(isReady)
     tableIsDown = true
     await engine.close()
     const { port } = engine
     engine = await startEngineStandin({ engine: ENGINE, port, checksFencing: true, preload: ['other:1'] })
     await fetch(`${engine.url}/orders`, { method: 'POST', body: JSON.stringify({ action: 'load', model: 'other', version: '1', fencingToken: 50 }) })
-    await until(() => harness.context.timeline.query().some(event => event.event === 'orders.reload' && event.detail?.outcome === 'stale_fencing_token'))
+    await waitUntil(() => harness.context.timeline.query().some(event => event.event === 'orders.reload' && event.detail?.outcome === 'stale_fencing_token'))
     const readsBefore = tableReads
     await new Promise(resolve => { setTimeout(resolve, 1000) })
     expect(tableReads).toBe(readsBefore)
@@ -190,11 +190,11 @@
   it('unloads a model only after the attempts that need it have ended', async () => {
     await start()
     const running = run('long', { body: chat(200) })
-    await until(() => harness.events('long').includes('attempts.first_token'))
+    await waitUntil(() => harness.events('long').includes('attempts.first_token'))
     expect(await order('unload', 6)).toMatchObject({ outcome: 'started' })
     expect((await run('new')).refused?.reason).toBe('model_not_loaded')
     expect((await running).final?.outcome).toBe('completed')
-    await until(() => engine.models().length === 0)
+    await waitUntil(() => engine.models().length === 0)
   })
 
   it('refuses what was quarantined through an exchange, and reports its state', async () => {
@@ -223,7 +223,7 @@
     await start({ options: { batchDrainGraceMs: 50 } })
     const stream = run('stream', { body: chat(200), outputMode: 'stream' })
     const batch = run('batch', { body: chat(4000), workClass: 'batch' })
-    await until(() => ['stream', 'batch'].every(id => harness.events(id).includes('attempts.first_token')))
+    await waitUntil(() => ['stream', 'batch'].every(id => harness.events(id).includes('attempts.first_token')))
     expect(await harness.client.drain({ reason: 'test' })).toMatchObject({ running: 2 })
     const drained = harness.agent.drain('test').then(() => harness.events('stream').includes('attempts.ended'))
     expect((await run('late')).refused?.reason).toBe('draining')
--- a/packages/anvilarch-daemon/src/agent/__tests__/attemptTable.test.ts
+++ b/packages/anvilarch-daemon/src/agent/__tests__/attemptTable.test.ts
@@ -2,7 +2,7 @@
 import { must } from '../__fixtures__/must'
 import { attemptTableStep, type AttemptTableCommand, type AttemptTableEvent, type AttemptTableState, createAttemptTable } from '../attemptTable'
 
-const OPTIONS = { incarnation: 'now', attemptRetentionMs: 1000, barRetentionMs: 10_000, readerGraceMs: 500, maxBars: 1000, maxRetainedBytes: 250 }
+const OPTIONS = { incarnation: 'now', attemptRetentionMs: 1000, barRetentionMs: 10_000, readerGraceMs: 500, maxTombstones: 1000, maxRetainedBytes: 250 }
 const LIFETIME_MS = 3000
 const IDS = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h']
 
@@ -11,13 +11,13 @@
 }
 
 /** What one history did to an id, as peers see it. */
-interface Seen {
+interface IdRecord {
   startedMs: number
   deadlineMs: number
   /** Deadline of the start that ran. */
   lastDeadlineMs: number
   /** When a peer was told that it never runs here. */
-  toldNotRunMs: number
+  reportedNotRunMs: number
 }
 
 type Action =
@@ -38,7 +38,7 @@
   generation = 0
   table = createAttemptTable(OPTIONS)
   readers = new Map<string, number>()
-  seen = new Map<string, Seen>()
+  records = new Map<string, IdRecord>()
 
   run (actions: Action[]): void {
     for (const action of actions) this.apply(action)
@@ -47,12 +47,12 @@
   private apply (action: Action): void {
     if (action.kind === 'wait') {
       this.nowMs += action.ms
-      this.carryOut(send(this.table, { kind: 'tick', nowMs: this.nowMs }))
+      this.execute(send(this.table, { kind: 'tick', nowMs: this.nowMs }))
     } else if (action.kind === 'restart') {
       this.generation++
       this.table = createAttemptTable({ ...OPTIONS, incarnation: this.incarnation() })
       this.readers.clear()
-      this.seen.clear()
+      this.records.clear()
     } else {
       this.onId(action)
     }
@@ -65,29 +65,29 @@
 
   private onId (action: Exclude<Action, { kind: 'wait' | 'restart' }>): void {
     const { id } = action
-    const meant = action.isOld ? 'an older one' : this.table.options.incarnation
+    const incarnation = action.isOld ? 'an older one' : this.table.options.incarnation
     const entry = this.table.entries.get(id)
     const base = { nowMs: this.nowMs, id }
     switch (action.kind) {
       case 'deliver':
       case 'duplicate': {
-        this.answer(send(this.table, { ...base, kind: 'deliver', incarnation: meant }), action)
+        this.handleResponse(send(this.table, { ...base, kind: 'deliver', incarnation }), action)
         break
       }
       case 'resume': {
-        this.answer(send(this.table, { ...base, kind: 'resume', incarnation: meant }), action)
+        this.handleResponse(send(this.table, { ...base, kind: 'resume', incarnation }), action)
         break
       }
       case 'cancel': {
         const commands = send(this.table, { ...base, kind: 'cancel' })
-        this.carryOut(commands)
-        if (commands.some(command => command.kind === 'cancelAnswer' && command.outcome === 'barred')) this.noteNotRun(id)
+        this.execute(commands)
+        if (commands.some(command => command.kind === 'cancelAnswer' && command.outcome === 'barred')) this.recordNotRun(id)
         break
       }
       case 'start': {
         if (entry?.state !== 'queued') break
         send(this.table, { ...base, kind: 'started' })
-        this.noteStarted(id)
+        this.recordStarted(id)
         break
       }
       case 'end': {
@@ -111,25 +111,25 @@
     }
   }
 
-  private answer (commands: AttemptTableCommand[], { accepts, isOld }: { accepts: boolean, isOld: boolean }): void {
-    this.carryOut(commands)
+  private handleResponse (commands: AttemptTableCommand[], { accepts, isOld }: { accepts: boolean, isOld: boolean }): void {
+    this.execute(commands)
     const isRefused = commands.length === 1 && commands[0].kind === 'refuse' && commands[0].reason === 'wrong_incarnation'
     must(isRefused === isOld, 'an agent speaks for its predecessor, or not for itself')
     for (const command of commands) {
-      if (command.kind === 'refuse' && command.reason === 'barred') this.noteNotRun(command.id)
+      if (command.kind === 'refuse' && command.reason === 'barred') this.recordNotRun(command.id)
       if (command.kind !== 'consider') continue
       const base = { nowMs: this.nowMs, id: command.id }
       if (accepts) {
         send(this.table, { ...base, kind: 'accepted', deadlineMs: this.nowMs + LIFETIME_MS, stopsUnread: true })
-        this.look(command.id).deadlineMs = this.nowMs + LIFETIME_MS
+        this.recordOf(command.id).deadlineMs = this.nowMs + LIFETIME_MS
       } else {
         send(this.table, { ...base, kind: 'refused' })
-        this.noteNotRun(command.id)
+        this.recordNotRun(command.id)
       }
     }
   }
 
-  private carryOut (commands: AttemptTableCommand[]): void {
+  private execute (commands: AttemptTableCommand[]): void {
     for (const command of commands) {
       if (command.kind === 'stop') this.end(command.id)
       if (command.kind === 'forgetOutput') must(this.table.entries.get(command.id)?.state === 'forgotten', `"${command.id}" lost its output but is not forgotten`)
@@ -137,19 +137,19 @@
   }
 
   private end (id: string): void {
-    this.carryOut(send(this.table, { kind: 'ended', nowMs: this.nowMs, id, outcome: 'completed', totalBytes: 100 }))
+    this.execute(send(this.table, { kind: 'ended', nowMs: this.nowMs, id, outcome: 'completed', totalBytes: 100 }))
   }
 
-  private noteNotRun (id: string): void {
-    const seen = this.look(id)
-    must(!this.isRecent(seen.startedMs, seen.lastDeadlineMs), `a peer was told that "${id}" did not run, but it did`)
-    seen.toldNotRunMs = this.nowMs
+  private recordNotRun (id: string): void {
+    const record = this.recordOf(id)
+    must(!this.isRecent(record.startedMs, record.lastDeadlineMs), `a peer was told that "${id}" did not run, but it did`)
+    record.reportedNotRunMs = this.nowMs
   }
 
-  private noteStarted (id: string): void {
-    const seen = this.look(id)
+  private recordStarted (id: string): void {
+    const seen = this.recordOf(id)
     must(!this.isRecent(seen.startedMs, seen.lastDeadlineMs), `"${id}" ran twice`)
-    must(!this.isRecent(seen.toldNotRunMs, seen.toldNotRunMs), `"${id}" ran after a peer was told that it did not`)
+    must(!this.isRecent(seen.reportedNotRunMs, seen.reportedNotRunMs), `"${id}" ran after a peer was told that it did not`)
     seen.startedMs = this.nowMs
     seen.lastDeadlineMs = seen.deadlineMs
   }
@@ -158,11 +158,11 @@
     return whenMs >= 0 && this.nowMs < deadlineMs + OPTIONS.barRetentionMs
   }
 
-  private look (id: string): Seen {
-    let seen = this.seen.get(id)
+  private recordOf (id: string): IdRecord {
+    let seen = this.records.get(id)
     if (seen === undefined) {
-      seen = { startedMs: -1, deadlineMs: 0, lastDeadlineMs: 0, toldNotRunMs: -1 }
-      this.seen.set(id, seen)
+      seen = { startedMs: -1, deadlineMs: 0, lastDeadlineMs: 0, reportedNotRunMs: -1 }
+      this.records.set(id, seen)
     }
     return seen
   }
@@ -172,8 +172,8 @@
     const kept = all.filter(entry => entry.state === 'ended').map(entry => entry.totalBytes)
     must(this.table.retainedBytes <= OPTIONS.maxRetainedBytes + 100 * (1 + this.readers.size), 'more output is kept than may be')
     must(this.table.retainedBytes === kept.reduce((sum, bytes) => sum + bytes, 0), 'the count of bytes is wrong')
-    must(this.table.bars === all.filter(entry => entry.state === 'barred' || entry.state === 'forgotten').length, 'the count of bars is wrong')
-    must(this.table.live === all.filter(entry => entry.state === 'queued' || entry.state === 'running').length, 'the count of live attempts is wrong')
+    must(this.table.tombstones === all.filter(entry => entry.state === 'barred' || entry.state === 'forgotten').length, 'the count of bars is wrong')
+    must(this.table.liveCount === all.filter(entry => entry.state === 'queued' || entry.state === 'running').length, 'the count of live attempts is wrong')
   }
 }
 
@@ -206,7 +206,7 @@
   })
 
   it('says nothing of ids that it has no room to bar', () => {
-    const table = createAttemptTable({ ...OPTIONS, maxBars: 1 })
+    const table = createAttemptTable({ ...OPTIONS, maxTombstones: 1 })
     send(table, { kind: 'cancel', nowMs: 0, id: 'a' })
     expect(send(table, { kind: 'resume', nowMs: 0, id: 'b', incarnation: 'now' })).toEqual([{ kind: 'refuse', id: 'b', reason: 'wrong_incarnation' }])
     expect(send(table, { kind: 'cancel', nowMs: 0, id: 'b' })).toEqual([{ kind: 'cancelAnswer', id: 'b', outcome: 'unknown' }])
--- a/packages/anvilarch-daemon/src/agent/__tests__/engineFailures.test.ts
+++ b/packages/anvilarch-daemon/src/agent/__tests__/engineFailures.test.ts
@@ -1,5 +1,5 @@
 import { type EngineOptions, type EngineStandin, expectedText, startEngineStandin } from 'anvilarch-standins'
-import { type AgentHarness, type HarnessOptions, readFrames, startAgentHarness, startMessage, textOfEvents, until } from '../__fixtures__/agentHarness'
+import { type AgentHarness, type HarnessOptions, readFrames, startAgentHarness, startMessage, textOfEvents, waitUntil } from '../__fixtures__/agentHarness'
 
 const ENGINE = { baseStepMs: 5, perSequenceMs: 0, prefillPerTokenMs: 0, perThousandContextTokensMs: 0 }
 const PATH = '/v1/chat/completions'
@@ -34,7 +34,7 @@
     await start()
     const body = chat('silence', 200)
     const reading = readFrames(harness.client.startAttempt(startMessage({ attemptId: 'a', body, outputMode: 'stream' })))
-    await until(() => produced('a'))
+    await waitUntil(() => produced('a'))
     engine.faults.set({ silence: true })
     const read = await reading
     expect(textOfEvents(read.output)).toEqual({ text: expectedText(PATH, body), tokens: 200, isWhole: true })
@@ -55,7 +55,7 @@
   it('ends all attempts in progress as crashed when the engine dies, and refuses new ones until it is back', async () => {
     await start({ crashOn: 'deadly' })
     const beside = readFrames(harness.client.startAttempt(startMessage({ attemptId: 'beside', body: chat('harmless', 400), outputMode: 'stream' })))
-    await until(() => produced('beside'))
+    await waitUntil(() => produced('beside'))
     const deadly = readFrames(harness.client.startAttempt(startMessage({ attemptId: 'deadly', body: chat('deadly', 10) })))
     const ends = (await Promise.all([beside, deadly])).map(read => read.final)
     expect(ends).toMatchObject([{ outcome: 'endpoint_crashed', ran: 'ran', wasAlone: false }, { outcome: 'endpoint_crashed', wasAlone: false }])
@@ -65,7 +65,7 @@
 
     const { port } = engine
     engine = await startEngineStandin({ engine: ENGINE, preload: ['small:1'], port })
-    await until(() => harness.agent.state().endpoints[0].health === 'ready')
+    await waitUntil(() => harness.agent.state().endpoints[0].health === 'ready')
     const after = await readFrames(harness.client.startAttempt(startMessage({ attemptId: 'after', fingerprint: 'fingerprint of beside', body: chat('after', 3) })))
     expect(after.final?.outcome).toBe('completed')
   })
@@ -73,7 +73,7 @@
   it('says that a request which crashed the engine in an isolated run was alone', async () => {
     await start({ crashOn: 'deadly' })
     const first = readFrames(harness.client.startAttempt(startMessage({ attemptId: 'first', body: chat('first', 200) })))
-    await until(() => produced('first'))
+    await waitUntil(() => produced('first'))
     const deadly = readFrames(harness.client.startAttempt(startMessage({ attemptId: 'deadly', body: chat('deadly', 10), isolated: true })))
     expect((await first).final?.outcome).toBe('completed')
     expect((await deadly).final).toMatchObject({ outcome: 'endpoint_crashed', wasAlone: true })
@@ -82,7 +82,7 @@
   it('says that a request which crashed the engine at its first token was computed alone, and tells the others that the cause is known', async () => {
     await start({ crashOn: 'deadly' })
     const beside = readFrames(harness.client.startAttempt(startMessage({ attemptId: 'beside', body: chat('harmless', 400), outputMode: 'stream' })))
-    await until(() => produced('beside'))
+    await waitUntil(() => produced('beside'))
     const deadly = readFrames(harness.client.startAttempt(startMessage({ attemptId: 'deadly', body: chat('deadly', 10), soloFirstToken: true })))
     expect((await deadly).final).toMatchObject({ outcome: 'endpoint_crashed', wasAlone: true, causeKnown: false, outputTokens: 0 })
     expect((await beside).final).toMatchObject({ outcome: 'endpoint_crashed', wasAlone: false, causeKnown: true })
@@ -91,7 +91,7 @@
   it('proves a suspect harmless by a run in which its prompt was computed alone', async () => {
     await start({})
     const beside = readFrames(harness.client.startAttempt(startMessage({ attemptId: 'beside', body: chat('harmless', 100), outputMode: 'stream' })))
-    await until(() => produced('beside'))
+    await waitUntil(() => produced('beside'))
     const suspect = await readFrames(harness.client.startAttempt(startMessage({ attemptId: 'suspect', body: chat('suspect', 5), soloFirstToken: true })))
     expect(suspect.final).toMatchObject({ outcome: 'completed', wasAlone: true })
     expect((await beside).final).toMatchObject({ outcome: 'completed' })
@@ -104,7 +104,7 @@
     await readFrames(harness.client.startAttempt(message('deadly', { body: chat('deadly', 10) })))
     const { port } = engine
     engine = await startEngineStandin({ engine: ENGINE, preload: ['small:1'], port })
-    await until(() => harness.agent.state().endpoints[0].health === 'ready')
+    await waitUntil(() => harness.agent.state().endpoints[0].health === 'ready')
     expect((await readFrames(harness.client.startAttempt(message('beside')))).refused?.reason).toBe('suspect')
     expect((await harness.client.exchange({})).suspects).toEqual(['f'])
     expect((await readFrames(harness.client.startAttempt(message('alone', { isolated: true })))).final).toMatchObject({ outcome: 'completed', wasAlone: true })
@@ -115,10 +115,10 @@
   it('takes a frozen engine for down, not for crashed, and gives its attempts up', async () => {
     await start({ agent: { endpointSilenceMs: 100 } })
     const reading = readFrames(harness.client.startAttempt(startMessage({ attemptId: 'a', body: chat('frozen', 400) })))
-    await until(() => produced('a'))
+    await waitUntil(() => produced('a'))
     engine.faults.set({ frozen: true })
     expect((await reading).final).toMatchObject({ outcome: 'endpoint_failed', ran: 'ran' })
-    await until(() => harness.agent.state().endpoints[0].health === 'crashed')
+    await waitUntil(() => harness.agent.state().endpoints[0].health === 'crashed')
     expect(harness.context.timeline.query().map(event => event.event)).not.toContain('endpoint.crashed')
     engine.faults.set({ frozen: false })
   })
@@ -128,7 +128,7 @@
     await start({ slots: 1 })
     const body = chat('batch', 200)
     const batch = readFrames(harness.client.startAttempt(startMessage({ attemptId: 'batch', body, workClass: 'batch' })))
-    await until(() => produced('batch'))
+    await waitUntil(() => produced('batch'))
     const online = await readFrames(harness.client.startAttempt(startMessage({ attemptId: 'online', body: chat('online', 5) })))
     expect(online.final?.outcome).toBe('completed')
     expect(JSON.parse((await batch).output.toString()).choices[0].message.content).toBe(expectedText(PATH, body))
@@ -140,7 +140,7 @@
     await start({ slots: 1, engine: { retentionMs: 0 } })
     const body = chat('forgotten', 200)
     const batch = readFrames(harness.client.startAttempt(startMessage({ attemptId: 'batch', body, workClass: 'batch', outputMode: 'stream' })))
-    await until(() => produced('batch'))
+    await waitUntil(() => produced('batch'))
     await readFrames(harness.client.startAttempt(startMessage({ attemptId: 'online', body: chat('online', 5) })))
     expect(textOfEvents((await batch).output)).toEqual({ text: expectedText(PATH, body), tokens: 200, isWhole: true })
     expect(executions('batch')).toHaveLength(2)
@@ -153,10 +153,10 @@
   ])('frees the slot at the engine when an attempt ends as %s', async (outcome, remainingMs, cancels) => {
     await start()
     const reading = readFrames(harness.client.startAttempt(startMessage({ attemptId: 'a', body: chat('long', 2000), remainingMs })))
-    await until(() => produced('a'))
+    await waitUntil(() => produced('a'))
     if (cancels) expect(await harness.client.cancelAttempt({ attemptId: 'a' })).toMatchObject({ outcome: 'cancelled' })
     expect((await reading).final).toMatchObject({ outcome, ran: 'ran' })
-    await until(() => engine.load().running === 0)
+    await waitUntil(() => engine.load().running === 0)
     expect(executions('a')).toMatchObject([{ state: 'cancelled' }])
     expect(await harness.client.cancelAttempt({ attemptId: 'a' })).toMatchObject({ outcome: 'finished' })
   })
@@ -166,6 +166,6 @@
     const read = await readFrames(harness.client.startAttempt(startMessage({ attemptId: 'a', body: chat('large', 300), outputMode: 'stream' })))
     expect(read.final).toMatchObject({ outcome: 'endpoint_failed', ran: 'ran' })
     expect(read.final?.detail).toContain('maxOutputBytes')
-    await until(() => engine.load().running === 0)
+    await waitUntil(() => engine.load().running === 0)
   })
 })
--- a/packages/anvilarch-daemon/src/agent/__tests__/gatewayConnections.test.ts
+++ b/packages/anvilarch-daemon/src/agent/__tests__/gatewayConnections.test.ts
@@ -1,6 +1,6 @@
 import { type EngineStandin, expectedText, startEngineStandin } from 'anvilarch-standins'
 import { startRelay } from '../__fixtures__/rawServer'
-import { type AgentHarness, type HarnessOptions, readFrames, startAgentHarness, startMessage, textOfEvents, until } from '../__fixtures__/agentHarness'
+import { type AgentHarness, type HarnessOptions, readFrames, startAgentHarness, startMessage, textOfEvents, waitUntil } from '../__fixtures__/agentHarness'
 
 const ENGINE = { baseStepMs: 5, perSequenceMs: 0, prefillPerTokenMs: 0, perThousandContextTokensMs: 0 }
 const PATH = '/v1/chat/completions'
@@ -51,11 +51,11 @@
     await start({ options: { readerGraceMs: 200 } })
     const gone = new AbortController()
     const reading = readFrames(harness.client.startAttempt(startMessage({ attemptId: 'a', body: { ...BODY, max_tokens: 50_000 }, outputMode: 'stream', remainingMs: 600_000 }), { signal: gone.signal })).catch(() => {})
-    await until(() => harness.events('a').includes('attempts.first_token'))
+    await waitUntil(() => harness.events('a').includes('attempts.first_token'))
     gone.abort()
     await reading
-    await until(() => harness.events('a').includes('attempts.ended'))
-    await until(() => engine.load().running === 0)
+    await waitUntil(() => harness.events('a').includes('attempts.ended'))
+    await waitUntil(() => engine.load().running === 0)
   })
 
   // Guards against this: a caller was told "not run", and the request ran.
@@ -109,8 +109,8 @@
     await start({ options: { pingIntervalMs: 100, connectionTimeoutMs: 600 } }, 1)
     const relay = await startRelay(harness.agent.address)
     const reading = readFrames(harness.connect(relay.address).startAttempt(startMessage({ attemptId: 'a', body: { ...BODY, max_tokens: 1500 }, outputMode: 'stream' })))
-    await until(() => harness.events('a').includes('attempts.first_token'))
-    relay.goSilent()
+    await waitUntil(() => harness.events('a').includes('attempts.first_token'))
+    relay.stopForwarding()
     await harness.agent.drain('test')
     expect(harness.agent.state()).toMatchObject({ attempts: 0, readers: 0 })
     relay.close()
--- a/packages/anvilarch-daemon/src/agent/__tests__/modelRun.test.ts
+++ b/packages/anvilarch-daemon/src/agent/__tests__/modelRun.test.ts
@@ -49,7 +49,7 @@
   connections = createEndpointConnections(url)
   let status = 0
   let output = ''
-  const adapter = { url, clock: createSystemClock(), silenceMs: 5_000, onUnreachable: () => {}, judge: async () => 'alive' as const, incarnation: () => '1' }
+  const adapter = { url, clock: createSystemClock(), idleTimeoutMs: 5_000, onUnreachable: () => {}, checkProcess: async () => 'alive' as const, incarnation: () => '1' }
   const call = { method: 'POST', path: '/v1/chat/completions', headers: {}, body: Buffer.from('{"model":"small","messages":[]}') }
   const modelRun = startModelRun({ ...adapter, connections, basePath: '' }, { requestId: 'r', attemptId: 'a', workClass: 'online', idempotent: true, outputMode: mode, call }, {
     onHead: given => { status = given },
--- a/packages/anvilarch-daemon/src/agent/__tests__/plainCalls.test.ts
+++ b/packages/anvilarch-daemon/src/agent/__tests__/plainCalls.test.ts
@@ -1,6 +1,6 @@
 import type { Socket } from 'node:net'
-import { type AgentHarness, type ReadAttempt, readFrames, type StartFields, startAgentHarness, startMessage, until } from '../__fixtures__/agentHarness'
-import { type RawServer, startRawServer, WHOLE_ANSWER } from '../__fixtures__/rawServer'
+import { type AgentHarness, type ReadAttempt, readFrames, type StartFields, startAgentHarness, startMessage, waitUntil } from '../__fixtures__/agentHarness'
+import { type RawServer, startRawServer, COMPLETE_RESPONSE } from '../__fixtures__/rawServer'
 
 describe('an agent before a plain service', () => {
   let server: RawServer
@@ -43,7 +43,7 @@
     const sockets = new Set<Socket>()
     await start(socket => {
       sockets.add(socket)
-      socket.write(WHOLE_ANSWER)
+      socket.write(COMPLETE_RESPONSE)
     })
     for (const attemptId of ['a', 'b', 'c']) {
       expect((await call({ attemptId, idempotent: false })).final).toMatchObject({ outcome: 'completed', ran: 'ran' })
@@ -63,14 +63,14 @@
     await server.close()
     const read = await call({ attemptId: 'refused', idempotent: false })
     expect(read.final).toMatchObject({ outcome: 'endpoint_failed', ran: 'not_run' })
-    await until(() => harness.agent.state().endpoints[0].health === 'crashed')
+    await waitUntil(() => harness.agent.state().endpoints[0].health === 'crashed')
     expect((await call({ attemptId: 'later', idempotent: false })).refused?.reason).toBe('endpoint_down')
   })
 
   it('sends an idempotent call again over a new connection when a kept-alive one was reset', async () => {
     await start((socket, number) => {
       if (number === 1) socket.destroy()
-      else socket.write(WHOLE_ANSWER)
+      else socket.write(COMPLETE_RESPONSE)
     })
     expect((await call({ attemptId: 'first' })).final?.outcome).toBe('completed')
     expect((await call({ attemptId: 'second' })).final?.outcome).toBe('completed')
@@ -79,7 +79,7 @@
 
   // Guards against this: a lookup waits for its deadline although the service is well.
   it('sends an idempotent call again beside one that stays silent, and takes the first answer', async () => {
-    await start((socket, number) => { if (number !== 0) socket.write(WHOLE_ANSWER) })
+    await start((socket, number) => { if (number !== 0) socket.write(COMPLETE_RESPONSE) })
     const read = await call({ attemptId: 'a' })
     expect(read.output.toString()).toBe('ok')
     expect(server.requests).toHaveLength(2)
--- a/packages/anvilarch-daemon/src/agent/__tests__/plainRun.test.ts
+++ b/packages/anvilarch-daemon/src/agent/__tests__/plainRun.test.ts
@@ -1,6 +1,6 @@
 import type { Socket } from 'node:net'
 import { createSystemClock } from 'anvilarch-utils'
-import { type RawServer, startRawServer, WHOLE_ANSWER } from '../__fixtures__/rawServer'
+import { type RawServer, startRawServer, COMPLETE_RESPONSE } from '../__fixtures__/rawServer'
 import { createEndpointConnections, type EndpointConnections } from '../endpoints/connections'
 import { startPlainRun } from '../endpoints/plainRun'
 import type { EndpointRun, RunEnd } from '../endpoints/types'
@@ -18,15 +18,15 @@
     heads = 0
   }
 
-  const run = (given: { method?: string, idempotent?: boolean, onJudge?: (run: EndpointRun) => void } = {}): EndpointRun => {
-    const { method = 'GET', idempotent = false, onJudge = () => {} } = given
+  const run = (given: { method?: string, idempotent?: boolean, onCheck?: (run: EndpointRun) => void } = {}): EndpointRun => {
+    const { method = 'GET', idempotent = false, onCheck = () => {} } = given
     const clock = createSystemClock()
     const call = { method, path: '/names/a', headers: {}, body: new Uint8Array(0) }
-    const judge = async (): Promise<'alive'> => {
-      onJudge(started)
+    const checkProcess = async (): Promise<'alive'> => {
+      onCheck(started)
       return 'alive'
     }
-    const deps = { connections, clock, basePath: '', silenceMs: 100, onUnreachable: () => {}, judge }
+    const deps = { connections, clock, basePath: '', idleTimeoutMs: 100, onUnreachable: () => {}, checkProcess }
     const started = startPlainRun(deps, { requestId: 'r', attemptId: 'a', workClass: 'lookup', idempotent, outputMode: 'raw', call }, {
       onHead: () => { heads++ }, onOutput: () => true, onToken: () => {}, onResumed: () => {}
     })
@@ -47,9 +47,9 @@
   it('is not given up by the judgement on its first try while the tick has sent it again', async () => {
     await start((socket, number) => {
       if (number === 0) socket.destroy()
-      else setTimeout(() => { socket.write(WHOLE_ANSWER) }, 20)
+      else setTimeout(() => { socket.write(COMPLETE_RESPONSE) }, 20)
     })
-    const started = run({ idempotent: true, onJudge: judged => { judged.checkSilence(createSystemClock().nowMs() + IDLE_MS) } })
+    const started = run({ idempotent: true, onCheck: checked => { checked.checkTimeout(createSystemClock().nowMs() + IDLE_MS) } })
     expect(await started.done).toMatchObject({ outcome: 'completed', ran: 'ran' })
     expect(server.requests).toHaveLength(2)
   })
--- a/packages/anvilarch-daemon/src/agent/__tests__/ownPause.test.ts
+++ b/packages/anvilarch-daemon/src/agent/__tests__/processPause.test.ts
@@ -1,11 +1,11 @@
 import { type EngineStandin, startEngineStandin } from 'anvilarch-standins'
-import { type AgentHarness, readFrames, startAgentHarness, startMessage, until } from '../__fixtures__/agentHarness'
+import { type AgentHarness, readFrames, startAgentHarness, startMessage, waitUntil } from '../__fixtures__/agentHarness'
 
 const ENGINE = { baseStepMs: 20, perSequenceMs: 0, prefillPerTokenMs: 0, perThousandContextTokensMs: 0 }
-const SILENCE_MS = 500
+const ENGINE_TIMEOUT_MS = 500
 const PAUSES = 4
 
-function keepBusy (durationMs: number): void {
+function blockEventLoop (durationMs: number): void {
   const untilMs = performance.now() + durationMs
   while (performance.now() < untilMs);
 }
@@ -18,7 +18,7 @@
     engine = await startEngineStandin({ engine: ENGINE, preload: ['small:1'] })
     harness = await startAgentHarness({
       endpoints: [{ name: 'engine', kind: 'model', url: engine.url }],
-      agent: { endpointSilenceMs: SILENCE_MS },
+      agent: { endpointSilenceMs: ENGINE_TIMEOUT_MS },
       options: { tickMs: 20, probeIntervalMs: 100, pingIntervalMs: 50, connectionTimeoutMs: 200 }
     })
   })
@@ -32,10 +32,10 @@
   // Guards against this: after a host wakes up, its agent opens each of its streams to the engine anew and drops the connections of all gateways.
   it('keeps its streams to the engine and the connections of its gateways', async () => {
     const reading = readFrames(harness.client.startAttempt(startMessage({ attemptId: 'a', body: { model: 'small', messages: [{ role: 'user', content: 'x' }], max_tokens: 60 }, outputMode: 'stream' })))
-    await until(() => harness.events('a').includes('attempts.first_token'))
+    await waitUntil(() => harness.events('a').includes('attempts.first_token'))
     for (let pause = 0; pause < PAUSES; pause++) {
       await new Promise(resolve => { setTimeout(resolve, 70) })
-      keepBusy(2 * SILENCE_MS)
+      blockEventLoop(2 * ENGINE_TIMEOUT_MS)
     }
     expect((await reading).final).toMatchObject({ outcome: 'completed', outputTokens: 60 })
     expect(harness.events('a')).not.toContain('attempts.resumed')
--- a/packages/anvilarch-daemon/src/agent/__tests__/startAgent.test.ts
+++ b/packages/anvilarch-daemon/src/agent/__tests__/startAgent.test.ts
@@ -1,5 +1,5 @@
 import { type EngineStandin, expectedPlainAnswer, expectedText, type PlainStandin, startEngineStandin, startPlainStandin } from 'anvilarch-standins'
-import { type AgentHarness, readFrames, startAgentHarness, startMessage, textOfEvents, until } from '../__fixtures__/agentHarness'
+import { type AgentHarness, readFrames, startAgentHarness, startMessage, textOfEvents, waitUntil } from '../__fixtures__/agentHarness'
 
 const FAST_ENGINE = { baseStepMs: 2, perSequenceMs: 0, prefillPerTokenMs: 0, perThousandContextTokensMs: 0 }
 const CHAT = { model: 'small', messages: [{ role: 'user', content: 'Explain a transfer hold.' }], max_tokens: 20 }
@@ -51,7 +51,7 @@
   it('fills an idle engine with batch items', async () => {
     const body = { ...CHAT, max_tokens: 500 }
     const reading = Promise.all(Array.from({ length: 8 }, async (_, id) => await readFrames(harness.client.startAttempt(startMessage({ attemptId: `b${id}`, body, workClass: 'batch' })))))
-    await until(() => engine.load().running === 8)
+    await waitUntil(() => engine.load().running === 8)
     const outcomes = (await reading).map(read => read.final?.outcome)
     expect(new Set(outcomes)).toEqual(new Set(['completed']))
   })
--- a/packages/anvilarch-daemon/src/agent/agentService.ts
+++ b/packages/anvilarch-daemon/src/agent/agentService.ts
@@ -53,7 +53,7 @@
     order: async request => await orders.order(request),
     drain: request => {
       deps.drain(request.reason).catch(error => { context.logger.error('drain failed', { error: String(error) }) })
-      return { running: registry.live() }
+      return { running: registry.liveCount() }
     }
   }
 }
--- a/packages/anvilarch-daemon/src/agent/attemptReader.ts
+++ b/packages/anvilarch-daemon/src/agent/attemptReader.ts
@@ -46,7 +46,7 @@
   const { clock, pump, signal } = options
   const waiter = createWaiter(signal)
   const reader: PumpedReader = { lastFrameMs: clock.nowMs(), lastOutputMs: -Infinity, wake: waiter.wake }
-  const listener = { onOutput: () => { pump.noteOutput(reader) }, onEnd: waiter.wake }
+  const listener = { onOutput: () => { pump.scheduleWake(reader) }, onEnd: waiter.wake }
   let offset = options.offsetBytes
   let headSent = false
   let delivered = false
@@ -57,7 +57,7 @@
     lastLoadMs = reader.lastFrameMs
     return { kind, load: options.load() }
   }
-  const isQuiet = (): boolean => attempt.end === undefined && attempt.output.sizeBytes() <= offset && (headSent || attempt.head === undefined) && !signal.aborted
+  const isIdle = (): boolean => attempt.end === undefined && attempt.output.sizeBytes() <= offset && (headSent || attempt.head === undefined) && !signal.aborted
   attempt.listeners.add(listener)
   pump.add(reader)
   options.onOpened()
@@ -83,7 +83,7 @@
         return
       }
       await waiter.wait()
-      if (isQuiet() && clock.nowMs() - reader.lastFrameMs >= options.heartbeatMs * HEARTBEAT_SHARE) {
+      if (isIdle() && clock.nowMs() - reader.lastFrameMs >= options.heartbeatMs * HEARTBEAT_SHARE) {
         yield frame({ case: 'heartbeat', value: {} }, 0)
       }
     }
--- a/packages/anvilarch-daemon/src/agent/attemptRegistry.ts
+++ b/packages/anvilarch-daemon/src/agent/attemptRegistry.ts
@@ -31,11 +31,11 @@
   resume: (request: ResumeAttemptRequest, signal: AbortSignal) => AsyncGenerator<Frame>
   /** @returns the outcome of the cancellation */
   cancel: (request: CancelAttemptRequest) => string
-  noteStarted: (attempt: LiveAttempt) => void
-  noteEnded: (attempt: LiveAttempt, end: AttemptEnd) => void
+  markStarted: (attempt: LiveAttempt) => void
+  markEnded: (attempt: LiveAttempt, end: AttemptEnd) => void
   tick: (nowMs: number) => void
   /** Attempts that wait or run. */
-  live: () => number
+  liveCount: () => number
   lastEndMs: () => number
 }
 
@@ -56,17 +56,17 @@
     attemptRetentionMs: context.settings.agent.attemptRetentionMs,
     barRetentionMs: context.settings.agent.barRetentionMs,
     readerGraceMs: options.readerGraceMs,
-    maxBars: options.maxBars,
+    maxTombstones: options.maxTombstones,
     maxRetainedBytes: options.maxRetainedBytes
   })
 
   const step = (event: AttemptTableEvent): AttemptTableCommand[] => {
     const { commands } = attemptTableStep(table, event)
-    for (const command of commands) carryOut(command)
+    for (const command of commands) execute(command)
     return commands
   }
 
-  const carryOut = (command: AttemptTableCommand): void => {
+  const execute = (command: AttemptTableCommand): void => {
     if (command.kind === 'forgetOutput') attempts.delete(command.id)
     if (command.kind !== 'stop') return
     const attempt = attempts.get(command.id)
@@ -84,7 +84,7 @@
     load: loadOf(endpoint)
   })
 
-  const consider = (request: StartAttemptRequest): TaskRefusal | undefined => {
+  const decideAdmission = (request: StartAttemptRequest): TaskRefusal | undefined => {
     const { attemptId: id } = request
     const nowMs = clock.nowMs()
     const attempt = createLiveAttempt(context, request)
@@ -122,7 +122,7 @@
     return !request.isolated && !request.soloFirstToken && deps.suspects.mustIsolate(request.fingerprint) ? refuse('suspect') : undefined
   }
 
-  const read = (id: string, offsetBytes: number, signal: AbortSignal): AsyncGenerator<Frame> => {
+  const openReader = (id: string, offsetBytes: number, signal: AbortSignal): AsyncGenerator<Frame> => {
     const attempt = attempts.get(id)
     invariant(attempt !== undefined, 'attached_attempt_kept', () => `"${id}" is in the table but has no output`)
     return readAttempt(attempt, {
@@ -142,9 +142,9 @@
     })
   }
 
-  const answer = (commands: AttemptTableCommand[], offsetBytes: number, endpoint: string, signal: AbortSignal): AsyncGenerator<Frame> => {
+  const respond = (commands: AttemptTableCommand[], offsetBytes: number, endpoint: string, signal: AbortSignal): AsyncGenerator<Frame> => {
     const [command] = commands
-    if (command.kind === 'attach') return read(command.id, offsetBytes, signal)
+    if (command.kind === 'attach') return openReader(command.id, offsetBytes, signal)
     return framesOf(command.kind === 'refuse' ? [refusedFrame(command.reason, 0, endpoint)] : lostFrames())
   }
 
@@ -156,35 +156,35 @@
   const start = (request: StartAttemptRequest, signal: AbortSignal): AsyncGenerator<Frame> => {
     const { attemptId: id } = request
     const commands = step({ kind: 'deliver', nowMs: clock.nowMs(), id, incarnation: request.agentIncarnation })
-    if (commands[0].kind !== 'consider') return answer(commands, 0, request.endpoint, signal)
-    const refusal = consider(request)
+    if (commands[0].kind !== 'consider') return respond(commands, 0, request.endpoint, signal)
+    const refusal = decideAdmission(request)
     if (refusal !== undefined) return framesOf([refusedFrame(refusal.reason, refusal.retryAfterMs, request.endpoint)])
-    return read(id, 0, signal)
+    return openReader(id, 0, signal)
   }
 
   const resume = (request: ResumeAttemptRequest, signal: AbortSignal): AsyncGenerator<Frame> => {
     const { attemptId: id } = request
     const commands = step({ kind: 'resume', nowMs: clock.nowMs(), id, incarnation: request.agentIncarnation })
-    return answer(commands, Number(request.offsetBytes), attempts.get(id)?.endpoint ?? '', signal)
+    return respond(commands, Number(request.offsetBytes), attempts.get(id)?.endpoint ?? '', signal)
   }
 
   return {
-    start: (request, signal) => orFailed(() => start(request, signal)),
-    resume: (request, signal) => orFailed(() => resume(request, signal)),
+    start: (request, signal) => orErrorStream(() => start(request, signal)),
+    resume: (request, signal) => orErrorStream(() => resume(request, signal)),
     cancel: request => {
       const commands = step({ kind: 'cancel', nowMs: clock.nowMs(), id: request.attemptId })
       const found = commands.find(command => command.kind === 'cancelAnswer')
       return found?.outcome ?? 'unknown'
     },
-    noteStarted: attempt => {
+    markStarted: attempt => {
       invariant(!deps.isDraining(), 'no_start_in_drain', () => `"${attempt.id}" was started`)
       step({ kind: 'started', nowMs: clock.nowMs(), id: attempt.id })
     },
-    noteEnded: (attempt, end) => {
+    markEnded: (attempt, end) => {
       const nowMs = clock.nowMs()
       lastEndMs = nowMs
       attempt.end = end
-      deps.suspects.noteEnd(attempt, end)
+      deps.suspects.recordEnd(attempt, end)
       attempt.call = { ...attempt.call, body: NO_BODY }
       attempt.output.trim()
       step({ kind: 'ended', nowMs, id: attempt.id, outcome: end.outcome, totalBytes: attempt.output.sizeBytes() })
@@ -193,7 +193,7 @@
       for (const listener of attempt.listeners) listener.onEnd()
     },
     tick: nowMs => { step({ kind: 'tick', nowMs }) },
-    live: () => table.live,
+    liveCount: () => table.liveCount,
     lastEndMs: () => lastEndMs
   }
 }
@@ -203,14 +203,14 @@
 }
 
 /** An error must end the one stream that it is about, and not what serves all of them. */
-function orFailed (open: () => AsyncGenerator<Frame>): AsyncGenerator<Frame> {
+function orErrorStream (open: () => AsyncGenerator<Frame>): AsyncGenerator<Frame> {
   try {
     return open()
   } catch (error) {
-    return failed(error)
+    return errorStream(error)
   }
 }
 
-async function * failed (error: unknown): AsyncGenerator<Frame> {
+async function * errorStream (error: unknown): AsyncGenerator<Frame> {
   throw error
 }
--- a/packages/anvilarch-daemon/src/agent/attemptSessions.ts
+++ b/packages/anvilarch-daemon/src/agent/attemptSessions.ts
@@ -47,7 +47,7 @@
   } finally {
     signal.removeEventListener('abort', end)
     deps.stopped.removeEventListener('abort', end)
-    for (const stream of streams.values()) leave(stream)
+    for (const stream of streams.values()) closeStream(stream)
   }
 }
 
@@ -55,24 +55,24 @@
   deps: AttemptSessionsDeps, requests: AsyncIterable<SessionRequest>, streams: Map<number, SessionStream>, outbox: TurnBatch<SessionFrame>
 ): Promise<void> {
   for await (const request of requests) {
-    for (const command of request.commands) carryOut(deps, command, streams, outbox)
+    for (const command of request.commands) executeCommand(deps, command, streams, outbox)
   }
 }
 
-function carryOut (deps: AttemptSessionsDeps, command: SessionCommand, streams: Map<number, SessionStream>, outbox: TurnBatch<SessionFrame>): void {
+function executeCommand (deps: AttemptSessionsDeps, command: SessionCommand, streams: Map<number, SessionStream>, outbox: TurnBatch<SessionFrame>): void {
   const { kind, stream: number } = command
-  if (kind.case === 'start') open(streams, outbox, number, signal => deps.registry.start(kind.value, signal))
-  if (kind.case === 'resume') open(streams, outbox, number, signal => deps.registry.resume(kind.value, signal))
+  if (kind.case === 'start') openStream(streams, outbox, number, signal => deps.registry.start(kind.value, signal))
+  if (kind.case === 'resume') openStream(streams, outbox, number, signal => deps.registry.resume(kind.value, signal))
   const stream = streams.get(number)
   if (stream === undefined) return
-  if (kind.case === 'leave') leave(stream)
+  if (kind.case === 'leave') closeStream(stream)
   if (kind.case === 'creditBytes') {
     stream.creditBytes += kind.value
     stream.onCredit?.()
   }
 }
 
-function open (
+function openStream (
   streams: Map<number, SessionStream>, outbox: TurnBatch<SessionFrame>, number: number, call: (signal: AbortSignal) => AsyncGenerator<Frame>
 ): void {
   const stream: SessionStream = { abort: new AbortController(), creditBytes: STREAM_CREDIT_BYTES, onCredit: undefined }
@@ -81,13 +81,13 @@
     streams.delete(number)
     outbox.put(create(SessionFrameSchema, { stream: number, kind: { case: 'ended', value: problem } }))
   }
-  pass(stream, call(stream.abort.signal), frame => {
+  forwardFrames(stream, call(stream.abort.signal), frame => {
     outbox.put(create(SessionFrameSchema, { stream: number, kind: { case: 'frame', value: create(AttemptFrameSchema, frame) } }))
   }).then(() => { finish('') }, error => { finish(error instanceof Error ? error.message : String(error)) })
 }
 
 /** A caller that does not read holds back its own stream: without credit its frames stay in the attempt's buffer. */
-async function pass (stream: SessionStream, frames: AsyncGenerator<Frame>, put: (frame: Frame) => void): Promise<void> {
+async function forwardFrames (stream: SessionStream, frames: AsyncGenerator<Frame>, put: (frame: Frame) => void): Promise<void> {
   for await (const frame of frames) {
     put(frame)
     if (frame.kind?.case === 'output') stream.creditBytes -= frame.kind.value.data?.length ?? 0
@@ -98,10 +98,10 @@
   }
 }
 
-function leave (stream: SessionStream): void {
-  stream.abort.abort(LEFT)
+function closeStream (stream: SessionStream): void {
+  stream.abort.abort(STREAM_CLOSED)
   stream.onCredit?.()
 }
 
 /** One reason for all, because making an error object for each abort is costly. */
-const LEFT = new Error('the gateway left the stream')
+const STREAM_CLOSED = new Error('the gateway left the stream')
--- a/packages/anvilarch-daemon/src/agent/attemptTable.ts
+++ b/packages/anvilarch-daemon/src/agent/attemptTable.ts
@@ -69,7 +69,7 @@
   attemptRetentionMs: number
   barRetentionMs: number
   readerGraceMs: number
-  maxBars: number
+  maxTombstones: number
   maxRetainedBytes: number
 }
 
@@ -79,8 +79,8 @@
   entries: Map<string, AttemptEntry>
   retainedBytes: number
   /** Entries without output: barred or forgotten. */
-  bars: number
-  live: number
+  tombstones: number
+  liveCount: number
   nextSweepMs: number
 }
 
@@ -99,7 +99,7 @@
  * @returns a table without ids
  */
 export function createAttemptTable (options: AttemptTableOptions): AttemptTableState {
-  return { options, entries: new Map(), retainedBytes: 0, bars: 0, live: 0, nextSweepMs: 0 }
+  return { options, entries: new Map(), retainedBytes: 0, tombstones: 0, liveCount: 0, nextSweepMs: 0 }
 }
 
 type Handler<Kind extends AttemptTableEvent['kind']> = (state: AttemptTableState, event: Extract<AttemptTableEvent, { kind: Kind }>) => AttemptTableCommand[]
@@ -108,19 +108,19 @@
   deliver: (state, event) => {
     if (event.incarnation !== state.options.incarnation) return [refuse(event.id, 'wrong_incarnation')]
     const entry = state.entries.get(event.id)
-    if (entry !== undefined) return [readKnown(event.id, entry)]
-    return hasRoomForBar(state) ? [{ kind: 'consider', id: event.id }] : [refuse(event.id, 'wrong_incarnation')]
+    if (entry !== undefined) return [commandForKnown(event.id, entry)]
+    return hasTombstoneCapacity(state) ? [{ kind: 'consider', id: event.id }] : [refuse(event.id, 'wrong_incarnation')]
   },
   resume: (state, event) => {
     if (event.incarnation !== state.options.incarnation) return [refuse(event.id, 'wrong_incarnation')]
     const entry = state.entries.get(event.id)
-    if (entry !== undefined) return [readKnown(event.id, entry)]
+    if (entry !== undefined) return [commandForKnown(event.id, entry)]
     return [refuse(event.id, bar(state, event.id, event.nowMs) ? 'barred' : 'wrong_incarnation')]
   },
   cancel: onCancel,
   accepted: (state, event) => {
     invariant(!state.entries.has(event.id), 'attempt_accepted_once', () => `"${event.id}" is known already`)
-    state.live++
+    state.liveCount++
     state.entries.set(event.id, { state: 'queued', deadlineMs: event.deadlineMs, stopsUnread: event.stopsUnread, readers: 0, unreadSinceMs: event.nowMs })
     return []
   },
@@ -165,21 +165,21 @@
   return { kind: 'refuse', id, reason }
 }
 
-function readKnown (id: string, entry: AttemptEntry): AttemptTableCommand {
+function commandForKnown (id: string, entry: AttemptEntry): AttemptTableCommand {
   if (entry.state === 'barred') return refuse(id, 'barred')
   return entry.state === 'forgotten' ? { kind: 'lost', id } : { kind: 'attach', id }
 }
 
-function hasRoomForBar (state: AttemptTableState): boolean {
-  return state.bars < state.options.maxBars
+function hasTombstoneCapacity (state: AttemptTableState): boolean {
+  return state.tombstones < state.options.maxTombstones
 }
 
 // When the bars are full, an id can't be kept from starting later; then nothing may be said of it, least of all that
 // it did not run. The peer is told what it hears of an agent that was replaced.
 function bar (state: AttemptTableState, id: string, nowMs: number): boolean {
-  if (!hasRoomForBar(state)) return false
+  if (!hasTombstoneCapacity(state)) return false
   state.entries.set(id, { state: 'barred', untilMs: nowMs + state.options.barRetentionMs })
-  state.bars++
+  state.tombstones++
   return true
 }
 
@@ -199,7 +199,7 @@
 function onEnded (state: AttemptTableState, event: Extract<AttemptTableEvent, { kind: 'ended' }>): AttemptTableCommand[] {
   const entry = state.entries.get(event.id)
   invariant(entry?.state === 'queued' || entry?.state === 'running', 'attempt_ends_once', () => `"${event.id}" is ${entry?.state ?? 'unknown'}`)
-  state.live--
+  state.liveCount--
   state.retainedBytes += event.totalBytes
   // Set anew, so that the entries that are over stand in the order in which they ended.
   state.entries.delete(event.id)
@@ -213,23 +213,23 @@
     delivered: false,
     untilMs: event.nowMs + state.options.attemptRetentionMs
   })
-  return state.retainedBytes > state.options.maxRetainedBytes ? forgetOldest(state, event.nowMs, event.id) : []
+  return state.retainedBytes > state.options.maxRetainedBytes ? discardOldestOutputs(state, event.nowMs, event.id) : []
 }
 
-function forgetOldest (state: AttemptTableState, nowMs: number, exceptId: string): AttemptTableCommand[] {
+function discardOldestOutputs (state: AttemptTableState, nowMs: number, exceptId: string): AttemptTableCommand[] {
   const commands: AttemptTableCommand[] = []
   for (const [id, entry] of state.entries) {
     if (state.retainedBytes <= state.options.maxRetainedBytes) break
-    if (entry.state === 'ended' && entry.readers === 0 && id !== exceptId) commands.push(forget(state, id, entry, nowMs))
+    if (entry.state === 'ended' && entry.readers === 0 && id !== exceptId) commands.push(discardOutput(state, id, entry, nowMs))
   }
   return commands
 }
 
 // The id stays known until no resumption can come any more: a gateway that asked then would be told `barred`, and
 // would tell its caller that the attempt did not run.
-function forget (state: AttemptTableState, id: string, entry: EndedEntry, nowMs: number): AttemptTableCommand {
+function discardOutput (state: AttemptTableState, id: string, entry: EndedEntry, nowMs: number): AttemptTableCommand {
   state.retainedBytes -= entry.totalBytes
-  state.bars++
+  state.tombstones++
   entry.state = 'forgotten'
   entry.untilMs = Math.max(nowMs, entry.deadlineMs) + state.options.barRetentionMs
   return { kind: 'forgetOutput', id }
@@ -263,9 +263,9 @@
   }
   if (entry.untilMs > nowMs) return
   if (entry.state === 'ended') {
-    if (entry.readers === 0) commands.push(forget(state, id, entry, nowMs))
+    if (entry.readers === 0) commands.push(discardOutput(state, id, entry, nowMs))
     return
   }
   state.entries.delete(id)
-  state.bars--
+  state.tombstones--
 }
--- a/packages/anvilarch-daemon/src/agent/endpointHealth.ts
+++ b/packages/anvilarch-daemon/src/agent/endpointHealth.ts
@@ -4,7 +4,7 @@
  * A crash must be told from a connection that was lost, since the requests in progress at a crash are suspects.
  * A refused connection or a changed incarnation is a crash; silence or a reset of one connection alone is not.
  */
-import type { EndpointAdapter, EndpointVerdict, LoadedModelState, ProbeResult } from './endpoints/types'
+import type { EndpointAdapter, ProcessStatus, LoadedModelState, ProbeResult } from './endpoints/types'
 
 /** Health as gateways are told. */
 export type HealthState = 'ready' | 'starting' | 'crashed'
@@ -27,15 +27,15 @@
   /** Probes sent so far. */
   probesSent: () => number
   /** Number of the probe, counted from one, whose answer is the newest. */
-  lastAnswered: () => number
+  lastRespondedProbe: () => number
   /** Asks the endpoint; calls made while an answer is awaited share it. */
   probe: () => Promise<ProbeResult>
   /** @returns what became of the process that had this incarnation */
-  judge: (incarnation: string) => Promise<EndpointVerdict>
+  checkProcess: (incarnation: string) => Promise<ProcessStatus>
 }
 
 /** Probes without an answer, one after another, after which the endpoint counts as down. */
-const MAX_SILENT_PROBES = 2
+const MAX_FAILED_PROBES = 2
 
 /**
  * @param adapter - asks the endpoint
@@ -47,9 +47,9 @@
   let incarnation = ''
   let models: LoadedModelState[] = []
   let fencingToken = 0
-  let silentProbes = 0
+  let failedProbes = 0
   let probesSent = 0
-  let lastAnswered = 0
+  let lastRespondedProbe = 0
   const inFlight = new Map<boolean, Promise<ProbeResult>>()
 
   const setDown = (detail: string): void => {
@@ -58,9 +58,9 @@
     listener.onDown(detail)
   }
 
-  const note = (result: ProbeResult): void => {
+  const applyResult = (result: ProbeResult): void => {
     if (result.state === 'up') {
-      silentProbes = 0
+      failedProbes = 0
       const isNewProcess = incarnation !== '' && result.incarnation !== incarnation
       if (isNewProcess && state === 'ready') {
         listener.onCrash('the endpoint was restarted')
@@ -81,22 +81,22 @@
       setDown(result.detail)
       return
     }
-    silentProbes++
-    if (silentProbes >= MAX_SILENT_PROBES) setDown(result.detail)
+    failedProbes++
+    if (failedProbes >= MAX_FAILED_PROBES) setDown(result.detail)
   }
 
   const probe = (fresh: boolean): Promise<ProbeResult> => {
     const shared = inFlight.get(fresh)
     if (shared !== undefined) return shared
     const sequence = ++probesSent
-    const asked = adapter.probe(fresh).then(result => {
+    const probing = adapter.probe(fresh).then(result => {
       inFlight.delete(fresh)
-      if (result.state !== 'silent') lastAnswered = Math.max(lastAnswered, sequence)
-      note(result)
+      if (result.state !== 'silent') lastRespondedProbe = Math.max(lastRespondedProbe, sequence)
+      applyResult(result)
       return result
     })
-    inFlight.set(fresh, asked)
-    return asked
+    inFlight.set(fresh, probing)
+    return probing
   }
 
   return {
@@ -105,9 +105,9 @@
     models: () => models,
     fencingToken: () => fencingToken,
     probesSent: () => probesSent,
-    lastAnswered: () => lastAnswered,
+    lastRespondedProbe: () => lastRespondedProbe,
     probe: async () => await probe(false),
-    judge: async before => {
+    checkProcess: async before => {
       const result = await probe(true)
       if (result.state === 'silent') return 'silent'
       return result.state === 'up' && result.incarnation === before ? 'alive' : 'crashed'
--- a/packages/anvilarch-daemon/src/agent/endpointTask.ts
+++ b/packages/anvilarch-daemon/src/agent/endpointTask.ts
@@ -34,7 +34,7 @@
   assigned: () => string
   assign: (service: string) => void
   /** Service that the last order to load was for; empty for none. */
-  loadFor: (service: string) => void
+  setLoadedService: (service: string) => void
   /** Whether the endpoint could serve this service now. */
   refusalFor: (service: string, requestVersion: number) => TaskRefusal | undefined
   /** Takes an attempt in, or says why not. */
@@ -46,15 +46,15 @@
   /** Asks the endpoint for its state, and takes over the batch policy of its service. */
   refresh: () => Promise<void>
   drain: () => void
-  handBack: () => void
+  returnBatch: () => void
   load: () => AdmissionLoad
   view: () => ServiceView
   /** Attempts that wait or hold a slot. */
   active: () => number
   /** Attempts in progress that need a model. */
-  needing: (model: string) => number
+  countUsing: (model: string) => number
   /** Takes a model from service before it is unloaded, so that nothing new starts on it. */
-  withdraw: (model: string | undefined) => void
+  setUnloadingModel: (model: string | undefined) => void
   close: () => Promise<void>
 }
 
@@ -74,7 +74,7 @@
 }
 
 /** @returns whether the attempt is one that no other prompt is computed beside, and has no token yet */
-function isComputedAlone (attempt: RunningAttempt): boolean {
+function isPrefillingSolo (attempt: RunningAttempt): boolean {
   return attempt.soloFirstToken && attempt.isPrefilling
 }
 
@@ -96,17 +96,17 @@
   const entries = new Map<string, Entry>()
   let assigned = ''
   let settled = ''
-  let loadedFor = ''
-  let withdrawn: string | undefined
+  let lastLoadedService = ''
+  let unloadingModel: string | undefined
   /** Whether the last crash came while one attempt computed its prompt alone. */
   let crashCauseKnown = false
 
   const adapter = ENDPOINT_ADAPTERS[settings.kind]({
     url: settings.url,
     clock,
-    silenceMs: context.settings.agent.endpointSilenceMs,
+    idleTimeoutMs: context.settings.agent.endpointSilenceMs,
     onUnreachable: () => { health.probe().catch(() => {}) },
-    judge: async incarnation => await health.judge(incarnation),
+    checkProcess: async incarnation => await health.checkProcess(incarnation),
     incarnation: () => health.incarnation()
   })
 
@@ -114,7 +114,7 @@
     onUp: () => { step({ kind: 'endpointUp', nowMs: clock.nowMs() }) },
     onDown: () => { step({ kind: 'endpointDown', nowMs: clock.nowMs() }) },
     onCrash: detail => {
-      crashCauseKnown = [...state.running.values()].some(isComputedAlone)
+      crashCauseKnown = [...state.running.values()].some(isPrefillingSolo)
       timeline.record('endpoint.crashed', { detail: { endpoint: settings.name, detail, running: entries.size, causeKnown: crashCauseKnown } })
     }
   })
@@ -126,9 +126,9 @@
     preemptible: adapter.preemptible
   })
 
-  const step = (event: AdmissionEvent): void => { act(admissionStep(state, event).commands) }
+  const step = (event: AdmissionEvent): void => { execute(admissionStep(state, event).commands) }
 
-  const act = (commands: AdmissionCommand[]): void => {
+  const execute = (commands: AdmissionCommand[]): void => {
     for (const command of commands) {
       const entry = entries.get(command.id)
       if (entry !== undefined) handlers[command.kind](entry, command as never)
@@ -146,8 +146,8 @@
       const { attempt, run } = entry
       metrics.preemptions.inc({ endpoint: settings.name })
       timeline.record('attempts.preempted', { requestId: attempt.requestId, attemptId: attempt.id, detail: { endpoint: settings.name } })
-      run?.preempt().then(isParked => {
-        if (isParked && entries.get(attempt.id) === entry) step({ kind: 'released', nowMs: clock.nowMs(), id: attempt.id })
+      run?.preempt().then(isSlotFree => {
+        if (isSlotFree && entries.get(attempt.id) === entry) step({ kind: 'released', nowMs: clock.nowMs(), id: attempt.id })
       }).catch(() => {})
     },
     giveUp: (entry, command) => {
@@ -166,11 +166,11 @@
     const sink = createRunSink(context, attempt, times, { endpoint: settings.name, isPlain: settings.kind === 'plain', step })
     const run = adapter.start({ ...attempt, requestId: attempt.requestId, attemptId: attempt.id }, sink)
     entry.run = run
-    run.done.catch(error => brokenRun(attempt, error)).then(result => { finish(entry, result) }).catch(error => { context.logger.error('an attempt could not be ended', { attempt: attempt.id, error: String(error) }) })
+    run.done.catch(error => failedRunEnd(attempt, error)).then(result => { finish(entry, result) }).catch(error => { context.logger.error('an attempt could not be ended', { attempt: attempt.id, error: String(error) }) })
   }
 
   // A run that broke a rule of the program must still give its slot back, or the endpoint would lose one for good.
-  const brokenRun = (attempt: LiveAttempt, error: unknown): RunEnd => {
+  const failedRunEnd = (attempt: LiveAttempt, error: unknown): RunEnd => {
     context.logger.error('a run failed', { attempt: attempt.id, error: String(error) })
     return { outcome: 'endpoint_failed', ran: 'unknown', detail: String(error), outputTokens: 0 }
   }
@@ -208,11 +208,11 @@
     const now = {
       settings,
       assigned,
-      models: health.models().filter(loaded => loaded.model !== withdrawn),
+      models: health.models().filter(loaded => loaded.model !== unloadingModel),
       version: context.configuration.version(),
       document: context.configuration.current()?.document
     }
-    settled = settledService(now, settled === '' ? loadedFor : settled)
+    settled = settledService(now, settled === '' ? lastLoadedService : settled)
     return { ...now, settled }
   }
 
@@ -225,7 +225,7 @@
     health,
     assigned: () => assigned,
     assign: service => { assigned = service },
-    loadFor: service => { loadedFor = service },
+    setLoadedService: service => { lastLoadedService = service },
     refusalFor: (service, requestVersion) => {
       if (health.state() !== 'ready') return { reason: 'endpoint_down', retryAfterMs: 0 }
       const reason = serviceRefusal(view(), service, requestVersion)
@@ -236,14 +236,14 @@
       const refused = commands.find(command => command.kind === 'refuse')
       if (refused !== undefined) return { refusal: { reason: refused.reason, retryAfterMs: refused.retryAfterMs } }
       entries.set(attempt.id, { attempt, run: undefined, times: { startedMs: 0, firstTokenMs: undefined, lastTokenMs: undefined } })
-      return { refusal: undefined, begin: () => { act(commands) } }
+      return { refusal: undefined, begin: () => { execute(commands) } }
     },
     stop,
     tick: (nowMs, afterPause) => {
       for (const { attempt, run } of [...entries.values()]) {
         if (run === undefined) continue
         if (attempt.deadlineMs <= nowMs) stop(attempt, 'deadline', 'the deadline passed')
-        else if (!afterPause) run.checkSilence(nowMs)
+        else if (!afterPause) run.checkTimeout(nowMs)
       }
       step({ kind: 'tick', nowMs })
     },
@@ -253,12 +253,12 @@
       if (service?.kind === 'model') step({ kind: 'policy', nowMs: clock.nowMs(), policy: service.batch })
     },
     drain: () => { step({ kind: 'drain', nowMs: clock.nowMs() }) },
-    handBack: () => { step({ kind: 'handBack', nowMs: clock.nowMs() }) },
+    returnBatch: () => { step({ kind: 'handBack', nowMs: clock.nowMs() }) },
     load: () => admissionLoad(state),
     view,
     active: () => entries.size,
-    needing: model => [...entries.values()].filter(entry => entry.attempt.model === model).length,
-    withdraw: model => { withdrawn = model },
+    countUsing: model => [...entries.values()].filter(entry => entry.attempt.model === model).length,
+    setUnloadingModel: model => { unloadingModel = model },
     close: async () => { await adapter.close() }
   }
 }
--- a/packages/anvilarch-daemon/src/agent/endpoints/connections.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/connections.ts
@@ -14,7 +14,7 @@
    * Lets the pool of a channel finish what it has and opens a new one. After a connection went silent the idle ones
    * beside it may be just as dead, which shows only when a request is lost on them.
    */
-  renew: (channel: EndpointChannel) => void
+  replacePool: (channel: EndpointChannel) => void
   close: () => Promise<void>
 }
 
@@ -61,7 +61,7 @@
       return pool
     },
     fresh: () => new Client(origin, clientOptions),
-    renew: channel => {
+    replacePool: channel => {
       const pool = pools.get(channel)
       if (pool === undefined) return
       pools.delete(channel)
--- a/packages/anvilarch-daemon/src/agent/endpoints/engineConnection.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/engineConnection.ts
@@ -23,8 +23,8 @@
   onStream: (headers: Headers) => void
   onEvent: (event: EngineEvent) => void
   /** An answer that is not a stream. */
-  onAnswer: (status: number, headers: Headers) => void
-  onAnswerData: (data: Uint8Array) => void
+  onPlainResponse: (status: number, headers: Headers) => void
+  onPlainResponseData: (data: Uint8Array) => void
 }
 
 /** How to open the connection. */
@@ -35,7 +35,7 @@
   /** The call is to attach to a stream. */
   isResume: boolean
   /** A status other than 200 is the engine's answer; else it is a failed try. */
-  mayAnswer: boolean
+  acceptsPlainResponse: boolean
 }
 
 /** A connection that is being read. */
@@ -46,10 +46,10 @@
 
 type Phase = 'opening' | 'streaming' | 'finished' | 'answering' | 'unknown_stream' | 'failed'
 
-const FIRST_FAILURE_STATUS = 300
-const STATUS_UNKNOWN = 404
+const MIN_NON_SUCCESS_STATUS = 300
+const STATUS_UNKNOWN_STREAM = 404
 /** The engine has the attempt already; it is to be resumed. */
-const STATUS_EXISTS = 409
+const STATUS_ATTEMPT_EXISTS = 409
 
 /**
  * @param options - what to send and over which connection
@@ -59,56 +59,56 @@
 export function openEngineConnection (options: EngineConnectionOptions, listener: EngineListener): EngineConnection {
   let phase: Phase = 'opening'
   let status = 0
-  let unproved: Uint8Array[] | undefined
+  let unframedBody: Uint8Array[] | undefined
   const events = createEngineEventReader(event => {
     if (phase !== 'streaming') return
     if (event.isEnd) phase = 'finished'
     listener.onEvent(event)
   })
 
-  const onHead = (given: number, headers: Headers, framed: boolean): void => {
-    status = given
+  const onHead = (receivedStatus: number, headers: Headers, framed: boolean): void => {
+    status = receivedStatus
     phase = phaseOf(options, status, headers)
-    unproved = framed || status >= FIRST_FAILURE_STATUS ? undefined : []
+    unframedBody = framed || status >= MIN_NON_SUCCESS_STATUS ? undefined : []
     if (phase === 'streaming') listener.onStream(headers)
-    else if (phase === 'answering') listener.onAnswer(status, headers)
+    else if (phase === 'answering') listener.onPlainResponse(status, headers)
   }
 
   const exchange = openExchange(options.dispatcher, options.call, {
     onHead,
     onData: data => {
       if (phase === 'answering') {
-        unproved?.push(data)
-        listener.onAnswerData(data)
+        unframedBody?.push(data)
+        listener.onPlainResponseData(data)
       } else if (phase === 'streaming') events.feed(data)
     }
   }, options.clock)
 
-  return { exchange, end: exchange.done.then(exchangeEnd => connectionEnd(phase, exchangeEnd, { status, unproved })) }
+  return { exchange, end: exchange.done.then(exchangeEnd => connectionEnd(phase, exchangeEnd, { status, unframedBody })) }
 }
 
 function phaseOf (options: EngineConnectionOptions, status: number, headers: Headers): Phase {
   if (status === 200 && (headers['content-type'] ?? '').startsWith('text/event-stream')) return 'streaming'
-  if (options.isResume && status === STATUS_UNKNOWN) return 'unknown_stream'
-  return options.mayAnswer && !options.isResume && status !== STATUS_EXISTS ? 'answering' : 'failed'
+  if (options.isResume && status === STATUS_UNKNOWN_STREAM) return 'unknown_stream'
+  return options.acceptsPlainResponse && !options.isResume && status !== STATUS_ATTEMPT_EXISTS ? 'answering' : 'failed'
 }
 
-interface Read {
+interface ReceivedResponse {
   status: number
   /** Body of an answer of which neither a frame nor the status says that it is whole. */
-  unproved: Uint8Array[] | undefined
+  unframedBody: Uint8Array[] | undefined
 }
 
-function connectionEnd (phase: Phase, end: ExchangeEnd, read: Read): ConnectionEnd {
+function connectionEnd (phase: Phase, end: ExchangeEnd, received: ReceivedResponse): ConnectionEnd {
   if (phase === 'finished' || phase === 'unknown_stream') return { kind: phase }
-  if (phase === 'answering') return { kind: isWholeAnswer(end, read) ? 'answered' : 'half_answered' }
+  if (phase === 'answering') return { kind: isCompleteResponse(end, received) ? 'answered' : 'half_answered' }
   const sent = end.kind === 'complete' || end.sent
-  if (phase === 'failed') return { kind: 'broken', sent, detail: `status ${read.status}` }
+  if (phase === 'failed') return { kind: 'broken', sent, detail: `status ${received.status}` }
   return { kind: 'broken', sent, detail: end.kind === 'error' ? `${end.code}: ${end.detail}` : 'the stream broke off before its end' }
 }
 
 /** Without a frame, only a body that is JSON to its end is known to be whole. An error is told by its status alone. */
-function isWholeAnswer (end: ExchangeEnd, { unproved }: Read): boolean {
+function isCompleteResponse (end: ExchangeEnd, { unframedBody: unproved }: ReceivedResponse): boolean {
   if (end.kind !== 'complete') return false
   return unproved === undefined || parseOrUndefined(Buffer.concat(unproved).toString('utf8')) !== undefined
 }
--- a/packages/anvilarch-daemon/src/agent/endpoints/engineStreams.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/engineStreams.ts
@@ -10,10 +10,10 @@
   clock: Clock
   basePath: string
   attemptId: string
-  silenceMs: number
+  idleTimeoutMs: number
 }
 
-const MAX_CANCELS = 3
+const MAX_CANCEL_TRIES = 3
 /** A request that was cut off right after it was sent may reach the engine after the cancellation. */
 const LATE_REQUEST_WAIT_MS = 50
 
@@ -41,14 +41,14 @@
 export async function cancelStream (handle: StreamHandle, mayBeUnknown: boolean): Promise<void> {
   const { connections, clock } = handle
   const path = handle.basePath + streamPath(handle.attemptId, 'cancel')
-  for (let tries = 0; tries < MAX_CANCELS; tries++) {
-    const answer = await requestJson(connections.pool('control'), { method: 'POST', path, body: {} }, { clock, timeoutMs: handle.silenceMs })
-    if ('failed' in answer) {
-      if (answer.failed.kind === 'error' && answer.failed.code === 'ECONNREFUSED') return
-      connections.renew('control')
+  for (let tries = 0; tries < MAX_CANCEL_TRIES; tries++) {
+    const response = await requestJson(connections.pool('control'), { method: 'POST', path, body: {} }, { clock, timeoutMs: handle.idleTimeoutMs })
+    if ('failed' in response) {
+      if (response.failed.kind === 'error' && response.failed.code === 'ECONNREFUSED') return
+      connections.replacePool('control')
       continue
     }
-    if (answer.status !== 404 || !mayBeUnknown) return
+    if (response.status !== 404 || !mayBeUnknown) return
     await sleep(clock, LATE_REQUEST_WAIT_MS)
   }
 }
--- a/packages/anvilarch-daemon/src/agent/endpoints/httpExchange.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/httpExchange.ts
@@ -69,10 +69,10 @@
     controller?.abort(new Error('aborted'))
   }
   const handler: Dispatcher.DispatchHandler = {
-    onRequestStart: given => {
-      controller = given
+    onRequestStart: receivedController => {
+      controller = receivedController
       if (stopped) {
-        given.abort(new Error('aborted'))
+        receivedController.abort(new Error('aborted'))
         return
       }
       sent = true
@@ -110,7 +110,7 @@
 }
 
 /** Answer to a small JSON request. */
-export interface JsonAnswer {
+export interface JsonResponse {
   status: number
   body: unknown
 }
@@ -127,13 +127,13 @@
   dispatcher: Dispatcher,
   request: { method: string, path: string, body?: unknown },
   options: { clock: Clock, timeoutMs: number }
-): Promise<JsonAnswer | { failed: ExchangeEnd }> {
+): Promise<JsonResponse | { failed: ExchangeEnd }> {
   const chunks: Uint8Array[] = []
   let status = 0
   const body = request.body === undefined ? new Uint8Array(0) : Buffer.from(JSON.stringify(request.body))
   const call = { method: request.method, path: request.path, headers: { 'content-type': 'application/json' }, body }
   const exchange = openExchange(dispatcher, call, {
-    onHead: given => { status = given },
+    onHead: receivedStatus => { status = receivedStatus },
     onData: data => { chunks.push(data) }
   }, options.clock)
   const timer = createSilenceWatch({ clock: options.clock, boundMs: options.timeoutMs, onSilence: exchange.abort })
--- a/packages/anvilarch-daemon/src/agent/endpoints/modelAdapter.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/modelAdapter.ts
@@ -18,31 +18,31 @@
   const basePath = new URL(options.url).pathname.replace(/\/$/, '')
   const { clock } = options
 
-  const ask = async (fresh: boolean): Promise<Awaited<ReturnType<typeof requestJson>>> => {
+  const requestModels = async (fresh: boolean): Promise<Awaited<ReturnType<typeof requestJson>>> => {
     const client = fresh ? connections.fresh() : undefined
-    const answer = await requestJson(client ?? connections.pool('control'), { method: 'GET', path: `${basePath}/models` }, { clock, timeoutMs: options.silenceMs })
+    const response = await requestJson(client ?? connections.pool('control'), { method: 'GET', path: `${basePath}/models` }, { clock, timeoutMs: options.idleTimeoutMs })
     client?.destroy().catch(() => {})
-    return answer
+    return response
   }
 
   const probe = async (fresh: boolean): Promise<ProbeResult> => {
-    const answer = await ask(fresh)
-    if ('failed' in answer) {
+    const response = await requestModels(fresh)
+    if ('failed' in response) {
       // The next probe must not meet the same connection.
-      connections.renew('control')
-      const { failed } = answer
+      connections.replacePool('control')
+      const { failed } = response
       // Only a refused connection shows that no process listens; a reset may have met one connection alone.
       if (failed.kind === 'error' && failed.code === 'ECONNREFUSED') return { state: 'refused', detail: failed.detail }
-      return { state: 'silent', detail: failed.kind === 'error' ? `${failed.code}: ${failed.detail}` : `no answer within ${options.silenceMs} ms` }
+      return { state: 'silent', detail: failed.kind === 'error' ? `${failed.code}: ${failed.detail}` : `no answer within ${options.idleTimeoutMs} ms` }
     }
-    if (answer.status !== 200) return { state: 'silent', detail: `status ${answer.status}` }
-    return parseModels(answer.body)
+    if (response.status !== 200) return { state: 'silent', detail: `status ${response.status}` }
+    return parseModels(response.body)
   }
 
   const order = async (request: EngineOrder): Promise<EngineOrderResult> => {
-    const answer = await requestJson(connections.pool('control'), { method: 'POST', path: `${basePath}/orders`, body: request }, { clock, timeoutMs: ORDER_TIMEOUT_MS })
-    if ('failed' in answer) return 'endpoint_failed'
-    return ORDER_RESULTS[answer.status] ?? 'endpoint_failed'
+    const response = await requestJson(connections.pool('control'), { method: 'POST', path: `${basePath}/orders`, body: request }, { clock, timeoutMs: ORDER_TIMEOUT_MS })
+    if ('failed' in response) return 'endpoint_failed'
+    return ORDER_RESULTS[response.status] ?? 'endpoint_failed'
   }
 
   return {
@@ -54,7 +54,7 @@
   }
 }
 
-interface ModelsAnswer {
+interface ModelsResponse {
   models?: Array<{ model?: string, version?: string, adapters?: string[], state?: string }>
   fencingToken?: number
   incarnation?: string
@@ -62,12 +62,12 @@
 
 function parseModels (body: unknown): ProbeResult {
   if (typeof body !== 'object' || body === null) return { state: 'silent', detail: 'GET /models did not answer a JSON object' }
-  const answer = body as ModelsAnswer
-  const models = (answer.models ?? []).map((entry): LoadedModelState => ({
+  const response = body as ModelsResponse
+  const models = (response.models ?? []).map((entry): LoadedModelState => ({
     model: entry.model ?? '',
     version: entry.version ?? '',
     adapters: entry.adapters ?? [],
     state: entry.state === 'ready' ? 'ready' : 'loading'
   }))
-  return { state: 'up', incarnation: answer.incarnation ?? '', models, fencingToken: answer.fencingToken ?? 0 }
+  return { state: 'up', incarnation: response.incarnation ?? '', models, fencingToken: response.fencingToken ?? 0 }
 }
--- a/packages/anvilarch-daemon/src/agent/endpoints/modelRequest.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/modelRequest.ts
@@ -12,7 +12,7 @@
   isChat: boolean
   wantsUsage: boolean
   /** What the caller's own continuation brought. */
-  given: Continuation
+  initial: Continuation
   /** @returns the call, going on after what was produced already */
   call: (produced: Continuation) => EndpointCall
 }
@@ -27,18 +27,18 @@
   const body = parseObject(Buffer.from(call.body).toString('utf8'))
   if (body === undefined) return undefined
   const streamOptions = isObject(body.stream_options) ? body.stream_options : {}
-  const given = parseContinuation(body.continuation)
+  const initial = parseContinuation(body.continuation)
   return {
     isChat: call.path.includes('/chat/'),
     wantsUsage: streamOptions.include_usage === true,
-    given,
+    initial,
     call: produced => {
-      const tokens = given.tokens + produced.tokens
+      const tokens = initial.tokens + produced.tokens
       const sent = {
         ...body,
         stream: true,
         stream_options: { ...streamOptions, include_usage: true },
-        ...(tokens > 0 ? { continuation: { tokens, text: given.text + produced.text } } : {})
+        ...(tokens > 0 ? { continuation: { tokens, text: initial.text + produced.text } } : {})
       }
       return { ...call, body: Buffer.from(JSON.stringify(sent)) }
     }
--- a/packages/anvilarch-daemon/src/agent/endpoints/modelRun.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/modelRun.ts
@@ -14,8 +14,8 @@
 import type { EngineEvent } from './engineEvents'
 import { cancelStream, resumeCall } from './engineStreams'
 import { parseModelRequest } from './modelRequest'
-import { OUTPUT_SHAPERS } from './outputShapers'
-import { createPark, type Park } from './park'
+import { OUTPUT_FORMATTERS } from './outputFormatters'
+import { createPreemption, type Preemption } from './preemption'
 import type { AdapterOptions, AttemptCall, EndpointRun, RunEnd, RunSink, StopReason } from './types'
 
 /** What a model run needs of its endpoint. */
@@ -25,7 +25,7 @@
 }
 
 /** Connections that may be opened one after another without a token coming. */
-const MAX_QUIET_CONNECTIONS = 4
+const MAX_TOKENLESS_CONNECTIONS = 4
 
 /** Characters of an error of the engine that are told on. */
 const MAX_DETAIL_LENGTH = 500
@@ -43,18 +43,18 @@
  */
 export function startModelRun (deps: ModelRunDeps, attempt: AttemptCall, sink: RunSink): EndpointRun {
   const request = parseModelRequest(attempt.call)
-  const shaper = OUTPUT_SHAPERS[attempt.outputMode]({ wantsUsage: request?.wantsUsage ?? false, isChat: request?.isChat ?? false })
+  const formatter = OUTPUT_FORMATTERS[attempt.outputMode]({ wantsUsage: request?.wantsUsage ?? false, isChat: request?.isChat ?? false })
   const transcript = createTranscript()
   const produced = transcript.continuation
   let incarnation = deps.incarnation()
   let headSent = false
   let anySent = false
   let connections = 0
-  let quietConnections = 0
-  let silent = false
+  let tokenlessConnections = 0
+  let timedOut = false
   let connection: EngineConnection | undefined
   let ended: RunEnd | undefined
-  let park: Park | undefined
+  let preemption: Preemption | undefined
 
   const hasEnded = (): boolean => ended !== undefined
 
@@ -84,16 +84,16 @@
     failStream('the answer is larger than "maxOutputBytes"')
   }
 
-  const faultOf = (event: EngineEvent): string | undefined => {
+  const errorOf = (event: EngineEvent): string | undefined => {
     if (event.error !== undefined) return `the engine told an error within its stream: ${event.error.slice(0, MAX_DETAIL_LENGTH)}`
     return event.isEnd && !transcript.finished() ? 'the engine ended its stream without telling why' : undefined
   }
 
   const onEvent = (event: EngineEvent): void => {
     if (hasEnded()) return
-    const fault = faultOf(event)
-    if (fault !== undefined) {
-      failStream(fault)
+    const error = errorOf(event)
+    if (error !== undefined) {
+      failStream(error)
       return
     }
     if (event.chunk !== undefined) {
@@ -101,15 +101,15 @@
       transcript.add(event.chunk)
     }
     if (event.tokenText !== undefined) {
-      quietConnections = 0
+      tokenlessConnections = 0
       sink.onToken()
     }
-    emit(shaper.onEvent(event))
+    emit(formatter.onEvent(event))
   }
 
   const callFor = (opening: Opening): EndpointCall => {
     const call = opening === 'resume'
-      ? resumeCall(attempt.attemptId, (request?.given.tokens ?? 0) + produced().tokens)
+      ? resumeCall(attempt.attemptId, (request?.initial.tokens ?? 0) + produced().tokens)
       : request?.call(produced()) ?? attempt.call
     return { ...call, path: deps.basePath + call.path, headers: { ...call.headers, 'x-request-id': attempt.requestId, 'x-attempt-id': attempt.attemptId } }
   }
@@ -122,12 +122,12 @@
       clock: deps.clock,
       call: callFor(opening),
       isResume: opening === 'resume',
-      mayAnswer: !headSent
+      acceptsPlainResponse: !headSent
     }, {
-      onStream: headers => { sendHead(200, { ...headers, 'content-type': shaper.contentType }) },
+      onStream: headers => { sendHead(200, { ...headers, 'content-type': formatter.contentType }) },
       onEvent,
-      onAnswer: sendHead,
-      onAnswerData: emit
+      onPlainResponse: sendHead,
+      onPlainResponseData: emit
     })
     connection = opened
     const connectionEnd = await opened.end
@@ -144,16 +144,16 @@
 
   /** Decides how to go on after a connection that brought no end. */
   const recover = async (last: Failure): Promise<Opening | undefined> => {
-    const wasSilent = silent
-    silent = false
-    quietConnections++
-    if (wasSilent) deps.connections.renew(attempt.workClass)
+    const hadTimedOut = timedOut
+    timedOut = false
+    tokenlessConnections++
+    if (hadTimedOut) deps.connections.replacePool(attempt.workClass)
     if (last.kind === 'half_answered') end('endpoint_failed', 'ran', 'the answer of the engine broke off')
     else if (last.kind === 'broken' && !last.sent && !anySent) endUnsent(last.detail)
-    else await judgeEngine(last)
+    else await checkEngine(last)
     if (hasEnded()) return undefined
     if (last.kind === 'unknown_stream') return 'continue'
-    sink.onResumed(wasSilent ? 'silence' : 'broken', produced().tokens)
+    sink.onResumed(hadTimedOut ? 'silence' : 'broken', produced().tokens)
     return 'resume'
   }
 
@@ -162,13 +162,13 @@
     end('endpoint_failed', 'not_run', detail)
   }
 
-  const judgeEngine = async (last: Failure): Promise<void> => {
-    const verdict = await deps.judge(incarnation)
+  const checkEngine = async (last: Failure): Promise<void> => {
+    const status = await deps.checkProcess(incarnation)
     if (hasEnded()) return
-    if (verdict === 'crashed') {
+    if (status === 'crashed') {
       end('endpoint_crashed', ranSoFar(), 'the engine was restarted or is gone')
-    } else if (quietConnections >= MAX_QUIET_CONNECTIONS) {
-      end('endpoint_failed', ranSoFar(), `no token over ${quietConnections} connections`)
+    } else if (tokenlessConnections >= MAX_TOKENLESS_CONNECTIONS) {
+      end('endpoint_failed', ranSoFar(), `no token over ${tokenlessConnections} connections`)
     } else if (last.kind === 'unknown_stream' && !attempt.idempotent) {
       // The engine may have run it and forgotten, which forbids a second run.
       end('endpoint_failed', ranSoFar(), 'the engine does not know the stream')
@@ -177,37 +177,37 @@
     }
   }
 
-  const waitParked = async (current: Park): Promise<Opening | undefined> => {
+  const waitForResume = async (current: Preemption): Promise<Opening | undefined> => {
     if (anySent) await cancelAtEngine()
-    current.noteParked()
+    current.markSlotFree()
     await current.resumed
-    park = undefined
+    preemption = undefined
     if (hasEnded()) return undefined
-    quietConnections = 0
+    tokenlessConnections = 0
     // An engine that was replaced while the attempt waited did not crash under it.
     incarnation = deps.incarnation()
     sink.onResumed('preempted', produced().tokens)
     return anySent ? 'resume' : 'begin'
   }
 
-  const goOn = async (last: ConnectionEnd): Promise<Opening | undefined> => {
-    if (last.kind === 'finished') emit(shaper.finish(produced().tokens))
+  const nextOpening = async (last: ConnectionEnd): Promise<Opening | undefined> => {
+    if (last.kind === 'finished') emit(formatter.finish(produced().tokens))
     if (last.kind === 'finished' || last.kind === 'answered') {
       end('completed', 'ran', '')
       return undefined
     }
-    return park !== undefined ? await waitParked(park) : await recover(last)
+    return preemption !== undefined ? await waitForResume(preemption) : await recover(last)
   }
 
   const run = async (): Promise<RunEnd> => {
     let opening: Opening | undefined = 'begin'
     while (opening !== undefined && !hasEnded()) {
-      const last: ConnectionEnd = park === undefined ? await readConnection(opening) : { kind: 'broken', sent: false, detail: 'preempted' }
-      opening = hasEnded() ? undefined : await goOn(last)
+      const last: ConnectionEnd = preemption === undefined ? await readConnection(opening) : { kind: 'broken', sent: false, detail: 'preempted' }
+      opening = hasEnded() ? undefined : await nextOpening(last)
     }
     invariant(ended !== undefined, 'model_run_has_end', () => `attempt ${attempt.attemptId} stopped without an outcome`)
     if (needsCancel(ended)) await cancelAtEngine()
-    park?.noteParked()
+    preemption?.markSlotFree()
     return ended
   }
 
@@ -219,22 +219,22 @@
     stop: (reason: StopReason) => {
       const result = end(reason, ranSoFar(), `stopped: ${reason}`)
       connection?.exchange.abort()
-      park?.resume()
+      preemption?.resume()
       return result
     },
     preempt: async () => {
       if (hasEnded()) return false
-      park ??= createPark()
-      const { parked } = park
+      preemption ??= createPreemption()
+      const { slotFree: parked } = preemption
       connection?.exchange.abort()
       await parked
       return !hasEnded()
     },
-    resume: () => { park?.resume() },
-    checkSilence: nowMs => {
-      if (hasEnded() || park !== undefined || connection === undefined) return
-      if (nowMs - connection.exchange.lastActivityMs() < deps.silenceMs) return
-      silent = true
+    resume: () => { preemption?.resume() },
+    checkTimeout: nowMs => {
+      if (hasEnded() || preemption !== undefined || connection === undefined) return
+      if (nowMs - connection.exchange.lastActivityMs() < deps.idleTimeoutMs) return
+      timedOut = true
       connection.exchange.abort()
     }
   }
--- a/packages/anvilarch-daemon/src/agent/endpoints/outputShapers.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/outputFormatters.ts
@@ -4,7 +4,7 @@
 import { createAssembly } from './wholeBody'
 
 /** Turns events into output bytes. */
-export interface OutputShaper {
+export interface OutputFormatter {
   contentType: string
   /** @returns bytes to append, if any */
   onEvent: (event: EngineEvent) => Uint8Array | undefined
@@ -13,20 +13,20 @@
 }
 
 /** What a shaper needs to know of the request. */
-export interface ShaperOptions {
+export interface FormatterOptions {
   /** The caller asked for the usage event itself. */
   wantsUsage: boolean
   isChat: boolean
 }
 
 /** Shapers by output mode. */
-export const OUTPUT_SHAPERS: Record<OutputMode, (options: ShaperOptions) => OutputShaper> = {
-  stream: createStreamShaper,
-  raw: createStreamShaper,
-  whole: createWholeShaper
+export const OUTPUT_FORMATTERS: Record<OutputMode, (options: FormatterOptions) => OutputFormatter> = {
+  stream: createStreamFormatter,
+  raw: createStreamFormatter,
+  whole: createWholeFormatter
 }
 
-function createStreamShaper (options: ShaperOptions): OutputShaper {
+function createStreamFormatter (options: FormatterOptions): OutputFormatter {
   let roleSent = false
   return {
     contentType: 'text/event-stream; charset=utf-8',
@@ -45,7 +45,7 @@
   }
 }
 
-function createWholeShaper (options: ShaperOptions): OutputShaper {
+function createWholeFormatter (options: FormatterOptions): OutputFormatter {
   const assembly = createAssembly(options.isChat)
   return {
     contentType: 'application/json',
--- a/packages/anvilarch-daemon/src/agent/endpoints/plainAdapter.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/plainAdapter.ts
@@ -17,7 +17,7 @@
     preemptible: false,
     start: (call, sink) => startPlainRun({ ...options, connections, basePath }, call, sink),
     // A plain service has no address that is known to report its health, so that only the connection is tried.
-    probe: async () => await probeConnection(url, options.clock, options.silenceMs),
+    probe: async () => await probeConnection(url, options.clock, options.idleTimeoutMs),
     order: async () => 'endpoint_failed',
     close: async () => { await connections.close() }
   }
--- a/packages/anvilarch-daemon/src/agent/endpoints/plainRun.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/plainRun.ts
@@ -12,7 +12,7 @@
 import type { Clock, Ran } from 'anvilarch-utils'
 import type { EndpointConnections } from './connections'
 import { type ExchangeEnd, type HttpExchange, openExchange } from './httpExchange'
-import type { AttemptCall, EndpointRun, EndpointVerdict, RunEnd, RunSink, StopReason } from './types'
+import type { AttemptCall, EndpointRun, ProcessStatus, RunEnd, RunSink, StopReason } from './types'
 
 /** What a plain run needs of its endpoint. */
 export interface PlainRunDeps {
@@ -20,11 +20,11 @@
   clock: Clock
   basePath: string
   /** Silence after which an idempotent call is sent again. */
-  silenceMs: number
+  idleTimeoutMs: number
   /** The endpoint could not be reached. */
   onUnreachable: () => void
   /** @returns whether a process still listens there */
-  judge: (incarnation: string) => Promise<EndpointVerdict>
+  checkProcess: (incarnation: string) => Promise<ProcessStatus>
 }
 
 /** Times an idempotent call may go out. */
@@ -53,9 +53,9 @@
     return ended
   }
 
-  const ranWithoutAnswer = (): Ran => anySent ? 'unknown' : 'not_run'
+  const ranWithoutResponse = (): Ran => anySent ? 'unknown' : 'not_run'
 
-  const win = (exchange: HttpExchange): boolean => {
+  const selectWinner = (exchange: HttpExchange): boolean => {
     if (winner !== undefined) return winner === exchange
     winner = exchange
     for (const other of open) {
@@ -64,7 +64,7 @@
     return true
   }
 
-  const settle = async (exchange: HttpExchange, end: ExchangeEnd): Promise<void> => {
+  const onExchangeEnd = async (exchange: HttpExchange, end: ExchangeEnd): Promise<void> => {
     open.delete(exchange)
     if (end.kind !== 'complete' && end.sent) anySent = true
     if (ended !== undefined || end.kind === 'aborted') return
@@ -75,8 +75,8 @@
     if (!end.sent) deps.onUnreachable()
     if (open.size > 0) return
     // A service that died under the call would be lost again by the next one.
-    if (end.sent && await deps.judge('') === 'crashed') {
-      finish('endpoint_crashed', ranWithoutAnswer(), `${end.code}: ${end.detail}`)
+    if (end.sent && await deps.checkProcess('') === 'crashed') {
+      finish('endpoint_crashed', ranWithoutResponse(), `${end.code}: ${end.detail}`)
       return
     }
     if (ended !== undefined) return
@@ -85,7 +85,7 @@
       send(true)
       return
     }
-    finish('endpoint_failed', ranWithoutAnswer(), `${end.code}: ${end.detail}`)
+    finish('endpoint_failed', ranWithoutResponse(), `${end.code}: ${end.detail}`)
   }
 
   // After a refused connection the next one would be refused too; a reset may have hit an idle connection only.
@@ -103,7 +103,7 @@
       onHead: (status, headers, framed) => {
         if (ended !== undefined) return
         if (!framed) exchange.fail('unframed_answer', 'the answer names neither a length nor chunks')
-        else if (win(exchange)) sink.onHead(status, headers)
+        else if (selectWinner(exchange)) sink.onHead(status, headers)
       },
       onData: data => {
         if (ended !== undefined || winner !== exchange) return
@@ -112,7 +112,7 @@
     }, deps.clock)
     open.add(exchange)
     exchange.done.then(async end => {
-      await settle(exchange, end)
+      await onExchangeEnd(exchange, end)
       await client?.destroy()
     }).catch(() => {})
   }
@@ -123,17 +123,17 @@
     done,
     stop: (reason: StopReason) => {
       for (const exchange of open) anySent ||= exchange.sent()
-      return finish(reason, ranWithoutAnswer(), `stopped: ${reason}`)
+      return finish(reason, ranWithoutResponse(), `stopped: ${reason}`)
     },
     preempt: async () => false,
     resume: () => {},
-    checkSilence: nowMs => {
+    checkTimeout: nowMs => {
       // With no exchange open, the run is deciding itself on how to go on.
       if (ended !== undefined || !call.idempotent || winner !== undefined || sends >= MAX_SENDS || open.size === 0) return
       for (const exchange of open) {
-        if (nowMs - exchange.lastActivityMs() < deps.silenceMs) return
+        if (nowMs - exchange.lastActivityMs() < deps.idleTimeoutMs) return
       }
-      deps.connections.renew(call.workClass)
+      deps.connections.replacePool(call.workClass)
       sink.onResumed('silence', 0)
       send(true)
     }
--- a/packages/anvilarch-daemon/src/agent/endpoints/types.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/types.ts
@@ -46,7 +46,7 @@
   /** Goes on after `preempt`. */
   resume: () => void
   /** Opens a new connection where the endpoint has been silent too long. Called on the agent's tick. */
-  checkSilence: (nowMs: number) => void
+  checkTimeout: (nowMs: number) => void
 }
 
 /** Model loaded at an endpoint. */
@@ -90,14 +90,14 @@
   url: string
   clock: Clock
   /** Silence after which a connection is given up. */
-  silenceMs: number
+  idleTimeoutMs: number
   /** The endpoint could not be reached, or broke off; the agent probes it at once. */
   onUnreachable: () => void
   /** @returns what a probe made just now says, compared with the time the run began */
-  judge: (incarnationAtStart: string) => Promise<EndpointVerdict>
+  checkProcess: (incarnationAtStart: string) => Promise<ProcessStatus>
   /** @returns the incarnation that the endpoint last reported */
   incarnation: () => string
 }
 
 /** `crashed`: what ran there is gone. `alive`: the same process still answers. `silent`: it does not answer. */
-export type EndpointVerdict = 'crashed' | 'alive' | 'silent'
+export type ProcessStatus = 'crashed' | 'alive' | 'silent'
--- a/packages/anvilarch-daemon/src/agent/endpoints/wholeBody.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/wholeBody.ts
@@ -56,7 +56,7 @@
         model: first?.model,
         ...(first?.system_fingerprint === undefined ? {} : { system_fingerprint: first.system_fingerprint }),
         choices: ordered.map(isChat ? chatChoice : textChoice),
-        usage: wholeUsage(usage, outputTokens)
+        usage: completeUsage(usage, outputTokens)
       }
     }
   }
@@ -98,7 +98,7 @@
 }
 
 // After a continuation the engine may report only the tokens that it added itself.
-function wholeUsage (usage: Usage | undefined, outputTokens: number): Usage {
+function completeUsage (usage: Usage | undefined, outputTokens: number): Usage {
   const promptTokens = usage?.prompt_tokens ?? 0
   const completionTokens = Math.max(usage?.completion_tokens ?? 0, outputTokens)
   return { ...usage, prompt_tokens: promptTokens, completion_tokens: completionTokens, total_tokens: promptTokens + completionTokens }
--- a/packages/anvilarch-daemon/src/agent/framePump.ts
+++ b/packages/anvilarch-daemon/src/agent/framePump.ts
@@ -17,9 +17,9 @@
   add: (reader: PumpedReader) => void
   remove: (reader: PumpedReader) => void
   /** There is output for a reader: it wakes at once if it sent none lately, else with all others that wait. */
-  noteOutput: (reader: PumpedReader) => void
+  scheduleWake: (reader: PumpedReader) => void
   /** Wakes each reader that has been quiet so long that its next heartbeat must not wait for another tick. */
-  heartbeat: (quietMs: number) => void
+  wakeIdle: (idleMs: number) => void
   /** How many readers there are. */
   size: () => number
 }
@@ -47,7 +47,7 @@
       readers.delete(reader)
       pending.delete(reader)
     },
-    noteOutput: reader => {
+    scheduleWake: reader => {
       if (clock.nowMs() - reader.lastOutputMs >= coalesceMs) {
         reader.wake()
         return
@@ -55,8 +55,8 @@
       pending.add(reader)
       timer ??= clock.after(coalesceMs, flush)
     },
-    heartbeat: quietMs => {
-      const beforeMs = clock.nowMs() - quietMs
+    wakeIdle: idleMs => {
+      const beforeMs = clock.nowMs() - idleMs
       for (const reader of readers) {
         if (reader.lastFrameMs <= beforeMs) reader.wake()
       }
--- a/packages/anvilarch-daemon/src/agent/options.ts
+++ b/packages/anvilarch-daemon/src/agent/options.ts
@@ -17,7 +17,7 @@
   /** Output of ended attempts kept over all; the oldest goes first. */
   maxRetainedBytes: number
   /** Attempt ids kept without their output. */
-  maxBars: number
+  maxTombstones: number
   /** Quarantined fingerprints kept; the oldest goes first. */
   maxQuarantined: number
   /** How long a drain keeps serving after the last attempt ended, for readers whose connection went silent. */
@@ -25,7 +25,7 @@
   /** How long running batch work may go on in a drain before it is handed back. */
   batchDrainGraceMs: number
   /** An order that takes longer goes on after it was answered as started. */
-  orderAnswerMs: number
+  orderResponseTimeoutMs: number
   /** A gateway's connection is asked for a sign of life this often while it gives none by itself. */
   pingIntervalMs: number
   /** A connection without one for this long is closed. */
@@ -43,11 +43,11 @@
   readerGraceMs: 10_000,
   maxFrameBytes: 64 * 1024,
   maxRetainedBytes: 64 * 1024 * 1024,
-  maxBars: 200_000,
+  maxTombstones: 200_000,
   maxQuarantined: 10_000,
   drainLingerMs: 3000,
   batchDrainGraceMs: 3000,
-  orderAnswerMs: 1000,
+  orderResponseTimeoutMs: 1000,
   pingIntervalMs: 5000,
   connectionTimeoutMs: 10_000,
   operationsAddress: undefined
--- a/packages/anvilarch-daemon/src/agent/orders.ts
+++ b/packages/anvilarch-daemon/src/agent/orders.ts
@@ -9,11 +9,11 @@
 import { afterOrder, isReloadDue, type LastLoad } from './lastLoad'
 
 /** Answer to an order. */
-export type OrderAnswer = MessageInitShape<typeof OrderResponseSchema>
+export type OrderResponseInit = MessageInitShape<typeof OrderResponseSchema>
 
 /** Takes orders. */
 export interface Orders {
-  order: (request: OrderRequest) => Promise<OrderAnswer>
+  order: (request: OrderRequest) => Promise<OrderResponseInit>
   highestToken: () => number
   /** Id of the last order to an endpoint that is over, once the endpoint was asked again after it; empty before. */
   settledOrder: (endpoint: string) => string
@@ -38,19 +38,19 @@
 /**
  * @param context - shared parts of the daemon
  * @param tasks - the endpoints by name
- * @param answerMs - an order that takes longer goes on after it was answered as started
+ * @param responseTimeoutMs - an order that takes longer goes on after it was answered as started
  * @param onSettled - called when an endpoint was asked again after an order
  * @returns the orders of this agent
  */
-export function createOrders (context: DaemonContext, tasks: Map<string, EndpointTask>, answerMs: number, onSettled: () => void): Orders {
+export function createOrders (context: DaemonContext, tasks: Map<string, EndpointTask>, responseTimeoutMs: number, onSettled: () => void): Orders {
   let fencing = INITIAL_FENCING
   let floorRead: Promise<void> | undefined
-  const chains = new Map<string, { last: Promise<unknown>, waiting: number }>()
+  const queues = new Map<string, { last: Promise<unknown>, waiting: number }>()
   const lastLoads = new Map<string, LastLoad>()
   const endedOrders = new Map<string, EndedOrder>()
   let reloading = false
 
-  const fence = (event: FencingEvent): FencingVerdict => {
+  const applyFencing = (event: FencingEvent): FencingVerdict => {
     const step = fencingStep(fencing, event)
     fencing = step.state
     return step.verdict
@@ -59,7 +59,7 @@
   // The row is read by one call at a time, however many orders wait for it.
   const readFloor = async (): Promise<void> => {
     if (fencing.floorKnown) return
-    floorRead ??= readLeaseEpoch(context).then(token => { fence({ kind: 'floor', token }) }).finally(() => { floorRead = undefined })
+    floorRead ??= readLeaseEpoch(context).then(token => { applyFencing({ kind: 'floor', token }) }).finally(() => { floorRead = undefined })
     await floorRead.catch(error => { context.logger.warn('the placement lease row could not be read', { error: String(error) }) })
   }
 
@@ -69,55 +69,55 @@
 
   const callEngine = async (task: EndpointTask, request: OrderRequest): Promise<Outcome> => {
     const token = Number(request.fencingToken)
-    if (fence({ kind: 'apply', token }) !== 'allowed') return { outcome: 'refused', reason: 'stale_fencing_token' }
+    if (applyFencing({ kind: 'apply', token }) !== 'allowed') return { outcome: 'refused', reason: 'stale_fencing_token' }
     const result = await task.adapter.order({ action: request.action as 'load' | 'unload', model: request.model, version: request.version, adapters: request.adapters, fencingToken: token })
     return result === 'done' || result === 'started' ? { outcome: result } : { outcome: 'refused', reason: result }
   }
 
   // Attempts in progress on a model keep it loaded until they end; nothing new starts on it meanwhile.
   const unload: Action = async (task, request) => {
-    task.withdraw(request.model)
+    task.setUnloadingModel(request.model)
     try {
       const untilMs = context.clock.nowMs() + context.settings.agent.drainTimeoutMs
-      while (task.needing(request.model) > 0) {
+      while (task.countUsing(request.model) > 0) {
         if (context.clock.nowMs() >= untilMs) return { outcome: 'refused', reason: 'endpoint_failed' }
         await sleep(context.clock, IN_USE_POLL_MS)
       }
       return await callEngine(task, request)
     } finally {
       await task.health.probe().catch(() => {})
-      task.withdraw(undefined)
+      task.setUnloadingModel(undefined)
     }
   }
 
   const assign: Action = async (task, request) => {
-    if (fence({ kind: 'apply', token: Number(request.fencingToken) }) !== 'allowed') return { outcome: 'refused', reason: 'stale_fencing_token' }
+    if (applyFencing({ kind: 'apply', token: Number(request.fencingToken) }) !== 'allowed') return { outcome: 'refused', reason: 'stale_fencing_token' }
     task.assign(request.service)
     return { outcome: 'done' }
   }
 
   const actions: Record<string, Action | undefined> = { load: callEngine, unload, assign }
 
-  const runInTurn = async <Result> (endpoint: string, run: () => Promise<Result>): Promise<Result | undefined> => {
-    const chain = chains.get(endpoint) ?? { last: Promise.resolve(), waiting: 0 }
-    chains.set(endpoint, chain)
-    if (chain.waiting >= MAX_WAITING_ORDERS) return undefined
-    chain.waiting++
-    const result = chain.last.then(run).finally(() => { chain.waiting-- })
-    chain.last = result.catch(() => {})
+  const runSerially = async <Result> (endpoint: string, run: () => Promise<Result>): Promise<Result | undefined> => {
+    const queue = queues.get(endpoint) ?? { last: Promise.resolve(), waiting: 0 }
+    queues.set(endpoint, queue)
+    if (queue.waiting >= MAX_WAITING_ORDERS) return undefined
+    queue.waiting++
+    const result = queue.last.then(run).finally(() => { queue.waiting-- })
+    queue.last = result.catch(() => {})
     return await result
   }
 
-  const noteLastLoad = (endpoint: string, last: LastLoad | undefined): void => {
-    tasks.get(endpoint)?.loadFor(last?.service ?? '')
+  const setLastLoad = (endpoint: string, last: LastLoad | undefined): void => {
+    tasks.get(endpoint)?.setLoadedService(last?.service ?? '')
     if (last === undefined) lastLoads.delete(endpoint)
     else lastLoads.set(endpoint, last)
   }
 
-  const carryOut = async (task: EndpointTask, request: OrderRequest, action: Action): Promise<Outcome> => {
-    const outcome = await runInTurn(request.endpoint, async () => {
+  const execute = async (task: EndpointTask, request: OrderRequest, action: Action): Promise<Outcome> => {
+    const outcome = await runSerially(request.endpoint, async () => {
       const result = await action(task, request)
-      if (result.outcome !== 'refused') noteLastLoad(request.endpoint, afterOrder(lastLoads.get(request.endpoint), request, task.health.incarnation()))
+      if (result.outcome !== 'refused') setLastLoad(request.endpoint, afterOrder(lastLoads.get(request.endpoint), request, task.health.incarnation()))
       endedOrders.set(request.endpoint, { orderId: request.orderId, probesBefore: task.health.probesSent() })
       task.health.probe().then(onSettled, error => { context.logger.warn('an endpoint was not probed after an order', { endpoint: request.endpoint, error: String(error) }) })
       return result
@@ -130,18 +130,18 @@
     const action = actions[request.action]
     if (task === undefined || action === undefined || task.settings.kind !== 'model') return { outcome: 'refused', reason: 'unknown_endpoint' }
     await readFloor()
-    const verdict = fence({ kind: 'order', token: Number(request.fencingToken) })
+    const verdict = applyFencing({ kind: 'order', token: Number(request.fencingToken) })
     if (verdict !== 'allowed') return { outcome: 'refused', reason: verdict }
     record('accepted', request)
-    return await orStarted(request, carryOut(task, request, action))
+    return await startedAfterTimeout(request, execute(task, request, action))
   }
 
   // An order may wait for one before it, or for attempts to end; whoever sent it must not wait as long.
-  const orStarted = async (request: OrderRequest, running: Promise<Outcome>): Promise<Outcome> => {
-    const answered = new AbortController()
-    const late = sleep(context.clock, answerMs, answered.signal).then((): undefined => undefined)
-    const outcome = await Promise.race([running, late])
-    answered.abort()
+  const startedAfterTimeout = async (request: OrderRequest, running: Promise<Outcome>): Promise<Outcome> => {
+    const responded = new AbortController()
+    const timeout = sleep(context.clock, responseTimeoutMs, responded.signal).then((): undefined => undefined)
+    const outcome = await Promise.race([running, timeout])
+    responded.abort()
     if (outcome !== undefined) return outcome
     running.then(end => { recordEnd(request, end) }).catch(() => {})
     return { outcome: 'started' }
@@ -158,13 +158,13 @@
   }
 
   // An order may have come meanwhile, so that what is due is looked at again in turn.
-  const reloadInTurn = async (endpoint: string, task: EndpointTask): Promise<void> => {
-    await runInTurn(endpoint, async () => {
+  const reloadEndpoint = async (endpoint: string, task: EndpointTask): Promise<void> => {
+    await runSerially(endpoint, async () => {
       const last = lastLoads.get(endpoint)
       if (last === undefined || !isDue(endpoint, task)) return
       const { model, version, adapters, fencingToken } = last
       const outcome = await task.adapter.order({ action: 'load', model, version, adapters, fencingToken })
-      noteLastLoad(endpoint, AFTER_RELOAD[outcome](last, task.health.incarnation()))
+      setLastLoad(endpoint, AFTER_RELOAD[outcome](last, task.health.incarnation()))
       context.timeline.record('orders.reload', { detail: { endpoint, model, version, token: fencingToken, outcome } })
       context.logger.info('the last load was repeated after a crash', { endpoint, model, version, outcome })
       await task.health.probe()
@@ -176,7 +176,7 @@
     if (due.length === 0 || reloading) return
     reloading = true
     try {
-      if (!await canPlacementAct(context)) await Promise.all(due.map(async ([endpoint, task]) => { await reloadInTurn(endpoint, task) }))
+      if (!await isTableReachable(context)) await Promise.all(due.map(async ([endpoint, task]) => { await reloadEndpoint(endpoint, task) }))
     } finally {
       reloading = false
     }
@@ -192,8 +192,8 @@
     highestToken: () => fencing.highestToken,
     settledOrder: endpoint => {
       const ended = endedOrders.get(endpoint)
-      const answered = tasks.get(endpoint)?.health.lastAnswered() ?? 0
-      return ended !== undefined && answered > ended.probesBefore ? ended.orderId : ''
+      const respondedProbe = tasks.get(endpoint)?.health.lastRespondedProbe() ?? 0
+      return ended !== undefined && respondedProbe > ended.probesBefore ? ended.orderId : ''
     }
   }
 }
@@ -211,7 +211,7 @@
  * While the table answers, the holder of the placement lease orders what is missing, and paces loads over the fleet. No
  * gateway can have that lease for long without the table.
  */
-async function canPlacementAct (context: DaemonContext): Promise<boolean> {
+async function isTableReachable (context: DaemonContext): Promise<boolean> {
   try {
     await readLeaseEpoch(context)
     return true
--- a/packages/anvilarch-daemon/src/agent/peerServer.ts
+++ b/packages/anvilarch-daemon/src/agent/peerServer.ts
@@ -21,7 +21,7 @@
 }
 
 /** Times of signs of life. */
-export type ConnectionTimes = Pick<AgentOptions, 'pingIntervalMs' | 'connectionTimeoutMs'>
+export type PingOptions = Pick<AgentOptions, 'pingIntervalMs' | 'connectionTimeoutMs'>
 
 /** How long sessions may take to end by themselves. */
 const CLOSE_GRACE_MS = 1000
@@ -33,14 +33,14 @@
  * @param listen - IP number and port; port 0 takes any
  * @param routes - the services
  * @param clock - for the bound on closing and the age of signs of life
- * @param times - when to ask for a sign of life, and when to close a connection without one
+ * @param options - when to ask for a sign of life, and when to close a connection without one
  * @returns the server, once it listens
  */
-export async function startPeerServer (listen: string, routes: (router: ConnectRouter) => void, clock: Clock, times: ConnectionTimes): Promise<PeerServer> {
+export async function startPeerServer (listen: string, routes: (router: ConnectRouter) => void, clock: Clock, options: PingOptions): Promise<PeerServer> {
   const server = createServer({ settings: { maxConcurrentStreams: MAX_STREAMS } }, connectNodeAdapter({ routes, acceptCompression: [] }))
-  const sessions = new Map<ServerHttp2Session, SessionLife>()
+  const sessions = new Map<ServerHttp2Session, SessionLiveness>()
   server.on('session', session => {
-    sessions.set(session, { lastHeardMs: clock.nowMs(), isAsked: false })
+    sessions.set(session, { lastAckMs: clock.nowMs(), isPingPending: false })
     session.once('close', () => { sessions.delete(session) })
     session.on('error', () => {})
   })
@@ -57,27 +57,27 @@
       for (const session of sessions.keys()) session.destroy()
     },
     ping: nowMs => {
-      for (const [session, life] of sessions) pingSession(session, life, nowMs, clock, times)
+      for (const [session, liveness] of sessions) pingSession(session, liveness, nowMs, clock, options)
     }
   }
 }
 
-interface SessionLife {
-  lastHeardMs: number
+interface SessionLiveness {
+  lastAckMs: number
   /** A ping is on its way. */
-  isAsked: boolean
+  isPingPending: boolean
 }
 
-function pingSession (session: ServerHttp2Session, life: SessionLife, nowMs: number, clock: Clock, times: ConnectionTimes): void {
-  const quietMs = nowMs - life.lastHeardMs
-  if (life.isAsked && quietMs >= times.connectionTimeoutMs) {
+function pingSession (session: ServerHttp2Session, liveness: SessionLiveness, nowMs: number, clock: Clock, options: PingOptions): void {
+  const sinceAckMs = nowMs - liveness.lastAckMs
+  if (liveness.isPingPending && sinceAckMs >= options.connectionTimeoutMs) {
     session.destroy()
     return
   }
-  if (life.isAsked || quietMs < times.pingIntervalMs || session.destroyed) return
-  life.isAsked = session.ping(() => {
-    life.isAsked = false
-    life.lastHeardMs = clock.nowMs()
+  if (liveness.isPingPending || sinceAckMs < options.pingIntervalMs || session.destroyed) return
+  liveness.isPingPending = session.ping(() => {
+    liveness.isPingPending = false
+    liveness.lastAckMs = clock.nowMs()
   })
 }
 
--- a/packages/anvilarch-daemon/src/agent/runSink.ts
+++ b/packages/anvilarch-daemon/src/agent/runSink.ts
@@ -31,7 +31,7 @@
   const { clock, metrics, timeline } = context
   const ids = { requestId: attempt.requestId, attemptId: attempt.id }
 
-  const noteFirst = (nowMs: number): void => {
+  const recordFirstToken = (nowMs: number): void => {
     times.firstTokenMs = nowMs
     timeline.record('attempts.first_token', { ...ids, detail: { endpoint: options.endpoint, sinceStartMs: Math.round(nowMs - times.startedMs) } })
     metrics.firstTokenSeconds.observe({ class: attempt.workClass, service: attempt.service }, (nowMs - attempt.arrivedMs) / 1000)
@@ -43,7 +43,7 @@
       if (attempt.end !== undefined) return
       attempt.head = { status, headers }
       if (options.isPlain) {
-        noteFirst(clock.nowMs())
+        recordFirstToken(clock.nowMs())
         options.step({ kind: 'decoding', nowMs: clock.nowMs(), id: attempt.id })
       }
       for (const listener of attempt.listeners) listener.onOutput()
@@ -56,7 +56,7 @@
     },
     onToken: () => {
       const nowMs = clock.nowMs()
-      if (times.firstTokenMs === undefined) noteFirst(nowMs)
+      if (times.firstTokenMs === undefined) recordFirstToken(nowMs)
       if (times.lastTokenMs === undefined) options.step({ kind: 'decoding', nowMs, id: attempt.id })
       else options.step({ kind: 'interToken', nowMs, id: attempt.id, gapMs: nowMs - times.lastTokenMs })
       times.lastTokenMs = nowMs
--- a/packages/anvilarch-daemon/src/agent/startAgent.ts
+++ b/packages/anvilarch-daemon/src/agent/startAgent.ts
@@ -22,18 +22,18 @@
  *
  * @param context - shared parts of the daemon
  * @param lifecycle - owns the agent's parts
- * @param given - tunables that differ from the defaults
+ * @param overrides - tunables that differ from the defaults
  * @returns the agent, once it listens
  */
-export async function startAgent (context: DaemonContext, lifecycle: LifecycleManager, given: Partial<AgentOptions> = {}): Promise<AgentHandle> {
-  const options = { ...DEFAULT_AGENT_OPTIONS, ...given }
+export async function startAgent (context: DaemonContext, lifecycle: LifecycleManager, overrides: Partial<AgentOptions> = {}): Promise<AgentHandle> {
+  const options = { ...DEFAULT_AGENT_OPTIONS, ...overrides }
   const { clock, settings } = context
   const { heartbeatMs, coalesceMs } = settings.agent
   const quarantined = new LRUCache<string, true>({ max: options.maxQuarantined })
   const pump = createFramePump(clock, coalesceMs)
   const tasks = new Map<string, EndpointTask>()
-  let drainStarted: { atMs: number, done: Promise<void>, handedBack: boolean } | undefined
-  const isDraining = (): boolean => drainStarted !== undefined
+  let drainState: { atMs: number, done: Promise<void>, batchReturned: boolean } | undefined
+  const isDraining = (): boolean => drainState !== undefined
 
   const stopped = new AbortController()
   // Each open session listens to it until the session ends; beyond ten, Node.js would warn of a leak.
@@ -52,22 +52,22 @@
   })
 
   for (const endpoint of settings.agent.endpoints) {
-    tasks.set(endpoint.name, createEndpointTask(context, endpoint, { onStarted: registry.noteStarted, onEnded: registry.noteEnded }))
+    tasks.set(endpoint.name, createEndpointTask(context, endpoint, { onStarted: registry.markStarted, onEnded: registry.markEnded }))
   }
-  const orders = createOrders(context, tasks, options.orderAnswerMs, () => { probeChanging() })
+  const orders = createOrders(context, tasks, options.orderResponseTimeoutMs, () => { probeChanging() })
 
   const runWorkTick = (afterPause: boolean): boolean => {
     const nowMs = clock.nowMs()
     if (afterPause) context.metrics.ownPauses.inc()
     for (const task of tasks.values()) task.tick(nowMs, afterPause)
     registry.tick(nowMs)
-    pump.heartbeat(heartbeatMs * HEARTBEAT_SHARE)
+    pump.wakeIdle(heartbeatMs * HEARTBEAT_SHARE)
     recordGauges(context, tasks)
-    if (drainStarted !== undefined && !drainStarted.handedBack && nowMs - drainStarted.atMs >= options.batchDrainGraceMs) {
-      drainStarted.handedBack = true
-      for (const task of tasks.values()) task.handBack()
+    if (drainState !== undefined && !drainState.batchReturned && nowMs - drainState.atMs >= options.batchDrainGraceMs) {
+      drainState.batchReturned = true
+      for (const task of tasks.values()) task.returnBatch()
     }
-    return registry.live() > 0 || pump.size() > 0
+    return registry.liveCount() > 0 || pump.size() > 0
   }
   const workTick = createTick(clock, options.tickMs, runWorkTick)
   const changingTick = createChangingProbes(context, tasks, options)
@@ -77,7 +77,7 @@
     await Promise.all([...tasks.values()].map(async task => { await task.refresh() }))
     if (!isDraining()) await orders.reload()
   }
-  const slowTick = createTick(clock, options.probeIntervalMs, afterPause => {
+  const probeTick = createTick(clock, options.probeIntervalMs, afterPause => {
     // Retentions end, and the batch limit grows, also while no work is in progress.
     runWorkTick(afterPause)
     if (!afterPause) server.ping(clock.nowMs())
@@ -86,26 +86,26 @@
   })
 
   const waitForDrain = async (): Promise<void> => {
-    const isBusy = (): boolean => registry.live() > 0 || pump.size() > 0 || clock.nowMs() - registry.lastEndMs() < options.drainLingerMs
+    const isBusy = (): boolean => registry.liveCount() > 0 || pump.size() > 0 || clock.nowMs() - registry.lastEndMs() < options.drainLingerMs
     while (isBusy()) await sleep(clock, options.tickMs)
   }
 
   const drain = async (reason: string): Promise<void> => {
-    if (drainStarted === undefined) {
-      context.timeline.record('agent.draining', { detail: { reason, running: registry.live() } })
-      drainStarted = { atMs: clock.nowMs(), done: Promise.resolve(), handedBack: false }
+    if (drainState === undefined) {
+      context.timeline.record('agent.draining', { detail: { reason, running: registry.liveCount() } })
+      drainState = { atMs: clock.nowMs(), done: Promise.resolve(), batchReturned: false }
       for (const task of tasks.values()) task.drain()
       workTick.start()
-      drainStarted.done = waitForDrain()
+      drainState.done = waitForDrain()
     }
-    await drainStarted.done
+    await drainState.done
   }
 
   await lifecycle.start({
     name: 'endpoints',
     start: probeAll,
     stop: async () => {
-      slowTick.stop()
+      probeTick.stop()
       changingTick.stop()
       workTick.stop()
       await Promise.all([...tasks.values()].map(async task => { await task.close() }))
@@ -124,8 +124,8 @@
     addQuarantined: fingerprints => { for (const fingerprint of fingerprints) quarantined.set(fingerprint, true) }
   })
   const server = await startPeerServer(settings.listen.peers, router => { router.service(AgentService, service) }, clock, options)
-  slowTick.start()
-  await lifecycle.start({ name: 'peer server', stop: async () => { await stop(server, stopped) } })
+  probeTick.start()
+  await lifecycle.start({ name: 'peer server', stop: async () => { await stopServer(server, stopped) } })
   await lifecycle.start({ name: 'agent drain', stop: async () => { await drain('shutdown') }, stopTimeoutMs: settings.agent.drainTimeoutMs })
 
   return {
@@ -134,7 +134,7 @@
     state: () => ({
       state: isDraining() ? 'draining' : 'serving',
       isReady: !isDraining() && [...tasks.values()].some(task => task.health.state() === 'ready'),
-      attempts: registry.live(),
+      attempts: registry.liveCount(),
       readers: pump.size(),
       configurationVersion: context.configuration.version(),
       highestFencingToken: orders.highestToken(),
@@ -143,7 +143,7 @@
   }
 }
 
-async function stop (server: PeerServer, stopped: AbortController): Promise<void> {
+async function stopServer (server: PeerServer, stopped: AbortController): Promise<void> {
   stopped.abort()
   await server.close()
 }
--- a/packages/anvilarch-daemon/src/agent/suspects.ts
+++ b/packages/anvilarch-daemon/src/agent/suspects.ts
@@ -11,7 +11,7 @@
 /** Suspects of one agent. */
 export interface AgentSuspects {
   /** An attempt ended: a suspect is found, or one has proved harmless. */
-  noteEnd: (attempt: LiveAttempt, end: AttemptEnd) => void
+  recordEnd: (attempt: LiveAttempt, end: AttemptEnd) => void
   /** Whether a request may run here only so that its prompt is computed alone, or with nothing beside it. */
   mustIsolate: (fingerprint: string) => boolean
   list: () => string[]
@@ -37,7 +37,7 @@
   }
 
   return {
-    noteEnd: (attempt, end) => {
+    recordEnd: (attempt, end) => {
       if (end.outcome === 'endpoint_crashed' && end.ran !== 'not_run' && end.outputTokens === 0) sinceMs.set(attempt.fingerprint, clock.nowMs())
       else if (end.outcome === 'completed' && end.wasAlone) sinceMs.delete(attempt.fingerprint)
     },
--- a/packages/anvilarch-daemon/src/bin/anvilarchd.ts
+++ b/packages/anvilarch-daemon/src/bin/anvilarchd.ts
@@ -9,7 +9,7 @@
 const EXIT_CODES = { ok: 0, failed: 1, usage: 2, invalid_settings: 3, invariant_violated: 70 } as const
 
 /** After the second signal what is still in progress has this long to end. */
-const HURRY_MS = 2000
+const FORCED_EXIT_DELAY_MS = 2000
 
 function readSettings (path: string): DaemonSettings {
   let text: string
@@ -31,7 +31,7 @@
   const onSignal = (): void => {
     signals++
     if (signals > 1) {
-      daemon.context.clock.after(HURRY_MS, () => process.exit(EXIT_CODES.failed))
+      daemon.context.clock.after(FORCED_EXIT_DELAY_MS, () => process.exit(EXIT_CODES.failed))
       return
     }
     daemon.stop().then(
--- a/packages/anvilarch-daemon/src/context.ts
+++ b/packages/anvilarch-daemon/src/context.ts
@@ -35,35 +35,35 @@
  * Creates the shared parts of a daemon. Nothing is started; connections open on first use.
  *
  * @param settings - validated settings
- * @param replaced - parts to use in place of those of a real process, for tests
+ * @param overrides - parts to use in place of those of a real process, for tests
  * @returns the shared parts; their creator closes them after all slices have stopped
  */
-export function createContext (settings: DaemonSettings, replaced: Partial<DaemonContext> = {}): OwnedContext {
-  const clock = replaced.clock ?? createSystemClock()
-  const logger = replaced.logger ?? createLogger({ level: settings.log.level, process: settings.name })
-  const metrics = replaced.metrics ?? createMetrics({ processMetrics: true })
-  const timeline = replaced.timeline ?? createTimeline({ clock, process: settings.name, capacity: DEFAULT_CAPACITY })
+export function createContext (settings: DaemonSettings, overrides: Partial<DaemonContext> = {}): OwnedContext {
+  const clock = overrides.clock ?? createSystemClock()
+  const logger = overrides.logger ?? createLogger({ level: settings.log.level, process: settings.name })
+  const metrics = overrides.metrics ?? createMetrics({ processMetrics: true })
+  const timeline = overrides.timeline ?? createTimeline({ clock, process: settings.name, capacity: DEFAULT_CAPACITY })
   const platform = createPlatform({ settings: settings.platform, clock, metrics })
-  const stopReports = onViolation((name, detail) => {
+  const unsubscribe = onViolation((name, detail) => {
     metrics.invariantViolations.inc({ name })
     timeline.record('invariant.violated', { detail: { name, found: detail } })
     logger.error('an invariant does not hold', { name, found: detail })
   })
   const base = {
     settings,
-    incarnation: replaced.incarnation ?? randomUUID(),
+    incarnation: overrides.incarnation ?? randomUUID(),
     clock,
-    random: replaced.random ?? createRandom(processSeed()),
+    random: overrides.random ?? createRandom(processSeed()),
     logger,
     metrics,
     timeline,
-    platform: replaced.platform ?? platform
+    platform: overrides.platform ?? platform
   }
   return {
     ...base,
-    configuration: replaced.configuration ?? createConfigurationHolder(base),
+    configuration: overrides.configuration ?? createConfigurationHolder(base),
     close: async () => {
-      stopReports()
+      unsubscribe()
       await platform.close()
     }
   }
--- a/packages/anvilarch-daemon/src/roles/startGatewayRole.ts
+++ b/packages/anvilarch-daemon/src/roles/startGatewayRole.ts
@@ -21,7 +21,7 @@
 import type { StartedRole, StartRole } from './types'
 
 /** Parts that the description of this gateway draws on, once they have started. */
-interface Described {
+interface DescribedParts {
   callers?: CallersServer
   jobs?: JobsHandle
 }
@@ -31,7 +31,7 @@
  * nearly last. Placement and its lease come after all: a gateway that drains for minutes hands them on at once.
  */
 export const startGatewayRole: StartRole = async (context, lifecycle, operationsAddress) => {
-  const described: Described = {}
+  const described: DescribedParts = {}
   const describe = (): GatewayDescription => describeGateway(context, described, operationsAddress)
 
   const clients = createAgentClients({ clock: context.clock })
@@ -59,7 +59,7 @@
   return startedGateway(callers, jobs, directory)
 }
 
-function describeGateway (context: DaemonContext, described: Described, operationsAddress: string): GatewayDescription {
+function describeGateway (context: DaemonContext, described: DescribedParts, operationsAddress: string): GatewayDescription {
   return {
     address: described.callers?.address ?? context.settings.listen.callers ?? '',
     operationsAddress,
