--- a/packages/anvilarch-daemon/src/agent/__fixtures__/agentHarness.ts
+++ b/packages/anvilarch-daemon/src/agent/__fixtures__/agentHarness.ts
@@ -1,4 +1,4 @@
-/** An agent in this process with endpoints given by the test, and a client as a gateway has one. */
+/** Runs an agent in the test process, with endpoints of the test and clients like those of a gateway. */
 import { type Client, createClient } from '@connectrpc/connect'
 import { createGrpcTransport, Http2SessionManager } from '@connectrpc/connect-node'
 import { type ConfigurationDocument, DEFAULT_AGENT_SETTINGS, type AgentSettings, type DaemonSettings, type EndpointSettings, hashDocument, canonicalJson } from 'anvilarch-configuration'
@@ -12,7 +12,7 @@
 import { startAgent } from '../startAgent'
 import type { AgentHandle } from '../types'
 
-/** A service of each kind, as the documents of the examples have them. */
+/** A configuration with a service of each kind. */
 export const TEST_DOCUMENT = {
   formatVersion: 1,
   regions: { local: { failureDomains: ['domain-a'] } },
@@ -23,28 +23,28 @@
   }
 } as unknown as ConfigurationDocument
 
-/** What a test may set. */
+/** Options of `startAgentHarness`. */
 export interface HarnessOptions {
   endpoints: Array<Partial<EndpointSettings> & Pick<EndpointSettings, 'name' | 'kind' | 'url'>>
   agent?: Partial<AgentSettings>
   options?: Partial<AgentOptions>
   incarnation?: string
-  /** Rows of the table; a read rejects while `isDown` says so. */
+  /** Rows of the table; reads reject while `isDown` returns true. */
   table?: { rows: Map<string, string>, isDown: () => boolean }
   withoutDocument?: boolean
 }
 
-/** A running agent with its client. */
+/** A running agent with a client. */
 export interface AgentHarness {
   agent: AgentHandle
   context: DaemonContext
   client: Client<typeof AgentService>
-  /** Opens another connection, straight or through a relay. */
+  /** Opens another connection, directly or through a relay. */
   connect: (address?: string) => Client<typeof AgentService>
   incarnation: string
-  /** Invariants found not to hold. */
+  /** Invariant violations. */
   violations: string[]
-  /** Names of the events of one attempt on the time line. */
+  /** Names of the timeline events of one attempt. */
   events: (attemptId: string) => string[]
   stop: () => Promise<void>
 }
@@ -96,7 +96,7 @@
   }
 }
 
-/** Puts a document in force at an agent under a version. */
+/** Offers a configuration document to an agent under a version. */
 export function offerDocument (context: DaemonContext, version: number, document: ConfigurationDocument): string {
   return context.configuration.offer({ version, hash: hashDocument(document), documentJson: canonicalJson(document) })
 }
@@ -125,7 +125,7 @@
   return { table: { read } } as unknown as PlatformPorts
 }
 
-/** Fields of a start that a test leaves out. */
+/** Fields of a start message; all but the id have defaults. */
 export interface StartFields {
   attemptId: string
   service?: string
@@ -145,8 +145,8 @@
 }
 
 /**
- * @param fields - what matters to the test
- * @returns a whole start message
+ * @param fields - fields that differ from the defaults
+ * @returns a complete start message
  */
 export function startMessage (fields: StartFields) {
   const body = fields.body === undefined ? new Uint8Array(0) : Buffer.from(JSON.stringify(fields.body))
@@ -174,7 +174,7 @@
   }
 }
 
-/** What one reader was given. */
+/** Frames received by one reader. */
 export interface ReadAttempt {
   frames: AttemptFrame[]
   refused: Refused | undefined
@@ -184,11 +184,11 @@
 }
 
 /**
- * Reads frames to their end and checks that offsets are contiguous and that the total fits.
+ * Reads all frames and checks that offsets are contiguous and that the total matches.
  *
- * @param frames - of one call
+ * @param frames - frames of one call
  * @param fromByte - offset of the first output
- * @returns what was read
+ * @returns the frames and their content
  */
 export async function readFrames (frames: AsyncIterable<AttemptFrame>, fromByte = 0): Promise<ReadAttempt> {
   const read: ReadAttempt = { frames: [], refused: undefined, status: 0, output: Buffer.alloc(0), final: undefined }
@@ -212,7 +212,7 @@
 
 /**
  * @param output - server-sent events
- * @returns the text of all tokens, and whether the end mark came
+ * @returns the text of all tokens, their number, and whether the end mark was received
  */
 export function textOfEvents (output: Buffer): { text: string, tokens: number, isWhole: boolean } {
   let text = ''
@@ -235,8 +235,8 @@
 /**
  * Waits for a condition.
  *
- * @param condition - looked at every few milliseconds
- * @throws Error when it has not come true for so long that it never will
+ * @param condition - checked every few milliseconds
+ * @throws Error if the condition has not become true for at least 20 s
  */
 export async function waitUntil (condition: () => boolean): Promise<void> {
   for (let tries = 0; tries < MAX_CONDITION_CHECKS; tries++) {
--- a/packages/anvilarch-daemon/src/agent/__fixtures__/rawServer.ts
+++ b/packages/anvilarch-daemon/src/agent/__fixtures__/rawServer.ts
@@ -1,4 +1,4 @@
-/** A TCP server that reads HTTP requests and does with each connection what the test says. */
+/** A TCP server that reads HTTP requests and leaves the response to the test, and a TCP relay. */
 import { connect, createServer, type Socket } from 'node:net'
 import type { AddressInfo } from 'node:net'
 
@@ -6,12 +6,12 @@
 export interface RawServer {
   url: string
   port: number
-  /** Request lines in the order in which they came. */
+  /** Request lines in order of arrival. */
   requests: string[]
   close: () => Promise<void>
 }
 
-/** An answer with a body, after which the connection is kept open. */
+/** A response with a body, on a keep-alive connection. */
 export const COMPLETE_RESPONSE = 'HTTP/1.1 200 OK\r\ncontent-length: 2\r\nconnection: keep-alive\r\n\r\nok'
 
 /**
@@ -47,7 +47,7 @@
   }
 }
 
-/** Passes a connection on until it goes silent, as something between two hosts does that has lost track of it. */
+/** Forwards connections until it stops silently, like a network device that has dropped their state. */
 export interface Relay {
   address: string
   stopForwarding: () => void
@@ -55,7 +55,7 @@
 }
 
 /**
- * @param target - IP number and port behind the relay
+ * @param target - IP address and port behind the relay
  * @returns the relay
  */
 export async function startRelay (target: string): Promise<Relay> {
--- a/packages/anvilarch-daemon/src/agent/agentService.ts
+++ b/packages/anvilarch-daemon/src/agent/agentService.ts
@@ -1,4 +1,4 @@
-/** `AgentService` as gateways call it. */
+/** Handlers of the `AgentService` calls of gateways. */
 import { create, type MessageInitShape } from '@bufbuild/protobuf'
 import { Code, ConnectError, type ServiceImpl } from '@connectrpc/connect'
 import { type AgentService, type EndpointState, EndpointStateSchema, type ExchangeResponseSchema } from 'anvilarch-protocol'
@@ -8,27 +8,27 @@
 import type { EndpointTask } from './endpointTask'
 import type { Orders } from './orders'
 
-/** What the service needs of the agent. */
+/** Dependencies of the service. */
 export interface AgentServiceDeps {
   context: DaemonContext
   registry: AttemptRegistry
   orders: Orders
   tasks: Map<string, EndpointTask>
   isDraining: () => boolean
-  /** Where this daemon serves its operators. */
+  /** Address of this daemon's operations server. */
   operationsAddress: string
   drain: (reason: string) => Promise<void>
-  /** Fingerprints that run here only alone. */
+  /** Fingerprints of requests that this agent runs only in isolation. */
   suspects: () => string[]
-  /** Aborted when the agent stops. */
+  /** Aborted when the agent shuts down. */
   stopped: AbortSignal
-  /** Fingerprints that no endpoint may run again. */
+  /** Adds fingerprints of requests that no endpoint may run again. */
   addQuarantined: (fingerprints: string[]) => void
 }
 
 /**
- * @param deps - parts of the agent
- * @returns the handlers of each call
+ * @param deps - components of the agent
+ * @returns the handlers of all calls
  */
 export function createAgentService (deps: AgentServiceDeps): ServiceImpl<typeof AgentService> {
   const { context, registry, orders } = deps
@@ -76,8 +76,8 @@
 
 /**
  * @param tasks - the endpoints by name
- * @param orders - for the highest token seen
- * @returns the state of each endpoint as gateways are told
+ * @param orders - provides the highest fencing token and the settled orders
+ * @returns the state of each endpoint as reported to gateways
  */
 export function endpointStates (tasks: Map<string, EndpointTask>, orders: Orders): EndpointState[] {
   return [...tasks.values()].map(task => create(EndpointStateSchema, {
--- a/packages/anvilarch-daemon/src/agent/attemptReader.ts
+++ b/packages/anvilarch-daemon/src/agent/attemptReader.ts
@@ -1,6 +1,6 @@
 /**
- * Frames of one attempt for one reader. The reader takes from the attempt's buffer when the transport asks for more, so
- * that a slow reader holds back its own stream and nothing else.
+ * Streams the frames of one attempt to one reader. Output is read from the attempt's buffer only when the transport
+ * requests more, so that a slow reader delays its own stream only.
  */
 import type { MessageInitShape } from '@bufbuild/protobuf'
 import type { AttemptFrameSchema, EndpointLoadSchema } from 'anvilarch-protocol'
@@ -12,7 +12,7 @@
 /** A frame before it is encoded. */
 export type Frame = MessageInitShape<typeof AttemptFrameSchema>
 
-/** What a reader needs. */
+/** Options of `readAttempt`. */
 export interface AttemptReaderOptions {
   clock: Clock
   pump: FramePump
@@ -20,27 +20,28 @@
   maxFrameBytes: number
   heartbeatMs: number
   offsetBytes: number
-  /** Aborted when the peer went away. */
+  /** Aborted when the peer disconnects. */
   signal: AbortSignal
-  /** @returns the load that goes out with a frame */
+  /** @returns the endpoint load to attach to a frame */
   load: () => MessageInitShape<typeof EndpointLoadSchema> | undefined
-  /** The first frame was asked for. */
+  /** Called when the first frame is requested. */
   onOpened: () => void
-  /** The reader left; `delivered` when it was given the final frame. */
+  /** Called when the reader ends; `delivered` is true if it received the final frame. */
   onClosed: (delivered: boolean) => void
 }
 
-/** Frames carry the load at most this often; the final one unless it went out just before. */
+/** Minimum time between two frames that carry the load. */
 const LOAD_INTERVAL_MS = 500
+/** The same for the final frame, which carries the load unless it was sent just before. */
 const FINAL_LOAD_INTERVAL_MS = 25
 
-/** A reader that was quiet for this share of the heartbeat period sends one on the next tick. */
+/** A reader that has sent no frame for this share of the heartbeat period sends a heartbeat on the next tick. */
 export const HEARTBEAT_SHARE = 0.5
 
 /**
  * @param attempt - the attempt to read
- * @param options - offset, timers and the peer's signal
- * @returns frames up to the final one
+ * @param options - offset, intervals and the signal of the peer
+ * @returns the frames up to and including the final one
  */
 export async function * readAttempt (attempt: LiveAttempt, options: AttemptReaderOptions): AsyncGenerator<Frame> {
   const { clock, pump, signal } = options
--- a/packages/anvilarch-daemon/src/agent/attemptRegistry.ts
+++ b/packages/anvilarch-daemon/src/agent/attemptRegistry.ts
@@ -1,4 +1,4 @@
-/** The attempts of this agent: the table's decisions carried out, and the readers of each attempt. */
+/** The attempts of this agent: executes the commands of the attempt table and opens readers of attempts. */
 import type { MessageInitShape } from '@bufbuild/protobuf'
 import { type CancelAttemptRequest, type EndpointLoadSchema, type RefusalReason, type ResumeAttemptRequest, type StartAttemptRequest } from 'anvilarch-protocol'
 import { invariant } from 'anvilarch-utils'
@@ -12,7 +12,7 @@
 import type { AgentOptions } from './options'
 import type { AgentSuspects } from './suspects'
 
-/** What the registry needs of the agent. */
+/** Dependencies of the registry. */
 export interface AttemptRegistryDeps {
   context: DaemonContext
   options: AgentOptions
@@ -21,11 +21,11 @@
   isDraining: () => boolean
   isQuarantined: (fingerprint: string) => boolean
   suspects: AgentSuspects
-  /** Work is in progress from now on. */
+  /** Called when work starts, so that the agent's tick runs. */
   onWork: () => void
 }
 
-/** The attempts of this agent. */
+/** Starts, resumes, cancels and tracks the attempts of this agent. */
 export interface AttemptRegistry {
   start: (request: StartAttemptRequest, signal: AbortSignal) => AsyncGenerator<Frame>
   resume: (request: ResumeAttemptRequest, signal: AbortSignal) => AsyncGenerator<Frame>
@@ -34,7 +34,7 @@
   markStarted: (attempt: LiveAttempt) => void
   markEnded: (attempt: LiveAttempt, end: AttemptEnd) => void
   tick: (nowMs: number) => void
-  /** Attempts that wait or run. */
+  /** Number of attempts that are queued or running. */
   liveCount: () => number
   lastEndMs: () => number
 }
@@ -42,7 +42,7 @@
 const NO_BODY = new Uint8Array(0)
 
 /**
- * @param deps - shared parts, endpoints and the pump of readers
+ * @param deps - shared components, endpoints and the frame pump
  * @returns a registry without attempts
  */
 export function createAttemptRegistry (deps: AttemptRegistryDeps): AttemptRegistry {
@@ -202,7 +202,7 @@
   yield * frames
 }
 
-/** An error must end the one stream that it is about, and not what serves all of them. */
+/** Turns a thrown error into a failing stream, so that it ends this stream only and not the session that serves all of them. */
 function orErrorStream (open: () => AsyncGenerator<Frame>): AsyncGenerator<Frame> {
   try {
     return open()
--- a/packages/anvilarch-daemon/src/agent/attemptSessions.ts
+++ b/packages/anvilarch-daemon/src/agent/attemptSessions.ts
@@ -1,6 +1,6 @@
 /**
- * Serves many attempts over one open stream. A stream of its own for each attempt cost an agent 4.5 ms of processor time
- * a lookup; see docs/design/0003-sessions.md.
+ * Multiplexes many attempts over one open stream. A separate HTTP/2 stream for each attempt costs an agent 4.5 ms of CPU
+ * time per lookup; see docs/design/0003-sessions.md.
  */
 import { create } from '@bufbuild/protobuf'
 import {
@@ -11,27 +11,27 @@
 import type { Frame } from './attemptReader'
 import type { AttemptRegistry } from './attemptRegistry'
 
-/** What a session needs of the agent. */
+/** Dependencies of a session. */
 export interface AttemptSessionsDeps {
   registry: Pick<AttemptRegistry, 'start' | 'resume'>
-  /** Aborted when the agent stops; open sessions would otherwise hold up the end of its server. */
+  /** Aborted when the agent shuts down; open sessions would otherwise delay the shutdown of its server. */
   stopped: AbortSignal
 }
 
-/** One attempt that is read within a session. */
+/** One attempt that is streamed within a session. */
 interface SessionStream {
   abort: AbortController
-  /** Output bytes that may still be sent. */
+  /** Output bytes that may be sent before the gateway grants more credit. */
   creditBytes: number
-  /** Ends the wait for credit. */
+  /** Resolves the wait for credit; undefined when nothing waits. */
   onCredit: (() => void) | undefined
 }
 
 /**
- * @param deps - the attempts, and the agent's end
- * @param requests - what the gateway sends
- * @param signal - aborted when the connection is gone
- * @returns what goes to the gateway
+ * @param deps - the attempts, and the agent's shutdown signal
+ * @param requests - commands of the gateway
+ * @param signal - aborted when the connection closes
+ * @returns responses to the gateway, each a batch of frames
  */
 export async function * serveSession (
   deps: AttemptSessionsDeps, requests: AsyncIterable<SessionRequest>, signal: AbortSignal
@@ -86,7 +86,10 @@
   }).then(() => { finish('') }, error => { finish(error instanceof Error ? error.message : String(error)) })
 }
 
-/** A caller that does not read holds back its own stream: without credit its frames stay in the attempt's buffer. */
+/**
+ * Forwards frames while there is credit. Without credit, output stays in the attempt's buffer, so that a caller that does
+ * not read delays its own stream only.
+ */
 async function forwardFrames (stream: SessionStream, frames: AsyncGenerator<Frame>, put: (frame: Frame) => void): Promise<void> {
   for await (const frame of frames) {
     put(frame)
@@ -103,5 +106,5 @@
   stream.onCredit?.()
 }
 
-/** One reason for all, because making an error object for each abort is costly. */
+/** Shared abort reason: creating an error object for each abort is expensive. */
 const STREAM_CLOSED = new Error('the gateway left the stream')
--- a/packages/anvilarch-daemon/src/agent/attemptTable.ts
+++ b/packages/anvilarch-daemon/src/agent/attemptTable.ts
@@ -1,28 +1,28 @@
 /**
- * What this agent knows of attempt ids. Start messages, resumptions and cancellations may arrive late, twice or in any
- * order; the table decides on each so that an id runs at most once, and so that `barred` is said only of an id that
- * never ran here and never will.
+ * The state of all attempt ids at this agent. Start messages, resumptions and cancellations may arrive late, twice or in
+ * any order. The table handles each so that an id runs at most once, and so that `barred` is reported only for an id that
+ * has never run here and never will. Pure, apart from updating the state in place.
  */
 import type { AttemptOutcome } from 'anvilarch-protocol'
 import { invariant } from 'anvilarch-utils'
 
-/** An id as the table knows it. */
+/** State of one id. `barred`: it never runs here. */
 export type AttemptEntry =
   | { state: 'barred', untilMs: number }
   | LiveEntry
   | EndedEntry
 
-/** An attempt that waits or runs. */
+/** An attempt that is queued or running. */
 export interface LiveEntry {
   state: 'queued' | 'running'
   deadlineMs: number
-  /** A call that can't be repeated runs to its end even if nobody reads it, since its effect can't be undone. */
+  /** Whether to stop it when nothing reads it. False for non-idempotent calls, whose effects can't be undone. */
   stopsUnread: boolean
   readers: number
   unreadSinceMs: number
 }
 
-/** An attempt that is over. `forgotten`: it ran, but its output is no longer kept. */
+/** An attempt that has ended. `forgotten`: it ran, but its output has been discarded. */
 export interface EndedEntry {
   state: 'ended' | 'forgotten'
   outcome: AttemptOutcome
@@ -30,17 +30,17 @@
   endedAtMs: number
   deadlineMs: number
   readers: number
-  /** A reader was given all of it. */
+  /** A reader has received the final frame. */
   delivered: boolean
   untilMs: number
 }
 
-/** Something happened to an attempt id. */
+/** An event that concerns an attempt id. */
 export type AttemptTableEvent =
   | { kind: 'deliver', nowMs: number, id: string, incarnation: string }
-  /** Answers `consider`: the attempt was taken in. */
+  /** Response to `consider`: the attempt was admitted. */
   | { kind: 'accepted', nowMs: number, id: string, deadlineMs: number, stopsUnread: boolean }
-  /** Answers `consider`: it never runs here. */
+  /** Response to `consider`: the attempt was refused and never runs here. */
   | { kind: 'refused', nowMs: number, id: string }
   | { kind: 'started', nowMs: number, id: string }
   | { kind: 'ended', nowMs: number, id: string, outcome: AttemptOutcome, totalBytes: number }
@@ -50,20 +50,20 @@
   | { kind: 'readerClosed', nowMs: number, id: string, delivered: boolean }
   | { kind: 'tick', nowMs: number }
 
-/** What the agent must do or answer. */
+/** A command for the agent to execute or to respond with. */
 export type AttemptTableCommand =
-  /** The id is new: decide on it, and tell the table at once by `accepted` or `refused`. */
+  /** The id is new: decide on admission, and report it to the table synchronously by `accepted` or `refused`. */
   | { kind: 'consider', id: string }
-  /** Read the known attempt. */
+  /** Attach a reader to the known attempt. */
   | { kind: 'attach', id: string }
-  /** The attempt ran here, but its output is gone. */
+  /** The attempt ran here, but its output has been discarded. */
   | { kind: 'lost', id: string }
   | { kind: 'refuse', id: string, reason: 'barred' | 'wrong_incarnation' }
   | { kind: 'cancelAnswer', id: string, outcome: 'barred' | 'cancelled' | 'finished' | 'unknown' }
   | { kind: 'stop', id: string, reason: 'cancelled' | 'unread' }
   | { kind: 'forgetOutput', id: string }
 
-/** Bounds of the table. */
+/** Retention times and limits of the table. */
 export interface AttemptTableOptions {
   incarnation: string
   attemptRetentionMs: number
@@ -78,24 +78,25 @@
   options: AttemptTableOptions
   entries: Map<string, AttemptEntry>
   retainedBytes: number
-  /** Entries without output: barred or forgotten. */
+  /** Number of entries without output: barred or forgotten. */
   tombstones: number
   liveCount: number
   nextSweepMs: number
 }
 
-/** Next state and what to do. */
+/** Next state and the commands to execute. */
 export interface AttemptTableStep {
   state: AttemptTableState
   commands: AttemptTableCommand[]
 }
 
-/** Sweeps of the whole table are this far apart at most, and a part of the shorter retention at least. */
+/** Maximum time between two sweeps of the table; less if a retention time is short. */
 const MAX_SWEEP_INTERVAL_MS = 5000
+/** Sweeps within the shortest of the retention and grace times. */
 const SWEEPS_PER_RETENTION = 4
 
 /**
- * @param options - bounds
+ * @param options - retention times and limits
  * @returns a table without ids
  */
 export function createAttemptTable (options: AttemptTableOptions): AttemptTableState {
@@ -147,9 +148,9 @@
 }
 
 /**
- * @param state - the table; changed in place
- * @param event - what happened
- * @returns the table and what to do
+ * @param state - the table; updated in place
+ * @param event - the event to apply
+ * @returns the table and the commands to execute
  */
 export function attemptTableStep (state: AttemptTableState, event: AttemptTableEvent): AttemptTableStep {
   const handle = HANDLERS[event.kind] as Handler<typeof event.kind>
@@ -174,8 +175,8 @@
   return state.tombstones < state.options.maxTombstones
 }
 
-// When the bars are full, an id can't be kept from starting later; then nothing may be said of it, least of all that
-// it did not run. The peer is told what it hears of an agent that was replaced.
+// At the limit of tombstones, an id can't be prevented from starting later, so that it must not be reported as not run.
+// The peer then gets the same response as from an agent that was restarted.
 function bar (state: AttemptTableState, id: string, nowMs: number): boolean {
   if (!hasTombstoneCapacity(state)) return false
   state.entries.set(id, { state: 'barred', untilMs: nowMs + state.options.barRetentionMs })
@@ -201,7 +202,7 @@
   invariant(entry?.state === 'queued' || entry?.state === 'running', 'attempt_ends_once', () => `"${event.id}" is ${entry?.state ?? 'unknown'}`)
   state.liveCount--
   state.retainedBytes += event.totalBytes
-  // Set anew, so that the entries that are over stand in the order in which they ended.
+  // Reinserted, so that ended entries are in the order in which they ended.
   state.entries.delete(event.id)
   state.entries.set(event.id, {
     state: 'ended',
@@ -225,8 +226,8 @@
   return commands
 }
 
-// The id stays known until no resumption can come any more: a gateway that asked then would be told `barred`, and
-// would tell its caller that the attempt did not run.
+// Keeps the id until no resumption can arrive any more. Without the entry, a resumption would be refused as `barred`, and
+// the gateway would report to its caller that the attempt did not run.
 function discardOutput (state: AttemptTableState, id: string, entry: EndedEntry, nowMs: number): AttemptTableCommand {
   state.retainedBytes -= entry.totalBytes
   state.tombstones++
--- a/packages/anvilarch-daemon/src/agent/changingProbes.ts
+++ b/packages/anvilarch-daemon/src/agent/changingProbes.ts
@@ -1,4 +1,4 @@
-/** Asks endpoints more often while they are about to come up or to have their model, which requests or orders wait for. */
+/** Probes endpoints more often while they start or load a model, since requests or orders wait for them. */
 import type { DaemonContext } from '../context'
 import type { EndpointTask } from './endpointTask'
 import type { AgentOptions } from './options'
@@ -7,8 +7,8 @@
 /**
  * @param context - clock and logger
  * @param tasks - the endpoints by name
- * @param options - the period, and for how long an endpoint is asked at it
- * @returns a tick that stops once no endpoint has begun to change lately
+ * @param options - the period, and how long an endpoint is probed at it
+ * @returns a tick that stops once no endpoint has started to change within `changingMs`
  */
 export function createChangingProbes (
   context: Pick<DaemonContext, 'clock' | 'logger'>,
--- a/packages/anvilarch-daemon/src/agent/createLiveAttempt.ts
+++ b/packages/anvilarch-daemon/src/agent/createLiveAttempt.ts
@@ -1,4 +1,4 @@
-/** Makes the record of an attempt from the message that starts it. */
+/** Creates the record of an attempt from its start message. */
 import { Code, ConnectError } from '@connectrpc/connect'
 import { type StartAttemptRequest, WORK_CLASSES, type WorkClass } from 'anvilarch-protocol'
 import type { Headers, OutputMode } from '../attempts/types'
@@ -9,10 +9,10 @@
 const OUTPUT_MODES: ReadonlySet<string> = new Set<OutputMode>(['stream', 'whole', 'raw'])
 
 /**
- * @param context - shared parts of the daemon
+ * @param context - shared components of the daemon
  * @param request - the message
- * @returns the attempt, which nobody has decided on yet
- * @throws ConnectError when the message lacks its call, or names an unknown class of work or output mode
+ * @returns the attempt, not admitted yet
+ * @throws ConnectError if the message has no call, or names an unknown work class or output mode
  */
 export function createLiveAttempt (context: DaemonContext, request: StartAttemptRequest): LiveAttempt {
   const { call } = request
--- a/packages/anvilarch-daemon/src/agent/endpointHealth.ts
+++ b/packages/anvilarch-daemon/src/agent/endpointHealth.ts
@@ -1,20 +1,20 @@
 /**
- * What is known of an endpoint: whether it answers, which process it is, and which models it has loaded.
+ * Health of an endpoint: whether it responds to probes, its process incarnation, and the models that it has loaded.
  *
- * A crash must be told from a connection that was lost, since the requests in progress at a crash are suspects.
- * A refused connection or a changed incarnation is a crash; silence or a reset of one connection alone is not.
+ * A crash must be distinguished from a lost connection, since requests in progress at a crash are suspects. A refused
+ * connection or a changed incarnation is a crash; a timeout or a reset of one connection alone is not.
  */
 import type { EndpointAdapter, ProcessStatus, LoadedModelState, ProbeResult } from './endpoints/types'
 
-/** Health as gateways are told. */
+/** Health as reported to gateways. */
 export type HealthState = 'ready' | 'starting' | 'crashed'
 
-/** Listener to changes of health. */
+/** Callbacks for changes of health. */
 export interface HealthListener {
   onUp: () => void
-  /** It answers no more: nothing new is sent there. */
+  /** The endpoint is unreachable or unresponsive: no new work is sent to it. */
   onDown: (detail: string) => void
-  /** The process that ran there is gone. */
+  /** The process of the endpoint has exited or was restarted. */
   onCrash: (detail: string) => void
 }
 
@@ -26,21 +26,21 @@
   fencingToken: () => number
   /** Probes sent so far. */
   probesSent: () => number
-  /** Number of the probe, counted from one, whose answer is the newest. */
+  /** Sequence number, from 1, of the newest probe that got a response or was refused; 0 if none. */
   lastRespondedProbe: () => number
-  /** Asks the endpoint; calls made while an answer is awaited share it. */
+  /** Probes the endpoint; calls made while a probe is in progress share its result. */
   probe: () => Promise<ProbeResult>
-  /** @returns what became of the process that had this incarnation */
+  /** Probes over a new connection. @returns the status of the process that had this incarnation */
   checkProcess: (incarnation: string) => Promise<ProcessStatus>
 }
 
-/** Probes without an answer, one after another, after which the endpoint counts as down. */
+/** Consecutive probes without a valid response after which the endpoint is down. A refused connection takes it down at once. */
 const MAX_FAILED_PROBES = 2
 
 /**
- * @param adapter - asks the endpoint
- * @param listener - told of changes
- * @returns health that begins as `starting`
+ * @param adapter - probes the endpoint
+ * @param listener - callbacks for changes
+ * @returns health, initially `starting`
  */
 export function createEndpointHealth (adapter: Pick<EndpointAdapter, 'probe'>, listener: HealthListener): EndpointHealth {
   let state: HealthState = 'starting'
--- a/packages/anvilarch-daemon/src/agent/endpointService.ts
+++ b/packages/anvilarch-daemon/src/agent/endpointService.ts
@@ -1,17 +1,17 @@
-/** Which service an endpoint serves, and whether it can take a request for one. Pure. */
+/** Determines which service an endpoint serves, and whether it can accept a request for a service. Pure. */
 import type { ConfigurationDocument, EndpointSettings, ModelService } from 'anvilarch-configuration'
 import type { RefusalReason } from 'anvilarch-protocol'
 import type { LoadedModelState } from './endpoints/types'
 
-/** What the decision depends on. */
+/** Inputs of the decision. */
 export interface ServiceView {
   settings: EndpointSettings
   /** Service of the last order; empty after a restart of the agent until the next order. */
   assigned: string
-  /** What `settledService` returned for this view. */
+  /** Result of `settledService` for this view. */
   settled: string
   models: LoadedModelState[]
-  /** Configuration in force at this agent; version 0 and no document before the first one. */
+  /** Version of the configuration in force at this agent; 0, without a document, before the first one. */
   version: number
   document: ConfigurationDocument | undefined
 }
@@ -20,7 +20,7 @@
  * @param view - the endpoint and the configuration
  * @param service - service of the request
  * @param requestVersion - configuration version of the gateway that sent it
- * @returns why the request can't be taken, or undefined
+ * @returns the reason to refuse the request, or undefined to accept it
  */
 export function serviceRefusal (view: ServiceView, service: string, requestVersion: number): RefusalReason | undefined {
   if (view.settings.kind === 'plain') return view.settings.service === service ? undefined : 'unknown_endpoint'
@@ -28,24 +28,24 @@
   if (spec?.kind === 'plain') return 'unknown_endpoint'
   if (view.assigned !== '' && view.assigned !== service) return 'model_not_loaded'
   if (spec === undefined) {
-    // With the service unknown here, one side is behind, and neither may guess what the service runs.
+    // The agent's or the gateway's configuration is out of date, so that the model of the service is not known.
     if (view.assigned !== service) return requestVersion === view.version ? 'model_not_loaded' : 'stale_configuration'
     return view.models.some(isReady) ? undefined : 'model_not_loaded'
   }
-  // While a new version is being loaded, the endpoint goes on with the one it has.
+  // While a new version is loading, the endpoint continues to serve with the loaded one.
   const serves = view.settled === service ? hasModel(view.models, spec) : hasExactly(view.models, spec)
   return serves ? undefined : 'model_not_loaded'
 }
 
 /**
- * An endpoint that no order has assigned serves what its models fit. Were only the moment looked at, every change of a
- * service's version or adapters would take all of its endpoints out until placement has ordered the load; so it stays
- * with the service that it was last seen to fit, while the model of that service is there.
+ * Determines the service of an endpoint. Without an assignment, it is the service that the loaded models match. An
+ * endpoint keeps its last matching service as long as the model of that service is loaded: otherwise each change of a
+ * service's version or adapters would take all of its endpoints out of service until placement has ordered the load.
  *
  * @param view - the endpoint and the configuration
- * @param before - what this function returned last
- * @returns the service to report: the assigned one, else the one that the loaded models fitted last, else the only one
- * that they fit
+ * @param before - previous result of this function
+ * @returns the service to report: the assigned one, else the one that the loaded models last matched, else the only one
+ * that they match; empty for none
  */
 export function settledService (view: Omit<ServiceView, 'settled'>, before: string): string {
   if (view.settings.kind === 'plain') return view.settings.service ?? ''
--- a/packages/anvilarch-daemon/src/agent/endpointTask.ts
+++ b/packages/anvilarch-daemon/src/agent/endpointTask.ts
@@ -1,4 +1,4 @@
-/** One endpoint: its admission, its health, and the attempts that run on it. */
+/** Manages one endpoint: its admission, its health, and the attempts that run on it. */
 import type { EndpointSettings } from 'anvilarch-configuration'
 import type { AttemptOutcome, RefusalReason } from 'anvilarch-protocol'
 import { type AdmissionCommand, type AdmissionEvent, admissionLoad, admissionStep, createAdmissionState, type AdmissionLoad, type RunningAttempt } from '../admission'
@@ -10,19 +10,19 @@
 import type { AttemptEnd, LiveAttempt } from './liveAttempt'
 import { createRunSink, type RunTimes } from './runSink'
 
-/** Told of what becomes of attempts. */
+/** Callbacks for the progress of attempts. */
 export interface EndpointTaskListener {
   onStarted: (attempt: LiveAttempt) => void
   onEnded: (attempt: LiveAttempt, end: AttemptEnd) => void
 }
 
-/** A refusal, with the time to come back. */
+/** A refusal, with the time after which to retry. */
 export interface TaskRefusal {
   reason: RefusalReason
   retryAfterMs: number
 }
 
-/** `begin` starts what the arrival made startable; it is called once the attempt is on record. */
+/** Result of a submission. `begin` executes the commands that admission issued; it is called once the attempt is recorded. */
 export type Submission = { refusal: TaskRefusal } | { refusal: undefined, begin: () => void }
 
 /** The task of one endpoint. */
@@ -30,30 +30,31 @@
   settings: EndpointSettings
   adapter: EndpointAdapter
   health: EndpointHealth
-  /** Service given by the last order. */
+  /** Service assigned by the last order. */
   assigned: () => string
   assign: (service: string) => void
-  /** Service that the last order to load was for; empty for none. */
+  /** Sets the service of the last load order; empty for none. */
   setLoadedService: (service: string) => void
-  /** Whether the endpoint could serve this service now. */
+  /** @returns why the endpoint can't serve this service now, or undefined if it can */
   refusalFor: (service: string, requestVersion: number) => TaskRefusal | undefined
-  /** Takes an attempt in, or says why not. */
+  /** Admits or refuses an attempt. */
   submit: (attempt: LiveAttempt) => Submission
-  /** Ends a waiting or running attempt. */
+  /** Ends a queued or running attempt. */
   stop: (attempt: LiveAttempt, reason: StopReason, detail: string) => void
-  /** Deadlines, silence and the batch limit. Nothing counts as silent just after a pause of this process. */
+  /** Checks deadlines, timeouts and the batch limit. Timeouts are not checked right after a process pause. */
   tick: (nowMs: number, afterPause: boolean) => void
-  /** Asks the endpoint for its state, and takes over the batch policy of its service. */
+  /** Probes the endpoint and applies the batch policy of its service. */
   refresh: () => Promise<void>
   drain: () => void
+  /** Ends running batch attempts as preempted, to shorten a drain. */
   returnBatch: () => void
   load: () => AdmissionLoad
   view: () => ServiceView
-  /** Attempts that wait or hold a slot. */
+  /** Number of attempts that are queued or occupy a slot. */
   active: () => number
-  /** Attempts in progress that need a model. */
+  /** Number of attempts in progress on a model. */
   countUsing: (model: string) => number
-  /** Takes a model from service before it is unloaded, so that nothing new starts on it. */
+  /** Hides a model that is about to be unloaded, so that no new attempt starts on it; undefined hides none. */
   setUnloadingModel: (model: string | undefined) => void
   close: () => Promise<void>
 }
@@ -73,12 +74,12 @@
   isolated_busy: { outcome: 'preempted', detail: 'the endpoint was not free in time to run the attempt alone' }
 }
 
-/** @returns whether the attempt is one that no other prompt is computed beside, and has no token yet */
+/** @returns whether the attempt is in its prefill, and that prefill must run without another one beside it */
 function isPrefillingSolo (attempt: RunningAttempt): boolean {
   return attempt.soloFirstToken && attempt.isPrefilling
 }
 
-/** @returns whether what became of the attempt is of its own doing, since it ran alone for as long as it had to */
+/** @returns whether the outcome can only be due to the attempt itself, since it ran alone for as long as required */
 function ranAlone (attempt: RunningAttempt | undefined, outcome: AttemptOutcome): boolean {
   if (attempt === undefined) return false
   if (attempt.soloFirstToken) return outcome === 'completed' || attempt.isPrefilling
@@ -86,10 +87,10 @@
 }
 
 /**
- * @param context - shared parts of the daemon
+ * @param context - shared components of the daemon
  * @param settings - the endpoint
- * @param listener - told of what becomes of attempts
- * @returns the task, which takes no work until its endpoint has answered a probe
+ * @param listener - callbacks for attempts
+ * @returns the task, which accepts no work until its endpoint has responded to a probe
  */
 export function createEndpointTask (context: DaemonContext, settings: EndpointSettings, listener: EndpointTaskListener): EndpointTask {
   const { clock, metrics, timeline } = context
@@ -98,7 +99,7 @@
   let settled = ''
   let lastLoadedService = ''
   let unloadingModel: string | undefined
-  /** Whether the last crash came while one attempt computed its prompt alone. */
+  /** Whether an attempt was in a solo prefill at the last crash, which makes it the likely cause. */
   let crashCauseKnown = false
 
   const adapter = ENDPOINT_ADAPTERS[settings.kind]({
@@ -169,13 +170,13 @@
     run.done.catch(error => failedRunEnd(attempt, error)).then(result => { finish(entry, result) }).catch(error => { context.logger.error('an attempt could not be ended', { attempt: attempt.id, error: String(error) }) })
   }
 
-  // A run that broke a rule of the program must still give its slot back, or the endpoint would lose one for good.
+  // A run that failed by a bug must still release its slot; the endpoint would otherwise lose a slot permanently.
   const failedRunEnd = (attempt: LiveAttempt, error: unknown): RunEnd => {
     context.logger.error('a run failed', { attempt: attempt.id, error: String(error) })
     return { outcome: 'endpoint_failed', ran: 'unknown', detail: String(error), outputTokens: 0 }
   }
 
-  // The slot is free; whoever waited for the end may have been told before.
+  // The slot is free. The end of the attempt may have been reported earlier, by `stop`.
   const finish = (entry: Entry, result: RunEnd): void => {
     const { attempt } = entry
     const wasAlone = ranAlone(state.running.get(attempt.id), result.outcome)
@@ -216,7 +217,7 @@
     return { ...now, settled }
   }
 
-  // Nothing is taken before the endpoint has answered a probe.
+  // No work is accepted before the endpoint has responded to a probe.
   step({ kind: 'endpointDown', nowMs: clock.nowMs() })
 
   return {
--- a/packages/anvilarch-daemon/src/agent/endpoints/adapters.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/adapters.ts
@@ -4,7 +4,7 @@
 import { createPlainAdapter } from './plainAdapter'
 import type { AdapterOptions, EndpointAdapter } from './types'
 
-/** How to reach each kind. */
+/** Creates the adapter for each kind of endpoint. */
 export const ENDPOINT_ADAPTERS: Record<EndpointSettings['kind'], (options: AdapterOptions) => EndpointAdapter> = {
   model: createModelAdapter,
   plain: createPlainAdapter
--- a/packages/anvilarch-daemon/src/agent/endpoints/connections.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/connections.ts
@@ -1,24 +1,24 @@
-/** Connections to one endpoint: a keep-alive pool for each class of work, so that batch never stands before online. */
+/** Connections to one endpoint: a keep-alive pool for each work class, so that batch work never delays online work. */
 import { Client, Pool } from 'undici'
 import type { WorkClass } from 'anvilarch-protocol'
 
-/** What a connection is used for. */
+/** Purpose of a connection. */
 export type EndpointChannel = WorkClass | 'control'
 
 /** Connections to one endpoint. */
 export interface EndpointConnections {
   pool: (channel: EndpointChannel) => Pool
-  /** A connection of its own for one exchange; the owner closes it. */
+  /** @returns a dedicated connection for one exchange; the caller closes it */
   fresh: () => Client
   /**
-   * Lets the pool of a channel finish what it has and opens a new one. After a connection went silent the idle ones
-   * beside it may be just as dead, which shows only when a request is lost on them.
+   * Replaces the pool of a channel; the old one finishes its requests and closes. After a timeout on one connection, the
+   * idle connections of the pool may be dead too, which is noticed only when a request on them is lost.
    */
   replacePool: (channel: EndpointChannel) => void
   close: () => Promise<void>
 }
 
-/** Time for a connection to be established, and for idle ones to be kept. */
+/** Timeouts for connecting and for idle connections. */
 export interface ConnectionOptions {
   connectTimeoutMs: number
   idleMs: number
@@ -29,14 +29,14 @@
 
 /**
  * @param url - base address of the endpoint
- * @param options - times
- * @returns connections, opened on first use
+ * @param options - timeouts
+ * @returns the connections, opened on first use
  */
 export function createEndpointConnections (url: string, options: ConnectionOptions = DEFAULT_CONNECTION_OPTIONS): EndpointConnections {
   const origin = new URL(url).origin
   const pools = new Map<EndpointChannel, Pool>()
   const retired = new Set<Pool>()
-  // One request at a time on a connection: a pipelined one would be sent again by the client after a reset.
+  // No pipelining: undici would resend a pipelined request after a reset.
   const clientOptions = {
     pipelining: 1,
     keepAliveTimeout: options.idleMs,
--- a/packages/anvilarch-daemon/src/agent/endpoints/engineConnection.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/engineConnection.ts
@@ -1,44 +1,44 @@
-/** One connection to an engine, read to its end. */
+/** Opens one connection to an engine and reads its response to the end. */
 import type { Dispatcher } from 'undici'
 import type { Clock } from 'anvilarch-utils'
 import type { EndpointCall, Headers } from '../../attempts/types'
 import { createEngineEventReader, type EngineEvent } from './engineEvents'
 import { type ExchangeEnd, type HttpExchange, openExchange, parseOrUndefined } from './httpExchange'
 
-/** What ended a connection. */
+/** How a connection ended. */
 export type ConnectionEnd =
-  /** The end mark came. */
+  /** The end mark of the stream was received. */
   | { kind: 'finished' }
-  /** The engine gave an answer that is not a stream, such as an error; it was read whole. */
+  /** The engine sent a complete response that is not a stream, such as an error. */
   | { kind: 'answered' }
-  /** The same, but it broke off. */
+  /** The same, but the response was truncated. */
   | { kind: 'half_answered' }
-  /** The engine does not know the stream that was to be resumed. */
+  /** The engine has no stream to resume. */
   | { kind: 'unknown_stream' }
   | { kind: 'broken', sent: boolean, detail: string }
 
-/** Takes what the engine sends. */
+/** Callbacks for the response of the engine. */
 export interface EngineListener {
-  /** A stream opens. */
+  /** A stream has started. */
   onStream: (headers: Headers) => void
   onEvent: (event: EngineEvent) => void
-  /** An answer that is not a stream. */
+  /** A response that is not a stream has started. */
   onPlainResponse: (status: number, headers: Headers) => void
   onPlainResponseData: (data: Uint8Array) => void
 }
 
-/** How to open the connection. */
+/** Options of `openEngineConnection`. */
 export interface EngineConnectionOptions {
   dispatcher: Dispatcher
   clock: Clock
   call: EndpointCall
-  /** The call is to attach to a stream. */
+  /** The call resumes a stream. */
   isResume: boolean
-  /** A status other than 200 is the engine's answer; else it is a failed try. */
+  /** Whether to accept a response that is not a stream as the result; otherwise it is a failed try. */
   acceptsPlainResponse: boolean
 }
 
-/** A connection that is being read. */
+/** A connection in progress. */
 export interface EngineConnection {
   exchange: HttpExchange
   end: Promise<ConnectionEnd>
@@ -48,12 +48,12 @@
 
 const MIN_NON_SUCCESS_STATUS = 300
 const STATUS_UNKNOWN_STREAM = 404
-/** The engine has the attempt already; it is to be resumed. */
+/** The engine already has the attempt, so that it must be resumed. */
 const STATUS_ATTEMPT_EXISTS = 409
 
 /**
- * @param options - what to send and over which connection
- * @param listener - takes what comes
+ * @param options - the call and its connection
+ * @param listener - callbacks for the response
  * @returns the connection
  */
 export function openEngineConnection (options: EngineConnectionOptions, listener: EngineListener): EngineConnection {
@@ -95,7 +95,7 @@
 
 interface ReceivedResponse {
   status: number
-  /** Body of an answer of which neither a frame nor the status says that it is whole. */
+  /** Body of a successful response whose framing does not show that it is complete; undefined for all others. */
   unframedBody: Uint8Array[] | undefined
 }
 
@@ -107,7 +107,10 @@
   return { kind: 'broken', sent, detail: end.kind === 'error' ? `${end.code}: ${end.detail}` : 'the stream broke off before its end' }
 }
 
-/** Without a frame, only a body that is JSON to its end is known to be whole. An error is told by its status alone. */
+/**
+ * Without a length or chunks, a body is complete only if it parses as JSON. The body of an error response may be
+ * truncated, since its status suffices.
+ */
 function isCompleteResponse (end: ExchangeEnd, { unframedBody: unproved }: ReceivedResponse): boolean {
   if (end.kind !== 'complete') return false
   return unproved === undefined || parseOrUndefined(Buffer.concat(unproved).toString('utf8')) !== undefined
--- a/packages/anvilarch-daemon/src/agent/endpoints/engineEvents.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/engineEvents.ts
@@ -1,4 +1,4 @@
-/** Reads the server-sent events of an engine: counts tokens and keeps the text, which a continuation needs. */
+/** Parses the server-sent events of an engine into chunks, token texts, errors and the end mark. */
 import { StringDecoder } from 'node:string_decoder'
 import { createParser } from 'eventsource-parser'
 
@@ -11,7 +11,7 @@
   logprobs?: unknown
 }
 
-/** Part of a tool call. */
+/** Fragment of a tool call. */
 export interface ToolCallDelta {
   index: number
   id?: string
@@ -19,7 +19,7 @@
   function?: { name?: string, arguments?: string }
 }
 
-/** Token counts as the engine reports them. */
+/** Token counts reported by the engine. */
 export interface Usage {
   prompt_tokens: number
   completion_tokens: number
@@ -27,7 +27,7 @@
   [name: string]: unknown
 }
 
-/** A streamed chunk of a completion, as far as the agent reads it. */
+/** The fields of a streamed completion chunk that the agent reads. */
 export interface CompletionChunk {
   id?: string
   object?: string
@@ -42,25 +42,25 @@
 /** One event of the engine. */
 export interface EngineEvent {
   data: string
-  /** Undefined for the end mark and for what is not JSON. */
+  /** Undefined for the end mark and for data that is not JSON. */
   chunk: CompletionChunk | undefined
-  /** Text of the token in this event; undefined when it carries none. */
+  /** Text of the token in this event; undefined if it has none. */
   tokenText: string | undefined
   isEnd: boolean
-  /** What went wrong in the engine; undefined for all other events. */
+  /** Data of an error event; undefined for other events. */
   error: string | undefined
 }
 
 const END_MARK = '[DONE]'
 
-/** Parser of one connection. */
+/** Event parser of one connection. */
 export interface EngineEventReader {
   feed: (data: Uint8Array) => void
 }
 
 /**
- * @param onEvent - told of each whole event
- * @returns a reader for the bytes of one connection
+ * @param onEvent - receives each complete event
+ * @returns a parser for the bytes of one connection
  */
 export function createEngineEventReader (onEvent: (event: EngineEvent) => void): EngineEventReader {
   const decoder = new StringDecoder('utf8')
@@ -69,9 +69,9 @@
 }
 
 /**
- * @param data - the data of one event
- * @param name - its name, if it has one
- * @returns the event
+ * @param data - data of one event
+ * @param name - event name, if any
+ * @returns the parsed event
  */
 export function parseEngineEvent (data: string, name?: string): EngineEvent {
   if (data === END_MARK) return { data, chunk: undefined, tokenText: undefined, isEnd: true, error: undefined }
--- a/packages/anvilarch-daemon/src/agent/endpoints/engineStreams.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/engineStreams.ts
@@ -1,10 +1,10 @@
-/** The engine's own handles on a stream: attach to it again, and cancel it. */
+/** The stream API of an engine: resumes and cancels streams. */
 import { type Clock, sleep } from 'anvilarch-utils'
 import type { EndpointCall } from '../../attempts/types'
 import type { EndpointConnections } from './connections'
 import { requestJson } from './httpExchange'
 
-/** Which stream, and how to reach its engine. */
+/** Identifies a stream and its engine. */
 export interface StreamHandle {
   connections: EndpointConnections
   clock: Clock
@@ -14,13 +14,13 @@
 }
 
 const MAX_CANCEL_TRIES = 3
-/** A request that was cut off right after it was sent may reach the engine after the cancellation. */
+/** Wait before another cancellation: a request aborted right after its send may reach the engine after the cancellation. */
 const LATE_REQUEST_WAIT_MS = 50
 
 /**
- * @param attemptId - names the stream
- * @param offsetTokens - tokens of the whole answer that need not be sent again
- * @returns the call that attaches to the stream, or goes on with it
+ * @param attemptId - identifies the stream
+ * @param offsetTokens - number of tokens of the response that need not be sent again
+ * @returns the call that resumes the stream
  */
 export function resumeCall (attemptId: string, offsetTokens: number): EndpointCall {
   return {
@@ -32,11 +32,11 @@
 }
 
 /**
- * Frees the slot of a stream. Without this an attempt that was given up would go on at the engine, which would show as
- * an engine slower than its agent's count of running attempts explains.
+ * Cancels a stream at the engine, which frees its slot. An abandoned attempt would otherwise continue at the engine and
+ * make it slower than its agent's count of running attempts explains.
  *
  * @param handle - the stream
- * @param mayBeUnknown - the engine may not have the request yet, so that 404 is asked about once more
+ * @param mayBeUnknown - the engine may not have received the request yet, so that a 404 is retried
  */
 export async function cancelStream (handle: StreamHandle, mayBeUnknown: boolean): Promise<void> {
   const { connections, clock } = handle
--- a/packages/anvilarch-daemon/src/agent/endpoints/httpExchange.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/httpExchange.ts
@@ -1,6 +1,6 @@
 /**
- * One HTTP exchange over undici's dispatcher. It tells apart what a non-idempotent call needs to know:
- * whether the request was handed to a connection before it failed.
+ * One HTTP exchange over undici's dispatcher. A failed exchange reports whether the request was handed to a connection,
+ * since a non-idempotent call that may have been sent must not be retried.
  */
 import type { Dispatcher } from 'undici'
 import { type Clock, createSilenceWatch, isFramed } from 'anvilarch-utils'
@@ -9,35 +9,35 @@
 /** How an exchange ended. */
 export type ExchangeEnd =
   | { kind: 'complete' }
-  /** `sent` is false only when no byte of the request can have left. */
+  /** `sent` is false only if no byte of the request can have been sent. */
   | { kind: 'error', sent: boolean, code: string, detail: string }
   | { kind: 'aborted', sent: boolean }
 
-/** Takes the response. */
+/** Callbacks for the response. */
 export interface ExchangeListener {
-  /** `framed` is false where the end of the connection alone ends the answer, which may then have been cut. */
+  /** `framed` is false if only the end of the connection delimits the response, which may then be truncated. */
   onHead: (status: number, headers: Headers, framed: boolean) => void
   onData: (data: Uint8Array) => void
 }
 
 /** An exchange in progress. */
 export interface HttpExchange {
-  /** Resolves when it ended; never rejects. */
+  /** Resolves when the exchange has ended; never rejects. */
   done: Promise<ExchangeEnd>
   abort: () => void
-  /** Ends the exchange as one whose answer failed; the listener hears no more. */
+  /** Ends the exchange with an error of its response; no callback follows. */
   fail: (code: string, detail: string) => void
-  /** When the last byte came, or when the exchange was opened. */
+  /** Time of the last received byte, or of the start of the exchange. */
   lastActivityMs: () => number
   sent: () => boolean
 }
 
-/** Headers of one hop, which the agent sets itself. */
+/** Hop-by-hop headers, which the agent sets itself. */
 const HOP_HEADERS = new Set(['connection', 'keep-alive', 'proxy-connection', 'transfer-encoding', 'upgrade', 'te', 'trailer', 'host', 'content-length', 'expect'])
 
 /**
  * @param headers - headers of a message
- * @returns those that go on to the next hop
+ * @returns the end-to-end headers, which are forwarded
  */
 export function endToEndHeaders (headers: Record<string, string | string[] | undefined>): Headers {
   const kept: Headers = {}
@@ -51,7 +51,7 @@
 /**
  * @param dispatcher - the connection or pool to use
  * @param call - the request
- * @param listener - takes the response
+ * @param listener - callbacks for the response
  * @param clock - for the time of the last byte
  * @returns the exchange
  */
@@ -109,18 +109,18 @@
   }
 }
 
-/** Answer to a small JSON request. */
+/** Response to a small JSON request. */
 export interface JsonResponse {
   status: number
   body: unknown
 }
 
 /**
- * Sends a small JSON request and reads the answer.
+ * Sends a small JSON request and reads the response.
  *
  * @param dispatcher - the connection or pool to use
  * @param request - method, path and body
- * @param options - clock and the longest wait
+ * @param options - clock and timeout
  * @returns status and parsed body, or how the exchange failed
  */
 export async function requestJson (
@@ -144,8 +144,8 @@
 }
 
 /**
- * @param text - the text of a body
- * @returns what it holds, or undefined when it is not JSON
+ * @param text - text of a body
+ * @returns the parsed value, or undefined if it is not JSON
  */
 export function parseOrUndefined (text: string): unknown {
   try {
--- a/packages/anvilarch-daemon/src/agent/endpoints/modelAdapter.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/modelAdapter.ts
@@ -1,16 +1,16 @@
-/** A model engine as an endpoint: OpenAI-style completions, streams that can be cancelled and resumed, and orders. */
+/** Adapter for model engines: OpenAI-style completions, cancellable and resumable streams, and orders. */
 import { createEndpointConnections } from './connections'
 import { requestJson } from './httpExchange'
 import { startModelRun } from './modelRun'
 import type { AdapterOptions, EndpointAdapter, EngineOrder, EngineOrderResult, LoadedModelState, ProbeResult } from './types'
 
-/** Longest wait for an engine to take an order; loading itself goes on in the background. */
+/** Timeout for an engine to accept an order; the load itself runs in the background. */
 const ORDER_TIMEOUT_MS = 10_000
 
 const ORDER_RESULTS: Record<number, EngineOrderResult> = { 200: 'done', 202: 'started', 409: 'stale_fencing_token' }
 
 /**
- * @param options - address, clock and times
+ * @param options - address, clock and timeouts
  * @returns the adapter
  */
 export function createModelAdapter (options: AdapterOptions): EndpointAdapter {
@@ -28,10 +28,10 @@
   const probe = async (fresh: boolean): Promise<ProbeResult> => {
     const response = await requestModels(fresh)
     if ('failed' in response) {
-      // The next probe must not meet the same connection.
+      // The next probe must not use the same connection.
       connections.replacePool('control')
       const { failed } = response
-      // Only a refused connection shows that no process listens; a reset may have met one connection alone.
+      // Only a refused connection proves that no process listens; a reset may affect a single connection.
       if (failed.kind === 'error' && failed.code === 'ECONNREFUSED') return { state: 'refused', detail: failed.detail }
       return { state: 'silent', detail: failed.kind === 'error' ? `${failed.code}: ${failed.detail}` : `no answer within ${options.idleTimeoutMs} ms` }
     }
--- a/packages/anvilarch-daemon/src/agent/endpoints/modelRequest.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/modelRequest.ts
@@ -1,7 +1,7 @@
-/** The request to an engine: always a stream, so that silence is noticed. */
+/** Builds requests to an engine: always streamed, so that an unresponsive engine is detected. */
 import type { EndpointCall } from '../../attempts/types'
 
-/** Where a generation goes on. */
+/** Output after which a generation continues. */
 export interface Continuation {
   tokens: number
   text: string
@@ -11,17 +11,17 @@
 export interface ModelRequest {
   isChat: boolean
   wantsUsage: boolean
-  /** What the caller's own continuation brought. */
+  /** The caller's own continuation. */
   initial: Continuation
-  /** @returns the call, going on after what was produced already */
+  /** @returns the call that continues after the output produced so far */
   call: (produced: Continuation) => EndpointCall
 }
 
 type JsonObject = Record<string, unknown>
 
 /**
- * @param call - the call as the gateway sent it
- * @returns the request, or undefined when its body is not a JSON object
+ * @param call - the call sent by the gateway
+ * @returns the request, or undefined if its body is not a JSON object
  */
 export function parseModelRequest (call: EndpointCall): ModelRequest | undefined {
   const body = parseObject(Buffer.from(call.body).toString('utf8'))
--- a/packages/anvilarch-daemon/src/agent/endpoints/modelRun.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/modelRun.ts
@@ -1,10 +1,11 @@
 /**
- * One attempt at a model engine, over as many connections as it takes.
+ * Runs one attempt at a model engine, over as many connections as needed.
  *
- * What goes wrong: a connection goes silent for good while new ones work; the engine drops it; the engine forgets the
- * stream; the agent itself cuts it off to make room for online work. The run notices by silence, an error, status 404
- * or its own flag, and goes on by token offset: first by attaching to the engine's stream, and where the engine no
- * longer knows it by a new generation that continues the text so far. So the output has each token once.
+ * The run recovers from these interruptions: a connection stops delivering data while new connections work; the engine
+ * closes the connection; the engine discards the stream; the agent preempts the attempt for online work. They are detected
+ * by a timeout, an error, status 404 and a flag. The run then continues at its token offset: it resumes the engine's
+ * stream or, if the engine no longer has it, starts a new generation that continues the text so far. The output therefore
+ * has each token once.
  */
 import { invariant, type Ran } from 'anvilarch-utils'
 import { createTranscript } from '../../attempts/output/transcript'
@@ -18,16 +19,16 @@
 import { createPreemption, type Preemption } from './preemption'
 import type { AdapterOptions, AttemptCall, EndpointRun, RunEnd, RunSink, StopReason } from './types'
 
-/** What a model run needs of its endpoint. */
+/** Dependencies of a model run. */
 export interface ModelRunDeps extends AdapterOptions {
   connections: EndpointConnections
   basePath: string
 }
 
-/** Connections that may be opened one after another without a token coming. */
+/** Consecutive connections without a token after which the attempt fails. */
 const MAX_TOKENLESS_CONNECTIONS = 4
 
-/** Characters of an error of the engine that are told on. */
+/** Maximum characters of an engine error that are reported. */
 const MAX_DETAIL_LENGTH = 500
 
 /** How to open the next connection. */
@@ -36,9 +37,9 @@
 type Failure = Extract<ConnectionEnd, { kind: 'broken' | 'unknown_stream' | 'half_answered' }>
 
 /**
- * @param deps - connections, times and the agent's judgement on the endpoint
+ * @param deps - connections, timeouts and the process status of the endpoint
  * @param attempt - the attempt
- * @param sink - takes the output
+ * @param sink - receives the output
  * @returns the run
  */
 export function startModelRun (deps: ModelRunDeps, attempt: AttemptCall, sink: RunSink): EndpointRun {
@@ -131,7 +132,7 @@
     })
     connection = opened
     const connectionEnd = await opened.end
-    // Between two connections there is none whose silence could be noticed.
+    // No timeout applies between two connections.
     connection = undefined
     anySent ||= opened.exchange.sent()
     await fresh?.destroy()
@@ -142,7 +143,7 @@
     await cancelStream({ ...deps, attemptId: attempt.attemptId }, produced().tokens === 0)
   }
 
-  /** Decides how to go on after a connection that brought no end. */
+  /** Decides how to continue after a connection that ended without the end of the response. */
   const recover = async (last: Failure): Promise<Opening | undefined> => {
     const hadTimedOut = timedOut
     timedOut = false
@@ -170,7 +171,7 @@
     } else if (tokenlessConnections >= MAX_TOKENLESS_CONNECTIONS) {
       end('endpoint_failed', ranSoFar(), `no token over ${tokenlessConnections} connections`)
     } else if (last.kind === 'unknown_stream' && !attempt.idempotent) {
-      // The engine may have run it and forgotten, which forbids a second run.
+      // The engine may have run it and discarded the stream, so that a second run is not allowed.
       end('endpoint_failed', ranSoFar(), 'the engine does not know the stream')
     } else if (last.kind === 'unknown_stream' && !transcript.continuable()) {
       end('endpoint_failed', 'ran', 'the engine does not know the stream, and its text alone does not continue it')
@@ -184,7 +185,7 @@
     preemption = undefined
     if (hasEnded()) return undefined
     tokenlessConnections = 0
-    // An engine that was replaced while the attempt waited did not crash under it.
+    // A restart of the engine while the attempt waited is not a crash during the attempt.
     incarnation = deps.incarnation()
     sink.onResumed('preempted', produced().tokens)
     return anySent ? 'resume' : 'begin'
@@ -211,7 +212,7 @@
     return ended
   }
 
-  // A run that ended by anything but the engine's own end may still hold a slot there.
+  // A run that did not end with the engine's response may still occupy a slot of the engine.
   const needsCancel = (result: RunEnd): boolean => anySent && result.outcome !== 'completed' && result.outcome !== 'endpoint_crashed'
 
   return {
--- a/packages/anvilarch-daemon/src/agent/endpoints/outputFormatters.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/outputFormatters.ts
@@ -1,9 +1,9 @@
-/** How the events of an engine become the output of an attempt, by output mode. */
+/** Converts the events of an engine into the output of an attempt, by output mode. */
 import type { OutputMode } from '../../attempts/types'
 import type { CompletionChunk, EngineEvent, Usage } from './engineEvents'
 import { createAssembly } from './wholeBody'
 
-/** Turns events into output bytes. */
+/** Converts events into output bytes. */
 export interface OutputFormatter {
   contentType: string
   /** @returns bytes to append, if any */
@@ -12,14 +12,14 @@
   finish: (outputTokens: number) => Uint8Array | undefined
 }
 
-/** What a shaper needs to know of the request. */
+/** Properties of the request that affect its output. */
 export interface FormatterOptions {
-  /** The caller asked for the usage event itself. */
+  /** The caller requested the usage event. */
   wantsUsage: boolean
   isChat: boolean
 }
 
-/** Shapers by output mode. */
+/** Creates the formatter for each output mode. */
 export const OUTPUT_FORMATTERS: Record<OutputMode, (options: FormatterOptions) => OutputFormatter> = {
   stream: createStreamFormatter,
   raw: createStreamFormatter,
@@ -33,7 +33,7 @@
     onEvent: event => {
       if (event.chunk !== undefined) {
         if (isUsageOnly(event.chunk) && !options.wantsUsage) return undefined
-        // A stream that goes on over a new connection may open with the role again.
+        // A stream resumed over a new connection may start with the role again.
         if (isRoleOnly(event)) {
           if (roleSent) return undefined
           roleSent = true
--- a/packages/anvilarch-daemon/src/agent/endpoints/plainAdapter.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/plainAdapter.ts
@@ -1,4 +1,4 @@
-/** A plain HTTP server as an endpoint. */
+/** Adapter for plain HTTP services. */
 import { connect } from 'node:net'
 import { type Clock, createSilenceWatch } from 'anvilarch-utils'
 import { createEndpointConnections } from './connections'
@@ -6,7 +6,7 @@
 import type { AdapterOptions, EndpointAdapter, ProbeResult } from './types'
 
 /**
- * @param options - address, clock and times
+ * @param options - address, clock and timeouts
  * @returns the adapter
  */
 export function createPlainAdapter (options: AdapterOptions): EndpointAdapter {
@@ -16,7 +16,7 @@
   return {
     preemptible: false,
     start: (call, sink) => startPlainRun({ ...options, connections, basePath }, call, sink),
-    // A plain service has no address that is known to report its health, so that only the connection is tried.
+    // A plain service has no standard health check, so that a probe only opens a connection.
     probe: async () => await probeConnection(url, options.clock, options.idleTimeoutMs),
     order: async () => 'endpoint_failed',
     close: async () => { await connections.close() }
--- a/packages/anvilarch-daemon/src/agent/endpoints/plainRun.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/plainRun.ts
@@ -1,39 +1,39 @@
 /**
- * One call to a plain service, passed through as it is.
+ * Runs one call to a plain service, passed through unchanged.
  *
- * A call that is not idempotent goes out once, on a connection of its own: on a kept-alive connection the server's
- * idle close can cross the request, and then nobody knows whether it ran. Only a failure before the request was handed
- * to a connection proves that it did not run; after that, without a whole answer, the outcome is unknown. An answer that ends with
- * its connection is not taken: one that was cut would look whole.
+ * A non-idempotent call is sent once, over a dedicated connection: on a keep-alive connection, the request can race with
+ * the server closing the idle connection, and it is then unknown whether it ran. Only a failure before the request was
+ * handed to a connection proves that it did not run; after that, without a complete response, the outcome is unknown. A
+ * response that is delimited by the end of its connection is rejected, since truncation could not be detected.
  *
- * An idempotent call that stays silent is sent again beside the first one, since a silent connection and a slow
- * service look the same; the first answer counts.
+ * An idempotent call without a response is sent a second time in parallel, since a dead connection can't be distinguished
+ * from a slow service; the first response is used.
  */
 import type { Clock, Ran } from 'anvilarch-utils'
 import type { EndpointConnections } from './connections'
 import { type ExchangeEnd, type HttpExchange, openExchange } from './httpExchange'
 import type { AttemptCall, EndpointRun, ProcessStatus, RunEnd, RunSink, StopReason } from './types'
 
-/** What a plain run needs of its endpoint. */
+/** Dependencies of a plain run. */
 export interface PlainRunDeps {
   connections: EndpointConnections
   clock: Clock
   basePath: string
-  /** Silence after which an idempotent call is sent again. */
+  /** Time without data after which an idempotent call is sent again. */
   idleTimeoutMs: number
-  /** The endpoint could not be reached. */
+  /** Called when the endpoint is unreachable. */
   onUnreachable: () => void
-  /** @returns whether a process still listens there */
+  /** @returns whether a process still listens at the endpoint */
   checkProcess: (incarnation: string) => Promise<ProcessStatus>
 }
 
-/** Times an idempotent call may go out. */
+/** Maximum sends of an idempotent call. */
 const MAX_SENDS = 2
 
 /**
- * @param deps - connections and times
+ * @param deps - connections and timeouts
  * @param call - the call
- * @param sink - takes the answer
+ * @param sink - receives the response
  * @returns the run
  */
 export function startPlainRun (deps: PlainRunDeps, call: AttemptCall, sink: RunSink): EndpointRun {
@@ -74,7 +74,7 @@
     }
     if (!end.sent) deps.onUnreachable()
     if (open.size > 0) return
-    // A service that died under the call would be lost again by the next one.
+    // A call that crashed the service would crash it again if it were retried.
     if (end.sent && await deps.checkProcess('') === 'crashed') {
       finish('endpoint_crashed', ranWithoutResponse(), `${end.code}: ${end.detail}`)
       return
@@ -88,7 +88,7 @@
     finish('endpoint_failed', ranWithoutResponse(), `${end.code}: ${end.detail}`)
   }
 
-  // After a refused connection the next one would be refused too; a reset may have hit an idle connection only.
+  // After a refused connection the next one would be refused too; a reset may affect a single idle connection.
   const maySendAgain = (end: ExchangeEnd): boolean =>
     call.idempotent && winner === undefined && sends < MAX_SENDS && end.kind === 'error' && end.sent
 
@@ -128,7 +128,7 @@
     preempt: async () => false,
     resume: () => {},
     checkTimeout: nowMs => {
-      // With no exchange open, the run is deciding itself on how to go on.
+      // With no exchange open, `onExchangeEnd` is deciding how to continue.
       if (ended !== undefined || !call.idempotent || winner !== undefined || sends >= MAX_SENDS || open.size === 0) return
       for (const exchange of open) {
         if (nowMs - exchange.lastActivityMs() < deps.idleTimeoutMs) return
--- a/packages/anvilarch-daemon/src/agent/endpoints/preemption.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/preemption.ts
@@ -1,6 +1,6 @@
-/** Where a run that was cut off waits until it may go on. */
+/** Coordinates the preemption and the resumption of a run. */
 
-/** Two signals: the slot at the engine is free, and the run may go on. */
+/** Two signals: the slot at the engine is free, and the run may continue. */
 export interface Preemption {
   markSlotFree: () => void
   slotFree: Promise<void>
@@ -8,7 +8,7 @@
   resumed: Promise<void>
 }
 
-/** @returns a park that nobody waits in yet */
+/** @returns a preemption with neither signal given */
 export function createPreemption (): Preemption {
   let markSlotFree = (): void => {}
   let resume = (): void => {}
--- a/packages/anvilarch-daemon/src/agent/endpoints/types.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/types.ts
@@ -1,9 +1,9 @@
-/** What the agent asks of an endpoint, whatever its kind. */
+/** Interface of endpoint adapters, common to all kinds of endpoints. */
 import type { AttemptOutcome, WorkClass } from 'anvilarch-protocol'
 import type { Clock, Ran } from 'anvilarch-utils'
 import type { EndpointCall, Headers, OutputMode } from '../../attempts/types'
 
-/** One attempt as an endpoint adapter sees it. */
+/** One attempt to run at an endpoint. */
 export interface AttemptCall {
   requestId: string
   attemptId: string
@@ -21,31 +21,31 @@
   outputTokens: number
 }
 
-/** Takes what an endpoint answers. */
+/** Callbacks for the response of an endpoint. */
 export interface RunSink {
   onHead: (status: number, headers: Headers) => void
-  /** @returns false when the output is larger than the agent keeps; the run must end */
+  /** @returns false if the output exceeds the agent's maximum size; the run must end */
   onOutput: (data: Uint8Array) => boolean
-  /** A token came from the endpoint. */
+  /** A token was received from the endpoint. */
   onToken: () => void
-  /** The run goes on over a new connection. */
+  /** The run continues over a new connection. */
   onResumed: (reason: 'silence' | 'broken' | 'preempted', offsetTokens: number) => void
 }
 
-/** Why a run is stopped from outside. */
+/** Why the agent stops a run. */
 export type StopReason = 'cancelled' | 'deadline'
 
 /** One attempt in progress at an endpoint. */
 export interface EndpointRun {
-  /** Resolves when the attempt ended; never rejects. */
+  /** Resolves when the attempt has ended; never rejects. */
   done: Promise<RunEnd>
   /** Ends the attempt. Its slot at the endpoint is free when `done` resolves. */
   stop: (reason: StopReason) => RunEnd
-  /** Frees the endpoint's slot and keeps what came so far. Resolves when the slot is free; false when the run ended instead. */
+  /** Frees the slot at the endpoint and retains the output. Resolves when the slot is free; to false if the run has ended. */
   preempt: () => Promise<boolean>
-  /** Goes on after `preempt`. */
+  /** Continues after `preempt`. */
   resume: () => void
-  /** Opens a new connection where the endpoint has been silent too long. Called on the agent's tick. */
+  /** Opens a new connection if no data was received within the idle timeout. Called on the agent's tick. */
   checkTimeout: (nowMs: number) => void
 }
 
@@ -57,15 +57,15 @@
   state: 'loading' | 'ready'
 }
 
-/** What an endpoint says about itself. */
+/** Result of a probe. `silent`: no valid response. */
 export type ProbeResult =
   | { state: 'up', incarnation: string, models: LoadedModelState[], fencingToken: number }
   | { state: 'refused' | 'silent', detail: string }
 
-/** What an endpoint made of an order. */
+/** Result of an order at an endpoint. */
 export type EngineOrderResult = 'done' | 'started' | 'stale_fencing_token' | 'endpoint_failed'
 
-/** An order as the endpoint gets it. */
+/** An order as sent to the endpoint. */
 export interface EngineOrder {
   action: 'load' | 'unload'
   model: string
@@ -74,30 +74,30 @@
   fencingToken: number
 }
 
-/** One endpoint behind its protocol. */
+/** Protocol client of one endpoint. */
 export interface EndpointAdapter {
-  /** Whether an attempt can be cut off and continued later. */
+  /** Whether an attempt can be interrupted and continued later. */
   preemptible: boolean
   start: (call: AttemptCall, sink: RunSink) => EndpointRun
-  /** @param fresh - over a new connection, when those that are open may have gone silent */
+  /** @param fresh - use a new connection, since the open ones may be dead */
   probe: (fresh: boolean) => Promise<ProbeResult>
   order: (order: EngineOrder) => Promise<EngineOrderResult>
   close: () => Promise<void>
 }
 
-/** What an adapter is made of. */
+/** Options of endpoint adapters. */
 export interface AdapterOptions {
   url: string
   clock: Clock
-  /** Silence after which a connection is given up. */
+  /** Time without data after which a connection is abandoned. */
   idleTimeoutMs: number
-  /** The endpoint could not be reached, or broke off; the agent probes it at once. */
+  /** Called when the endpoint is unreachable; the agent probes it at once. */
   onUnreachable: () => void
-  /** @returns what a probe made just now says, compared with the time the run began */
+  /** Probes the endpoint. @returns the status of the process that had this incarnation at the start of the run */
   checkProcess: (incarnationAtStart: string) => Promise<ProcessStatus>
   /** @returns the incarnation that the endpoint last reported */
   incarnation: () => string
 }
 
-/** `crashed`: what ran there is gone. `alive`: the same process still answers. `silent`: it does not answer. */
+/** `crashed`: the process has exited or was restarted. `alive`: the same process responds. `silent`: it does not respond. */
 export type ProcessStatus = 'crashed' | 'alive' | 'silent'
--- a/packages/anvilarch-daemon/src/agent/endpoints/wholeBody.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/wholeBody.ts
@@ -16,15 +16,15 @@
   finishReason: string | null
 }
 
-/** A body in the making. */
+/** Accumulates the chunks of a body. */
 export interface Assembly {
   add: (chunk: CompletionChunk) => void
-  /** @returns the body; its completion tokens are at least those that were counted */
+  /** @returns the body, whose completion tokens are at least the counted `outputTokens` */
   body: (outputTokens: number) => Record<string, unknown>
 }
 
 /**
- * @param isChat - a chat completion; else a text completion
+ * @param isChat - a chat completion; otherwise a text completion
  * @returns an assembly without chunks
  */
 export function createAssembly (isChat: boolean): Assembly {
@@ -97,7 +97,7 @@
   return { index: choice.index, text: choice.text, logprobs: null, finish_reason: choice.finishReason }
 }
 
-// After a continuation the engine may report only the tokens that it added itself.
+// After a continuation, the engine may report only the tokens that it has added itself.
 function completeUsage (usage: Usage | undefined, outputTokens: number): Usage {
   const promptTokens = usage?.prompt_tokens ?? 0
   const completionTokens = Math.max(usage?.completion_tokens ?? 0, outputTokens)
--- a/packages/anvilarch-daemon/src/agent/fencing.ts
+++ b/packages/anvilarch-daemon/src/agent/fencing.ts
@@ -1,35 +1,35 @@
 /**
- * Fencing of orders: the token of an order is the epoch of the placement lease, and an order with a lower token than
- * the highest seen comes from a holder that lost the lease while it was paused. After a restart the agent has seen
- * nothing, so that it must know the lease row's epoch before it judges any order. Pure.
+ * Fencing of orders. The token of an order is the epoch of the placement lease, and an order with a token lower than the
+ * highest one seen was sent by a process that lost the lease during a process pause. After a restart the agent has seen
+ * no token, so that it must read the epoch of the lease row, the floor, before it accepts any order. Pure.
  */
 import { invariant } from 'anvilarch-utils'
 
-/** What the agent knows of tokens. */
+/** Tokens seen by the agent. */
 export interface FencingState {
-  /** The lease row was read since the agent started. */
+  /** The lease row has been read since the agent started. */
   floorKnown: boolean
   highestToken: number
 }
 
-/** Something happened to the tokens. */
+/** An event that carries a token. */
 export type FencingEvent =
   | { kind: 'floor', token: number }
-  /** An order came. */
+  /** An order has arrived. */
   | { kind: 'order', token: number }
-  /** An order that was taken is about to go to the endpoint; a newer one may have come meanwhile. */
+  /** An accepted order is about to be sent to the endpoint; a newer one may have arrived in the meantime. */
   | { kind: 'apply', token: number }
 
-/** What becomes of the order. */
+/** Decision on an order. */
 export type FencingVerdict = 'allowed' | 'no_floor' | 'stale_fencing_token'
 
-/** Before the floor is known and any order was seen. */
+/** State before the floor is known and any order has been seen. */
 export const INITIAL_FENCING: FencingState = { floorKnown: false, highestToken: 0 }
 
 /**
- * @param state - what is known
- * @param event - what happened
- * @returns what is known now, and the verdict
+ * @param state - tokens seen so far
+ * @param event - the event to apply
+ * @returns the next state, and the decision
  */
 export function fencingStep (state: FencingState, event: FencingEvent): { state: FencingState, verdict: FencingVerdict } {
   const next = advance(state, event)
--- a/packages/anvilarch-daemon/src/agent/framePump.ts
+++ b/packages/anvilarch-daemon/src/agent/framePump.ts
@@ -1,6 +1,6 @@
 /**
- * Wakes the readers of attempts: one timer for all that have output to be joined, so that a token of each of many
- * streams costs no timer of its own. Heartbeats come from the agent's tick through `heartbeat`.
+ * Wakes the readers of attempts. One timer serves all readers whose output is coalesced, so that tokens of many streams
+ * need no timer each. The agent's tick triggers heartbeats through `wakeIdle`.
  */
 import type { Clock, Timer } from 'anvilarch-utils'
 
@@ -8,7 +8,7 @@
 export interface PumpedReader {
   lastFrameMs: number
   lastOutputMs: number
-  /** Ends the wait of the reader. */
+  /** Resumes the reader. */
   wake: () => void
 }
 
@@ -16,17 +16,17 @@
 export interface FramePump {
   add: (reader: PumpedReader) => void
   remove: (reader: PumpedReader) => void
-  /** There is output for a reader: it wakes at once if it sent none lately, else with all others that wait. */
+  /** Called on output for a reader: wakes it at once if it has sent none within the coalescing time, else with the next batch. */
   scheduleWake: (reader: PumpedReader) => void
-  /** Wakes each reader that has been quiet so long that its next heartbeat must not wait for another tick. */
+  /** Wakes each reader that has sent no frame for `idleMs`, so that it sends a heartbeat. */
   wakeIdle: (idleMs: number) => void
-  /** How many readers there are. */
+  /** Number of readers. */
   size: () => number
 }
 
 /**
  * @param clock - the clock
- * @param coalesceMs - how long output of one reader is joined
+ * @param coalesceMs - time for which the output of a reader is coalesced into one frame
  * @returns a pump without readers
  */
 export function createFramePump (clock: Clock, coalesceMs: number): FramePump {
--- a/packages/anvilarch-daemon/src/agent/lastLoad.ts
+++ b/packages/anvilarch-daemon/src/agent/lastLoad.ts
@@ -1,30 +1,30 @@
 /**
- * What an endpoint has to have by its last order to load, so that it can be loaded again after the endpoint's own crash.
- * This is no new order: it repeats the one in force, with its token. Pure.
+ * The last load order of an endpoint, to be repeated after a crash of the endpoint. A reload is not a new order: it
+ * repeats the order in force, with its fencing token. Pure.
  */
 import type { ConfigurationDocument } from 'anvilarch-configuration'
 import type { OrderRequest } from 'anvilarch-protocol'
 import type { LoadedModelState } from './endpoints/types'
 
-/** The last order to load that the endpoint has taken. */
+/** The last load order that the endpoint has accepted. */
 export interface LastLoad {
   service: string
   model: string
   version: string
   adapters: string[]
   fencingToken: number
-  /** Process of the endpoint that took it. */
+  /** Incarnation of the endpoint process that accepted it. */
   incarnation: string
 }
 
-/** What the endpoint said last. */
+/** Result of the last probe of an endpoint. */
 export interface ProbedEndpoint {
   isUp: boolean
   incarnation: string
   models: LoadedModelState[]
 }
 
-/** What an order changes about the last load. */
+/** Returns the last load after an order. */
 type Change = (last: LastLoad | undefined, order: OrderRequest, incarnation: string) => LastLoad | undefined
 
 const CHANGES: Record<string, Change | undefined> = {
@@ -37,10 +37,10 @@
 }
 
 /**
- * @param last - before the order
- * @param order - that the endpoint has taken
- * @param incarnation - of the endpoint
- * @returns the last load after it; undefined when the endpoint is to have nothing
+ * @param last - last load before the order
+ * @param order - the order that the endpoint has accepted
+ * @param incarnation - incarnation of the endpoint
+ * @returns the last load after the order; undefined if no model is to be loaded
  */
 export function afterOrder (last: LastLoad | undefined, order: OrderRequest, incarnation: string): LastLoad | undefined {
   const change = CHANGES[order.action]
@@ -48,10 +48,10 @@
 }
 
 /**
- * @param last - load of the endpoint
- * @param endpoint - as probed
- * @param document - in force at this agent
- * @returns whether a new process of the endpoint lacks what the last load named and its service still runs
+ * @param last - last load of the endpoint
+ * @param endpoint - result of the last probe
+ * @param document - configuration in force at this agent
+ * @returns whether a restarted endpoint lacks the model of its last load, and its service still runs that model version
  */
 export function isReloadDue (last: LastLoad | undefined, endpoint: ProbedEndpoint, document: ConfigurationDocument | undefined): last is LastLoad {
   if (last === undefined || !endpoint.isUp || endpoint.incarnation === last.incarnation) return false
--- a/packages/anvilarch-daemon/src/agent/liveAttempt.ts
+++ b/packages/anvilarch-daemon/src/agent/liveAttempt.ts
@@ -1,10 +1,10 @@
-/** An attempt that this agent took in, with its output and its readers. */
+/** An attempt that this agent has admitted, with its output and its readers. */
 import type { AttemptOutcome, WorkClass } from 'anvilarch-protocol'
 import type { Ran } from 'anvilarch-utils'
 import type { EndpointCall, Headers, OutputMode } from '../attempts/types'
 import type { OutputBuffer } from './outputBuffer'
 
-/** How an attempt ended, as its final frame says. */
+/** The end of an attempt, as reported in its final frame. */
 export interface AttemptEnd {
   outcome: AttemptOutcome
   ran: Ran
@@ -12,19 +12,19 @@
   retryAfterMs: number
   outputTokens: number
   wasAlone: boolean
-  /** Another attempt is the likelier cause of the crash that ended this one. */
+  /** Another attempt is the likely cause of the crash that ended this one. */
   causeKnown?: boolean
 }
 
-/** Told when there is more to read. */
+/** Callbacks for a reader of an attempt. */
 export interface AttemptListener {
-  /** Output came; it may be joined with what comes next. */
+  /** Output was appended; it may be coalesced with the next output. */
   onOutput: () => void
   /** The attempt ended. */
   onEnd: () => void
 }
 
-/** An attempt that waits, runs, or ended a while ago. */
+/** An attempt that is queued, running, or has ended and is still retained. */
 export interface LiveAttempt {
   id: string
   requestId: string
@@ -32,7 +32,7 @@
   workClass: WorkClass
   service: string
   endpoint: string
-  /** Model that the service ran when the attempt was taken in; empty for a plain service. */
+  /** Model of the service when the attempt was admitted; empty for a plain service. */
   model: string
   idempotent: boolean
   isolated: boolean
--- a/packages/anvilarch-daemon/src/agent/options.ts
+++ b/packages/anvilarch-daemon/src/agent/options.ts
@@ -1,36 +1,36 @@
-/** Bounds and periods of an agent that no deployment has needed to set yet. */
+/** Limits and periods of an agent that are not part of its settings. */
 
-/** Tunables beside those of the settings file. */
+/** Options in addition to those of the settings file. */
 export interface AgentOptions {
-  /** Period of the one tick that serves deadlines, heartbeats, silence and admission while work is in progress. */
+  /** Period of the tick for deadlines, heartbeats, timeouts and admission while work is in progress. */
   tickMs: number
-  /** Period of the one tick that asks endpoints for their state. */
+  /** Period at which endpoints are probed. */
   probeIntervalMs: number
-  /** The period while an endpoint is about to come up or to have its model. */
+  /** Probe period while an endpoint starts or loads a model. */
   changingProbeIntervalMs: number
-  /** An endpoint that goes on changing is asked no longer than this at the shorter period. */
+  /** Maximum time for which a changing endpoint is probed at the shorter period. */
   changingMs: number
-  /** An attempt that nobody reads is stopped after this long. A dropped connection alone stops nothing. */
+  /** An attempt without a reader is stopped after this time. A dropped connection alone does not stop it. */
   readerGraceMs: number
-  /** Largest output frame. */
+  /** Maximum output bytes in a frame. */
   maxFrameBytes: number
-  /** Output of ended attempts kept over all; the oldest goes first. */
+  /** Maximum total output of ended attempts that is retained; the oldest is discarded first. */
   maxRetainedBytes: number
-  /** Attempt ids kept without their output. */
+  /** Maximum number of attempt ids kept without output. */
   maxTombstones: number
-  /** Quarantined fingerprints kept; the oldest goes first. */
+  /** Maximum number of quarantined fingerprints; the least recently reported is evicted first. */
   maxQuarantined: number
-  /** How long a drain keeps serving after the last attempt ended, for readers whose connection went silent. */
+  /** Time for which a drain continues after the end of the last attempt, so that readers can reconnect. */
   drainLingerMs: number
-  /** How long running batch work may go on in a drain before it is handed back. */
+  /** Time for which running batch attempts may continue in a drain before they are ended as preempted. */
   batchDrainGraceMs: number
-  /** An order that takes longer goes on after it was answered as started. */
+  /** An order that takes longer is responded to as started and continues in the background. */
   orderResponseTimeoutMs: number
-  /** A gateway's connection is asked for a sign of life this often while it gives none by itself. */
+  /** Time since the last ping response after which a gateway's connection is pinged again. */
   pingIntervalMs: number
-  /** A connection without one for this long is closed. */
+  /** A connection is closed if a ping has not been acknowledged within this time since the last ping response. */
   connectionTimeoutMs: number
-  /** Where the operations server listens, when the settings leave its port open. */
+  /** Actual address of the operations server, if the settings specify port 0. */
   operationsAddress: string | undefined
 }
 
--- a/packages/anvilarch-daemon/src/agent/orders.ts
+++ b/packages/anvilarch-daemon/src/agent/orders.ts
@@ -1,4 +1,4 @@
-/** Orders to endpoints: fenced, one after another for each endpoint, loading in the background of the endpoint. */
+/** Executes orders for endpoints: fenced, and serially for each endpoint. Endpoints load models in the background. */
 import type { MessageInitShape } from '@bufbuild/protobuf'
 import { type OrderRequest, type OrderResponseSchema, ROW_KEYS } from 'anvilarch-protocol'
 import { sleep } from 'anvilarch-utils'
@@ -8,25 +8,25 @@
 import { type FencingEvent, type FencingVerdict, fencingStep, INITIAL_FENCING } from './fencing'
 import { afterOrder, isReloadDue, type LastLoad } from './lastLoad'
 
-/** Answer to an order. */
+/** Fields of the response to an order. */
 export type OrderResponseInit = MessageInitShape<typeof OrderResponseSchema>
 
-/** Takes orders. */
+/** Executes orders, and repeats the last load of an endpoint after a crash. */
 export interface Orders {
   order: (request: OrderRequest) => Promise<OrderResponseInit>
   highestToken: () => number
-  /** Id of the last order to an endpoint that is over, once the endpoint was asked again after it; empty before. */
+  /** Id of the last order to an endpoint that has ended, once the endpoint has been probed after it; empty before. */
   settledOrder: (endpoint: string) => string
-  /** Loads the model of the last order in force again at endpoints that have crashed, while nobody can give orders. */
+  /** Repeats the last load at endpoints that have crashed, while placement can't give orders. */
   reload: () => Promise<void>
 }
 
 type Outcome = { outcome: 'done' | 'started' } | { outcome: 'refused', reason: string }
 
-/** An order that is over. */
+/** An order that has ended. */
 interface EndedOrder {
   orderId: string
-  /** Probes that were sent to the endpoint before the end: their answers may lack what the order did. */
+  /** Number of probes sent before the end of the order: their results may not include its effect. */
   probesBefore: number
 }
 
@@ -36,10 +36,10 @@
 const IN_USE_POLL_MS = 100
 
 /**
- * @param context - shared parts of the daemon
+ * @param context - shared components of the daemon
  * @param tasks - the endpoints by name
- * @param responseTimeoutMs - an order that takes longer goes on after it was answered as started
- * @param onSettled - called when an endpoint was asked again after an order
+ * @param responseTimeoutMs - an order that takes longer is responded to as started and continues
+ * @param onSettled - called when an endpoint has been probed after an order
  * @returns the orders of this agent
  */
 export function createOrders (context: DaemonContext, tasks: Map<string, EndpointTask>, responseTimeoutMs: number, onSettled: () => void): Orders {
@@ -56,7 +56,7 @@
     return step.verdict
   }
 
-  // The row is read by one call at a time, however many orders wait for it.
+  // All orders that wait for the row share one read.
   const readFloor = async (): Promise<void> => {
     if (fencing.floorKnown) return
     floorRead ??= readLeaseEpoch(context).then(token => { applyFencing({ kind: 'floor', token }) }).finally(() => { floorRead = undefined })
@@ -74,7 +74,7 @@
     return result === 'done' || result === 'started' ? { outcome: result } : { outcome: 'refused', reason: result }
   }
 
-  // Attempts in progress on a model keep it loaded until they end; nothing new starts on it meanwhile.
+  // The model is unloaded after the attempts in progress on it have ended; no new attempt starts on it in the meantime.
   const unload: Action = async (task, request) => {
     task.setUnloadingModel(request.model)
     try {
@@ -136,7 +136,7 @@
     return await startedAfterTimeout(request, execute(task, request, action))
   }
 
-  // An order may wait for one before it, or for attempts to end; whoever sent it must not wait as long.
+  // An order may wait for previous orders or for attempts to end; its sender must not wait that long.
   const startedAfterTimeout = async (request: OrderRequest, running: Promise<Outcome>): Promise<Outcome> => {
     const responded = new AbortController()
     const timeout = sleep(context.clock, responseTimeoutMs, responded.signal).then((): undefined => undefined)
@@ -157,7 +157,7 @@
     return isReloadDue(lastLoads.get(endpoint), probed, context.configuration.current()?.document)
   }
 
-  // An order may have come meanwhile, so that what is due is looked at again in turn.
+  // Checked again once the reload runs, since another order may have been executed in the meantime.
   const reloadEndpoint = async (endpoint: string, task: EndpointTask): Promise<void> => {
     await runSerially(endpoint, async () => {
       const last = lastLoads.get(endpoint)
@@ -198,18 +198,18 @@
   }
 }
 
-/** What is left to repeat, by the endpoint's answer. */
+/** The last load after a reload, by the result at the endpoint. */
 const AFTER_RELOAD: Record<EngineOrderResult, (last: LastLoad, incarnation: string) => LastLoad | undefined> = {
   done: (last, incarnation) => ({ ...last, incarnation }),
   started: (last, incarnation) => ({ ...last, incarnation }),
-  // The endpoint knows an order that this agent does not.
+  // The endpoint has accepted a newer order that this agent has not seen.
   stale_fencing_token: () => undefined,
   endpoint_failed: last => last
 }
 
 /**
- * While the table answers, the holder of the placement lease orders what is missing, and paces loads over the fleet. No
- * gateway can have that lease for long without the table.
+ * While the table is reachable, the holder of the placement lease orders missing loads and paces them across the fleet.
+ * Without the table, no gateway can keep that lease for long.
  */
 async function isTableReachable (context: DaemonContext): Promise<boolean> {
   try {
--- a/packages/anvilarch-daemon/src/agent/outputBuffer.ts
+++ b/packages/anvilarch-daemon/src/agent/outputBuffer.ts
@@ -1,20 +1,20 @@
-/** The output of one attempt: bytes that are only appended to, and can be read again from any offset. */
+/** Append-only output of one attempt, readable from any offset. */
 
 const INITIAL_BYTES = 1024
 
-/** Append-only bytes with an upper bound. */
+/** Append-only byte buffer with a maximum size. */
 export interface OutputBuffer {
-  /** @returns false when the bound would be passed; nothing was appended */
+  /** @returns false, without appending anything, if the maximum size would be exceeded */
   append: (data: Uint8Array) => boolean
-  /** @returns up to `maxBytes` from `offset`; a view that later appends do not change */
+  /** @returns up to `maxBytes` from `offset`, as a view that later appends do not modify */
   read: (offset: number, maxBytes: number) => Uint8Array
   sizeBytes: () => number
-  /** Frees the room kept for growth. */
+  /** Releases unused capacity. */
   trim: () => void
 }
 
 /**
- * @param maxBytes - the bound
+ * @param maxBytes - maximum size
  * @returns an empty buffer
  */
 export function createOutputBuffer (maxBytes: number): OutputBuffer {
--- a/packages/anvilarch-daemon/src/agent/peerServer.ts
+++ b/packages/anvilarch-daemon/src/agent/peerServer.ts
@@ -1,4 +1,4 @@
-/** The HTTP/2 cleartext server towards gateways. */
+/** The cleartext HTTP/2 server for gateways. */
 import { createServer, type Http2Server, type ServerHttp2Session } from 'node:http2'
 import type { AddressInfo } from 'node:net'
 import type { ConnectRouter } from '@connectrpc/connect'
@@ -8,32 +8,31 @@
 
 /** A listening server. */
 export interface PeerServer {
-  /** IP number and port. */
+  /** IP address and port. */
   address: string
   /**
-   * Asks each connection for a sign of life and closes those that gave none since the last but one call. A connection
-   * that something in between has lost track of would otherwise keep its streams open for good, which would show as a
-   * drain that never ends.
+   * Pings each connection at the ping interval and closes those whose ping has timed out. A connection dropped by a
+   * network device in between would otherwise keep its streams open forever, and a drain would never end.
    */
   ping: (nowMs: number) => void
-  /** Lets streams in progress end, then closes all connections. */
+  /** Waits a limited time for streams in progress to end, then closes all connections. */
   close: () => Promise<void>
 }
 
-/** Times of signs of life. */
+/** Interval and timeout of pings. */
 export type PingOptions = Pick<AgentOptions, 'pingIntervalMs' | 'connectionTimeoutMs'>
 
-/** How long sessions may take to end by themselves. */
+/** Time for connections to close gracefully. */
 const CLOSE_GRACE_MS = 1000
 
-/** Streams of one connection; a gateway opens one for each attempt in progress. */
+/** Maximum concurrent streams of one connection; a gateway may open one for each attempt in progress. */
 const MAX_STREAMS = 10_000
 
 /**
- * @param listen - IP number and port; port 0 takes any
+ * @param listen - IP address and port; port 0 selects a free one
  * @param routes - the services
- * @param clock - for the bound on closing and the age of signs of life
- * @param options - when to ask for a sign of life, and when to close a connection without one
+ * @param clock - for the close timeout and the age of ping responses
+ * @param options - interval and timeout of pings
  * @returns the server, once it listens
  */
 export async function startPeerServer (listen: string, routes: (router: ConnectRouter) => void, clock: Clock, options: PingOptions): Promise<PeerServer> {
@@ -64,7 +63,7 @@
 
 interface SessionLiveness {
   lastAckMs: number
-  /** A ping is on its way. */
+  /** A ping has not been acknowledged yet. */
   isPingPending: boolean
 }
 
--- a/packages/anvilarch-daemon/src/agent/runSink.ts
+++ b/packages/anvilarch-daemon/src/agent/runSink.ts
@@ -1,30 +1,30 @@
-/** Takes what a run brings: output to the attempt's buffer, times to admission, events to the time line. */
+/** Receives the results of a run: output for the attempt's buffer, latencies for admission, events for the timeline. */
 import type { AdmissionEvent } from '../admission'
 import type { DaemonContext } from '../context'
 import type { RunSink } from './endpoints/types'
 import type { LiveAttempt } from './liveAttempt'
 
-/** Times of one run. */
+/** Timestamps of one run. */
 export interface RunTimes {
   startedMs: number
   firstTokenMs: number | undefined
-  /** Undefined after a pause, so that the pause is not taken for a time between tokens. */
+  /** Undefined after an interruption, which must not be measured as inter-token latency. */
   lastTokenMs: number | undefined
 }
 
-/** Where the times go. */
+/** Options of `createRunSink`. */
 export interface RunSinkOptions {
   endpoint: string
-  /** A plain service has no tokens; the head of its answer counts as the first one. */
+  /** A plain service has no tokens; the head of its response counts as the first token. */
   isPlain: boolean
   step: (event: AdmissionEvent) => void
 }
 
 /**
- * @param context - shared parts of the daemon
- * @param attempt - the attempt that runs
- * @param times - of this run; changed in place
- * @param options - where the times go
+ * @param context - shared components of the daemon
+ * @param attempt - the running attempt
+ * @param times - timestamps of this run; updated in place
+ * @param options - the endpoint, and its admission
  * @returns the sink
  */
 export function createRunSink (context: DaemonContext, attempt: LiveAttempt, times: RunTimes, options: RunSinkOptions): RunSink {
--- a/packages/anvilarch-daemon/src/agent/startAgent.ts
+++ b/packages/anvilarch-daemon/src/agent/startAgent.ts
@@ -1,4 +1,4 @@
-/** Composes an agent: endpoints, attempts, orders, the ticks and the server towards gateways. */
+/** Composes an agent: endpoints, attempts, orders, periodic ticks and the server for gateways. */
 import { setMaxListeners } from 'node:events'
 import { AgentService } from 'anvilarch-protocol'
 import { type LifecycleManager, sleep } from 'anvilarch-utils'
@@ -18,11 +18,11 @@
 import type { AgentHandle } from './types'
 
 /**
- * Starts everything an agent does. The life-cycle manager stops it by a drain.
+ * Starts all components of an agent. The lifecycle manager drains and stops them.
  *
- * @param context - shared parts of the daemon
- * @param lifecycle - owns the agent's parts
- * @param overrides - tunables that differ from the defaults
+ * @param context - shared components of the daemon
+ * @param lifecycle - owns the components of the agent
+ * @param overrides - options that differ from the defaults
  * @returns the agent, once it listens
  */
 export async function startAgent (context: DaemonContext, lifecycle: LifecycleManager, overrides: Partial<AgentOptions> = {}): Promise<AgentHandle> {
@@ -36,7 +36,7 @@
   const isDraining = (): boolean => drainState !== undefined
 
   const stopped = new AbortController()
-  // Each open session listens to it until the session ends; beyond ten, Node.js would warn of a leak.
+  // Each open session adds a listener until it ends; Node.js would warn of a leak beyond ten.
   setMaxListeners(0, stopped.signal)
 
   const suspects = createAgentSuspects(clock)
@@ -78,7 +78,7 @@
     if (!isDraining()) await orders.reload()
   }
   const probeTick = createTick(clock, options.probeIntervalMs, afterPause => {
-    // Retentions end, and the batch limit grows, also while no work is in progress.
+    // Entries expire and the batch limit grows also while no work is in progress.
     runWorkTick(afterPause)
     if (!afterPause) server.ping(clock.nowMs())
     probeAll().then(probeChanging, error => { context.logger.error('probe failed', { error: String(error) }) })
--- a/packages/anvilarch-daemon/src/agent/suspects.ts
+++ b/packages/anvilarch-daemon/src/agent/suspects.ts
@@ -1,29 +1,30 @@
 /**
- * Requests that were in progress at a crash of an endpoint beside this agent and had produced nothing: one of them is most
- * likely the one that the engine died of, since an engine dies when it first computes a request. Until such a request has
- * made its first token here while no other prompt was computed, it is not started like others, whichever gateway sends it. Otherwise each gateway would
- * have to see crashes of its own before it knew, and the request would take down one endpoint after another meanwhile.
+ * Suspects are requests that were in progress without any output when an endpoint of this agent crashed. One of them most
+ * likely caused the crash, since an engine crashes when it first computes a request. Until a suspect has produced its
+ * first token here while no other prompt was computed, the agent refuses to start it like other requests, whichever
+ * gateway sends it. Otherwise each gateway would have to observe crashes itself, and the request would crash one endpoint
+ * after another in the meantime.
  */
 import { LRUCache } from 'lru-cache'
 import type { Clock } from 'anvilarch-utils'
 import type { AttemptEnd, LiveAttempt } from './liveAttempt'
 
-/** Suspects of one agent. */
+/** Records the suspects of one agent. */
 export interface AgentSuspects {
-  /** An attempt ended: a suspect is found, or one has proved harmless. */
+  /** Adds a suspect after a crash, or removes one that has completed alone. */
   recordEnd: (attempt: LiveAttempt, end: AttemptEnd) => void
-  /** Whether a request may run here only so that its prompt is computed alone, or with nothing beside it. */
+  /** Whether a request may run here only isolated, or with no other prompt computed before its first token. */
   mustIsolate: (fingerprint: string) => boolean
   list: () => string[]
 }
 
 const MAX_SUSPECTS = 1000
-/** Long enough for callers to send a request again, short enough to forget one that nobody sends any more. */
+/** Long enough for callers to retry a request, short enough to remove those that are no longer sent. */
 const SUSPECT_RETENTION_MS = 120_000
 
 /**
  * @param clock - the clock
- * @returns suspects, none at first
+ * @returns an empty set of suspects
  */
 export function createAgentSuspects (clock: Clock): AgentSuspects {
   const sinceMs = new LRUCache<string, number>({ max: MAX_SUSPECTS })
--- a/packages/anvilarch-daemon/src/agent/tick.ts
+++ b/packages/anvilarch-daemon/src/agent/tick.ts
@@ -1,24 +1,24 @@
-/** A periodic tick that stops by itself when there is nothing to do. */
+/** A periodic timer that stops itself when there is nothing to do. */
 import type { Clock, Timer } from 'anvilarch-utils'
 
-/** A tick. */
+/** A periodic timer. */
 export interface Tick {
-  /** Runs from now on; nothing changes when it runs already. */
+  /** Starts the timer; no effect if it runs already. */
   start: () => void
   stop: () => void
 }
 
-/** A tick that is late by more than this share of its period follows a pause of this process. */
+/** A tick that is late by more than this share of its period indicates a process pause. */
 const MAX_LATE_SHARE = 0.5
 
 /**
- * A tick that follows a pause runs before the bytes that have come meanwhile are read, so that it must take nobody for
- * silent; the next one may.
+ * Creates a timer that reports process pauses. The tick after a pause runs before data received during the pause is read,
+ * so that it must not treat any peer as unresponsive; the next tick may.
  *
  * @param clock - the clock
  * @param periodMs - time between two ticks
- * @param onTick - told whether this process has just stood still; returns whether another tick is needed
- * @returns a tick that does not run yet
+ * @param onTick - receives whether the tick follows a process pause; returns whether another tick is needed
+ * @returns the timer, not started
  */
 export function createTick (clock: Clock, periodMs: number, onTick: (afterPause: boolean) => boolean): Tick {
   let timer: Timer | undefined
--- a/packages/anvilarch-daemon/src/agent/types.ts
+++ b/packages/anvilarch-daemon/src/agent/types.ts
@@ -1,11 +1,11 @@
-/** What the rest of a daemon gets of its agent. */
+/** Interface of the agent for the rest of the daemon. */
 import type { EndpointState } from 'anvilarch-protocol'
 
 /** The agent of one process. */
 export interface AgentHandle {
-  /** IP number and port of the listener towards gateways. */
+  /** IP address and port of the server for gateways. */
   address: string
-  /** Takes no new work from now on; resolves when nothing runs any more and finished output could be read. */
+  /** Stops accepting work; resolves when no attempt runs and there was time to read finished output. */
   drain: (reason: string) => Promise<void>
   state: () => AgentStatus
 }
@@ -13,11 +13,11 @@
 /** State of an agent, for operators and for readiness. */
 export interface AgentStatus {
   state: 'serving' | 'draining'
-  /** At least one endpoint answers. */
+  /** The agent is not draining and at least one endpoint is ready. */
   isReady: boolean
-  /** Attempts that wait or run. */
+  /** Number of attempts that are queued or running. */
   attempts: number
-  /** Readers connected. */
+  /** Number of connected readers. */
   readers: number
   configurationVersion: number
   highestFencingToken: number
--- a/packages/anvilarch-daemon/src/bin/anvilarchd.ts
+++ b/packages/anvilarch-daemon/src/bin/anvilarchd.ts
@@ -1,14 +1,14 @@
 #!/usr/bin/env node
-/** The daemon. */
+/** Command line of the daemon. */
 import { readFileSync } from 'node:fs'
 import { command, flag, option, optional, positional, run, string } from 'cmd-ts'
 import { type DaemonSettings, formatIssues, validateSettings } from 'anvilarch-configuration'
 import { exitOnViolation, runDaemon, type RunningDaemon } from '../roles/runDaemon'
 
-/** Exit codes; those that the command-line tool has too mean the same. */
+/** Exit codes, consistent with those of the command-line tool. */
 const EXIT_CODES = { ok: 0, failed: 1, usage: 2, invalid_settings: 3, invariant_violated: 70 } as const
 
-/** After the second signal what is still in progress has this long to end. */
+/** Time between the second signal and the forced exit. */
 const FORCED_EXIT_DELAY_MS = 2000
 
 function readSettings (path: string): DaemonSettings {
@@ -25,7 +25,7 @@
   return process.exit(EXIT_CODES.invalid_settings)
 }
 
-/** SIGTERM and SIGINT drain the daemon; a second one leaves only a moment for that. */
+/** Drains the daemon on SIGTERM or SIGINT; a second signal limits the remaining time. */
 function handleSignals (daemon: RunningDaemon): void {
   let signals = 0
   const onSignal = (): void => {
--- a/packages/anvilarch-daemon/src/context.ts
+++ b/packages/anvilarch-daemon/src/context.ts
@@ -1,4 +1,4 @@
-/** What every slice of a daemon is given: settings, time, random numbers, logs, metrics and the platform. */
+/** Shared components of a daemon: settings, clock, random numbers, logger, metrics, timeline, platform and configuration. */
 import { randomUUID } from 'node:crypto'
 import type { DaemonSettings } from 'anvilarch-configuration'
 import type { PlatformPorts } from 'anvilarch-protocol'
@@ -11,10 +11,10 @@
 import { createTimeline, DEFAULT_CAPACITY } from './timeline/createTimeline'
 import type { Timeline } from './timeline/types'
 
-/** Shared parts of one daemon process. */
+/** Shared components of one daemon process. */
 export interface DaemonContext {
   settings: DaemonSettings
-  /** Differs between two starts of the same daemon. */
+  /** Unique to each start of the daemon. */
   incarnation: string
   clock: Clock
   random: Random
@@ -25,18 +25,18 @@
   configuration: ConfigurationHolder
 }
 
-/** The shared parts, together with what ends them. */
+/** The shared components, with a function to release them. */
 export interface OwnedContext extends DaemonContext {
-  /** Frees the connections to the platform and stops reporting violations. */
+  /** Closes the connections to the platform and stops reporting invariant violations. */
   close: () => Promise<void>
 }
 
 /**
- * Creates the shared parts of a daemon. Nothing is started; connections open on first use.
+ * Creates the shared components of a daemon. Nothing is started; connections open on first use.
  *
  * @param settings - validated settings
- * @param overrides - parts to use in place of those of a real process, for tests
- * @returns the shared parts; their creator closes them after all slices have stopped
+ * @param overrides - replacements of components, for tests
+ * @returns the shared components; the caller closes them after all other components have stopped
  */
 export function createContext (settings: DaemonSettings, overrides: Partial<DaemonContext> = {}): OwnedContext {
   const clock = overrides.clock ?? createSystemClock()
--- a/packages/anvilarch-daemon/src/index.ts
+++ b/packages/anvilarch-daemon/src/index.ts
@@ -1,4 +1,4 @@
-/** Composes the package. */
+/** Public exports of the package. */
 export * from './context'
 export { createMetrics } from './metrics/createMetrics'
 export { createTimeline } from './timeline/createTimeline'
--- a/packages/anvilarch-daemon/src/metrics/createMetrics.ts
+++ b/packages/anvilarch-daemon/src/metrics/createMetrics.ts
@@ -1,15 +1,15 @@
-/** Creates the metrics of a daemon on a registry of its own. */
+/** Creates the metrics of a daemon in a separate registry. */
 import { Counter, Gauge, Histogram, Registry, collectDefaultMetrics } from 'prom-client'
 import type { Metrics } from './types'
 
-/** Bounds of the request histograms in seconds, from a lookup within a host to a long stream. */
+/** Buckets of the request histograms in seconds, from a lookup within a host to a long stream. */
 const REQUEST_BUCKETS_SECONDS = [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 1.2, 2.5, 5, 10, 30, 60, 300]
-/** The event-loop delay is sampled this often; a finer sample would wake an idle daemon more often. */
+/** Sampling interval of the event-loop delay; a shorter one would wake an idle daemon more often. */
 const EVENT_LOOP_SAMPLE_MS = 20
 
 /** Options of `createMetrics`. */
 export interface MetricsOptions {
-  /** Also report processor time, memory and event-loop delay of the process. */
+  /** Also report CPU time, memory and event-loop delay of the process. */
   processMetrics: boolean
 }
 
@@ -17,7 +17,7 @@
 export const DEFAULT_OPTIONS: MetricsOptions = { processMetrics: false }
 
 /**
- * @param options - whether to report on the process itself
+ * @param options - whether to include metrics of the process itself
  * @returns all metrics, at zero
  */
 export function createMetrics (options: MetricsOptions = DEFAULT_OPTIONS): Metrics {
--- a/packages/anvilarch-daemon/src/metrics/types.ts
+++ b/packages/anvilarch-daemon/src/metrics/types.ts
@@ -1,7 +1,7 @@
 /** The metrics of a daemon. Each name is documented in docs/OPERATIONS.md. */
 import type { Counter, Gauge, Histogram, Registry } from 'prom-client'
 
-/** Metrics that several slices record. */
+/** Metrics that the components of a daemon record. */
 export interface Metrics {
   registry: Registry
   requestSeconds: Histogram<'class' | 'service' | 'outcome'>
--- a/packages/anvilarch-daemon/src/roles/roles.ts
+++ b/packages/anvilarch-daemon/src/roles/roles.ts
@@ -1,10 +1,10 @@
-/** The roles of the daemon. Each loads only its own parts, so that an agent does not pay for those of a gateway. */
+/** Roles of the daemon. Only the modules of the selected role are loaded, so that an agent has no cost of gateway modules. */
 import type { DaemonSettings } from 'anvilarch-configuration'
 import type { StartRole } from './types'
 
 /*
- * `require` at the call, since an import at the top would load every role; a dynamic `import()` of a CommonJS module
- * would load the loader of ES modules besides.
+ * Uses `require` on demand: a top-level import would load every role, and a dynamic `import()` of a CommonJS module would
+ * also load the ES module loader.
  */
 const ROLES: Record<DaemonSettings['role'], () => StartRole> = {
   gateway: () => (require('./startGatewayRole') as typeof import('./startGatewayRole')).startGatewayRole,
@@ -12,8 +12,8 @@
 }
 
 /**
- * @param role - from the settings
- * @returns what starts the role
+ * @param role - role of the settings
+ * @returns the start function of the role
  */
 export function loadRole (role: DaemonSettings['role']): StartRole {
   return ROLES[role]()
--- a/packages/anvilarch-daemon/src/roles/runDaemon.ts
+++ b/packages/anvilarch-daemon/src/roles/runDaemon.ts
@@ -1,4 +1,4 @@
-/** Runs one daemon from its settings until it is told to stop. */
+/** Runs one daemon from its settings until it is stopped. */
 import { afterViolation, createLifecycleManager } from 'anvilarch-utils'
 import type { DaemonSettings } from 'anvilarch-configuration'
 import { createContext, type OwnedContext } from '../context'
@@ -10,7 +10,7 @@
 export interface RunningDaemon {
   context: OwnedContext
   operationsAddress: string
-  /** Stops taking work, finishes what is in progress and frees everything. */
+  /** Stops accepting work, finishes work in progress and releases all resources. */
   stop: () => Promise<void>
 }
 
@@ -18,7 +18,7 @@
 
 /**
  * @param settings - validated settings
- * @returns the daemon, once every part of its role has started
+ * @returns the daemon, once all components of its role have started
  */
 export async function runDaemon (settings: DaemonSettings): Promise<RunningDaemon> {
   const context = createContext(settings)
@@ -42,7 +42,7 @@
     draining = true
     timeline.record('daemon.draining')
     logger.info('draining')
-    // All parts begin to drain at the same time; each one's own stop then waits for it within its bound.
+    // All components start to drain at the same time; the stop of each then waits for its drain within its timeout.
     role?.drain().catch((error: unknown) => { logger.error('the drain failed', { error: String(error) }) })
     await lifecycle.stop()
     await context.close()
@@ -62,8 +62,8 @@
 }
 
 /**
- * A process that broke an invariant may go on to tell callers what is not true. In tests it ends at once, so that the
- * violation is found; in production the metric raises the alarm and the operator decides.
+ * Exits on the first invariant violation. A process that has violated an invariant may report false results to callers.
+ * Tests exit at once, so that the violation is found; in production a metric triggers an alert and the operator decides.
  *
  * @param exit - ends the process
  */
--- a/packages/anvilarch-daemon/src/roles/startAgentRole.ts
+++ b/packages/anvilarch-daemon/src/roles/startAgentRole.ts
@@ -1,9 +1,9 @@
-/** The role `agent`: the process beside the endpoints of a host. */
+/** The `agent` role: the process that runs on the host of the endpoints. */
 import { startAgent } from '../agent/startAgent'
 import { AGENT_POLL_MS, startConfigurationPoll } from '../configuration/startConfigurationPoll'
 import type { StartRole } from './types'
 
-/** Starts the agent before the poll, so that a gateway may push the configuration before the table has given it. */
+/** Starts the agent before the configuration poll, so that a gateway can push the configuration before the table has returned it. */
 export const startAgentRole: StartRole = async (context, lifecycle) => {
   const agent = await startAgent(context, lifecycle)
   await startConfigurationPoll(context, { intervalMs: AGENT_POLL_MS, firstIntervalMs: context.settings.gateway.pollIntervalMs }, lifecycle)
--- a/packages/anvilarch-daemon/src/roles/startGatewayRole.ts
+++ b/packages/anvilarch-daemon/src/roles/startGatewayRole.ts
@@ -1,4 +1,4 @@
-/** The role `gateway`: the process on an entry host. */
+/** The `gateway` role: the process that serves callers. */
 import { ROW_KEYS } from 'anvilarch-protocol'
 import { createRequestRunner } from '../attempts/requestRunner'
 import { createSuspects } from '../attempts/suspects'
@@ -20,15 +20,16 @@
 import { startQuarantine } from '../quarantine/startQuarantine'
 import type { StartedRole, StartRole } from './types'
 
-/** Parts that the description of this gateway draws on, once they have started. */
+/** Components that the description of this gateway includes, once they have started. */
 interface DescribedParts {
   callers?: CallersServer
   jobs?: JobsHandle
 }
 
 /**
- * What work in progress needs is started before it, and so stopped after it: the connections first, the callers' HTTP
- * nearly last. Placement and its lease come after all: a gateway that drains for minutes hands them on at once.
+ * Components that work in progress depends on start before it, and therefore stop after it: the connections first, the
+ * HTTP server for callers nearly last. The placement lease and placement start last, so that a gateway releases the lease
+ * at once when it starts a drain, which may take minutes.
  */
 export const startGatewayRole: StartRole = async (context, lifecycle, operationsAddress) => {
   const described: DescribedParts = {}
--- a/packages/anvilarch-daemon/src/roles/types.ts
+++ b/packages/anvilarch-daemon/src/roles/types.ts
@@ -1,20 +1,20 @@
-/** A role of the daemon: what it starts, in which order, and how it stops taking work. */
+/** Interface of the roles of the daemon. */
 import type { LifecycleManager } from 'anvilarch-utils'
 import type { DaemonContext } from '../context'
 import type { Readiness } from '../operations/startOperationsServer'
 
-/** What a started role offers to the process. */
+/** A started role. */
 export interface StartedRole {
   readiness: () => Readiness
-  /** Stops taking new work; resolves when what was in progress has ended, which the parts themselves bound as they stop. */
+  /** Stops accepting work; resolves when work in progress has ended. Each component applies its own timeout when it stops. */
   drain: () => Promise<void>
 }
 
 /**
- * Starts the parts of a role in order; they stop in reverse.
+ * Starts the components of a role in order; they stop in reverse order.
  *
- * @param context - shared parts of the daemon
- * @param lifecycle - owns the parts
- * @param operationsAddress - where this daemon serves its operators
+ * @param context - shared components of the daemon
+ * @param lifecycle - owns the components
+ * @param operationsAddress - address of this daemon's operations server
  */
 export type StartRole = (context: DaemonContext, lifecycle: LifecycleManager, operationsAddress: string) => Promise<StartedRole>
--- a/packages/anvilarch-daemon/src/timeline/createTimeline.ts
+++ b/packages/anvilarch-daemon/src/timeline/createTimeline.ts
@@ -1,4 +1,4 @@
-/** The time line of one process: a ring that keeps the latest events. */
+/** Timeline of one process: a ring buffer of its latest events. */
 import type { TimelineEvent } from 'anvilarch-protocol'
 import type { Clock } from 'anvilarch-utils'
 import type { Timeline } from './types'
@@ -6,20 +6,20 @@
 /** Options of `createTimeline`. */
 export interface TimelineOptions {
   clock: Clock
-  /** Name of the process on every event. */
+  /** Process name recorded with each event. */
   process: string
-  /** Events kept; older ones are dropped. */
+  /** Maximum number of events; older ones are overwritten. */
   capacity: number
 }
 
-/** Events kept where nothing else is said: a few seconds of a busy gateway, at about 300 bytes each. */
+/** Default capacity: a few seconds of events of a busy gateway, at about 300 bytes each. */
 export const DEFAULT_CAPACITY = 8192
-/** Events returned by a query that names no limit. */
+/** Maximum number of events returned by a query without a limit. */
 export const DEFAULT_QUERY_LIMIT = 1000
 
 /**
  * @param options - clock, process name and capacity
- * @returns an empty time line
+ * @returns an empty timeline
  */
 export function createTimeline (options: TimelineOptions): Timeline {
   const ring: TimelineEvent[] = []
