--- a/packages/anvilarch-daemon/src/admission/__tests__/admissionHistory.test.ts
+++ b/packages/anvilarch-daemon/src/admission/__tests__/admissionHistory.test.ts
@@ -1,5 +1,5 @@
 import fc from 'fast-check'
-import { must } from '../../agent/__fixtures__/must'
+import { assertCondition } from '../../agent/__fixtures__/assertCondition'
 import type { WorkClass } from 'anvilarch-protocol'
 import { type AdmissionCommand, admissionLoad, admissionStep, type AdmissionEvent, createAdmissionState } from '..'
 
@@ -112,29 +112,29 @@
     const phase = this.phases.get(command.id)
     switch (command.kind) {
       case 'refuse': {
-        must(event.kind === 'arrive' && event.id === command.id && phase === undefined, `"${command.id}" was refused on ${event.kind}`)
+        assertCondition(event.kind === 'arrive' && event.id === command.id && phase === undefined, `"${command.id}" was refused on ${event.kind}`)
         break
       }
       case 'start':
       case 'resume': {
-        must(phase === (command.kind === 'start' ? 'waiting' : 'parked'), `${command.kind} of "${command.id}", which is ${phase ?? 'unknown'}`)
-        must(!this.draining && !this.down, `"${command.id}" was started in a drain or on an endpoint that is down`)
+        assertCondition(phase === (command.kind === 'start' ? 'waiting' : 'parked'), `${command.kind} of "${command.id}", which is ${phase ?? 'unknown'}`)
+        assertCondition(!this.draining && !this.down, `"${command.id}" was started in a drain or on an endpoint that is down`)
         this.phases.set(command.id, 'running')
         const holders = this.holders()
         if (this.state.running.get(command.id)?.isProtected === true) this.protectedIds.add(command.id)
-        must(this.protectedIds.size === 0 || this.of(['running', 'preempting']).filter(id => this.protectedIds.has(id)).length <= 1, 'more items are protected than may be')
-        must(holders.length === 1 || !holders.some(id => this.isolated.has(id)), `"${command.id}" runs beside an isolated attempt`)
-        must(holders.length <= OPTIONS.slots, `${holders.length} attempts hold a slot`)
+        assertCondition(this.protectedIds.size === 0 || this.of(['running', 'preempting']).filter(id => this.protectedIds.has(id)).length <= 1, 'more items are protected than may be')
+        assertCondition(holders.length === 1 || !holders.some(id => this.isolated.has(id)), `"${command.id}" runs beside an isolated attempt`)
+        assertCondition(holders.length <= OPTIONS.slots, `${holders.length} attempts hold a slot`)
         break
       }
       case 'preempt': {
-        must(!this.protectedIds.has(command.id), `"${command.id}" is preempted, but protected`)
-        must(phase === 'running', `"${command.id}" is preempted, but ${phase ?? 'unknown'}`)
+        assertCondition(!this.protectedIds.has(command.id), `"${command.id}" is preempted, but protected`)
+        assertCondition(phase === 'running', `"${command.id}" is preempted, but ${phase ?? 'unknown'}`)
         this.phases.set(command.id, 'preempting')
         break
       }
       case 'giveUp': {
-        must(phase === (command.started ? 'parked' : 'waiting'), `"${command.id}" is given up, but ${phase ?? 'unknown'}`)
+        assertCondition(phase === (command.started ? 'parked' : 'waiting'), `"${command.id}" is given up, but ${phase ?? 'unknown'}`)
         this.phases.set(command.id, 'over')
         break
       }
@@ -156,9 +156,9 @@
 
   private check (): void {
     const load = admissionLoad(this.state)
-    must(load.runningOnline + load.runningBatch === this.holders().length, 'the load counts other attempts than those that run')
-    must(load.queued === this.of(['waiting', 'parked']).length, 'the load counts other attempts than those that wait')
-    must(this.state.batchLimit.limit <= OPTIONS.slots, 'the batch limit is above the slots')
+    assertCondition(load.runningOnline + load.runningBatch === this.holders().length, 'the load counts other attempts than those that run')
+    assertCondition(load.queued === this.of(['waiting', 'parked']).length, 'the load counts other attempts than those that wait')
+    assertCondition(this.state.batchLimit.limit <= OPTIONS.slots, 'the batch limit is above the slots')
   }
 
   /** Whatever was taken in comes to an end once slots are freed and time goes on: nothing is stranded. */
@@ -169,7 +169,7 @@
       this.apply({ kind: 'finish', pick: round })
       this.apply({ kind: 'tick', ms: 100 })
     }
-    must(this.of(['waiting', 'parked', 'running', 'preempting']).length === 0, 'work was stranded')
+    assertCondition(this.of(['waiting', 'parked', 'running', 'preempting']).length === 0, 'work was stranded')
   }
 }
 
--- a/packages/anvilarch-daemon/src/agent/__fixtures__/must.ts
+++ b/packages/anvilarch-daemon/src/agent/__fixtures__/assertCondition.ts
@@ -4,6 +4,6 @@
  * @param condition - must be true
  * @param found - says what was found instead
  */
-export function must (condition: boolean, found: string): void {
+export function assertCondition (condition: boolean, found: string): void {
   if (!condition) throw new Error(found)
 }
--- a/packages/anvilarch-daemon/src/agent/__tests__/attemptTable.test.ts
+++ b/packages/anvilarch-daemon/src/agent/__tests__/attemptTable.test.ts
@@ -1,5 +1,5 @@
 import fc from 'fast-check'
-import { must } from '../__fixtures__/must'
+import { assertCondition } from '../__fixtures__/assertCondition'
 import { attemptTableStep, type AttemptTableCommand, type AttemptTableEvent, type AttemptTableState, createAttemptTable } from '../attemptTable'
 
 const OPTIONS = { incarnation: 'now', attemptRetentionMs: 1000, barRetentionMs: 10_000, readerGraceMs: 500, maxTombstones: 1000, maxRetainedBytes: 250 }
@@ -114,7 +114,7 @@
   private handleResponse (commands: AttemptTableCommand[], { accepts, isOld }: { accepts: boolean, isOld: boolean }): void {
     this.execute(commands)
     const isRefused = commands.length === 1 && commands[0].kind === 'refuse' && commands[0].reason === 'wrong_incarnation'
-    must(isRefused === isOld, 'an agent speaks for its predecessor, or not for itself')
+    assertCondition(isRefused === isOld, 'an agent speaks for its predecessor, or not for itself')
     for (const command of commands) {
       if (command.kind === 'refuse' && command.reason === 'barred') this.recordNotRun(command.id)
       if (command.kind !== 'consider') continue
@@ -132,7 +132,7 @@
   private execute (commands: AttemptTableCommand[]): void {
     for (const command of commands) {
       if (command.kind === 'stop') this.end(command.id)
-      if (command.kind === 'forgetOutput') must(this.table.entries.get(command.id)?.state === 'forgotten', `"${command.id}" lost its output but is not forgotten`)
+      if (command.kind === 'forgetOutput') assertCondition(this.table.entries.get(command.id)?.state === 'forgotten', `"${command.id}" lost its output but is not forgotten`)
     }
   }
 
@@ -142,14 +142,14 @@
 
   private recordNotRun (id: string): void {
     const record = this.recordOf(id)
-    must(!this.isRecent(record.startedMs, record.lastDeadlineMs), `a peer was told that "${id}" did not run, but it did`)
+    assertCondition(!this.isRecent(record.startedMs, record.lastDeadlineMs), `a peer was told that "${id}" did not run, but it did`)
     record.reportedNotRunMs = this.nowMs
   }
 
   private recordStarted (id: string): void {
     const seen = this.recordOf(id)
-    must(!this.isRecent(seen.startedMs, seen.lastDeadlineMs), `"${id}" ran twice`)
-    must(!this.isRecent(seen.reportedNotRunMs, seen.reportedNotRunMs), `"${id}" ran after a peer was told that it did not`)
+    assertCondition(!this.isRecent(seen.startedMs, seen.lastDeadlineMs), `"${id}" ran twice`)
+    assertCondition(!this.isRecent(seen.reportedNotRunMs, seen.reportedNotRunMs), `"${id}" ran after a peer was told that it did not`)
     seen.startedMs = this.nowMs
     seen.lastDeadlineMs = seen.deadlineMs
   }
@@ -170,10 +170,10 @@
   private check (): void {
     const all = [...this.table.entries.values()]
     const kept = all.filter(entry => entry.state === 'ended').map(entry => entry.totalBytes)
-    must(this.table.retainedBytes <= OPTIONS.maxRetainedBytes + 100 * (1 + this.readers.size), 'more output is kept than may be')
-    must(this.table.retainedBytes === kept.reduce((sum, bytes) => sum + bytes, 0), 'the count of bytes is wrong')
-    must(this.table.tombstones === all.filter(entry => entry.state === 'barred' || entry.state === 'forgotten').length, 'the count of bars is wrong')
-    must(this.table.liveCount === all.filter(entry => entry.state === 'queued' || entry.state === 'running').length, 'the count of live attempts is wrong')
+    assertCondition(this.table.retainedBytes <= OPTIONS.maxRetainedBytes + 100 * (1 + this.readers.size), 'more output is kept than may be')
+    assertCondition(this.table.retainedBytes === kept.reduce((sum, bytes) => sum + bytes, 0), 'the count of bytes is wrong')
+    assertCondition(this.table.tombstones === all.filter(entry => entry.state === 'barred' || entry.state === 'forgotten').length, 'the count of bars is wrong')
+    assertCondition(this.table.liveCount === all.filter(entry => entry.state === 'queued' || entry.state === 'running').length, 'the count of live attempts is wrong')
   }
 }
 
--- a/packages/anvilarch-daemon/src/agent/startAgent.ts
+++ b/packages/anvilarch-daemon/src/agent/startAgent.ts
@@ -58,7 +58,7 @@
 
   const runWorkTick = (afterPause: boolean): boolean => {
     const nowMs = clock.nowMs()
-    if (afterPause) context.metrics.ownPauses.inc()
+    if (afterPause) context.metrics.processPauses.inc()
     for (const task of tasks.values()) task.tick(nowMs, afterPause)
     registry.tick(nowMs)
     pump.wakeIdle(heartbeatMs * HEARTBEAT_SHARE)
--- a/packages/anvilarch-daemon/src/attempts/recorder.ts
+++ b/packages/anvilarch-daemon/src/attempts/recorder.ts
@@ -66,7 +66,7 @@
       handler?.(command)
     },
     ownPause: lateMs => {
-      metrics.ownPauses.inc()
+      metrics.processPauses.inc()
       record('attempts.own_pause', { lateMs: Math.round(lateMs) })
     },
     ended: result => {
--- a/packages/anvilarch-daemon/src/metrics/createMetrics.ts
+++ b/packages/anvilarch-daemon/src/metrics/createMetrics.ts
@@ -31,7 +31,7 @@
     refusals: new Counter({ name: 'anvilarch_refusals_total', help: 'Work that was refused, by reason.', labelNames: ['class', 'reason'], registers }),
     retries: new Counter({ name: 'anvilarch_retries_total', help: 'Attempts after the first of a request, by reason.', labelNames: ['class', 'reason'], registers }),
     resumptions: new Counter({ name: 'anvilarch_resumptions_total', help: 'Attempts read again over a new connection.', labelNames: ['class'], registers }),
-    ownPauses: new Counter({ name: 'anvilarch_own_pauses_total', help: 'Times that this process stood still when it should have listened to a peer, and so did not judge it.', registers }),
+    processPauses: new Counter({ name: 'anvilarch_own_pauses_total', help: 'Times that this process stood still when it should have listened to a peer, and so did not judge it.', registers }),
     ejections: new Counter({ name: 'anvilarch_endpoint_ejections_total', help: 'Times that an endpoint was asked no more for a while, since it failed far more than the others.', labelNames: ['endpoint'], registers }),
     preemptions: new Counter({ name: 'anvilarch_preemptions_total', help: 'Batch attempts that gave way to online work.', labelNames: ['endpoint'], registers }),
     queueDepth: new Gauge({ name: 'anvilarch_queue_depth', help: 'Work that waits for a slot.', labelNames: ['class', 'endpoint'], registers }),
--- a/packages/anvilarch-daemon/src/metrics/types.ts
+++ b/packages/anvilarch-daemon/src/metrics/types.ts
@@ -9,7 +9,7 @@
   refusals: Counter<'class' | 'reason'>
   retries: Counter<'class' | 'reason'>
   resumptions: Counter<'class'>
-  ownPauses: Counter
+  processPauses: Counter
   ejections: Counter<'endpoint'>
   preemptions: Counter<'endpoint'>
   queueDepth: Gauge<'class' | 'endpoint'>
