--- a/packages/anvilarch-daemon/src/agent/__fixtures__/assertCondition.ts
+++ b/packages/anvilarch-daemon/src/agent/__fixtures__/assertCondition.ts
@@ -1,8 +1,8 @@
-/** A check for long histories, where the matchers of the test runner would take most of the time. */
+/** A fast assertion for long generated histories, where Jest matchers would take most of the time. */
 
 /**
- * @param condition - must be true
- * @param found - says what was found instead
+ * @param condition - expected to be true
+ * @param found - error message that describes the violation
  */
 export function assertCondition (condition: boolean, found: string): void {
   if (!condition) throw new Error(found)
--- a/packages/anvilarch-daemon/src/agent/__fixtures__/rawServer.ts
+++ b/packages/anvilarch-daemon/src/agent/__fixtures__/rawServer.ts
@@ -61,10 +61,10 @@
 export async function startRelay (target: string): Promise<Relay> {
   const url = new URL(`http://${target}`)
   const sockets: Socket[] = []
-  const server = createServer(near => {
-    const far = connect(Number(url.port), url.hostname)
-    sockets.push(near, far)
-    for (const [from, to] of [[near, far], [far, near]]) {
+  const server = createServer(downstream => {
+    const upstream = connect(Number(url.port), url.hostname)
+    sockets.push(downstream, upstream)
+    for (const [from, to] of [[downstream, upstream], [upstream, downstream]]) {
       from.on('error', () => {})
       from.pipe(to)
     }
--- a/packages/anvilarch-daemon/src/agent/__tests__/agentControl.test.ts
+++ b/packages/anvilarch-daemon/src/agent/__tests__/agentControl.test.ts
@@ -8,7 +8,7 @@
   return { model: 'small', messages: [{ role: 'user', content: 'control' }], max_tokens: tokens }
 }
 
-describe('the control side of an agent', () => {
+describe('control of an agent', () => {
   let engine: EngineStandin
   let harness: AgentHarness
   let tableIsDown: boolean
@@ -23,7 +23,7 @@
     harness = await startAgentHarness({
       endpoints: [{ name: 'engine', kind: 'model', url: engine.url }],
       table: { rows, isDown: isTableDown },
-      // No test waits for the end of this bound, however slowly its attempts run.
+      // Longer than any test, however slowly its attempts run.
       agent: { drainTimeoutMs: 60_000 },
       ...given,
       options: { orderResponseTimeoutMs: 50, ...given.options }
@@ -53,8 +53,8 @@
     expect(harness.violations).toEqual([])
   })
 
-  // Guards against this: an endpoint is given orders of a placement that lost its lease.
-  it('takes no order before it has read the floor of tokens, and none below it', async () => {
+  // Guards against an endpoint executing orders of a placement process that has lost its lease.
+  it('refuses orders before it has read the lowest valid token, and orders below it', async () => {
     await start({}, { preload: [], checksFencing: false })
     tableIsDown = true
     expect(await order('load', 9)).toMatchObject({ outcome: 'refused', reason: 'no_floor' })
@@ -66,7 +66,7 @@
     expect(engine.ledger().orders).toMatchObject([{ action: 'load', fencingToken: 9, accepted: true }])
   })
 
-  it('checks the token again right before the engine is told', async () => {
+  it('checks the token again right before it sends an order to the engine', async () => {
     await start()
     const running = run('long', { body: chat(200) })
     await waitUntil(() => harness.events('long').includes('attempts.first_token'))
@@ -78,14 +78,14 @@
     await waitUntil(() => harness.context.timeline.query().filter(event => event.event === 'orders.done').length === 1)
   })
 
-  // Guards against this: a load that is still to show counts as lost and is ordered twice, or a lost one counts as still to show.
-  it('reports an order as settled once the endpoint was asked after its end', async () => {
+  // Guards against ordering a load twice because its effect is not visible yet, and against waiting for a load that was lost.
+  it('reports an order as settled once the endpoint has been probed after its end', async () => {
     const settledOrder = (): string => harness.agent.state().endpoints[0].settledOrder
     await start({}, { preload: ['small:1'] })
     const running = run('long', { body: chat(200) })
     await waitUntil(() => harness.events('long').includes('attempts.first_token'))
     expect(await order('unload', 6)).toMatchObject({ outcome: 'started' })
-    // The unload waits for the run, however many probes are answered meanwhile.
+    // The unload waits for the run, however many probes succeed in the meantime.
     await waitUntil(() => {
       const isOver = harness.events('long').includes('attempts.ended')
       if (!isOver) expect(settledOrder()).toBe('')
@@ -99,14 +99,14 @@
     await waitUntil(() => settledOrder() === 'load-7' && harness.agent.state().endpoints[0].models.length === 0)
   })
 
-  it('passes the token on, and the refusal of an engine that knows a newer one', async () => {
+  it('forwards the token to the engine, and the refusal of an engine that has seen a newer one', async () => {
     await start({}, { preload: ['small:1'], checksFencing: true })
     await fetch(`${engine.url}/orders`, { method: 'POST', body: JSON.stringify({ action: 'load', model: 'other', version: '1', fencingToken: 50 }) })
     expect(await order('load', 10)).toMatchObject({ outcome: 'refused', reason: 'stale_fencing_token' })
     expect(await order('load', 51)).toMatchObject({ outcome: 'done' })
   })
 
-  it('serves a service once its model is loaded, and no other one after it was assigned', async () => {
+  it('serves a service once its model is loaded, and stops when the endpoint is assigned to another service', async () => {
     await start({}, { preload: [] })
     expect((await run('early')).refused?.reason).toBe('model_not_loaded')
     await order('load', 6)
@@ -116,8 +116,8 @@
     expect((await run('late')).refused?.reason).toBe('model_not_loaded')
   })
 
-  // Guards against this: all replicas of a service refuse work for up to a second after a change of its adapters or version.
-  it('goes on with the service that its model fitted while a change of the service is being loaded', async () => {
+  // Guards against all replicas of a service refusing work for up to a second after a change of its adapters or version.
+  it('keeps serving a service with the previously matching model while a change of the service loads', async () => {
     await start()
     expect((await run('before')).final?.outcome).toBe('completed')
     const { assistant } = TEST_DOCUMENT.services
@@ -126,8 +126,8 @@
     expect((await harness.client.exchange({ gateway: 'g', gatewayIncarnation: 'i', configurationVersion: 2n, quarantined: [] })).endpoints[0].service).toBe('assistant')
   })
 
-  // Guards against this: an engine that crashed stands idle for as long as the table is down, since nobody may give orders.
-  it('loads the model of the last order again after a crash while no order can come', async () => {
+  // Guards against a crashed engine staying idle while the table is down, since placement can't give orders then.
+  it('repeats the last load after a crash while no order can be given', async () => {
     await start({}, { preload: [], checksFencing: true })
     await order('load', 9)
     await order('assign', 10, { service: 'assistant' })
@@ -140,8 +140,8 @@
     expect(engine.ledger().orders).toMatchObject([{ action: 'load', model: 'small', version: '1', fencingToken: 9, accepted: true }])
   })
 
-  // Guards against this: an endpoint that has its model again serves nothing, since its service got other adapters meanwhile.
-  it('goes on with the service of its last load after a crash', async () => {
+  // Guards against an endpoint that serves nothing after a reload because the adapters of its service have changed since.
+  it('continues with the service of its last load after a crash', async () => {
     await start({}, { preload: [] })
     await order('load', 9)
     await waitUntil(isReady)
@@ -158,8 +158,8 @@
     expect((await run('after', { configurationVersion: 2n })).final?.outcome).toBe('completed')
   })
 
-  // Guards against this: loads of weights beyond those that the placement allows at a time.
-  it('leaves the load after a crash to the placement while the table answers', async () => {
+  // Guards against exceeding the number of concurrent weight loads that placement allows.
+  it('leaves the load after a crash to placement while the table is reachable', async () => {
     await start({}, { preload: [] })
     await order('load', 9)
     await waitUntil(isReady)
@@ -171,7 +171,7 @@
     await waitUntil(isReady)
   })
 
-  it('gives up a load after a crash that the engine refuses for a newer order', async () => {
+  it('stops repeating a load after a crash when the engine refuses it because of a newer order', async () => {
     await start({}, { preload: [] })
     await order('load', 9)
     await waitUntil(isReady)
@@ -187,7 +187,7 @@
     expect(engine.models().map(loaded => loaded.model)).toEqual(['other'])
   })
 
-  it('unloads a model only after the attempts that need it have ended', async () => {
+  it('unloads a model only after the attempts on it have ended', async () => {
     await start()
     const running = run('long', { body: chat(200) })
     await waitUntil(() => harness.events('long').includes('attempts.first_token'))
@@ -197,7 +197,7 @@
     await waitUntil(() => engine.models().length === 0)
   })
 
-  it('refuses what was quarantined through an exchange, and reports its state', async () => {
+  it('refuses requests that were quarantined through an exchange, and reports its state', async () => {
     await start()
     const state = await harness.client.exchange({ gateway: 'g', gatewayIncarnation: 'i', configurationVersion: 1n, quarantined: ['bad'] })
     expect(state).toMatchObject({ agent: 'agent-1', agentIncarnation: 'incarnation-1', state: 'serving', configurationVersion: 1n })
@@ -205,7 +205,7 @@
     expect((await run('a', { fingerprint: 'bad' })).refused?.reason).toBe('quarantined')
   })
 
-  it('takes a configuration that is pushed, gives it when it is pulled, and takes no older one', async () => {
+  it('accepts a pushed configuration, returns it to pulls, and ignores an older one', async () => {
     await start({ withoutDocument: true })
     expect((await run('early')).refused?.reason).toBe('stale_configuration')
     expect(offerDocument(harness.context, 3, TEST_DOCUMENT)).toBe('applied')
@@ -218,8 +218,8 @@
     expect((await run('unknown', { configurationVersion: 9n, service: 'new-service' })).refused?.reason).toBe('stale_configuration')
   })
 
-  // Guards against this: a request is cut off by a planned stop.
-  it('finishes what runs in a drain, hands batch back, and takes nothing new', async () => {
+  // Guards against a planned shutdown interrupting a request.
+  it('finishes running work in a drain, returns batch work, and refuses new work', async () => {
     await start({ options: { batchDrainGraceMs: 50 } })
     const stream = run('stream', { body: chat(200), outputMode: 'stream' })
     const batch = run('batch', { body: chat(4000), workClass: 'batch' })
--- a/packages/anvilarch-daemon/src/agent/__tests__/attemptTable.test.ts
+++ b/packages/anvilarch-daemon/src/agent/__tests__/attemptTable.test.ts
@@ -10,29 +10,29 @@
   return attemptTableStep(state, event).commands
 }
 
-/** What one history did to an id, as peers see it. */
+/** Events of one id in a history, as observed by peers. */
 interface IdRecord {
   startedMs: number
   deadlineMs: number
-  /** Deadline of the start that ran. */
+  /** Deadline of the attempt that ran. */
   lastDeadlineMs: number
-  /** When a peer was told that it never runs here. */
+  /** When a peer received the response that the id never runs here. */
   reportedNotRunMs: number
 }
 
 type Action =
-  | { kind: 'deliver' | 'duplicate' | 'resume' | 'cancel' | 'start' | 'end' | 'open' | 'close', id: string, accepts: boolean, isOld: boolean }
+  | { kind: 'deliver' | 'duplicate' | 'resume' | 'cancel' | 'start' | 'end' | 'open' | 'close', id: string, accepts: boolean, isStale: boolean }
   | { kind: 'wait', ms: number }
   | { kind: 'restart' }
 
 const ID = fc.constantFrom(...IDS)
 const ACTIONS: fc.Arbitrary<Action[]> = fc.array(fc.oneof(
-  { weight: 12, arbitrary: fc.record({ kind: fc.constantFrom('deliver', 'duplicate', 'resume', 'cancel', 'start', 'end', 'open', 'close'), id: ID, accepts: fc.boolean(), isOld: fc.boolean() }) },
+  { weight: 12, arbitrary: fc.record({ kind: fc.constantFrom('deliver', 'duplicate', 'resume', 'cancel', 'start', 'end', 'open', 'close'), id: ID, accepts: fc.boolean(), isStale: fc.boolean() }) },
   { weight: 4, arbitrary: fc.record({ kind: fc.constant('wait'), ms: fc.constantFrom(1, 100, 600, 2000, 9000) }) },
   { weight: 1, arbitrary: fc.record({ kind: fc.constant('restart') }) }
 ) as fc.Arbitrary<Action>, { maxLength: 60, size: 'max' })
 
-/** Carries a history out as the agent does, and checks after each step what peers may rely on. */
+/** Executes a history like the agent, and checks the guarantees for peers after each step. */
 class History {
   nowMs = 0
   generation = 0
@@ -54,7 +54,7 @@
       this.readers.clear()
       this.records.clear()
     } else {
-      this.onId(action)
+      this.applyToId(action)
     }
     this.check()
   }
@@ -63,9 +63,9 @@
     return `generation ${this.generation}`
   }
 
-  private onId (action: Exclude<Action, { kind: 'wait' | 'restart' }>): void {
+  private applyToId (action: Exclude<Action, { kind: 'wait' | 'restart' }>): void {
     const { id } = action
-    const incarnation = action.isOld ? 'an older one' : this.table.options.incarnation
+    const incarnation = action.isStale ? 'an older one' : this.table.options.incarnation
     const entry = this.table.entries.get(id)
     const base = { nowMs: this.nowMs, id }
     switch (action.kind) {
@@ -111,10 +111,10 @@
     }
   }
 
-  private handleResponse (commands: AttemptTableCommand[], { accepts, isOld }: { accepts: boolean, isOld: boolean }): void {
+  private handleResponse (commands: AttemptTableCommand[], { accepts, isStale }: { accepts: boolean, isStale: boolean }): void {
     this.execute(commands)
     const isRefused = commands.length === 1 && commands[0].kind === 'refuse' && commands[0].reason === 'wrong_incarnation'
-    assertCondition(isRefused === isOld, 'an agent speaks for its predecessor, or not for itself')
+    assertCondition(isRefused === isStale, 'a message for another incarnation was accepted, or one for this incarnation refused')
     for (const command of commands) {
       if (command.kind === 'refuse' && command.reason === 'barred') this.recordNotRun(command.id)
       if (command.kind !== 'consider') continue
@@ -132,7 +132,7 @@
   private execute (commands: AttemptTableCommand[]): void {
     for (const command of commands) {
       if (command.kind === 'stop') this.end(command.id)
-      if (command.kind === 'forgetOutput') assertCondition(this.table.entries.get(command.id)?.state === 'forgotten', `"${command.id}" lost its output but is not forgotten`)
+      if (command.kind === 'forgetOutput') assertCondition(this.table.entries.get(command.id)?.state === 'forgotten', `output of "${command.id}" was discarded, but its state is not "forgotten"`)
     }
   }
 
@@ -142,14 +142,14 @@
 
   private recordNotRun (id: string): void {
     const record = this.recordOf(id)
-    assertCondition(!this.isRecent(record.startedMs, record.lastDeadlineMs), `a peer was told that "${id}" did not run, but it did`)
+    assertCondition(!this.isRecent(record.startedMs, record.lastDeadlineMs), `"${id}" was reported as not run, but it ran`)
     record.reportedNotRunMs = this.nowMs
   }
 
   private recordStarted (id: string): void {
     const seen = this.recordOf(id)
     assertCondition(!this.isRecent(seen.startedMs, seen.lastDeadlineMs), `"${id}" ran twice`)
-    assertCondition(!this.isRecent(seen.reportedNotRunMs, seen.reportedNotRunMs), `"${id}" ran after a peer was told that it did not`)
+    assertCondition(!this.isRecent(seen.reportedNotRunMs, seen.reportedNotRunMs), `"${id}" ran after it was reported as not run`)
     seen.startedMs = this.nowMs
     seen.lastDeadlineMs = seen.deadlineMs
   }
@@ -159,30 +159,30 @@
   }
 
   private recordOf (id: string): IdRecord {
-    let seen = this.records.get(id)
-    if (seen === undefined) {
-      seen = { startedMs: -1, deadlineMs: 0, lastDeadlineMs: 0, reportedNotRunMs: -1 }
-      this.records.set(id, seen)
+    let record = this.records.get(id)
+    if (record === undefined) {
+      record = { startedMs: -1, deadlineMs: 0, lastDeadlineMs: 0, reportedNotRunMs: -1 }
+      this.records.set(id, record)
     }
-    return seen
+    return record
   }
 
   private check (): void {
     const all = [...this.table.entries.values()]
     const kept = all.filter(entry => entry.state === 'ended').map(entry => entry.totalBytes)
-    assertCondition(this.table.retainedBytes <= OPTIONS.maxRetainedBytes + 100 * (1 + this.readers.size), 'more output is kept than may be')
-    assertCondition(this.table.retainedBytes === kept.reduce((sum, bytes) => sum + bytes, 0), 'the count of bytes is wrong')
-    assertCondition(this.table.tombstones === all.filter(entry => entry.state === 'barred' || entry.state === 'forgotten').length, 'the count of bars is wrong')
+    assertCondition(this.table.retainedBytes <= OPTIONS.maxRetainedBytes + 100 * (1 + this.readers.size), 'retained output exceeds its limit')
+    assertCondition(this.table.retainedBytes === kept.reduce((sum, bytes) => sum + bytes, 0), 'the count of retained bytes is wrong')
+    assertCondition(this.table.tombstones === all.filter(entry => entry.state === 'barred' || entry.state === 'forgotten').length, 'the count of tombstones is wrong')
     assertCondition(this.table.liveCount === all.filter(entry => entry.state === 'queued' || entry.state === 'running').length, 'the count of live attempts is wrong')
   }
 }
 
 describe('attemptTableStep', () => {
-  it('runs an id at most once and never after a peer was told that it did not run, whatever is delivered twice, late or in another order', () => {
+  it('runs an id at most once, and never after it was reported as not run, with duplicated, late or reordered messages', () => {
     fc.assert(fc.property(ACTIONS, actions => { new History().run(actions) }), { seed: 20261202, numRuns: 3000 })
   })
 
-  // Guards against this: a caller was told `not_run`, and the attempt ran.
+  // Guards against an attempt that runs after its caller received `not_run`.
   it('bars an id that is resumed or cancelled before its start arrives', () => {
     const table = createAttemptTable(OPTIONS)
     expect(send(table, { kind: 'resume', nowMs: 0, id: 'a', incarnation: 'now' })).toEqual([{ kind: 'refuse', id: 'a', reason: 'barred' }])
@@ -192,8 +192,8 @@
     }
   })
 
-  // Guards against this: a caller was told `not_run` of an attempt that had run.
-  it('says of an attempt whose output is gone that it is lost, not that it did not run', () => {
+  // Guards against reporting `not_run` for an attempt that has run.
+  it('reports an attempt whose output was discarded as lost, not as not run', () => {
     const table = createAttemptTable(OPTIONS)
     const base = { nowMs: 0, id: 'a' }
     send(table, { ...base, kind: 'deliver', incarnation: 'now' })
@@ -205,7 +205,7 @@
     expect(send(table, { kind: 'resume', nowMs: LIFETIME_MS + OPTIONS.barRetentionMs - 1, id: 'a', incarnation: 'now' })).toEqual([{ kind: 'lost', id: 'a' }])
   })
 
-  it('says nothing of ids that it has no room to bar', () => {
+  it('does not report ids as barred at the limit of tombstones', () => {
     const table = createAttemptTable({ ...OPTIONS, maxTombstones: 1 })
     send(table, { kind: 'cancel', nowMs: 0, id: 'a' })
     expect(send(table, { kind: 'resume', nowMs: 0, id: 'b', incarnation: 'now' })).toEqual([{ kind: 'refuse', id: 'b', reason: 'wrong_incarnation' }])
@@ -213,7 +213,7 @@
     expect(send(table, { kind: 'deliver', nowMs: 0, id: 'b', incarnation: 'now' })).toEqual([{ kind: 'refuse', id: 'b', reason: 'wrong_incarnation' }])
   })
 
-  it('stops an attempt that nobody reads after the grace, but not one that can not be repeated', () => {
+  it('stops an attempt without a reader after the grace period, unless it is not idempotent', () => {
     const table = createAttemptTable(OPTIONS)
     for (const [id, stopsUnread] of [['a', true], ['b', false]] as const) {
       send(table, { kind: 'deliver', nowMs: 0, id, incarnation: 'now' })
--- a/packages/anvilarch-daemon/src/agent/__tests__/changingProbes.test.ts
+++ b/packages/anvilarch-daemon/src/agent/__tests__/changingProbes.test.ts
@@ -16,7 +16,7 @@
 }
 
 describe('createChangingProbes', () => {
-  it('asks nobody while all endpoints are ready', () => {
+  it('sends no probes while all endpoints are ready', () => {
     const { clock, endpoint, probes } = setUp()
     probes.start()
     clock.advance(60_000)
@@ -24,8 +24,8 @@
     expect(clock.pendingCount()).toBe(0)
   })
 
-  // Guards against this: an engine that is back, or has its model, serves nothing until the next routine probe.
-  it.each([{ health: 'crashed' as const }, { health: 'starting' as const }, { model: 'loading' as const }])('asks an endpoint that is about to change until it has (%j)', change => {
+  // Guards against an engine that has restarted or loaded its model, but serves nothing until the next regular probe.
+  it.each([{ health: 'crashed' as const }, { health: 'starting' as const }, { model: 'loading' as const }])('probes a changing endpoint until it is ready (%j)', change => {
     const { clock, endpoint, probes } = setUp()
     Object.assign(endpoint, change)
     probes.start()
@@ -36,7 +36,7 @@
     expect(endpoint.probes).toBe(5)
   })
 
-  it('leaves an endpoint that stays away to the routine probes, and asks it again after its next change', () => {
+  it('leaves an endpoint that stays down to the regular probes, and probes it again after its next change', () => {
     const { clock, endpoint, probes } = setUp()
     endpoint.health = 'crashed'
     probes.start()
--- a/packages/anvilarch-daemon/src/agent/__tests__/engineFailures.test.ts
+++ b/packages/anvilarch-daemon/src/agent/__tests__/engineFailures.test.ts
@@ -8,7 +8,7 @@
   return { model: 'small', messages: [{ role: 'user', content }], max_tokens: tokens }
 }
 
-describe('an agent before a failing engine', () => {
+describe('an agent with a failing engine', () => {
   let engine: EngineStandin
   let harness: AgentHarness
 
@@ -29,8 +29,8 @@
     expect(harness.violations).toEqual([])
   })
 
-  // Guards against this: a caller waits for the rest of a stream that never comes.
-  it('goes on over a new connection when the open ones go silent, with each token once and one execution', async () => {
+  // Guards against a caller waiting forever for the rest of a stream.
+  it('continues over a new connection when the open ones stop responding, with each token once and one execution', async () => {
     await start()
     const body = chat('silence', 200)
     const reading = readFrames(harness.client.startAttempt(startMessage({ attemptId: 'a', body, outputMode: 'stream' })))
@@ -43,16 +43,16 @@
     expect(harness.events('a')).toContain('attempts.resumed')
   })
 
-  it('sends heartbeats while the engine is silent', async () => {
+  it('sends heartbeats while the engine sends no data', async () => {
     await start({ engine: { baseStepMs: 400 }, agent: { endpointSilenceMs: 2000 } })
     const read = await readFrames(harness.client.startAttempt(startMessage({ attemptId: 'a', body: chat('slow', 2) })))
-    const beats = read.frames.filter(frame => frame.kind.case === 'heartbeat')
-    expect(beats.length).toBeGreaterThanOrEqual(3)
-    expect(beats[0].load).toMatchObject({ endpoint: 'engine', runningOnline: 1 })
+    const heartbeats = read.frames.filter(frame => frame.kind.case === 'heartbeat')
+    expect(heartbeats.length).toBeGreaterThanOrEqual(3)
+    expect(heartbeats[0].load).toMatchObject({ endpoint: 'engine', runningOnline: 1 })
   })
 
-  // Guards against this: a request is run again and again, and takes an endpoint down each time.
-  it('ends all attempts in progress as crashed when the engine dies, and refuses new ones until it is back', async () => {
+  // Guards against a request that is retried repeatedly and crashes an endpoint each time.
+  it('ends all attempts in progress as crashed when the engine crashes, and refuses new ones until it has restarted', async () => {
     await start({ crashOn: 'deadly' })
     const beside = readFrames(harness.client.startAttempt(startMessage({ attemptId: 'beside', body: chat('harmless', 400), outputMode: 'stream' })))
     await waitUntil(() => produced('beside'))
@@ -70,7 +70,7 @@
     expect(after.final?.outcome).toBe('completed')
   })
 
-  it('says that a request which crashed the engine in an isolated run was alone', async () => {
+  it('reports a request that crashed the engine in an isolated run as alone', async () => {
     await start({ crashOn: 'deadly' })
     const first = readFrames(harness.client.startAttempt(startMessage({ attemptId: 'first', body: chat('first', 200) })))
     await waitUntil(() => produced('first'))
@@ -79,7 +79,7 @@
     expect((await deadly).final).toMatchObject({ outcome: 'endpoint_crashed', wasAlone: true })
   })
 
-  it('says that a request which crashed the engine at its first token was computed alone, and tells the others that the cause is known', async () => {
+  it('reports a request that crashed the engine in a solo prefill as alone, and the cause as known to the others', async () => {
     await start({ crashOn: 'deadly' })
     const beside = readFrames(harness.client.startAttempt(startMessage({ attemptId: 'beside', body: chat('harmless', 400), outputMode: 'stream' })))
     await waitUntil(() => produced('beside'))
@@ -88,7 +88,7 @@
     expect((await beside).final).toMatchObject({ outcome: 'endpoint_crashed', wasAlone: false, causeKnown: true })
   })
 
-  it('proves a suspect harmless by a run in which its prompt was computed alone', async () => {
+  it('reports a completed run with a solo prefill as alone, which clears a suspect', async () => {
     await start({})
     const beside = readFrames(harness.client.startAttempt(startMessage({ attemptId: 'beside', body: chat('harmless', 100), outputMode: 'stream' })))
     await waitUntil(() => produced('beside'))
@@ -97,8 +97,8 @@
     expect((await beside).final).toMatchObject({ outcome: 'completed' })
   })
 
-  // Guards against this: a request takes one endpoint down after another, once for each gateway that its caller tries.
-  it('starts what was in progress without a token at a crash only alone, until it proved harmless', async () => {
+  // Guards against a request that crashes one endpoint after another, once for each gateway that its caller tries.
+  it('refuses to start a suspect beside other requests until it has completed alone', async () => {
     await start({ crashOn: 'deadly' })
     const message = (attemptId: string, fields: object = {}) => startMessage({ attemptId, fingerprint: 'f', body: chat('harmless in the end', 5), ...fields })
     await readFrames(harness.client.startAttempt(message('deadly', { body: chat('deadly', 10) })))
@@ -112,7 +112,7 @@
     expect((await readFrames(harness.client.startAttempt(message('again')))).final?.outcome).toBe('completed')
   })
 
-  it('takes a frozen engine for down, not for crashed, and gives its attempts up', async () => {
+  it('treats a frozen engine as down, not as crashed, and ends its attempts', async () => {
     await start({ agent: { endpointSilenceMs: 100 } })
     const reading = readFrames(harness.client.startAttempt(startMessage({ attemptId: 'a', body: chat('frozen', 400) })))
     await waitUntil(() => produced('a'))
@@ -123,8 +123,8 @@
     engine.faults.set({ frozen: false })
   })
 
-  // Guards against this: an online request waits for a batch item, or a preempted item loses or doubles tokens.
-  it('cuts a batch item off for online work and goes on with it at its offset', async () => {
+  // Guards against an online request waiting for a batch item, and against a preempted item losing or repeating tokens.
+  it('preempts a batch item for online work and resumes it at its offset', async () => {
     await start({ slots: 1 })
     const body = chat('batch', 200)
     const batch = readFrames(harness.client.startAttempt(startMessage({ attemptId: 'batch', body, workClass: 'batch' })))
@@ -136,7 +136,7 @@
     expect(executions('batch')).toMatchObject([{ state: 'completed' }])
   })
 
-  it('continues the text of a preempted item that the engine has forgotten', async () => {
+  it('continues the text of a preempted item whose stream the engine has discarded', async () => {
     await start({ slots: 1, engine: { retentionMs: 0 } })
     const body = chat('forgotten', 200)
     const batch = readFrames(harness.client.startAttempt(startMessage({ attemptId: 'batch', body, workClass: 'batch', outputMode: 'stream' })))
@@ -146,7 +146,7 @@
     expect(executions('batch')).toHaveLength(2)
   })
 
-  // Guards against this: the engine is slower than the agent's count of running attempts explains.
+  // Guards against an engine that still runs ended attempts, and is slower than the agent's count of running attempts explains.
   it.each([
     ['cancelled', 60_000, true],
     ['deadline', 1000, false]
@@ -161,7 +161,7 @@
     expect(await harness.client.cancelAttempt({ attemptId: 'a' })).toMatchObject({ outcome: 'finished' })
   })
 
-  it('fails an answer that is larger than the agent keeps', async () => {
+  it('fails a response that exceeds the maximum output size', async () => {
     await start({ agent: { maxOutputBytes: 2000 } })
     const read = await readFrames(harness.client.startAttempt(startMessage({ attemptId: 'a', body: chat('large', 300), outputMode: 'stream' })))
     expect(read.final).toMatchObject({ outcome: 'endpoint_failed', ran: 'ran' })
--- a/packages/anvilarch-daemon/src/agent/__tests__/gatewayConnections.test.ts
+++ b/packages/anvilarch-daemon/src/agent/__tests__/gatewayConnections.test.ts
@@ -7,7 +7,7 @@
 const COALESCE_MS = 60
 const BODY = { model: 'small', messages: [{ role: 'user', content: 'connection' }], max_tokens: 100 }
 
-describe('an agent and the connections of gateways', () => {
+describe('connections of gateways to an agent', () => {
   let engine: EngineStandin
   let harness: AgentHarness
 
@@ -24,16 +24,16 @@
     expect(harness.violations).toEqual([])
   })
 
-  // Guards against this: a caller's stream is cut off, or starts again from its beginning.
-  it('goes on with an attempt whose reader went away, and gives the rest from any offset over another connection', async () => {
+  // Guards against a caller's stream being truncated, or restarted from its beginning.
+  it('continues an attempt whose reader disconnected, and serves the rest from any offset over another connection', async () => {
     await start()
-    const gone = new AbortController()
+    const disconnect = new AbortController()
     const first = (async () => {
       let bytes = Buffer.alloc(0)
-      for await (const frame of harness.client.startAttempt(startMessage({ attemptId: 'a', body: BODY, outputMode: 'stream' }), { signal: gone.signal })) {
+      for await (const frame of harness.client.startAttempt(startMessage({ attemptId: 'a', body: BODY, outputMode: 'stream' }), { signal: disconnect.signal })) {
         if (frame.kind.case !== 'output') continue
         bytes = Buffer.concat([bytes, frame.kind.value.data])
-        if (bytes.length > 500) gone.abort()
+        if (bytes.length > 500) disconnect.abort()
       }
       return bytes
     })().catch((error: Error) => error)
@@ -47,18 +47,18 @@
     expect(executions('a')).toHaveLength(1)
   })
 
-  it('stops an attempt that nobody reads after the grace, and frees its slot at the engine', async () => {
+  it('stops an attempt without a reader after the grace period, and frees its slot at the engine', async () => {
     await start({ options: { readerGraceMs: 200 } })
-    const gone = new AbortController()
-    const reading = readFrames(harness.client.startAttempt(startMessage({ attemptId: 'a', body: { ...BODY, max_tokens: 50_000 }, outputMode: 'stream', remainingMs: 600_000 }), { signal: gone.signal })).catch(() => {})
+    const disconnect = new AbortController()
+    const reading = readFrames(harness.client.startAttempt(startMessage({ attemptId: 'a', body: { ...BODY, max_tokens: 50_000 }, outputMode: 'stream', remainingMs: 600_000 }), { signal: disconnect.signal })).catch(() => {})
     await waitUntil(() => harness.events('a').includes('attempts.first_token'))
-    gone.abort()
+    disconnect.abort()
     await reading
     await waitUntil(() => harness.events('a').includes('attempts.ended'))
     await waitUntil(() => engine.load().running === 0)
   })
 
-  // Guards against this: a caller was told "not run", and the request ran.
+  // Guards against a request that runs after its caller received "not run".
   it('never runs an attempt whose start arrives after it was barred', async () => {
     await start()
     const resumed = await readFrames(harness.connect().resumeAttempt({ requestId: 'r', attemptId: 'a', offsetBytes: 0n, agentIncarnation: 'incarnation-1' }))
@@ -70,17 +70,17 @@
     expect(engine.ledger().executions).toEqual([])
   })
 
-  it('attaches a start that is delivered twice to the attempt that runs', async () => {
+  it('attaches a duplicated start to the running attempt', async () => {
     await start()
     const message = startMessage({ attemptId: 'a', body: BODY })
     const reads = await Promise.all([harness.client, harness.connect(), harness.connect()].map(async client => await readFrames(client.startAttempt(message))))
-    const answers = new Set(reads.map(read => read.output.toString()))
-    expect(answers.size).toBe(1)
+    const outputs = new Set(reads.map(read => read.output.toString()))
+    expect(outputs.size).toBe(1)
     expect(reads.map(read => read.final?.outcome)).toEqual(['completed', 'completed', 'completed'])
     expect(executions('a')).toHaveLength(1)
   })
 
-  it('does not speak for its predecessor', async () => {
+  it('refuses messages for another incarnation', async () => {
     await start()
     const fields = { attemptId: 'a', body: BODY, agentIncarnation: 'incarnation-0' }
     expect((await readFrames(harness.client.startAttempt(startMessage(fields)))).refused).toMatchObject({ reason: 'wrong_incarnation', agentIncarnation: 'incarnation-1' })
@@ -88,8 +88,8 @@
     expect((await readFrames(harness.client.startAttempt(startMessage({ attemptId: 'a', body: BODY })))).final?.outcome).toBe('completed')
   })
 
-  // Guards against this: all callers of a connection wait for one that reads slowly.
-  it('holds back only the stream of a reader that takes nothing', async () => {
+  // Guards against a slow reader delaying all callers of a connection.
+  it('delays only the stream of a reader that does not read', async () => {
     await start({}, 1)
     const long = { ...BODY, max_tokens: 1500 }
     const slow = harness.client.startAttempt(startMessage({ attemptId: 'slow', body: long, outputMode: 'stream', remainingMs: 600_000 }))[Symbol.asyncIterator]()
@@ -102,9 +102,9 @@
     expect(textOfEvents(rest.output)).toEqual({ text: expectedText(PATH, long), tokens: 1500, isWhole: true })
   }, 120_000)
 
-  // Guards against this: a planned stop of an agent takes until its last bound, minutes later.
-  it('does not wait in a drain for a reader whose connection went silent', async () => {
-    // The server library reports each stream that it can't finish.
+  // Guards against a planned shutdown of an agent that lasts until the drain timeout, minutes later.
+  it('does not wait in a drain for a reader whose connection is dead', async () => {
+    // The server library logs each stream that it can't finish.
     const reports = jest.spyOn(console, 'error').mockImplementation(() => {})
     await start({ options: { pingIntervalMs: 100, connectionTimeoutMs: 600 } }, 1)
     const relay = await startRelay(harness.agent.address)
@@ -118,13 +118,13 @@
     reports.mockRestore()
   })
 
-  it('joins the output of a stream over a short time, but sends the first token at once', async () => {
+  it('coalesces the output of a stream over a short time, but sends the first token at once', async () => {
     await start({ agent: { coalesceMs: COALESCE_MS } })
     const startedMs = performance.now()
     const read = await readFrames(harness.client.startAttempt(startMessage({ attemptId: 'a', body: BODY, outputMode: 'stream' })))
     const outputs = read.frames.flatMap(frame => frame.kind.case === 'output' ? [frame.kind.value.data] : [])
     expect(textOfEvents(Buffer.from(outputs[0])).tokens).toBe(1)
-    // In each stretch of the time one at once and one that was joined, the first one, and what is left at the end.
+    // Two frames per coalescing interval, one immediate and one coalesced, plus the first and the last one.
     expect(outputs.length).toBeLessThanOrEqual(2 + 2 * Math.ceil((performance.now() - startedMs) / COALESCE_MS))
     expect(textOfEvents(read.output).tokens).toBe(100)
   })
--- a/packages/anvilarch-daemon/src/agent/__tests__/lastLoad.test.ts
+++ b/packages/anvilarch-daemon/src/agent/__tests__/lastLoad.test.ts
@@ -11,20 +11,20 @@
 const last = afterOrder(undefined, order('load'), 'first') as LastLoad
 
 describe('the last load of an endpoint', () => {
-  it('is what the last order to load named', () => {
+  it('has the model of the last load order', () => {
     expect(last).toEqual({ service: 'assistant', model: 'small', version: '1', adapters: ['notes'], fencingToken: 5, incarnation: 'first' })
     expect(afterOrder(last, order('load', { version: '2', fencingToken: 6n }), 'first')).toMatchObject({ version: '2', fencingToken: 6 })
     expect(afterOrder(last, order('unload', { version: '0' }), 'first')).toEqual(last)
     expect(afterOrder(last, order('assign', { service: 'other', fencingToken: 6n }), 'first')).toEqual({ ...last, service: 'other' })
   })
 
-  // Guards against this: an endpoint takes back a model that was taken from it.
-  it('is nothing once the model was unloaded or the endpoint released', () => {
+  // Guards against an endpoint reloading a model that was removed from it.
+  it('is undefined once the model is unloaded or the endpoint is released', () => {
     expect(afterOrder(last, order('unload'), 'first')).toBeUndefined()
     expect(afterOrder(last, order('assign', { service: '' }), 'first')).toBeUndefined()
   })
 
-  it('is due again at a new process that does not have it, and only there', () => {
+  it('is due only at a restarted process that lacks the model', () => {
     expect(isReloadDue(last, restarted, TEST_DOCUMENT)).toBe(true)
     expect(isReloadDue(undefined, restarted, TEST_DOCUMENT)).toBe(false)
     expect(isReloadDue(last, { ...restarted, isUp: false }, TEST_DOCUMENT)).toBe(false)
@@ -32,8 +32,8 @@
     expect(isReloadDue(last, { ...restarted, models: [loaded] }, TEST_DOCUMENT)).toBe(false)
   })
 
-  // Guards against this: an endpoint loads what its service does not run any more.
-  it('is not due when the document names another model or version for its service, or no such service', () => {
+  // Guards against an endpoint loading a model that its service no longer runs.
+  it('is not due when the configuration has another model or version for its service, or no such service', () => {
     const assistant = (fields: object): typeof TEST_DOCUMENT =>
       ({ ...TEST_DOCUMENT, services: { ...TEST_DOCUMENT.services, assistant: { ...TEST_DOCUMENT.services.assistant, ...fields } } }) as typeof TEST_DOCUMENT
     expect(isReloadDue(last, restarted, assistant({ version: '2' }))).toBe(false)
--- a/packages/anvilarch-daemon/src/agent/__tests__/modelRun.test.ts
+++ b/packages/anvilarch-daemon/src/agent/__tests__/modelRun.test.ts
@@ -6,7 +6,7 @@
 import type { RunEnd } from '../endpoints/types'
 
 type Mode = 'stream' | 'whole'
-type Answer = (response: ServerResponse, request: IncomingMessage) => void
+type EngineResponse = (response: ServerResponse, request: IncomingMessage) => void
 
 const DONE = 'data: [DONE]\n\n'
 const ERROR = 'data: {"error":{"message":"out of memory","code":500}}\n\n'
@@ -15,19 +15,19 @@
 const word = (content: string, index = 0): string => chunk({ content }, null, index)
 const STOP = chunk({}, 'stop')
 
-const events = (...parts: string[]): Answer => response => {
+const events = (...parts: string[]): EngineResponse => response => {
   response.writeHead(200, { 'content-type': 'text/event-stream' })
   response.end(parts.join(''))
 }
-const cutEvents = (...parts: string[]): Answer => response => {
+const cutEvents = (...parts: string[]): EngineResponse => response => {
   response.writeHead(200, { 'content-type': 'text/event-stream' })
   response.write(parts.join(''), () => { response.destroy() })
 }
-const answer = (status: number, body: string, type = 'application/json'): Answer => response => {
+const respondWith = (status: number, body: string, type = 'application/json'): EngineResponse => response => {
   response.writeHead(status, { 'content-type': type })
   response.end(body)
 }
-const UNKNOWN = answer(404, '{}')
+const UNKNOWN = respondWith(404, '{}')
 
 let server: Server
 let connections: EndpointConnections
@@ -37,12 +37,12 @@
   await new Promise(resolve => { server.close(resolve) })
 })
 
-/** Runs a request at an engine that answers its connections one after the other, the last one also to all that follow. */
-async function run (mode: Mode, ...answers: Answer[]): Promise<{ end: RunEnd, status: number, output: string }> {
+/** Runs a request at an engine that gives the responses in order, and repeats the last one. */
+async function run (mode: Mode, ...responses: EngineResponse[]): Promise<{ end: RunEnd, status: number, output: string }> {
   let calls = 0
   server = createServer((request, response) => {
     request.resume()
-    request.on('end', () => { answers[Math.min(calls++, answers.length - 1)](response, request) })
+    request.on('end', () => { responses[Math.min(calls++, responses.length - 1)](response, request) })
   })
   await new Promise<void>(resolve => { server.listen(0, '127.0.0.1', resolve) })
   const url = `http://127.0.0.1:${(server.address() as AddressInfo).port}`
@@ -66,60 +66,60 @@
 const MODES: Mode[] = ['stream', 'whole']
 
 describe('startModelRun', () => {
-  // Guards against this: part of a text counts as the whole answer since its engine closed the stream in good order.
-  it.each(MODES)('does not take a stream without its end mark for whole, as a %s', async mode => {
+  // Guards against a truncated text being taken for complete because the engine closed the stream without an error.
+  it.each(MODES)('does not accept a stream without its end mark as complete, in mode %s', async mode => {
     const { end, output } = await run(mode, events(word('one '), word('two')), UNKNOWN, events(word('three')), UNKNOWN)
     expect(end).toMatchObject({ outcome: 'endpoint_failed', ran: 'ran' })
     expect(output).not.toContain('[DONE]')
   })
 
-  it.each<[string, Answer]>([
-    ['a whole answer', answer(200, '{"choices":[]}')],
-    ['another success', answer(202, '{}')],
-    ['a failure', answer(500, '{}')]
-  ])('does not take %s for the rest of a stream', async (_what, other) => {
+  it.each<[string, EngineResponse]>([
+    ['a complete response', respondWith(200, '{"choices":[]}')],
+    ['another success status', respondWith(202, '{}')],
+    ['an error response', respondWith(500, '{}')]
+  ])('does not accept %s as the rest of a stream', async (_what, other) => {
     const { end, output } = await run('stream', cutEvents(word('one ')), other)
     expect(end).toMatchObject({ outcome: 'endpoint_failed', ran: 'ran' })
     expect(output).toBe(word('one '))
   })
 
-  // Guards against this: a text whose engine failed in the middle is stored as a completed item.
-  it.each(MODES.flatMap(mode => [[mode, 'an event', ERROR], [mode, 'a named event', NAMED_ERROR]] as const))('fails when the engine tells an error within its stream, as a %s, by %s', async (mode, _how, error) => {
+  // Guards against storing a text as a completed item although the engine failed in the middle.
+  it.each(MODES.flatMap(mode => [[mode, 'an event', ERROR], [mode, 'a named event', NAMED_ERROR]] as const))('fails when the engine reports an error within its stream, in mode %s, by %s', async (mode, _how, error) => {
     const { end, output } = await run(mode, events(word('one '), error, STOP, DONE))
     expect(end).toMatchObject({ outcome: 'endpoint_failed', ran: 'ran', detail: expect.stringContaining('out of memory') })
     expect(output).not.toContain('[DONE]')
   })
 
-  // Guards against this: a text that was given up by its engine counts as the whole answer.
-  it.each(MODES)('fails when the engine ends its stream without a reason, as a %s', async mode => {
+  // Guards against a text that the engine has abandoned being taken for complete.
+  it.each(MODES)('fails when the engine ends its stream without a finish reason, in mode %s', async mode => {
     const { end, output } = await run(mode, events(word('one '), DONE))
     expect(end).toMatchObject({ outcome: 'endpoint_failed', ran: 'ran' })
     expect(output).not.toContain('[DONE]')
   })
 
-  // Guards against this: an answer that has ended goes on with the text of another run, or ends twice.
-  it.each<[string, Answer[]]>([
+  // Guards against a finished response that continues with the text of another run, or ends twice.
+  it.each<[string, EngineResponse[]]>([
     ['the engine sends the end again', [events(STOP, DONE)]],
-    ['the engine begins anew', [UNKNOWN, events(word('three'), STOP, DONE)]]
+    ['the engine starts a new generation', [UNKNOWN, events(word('three'), STOP, DONE)]]
   ])('ends once when its connection breaks before the end mark and %s', async (_what, more) => {
     const { end, output } = await run('stream', cutEvents(word('one '), word('two'), STOP), ...more)
     expect(end).toMatchObject({ outcome: 'completed', outputTokens: 2 })
     expect(output).toBe([word('one '), word('two'), STOP, DONE].join(''))
   })
 
-  // Guards against this: the texts of several choices, or half a tool call, are given to a new run as one text.
+  // Guards against passing the texts of several choices, or a partial tool call, to a new run as one text.
   it.each<[string, string[]]>([
     ['several choices', [word('one '), word('eins ', 1)]],
     ['a tool call', [chunk({ tool_calls: [{ index: 0, id: 't', function: { name: 'look', arguments: '{"a' } }] })]]
-  ])('fails when the engine forgot an answer with %s', async (_what, parts) => {
+  ])('fails when the engine has discarded a stream with %s', async (_what, parts) => {
     const { end, output } = await run('stream', cutEvents(...parts), UNKNOWN, events(word('two'), STOP, DONE))
     expect(end).toMatchObject({ outcome: 'endpoint_failed', ran: 'ran' })
     expect(output).toBe(parts.join(''))
   })
 
-  // Guards against this: half a body counts as the whole one, since the end of its connection is its only frame.
+  // Guards against a truncated body being taken for complete, since only the end of its connection delimits it.
   it.each(MODES.flatMap(mode => [[mode, 200, '{"choices":[{"mess', 'endpoint_failed'], [mode, 200, '{"choices":[]}', 'completed'], [mode, 502, 'too busy', 'completed']] as const))(
-    'tells by its JSON whether a body without a length is whole, as a %s: %d %s', async (mode, status, body, outcome) => {
+    'detects by its JSON whether a body without a length is complete, in mode %s: %d %s', async (mode, status, body, outcome) => {
       const { end, output } = await run(mode, response => { response.socket?.end(`HTTP/1.1 ${status} X\r\ncontent-type: application/json\r\n\r\n${body}`) })
       expect(end).toMatchObject({ outcome, ran: 'ran' })
       expect(output).toBe(body)
--- a/packages/anvilarch-daemon/src/agent/__tests__/plainCalls.test.ts
+++ b/packages/anvilarch-daemon/src/agent/__tests__/plainCalls.test.ts
@@ -2,13 +2,13 @@
 import { type AgentHarness, type ReadAttempt, readFrames, type StartFields, startAgentHarness, startMessage, waitUntil } from '../__fixtures__/agentHarness'
 import { type RawServer, startRawServer, COMPLETE_RESPONSE } from '../__fixtures__/rawServer'
 
-describe('an agent before a plain service', () => {
+describe('an agent with a plain service', () => {
   let server: RawServer
   let harness: AgentHarness
 
   const start = async (onRequest: (socket: Socket, number: number) => void): Promise<void> => {
     server = await startRawServer(onRequest)
-    // Probes open connections without a request; a long interval keeps them out of the way.
+    // Probes open connections without a request; the long interval prevents them during the test.
     harness = await startAgentHarness({
       endpoints: [{ name: 'plain', kind: 'plain', url: server.url, service: 'lookup' }],
       agent: { endpointSilenceMs: 100 },
@@ -27,19 +27,19 @@
     expect(harness.violations).toEqual([])
   })
 
-  // Guards against this: a trader is told "not run", orders again, and pays twice.
+  // Guards against a caller that receives "not run", repeats an order, and pays twice.
   it.each([
-    ['before the answer', (socket: Socket) => { socket.destroy() }],
-    ['in the middle of the answer', (socket: Socket) => { socket.write('HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhalf', () => { socket.destroy() }) }]
-  ])('sends a call that is not idempotent once, and says unknown when the connection is cut %s', async (_, cut) => {
+    ['before the response', (socket: Socket) => { socket.destroy() }],
+    ['in the middle of the response', (socket: Socket) => { socket.write('HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhalf', () => { socket.destroy() }) }]
+  ])('sends a non-idempotent call once, and reports unknown when the connection is closed %s', async (_, cut) => {
     await start(cut)
     const read = await call({ attemptId: 'once', idempotent: false })
     expect(read.final).toMatchObject({ outcome: 'endpoint_failed', ran: 'unknown' })
     expect(server.requests).toEqual(['POST /orders HTTP/1.1'])
   })
 
-  // Guards against this: a call runs twice.
-  it('uses a connection of its own for each call that is not idempotent', async () => {
+  // Guards against a call that runs twice.
+  it('uses a dedicated connection for each non-idempotent call', async () => {
     const sockets = new Set<Socket>()
     await start(socket => {
       sockets.add(socket)
@@ -51,14 +51,14 @@
     expect(sockets.size).toBe(3)
   })
 
-  it('waits for the answer to a call that is not idempotent until its deadline, and then says unknown', async () => {
+  it('waits for the response to a non-idempotent call until its deadline, and then reports unknown', async () => {
     await start(() => {})
     const read = await call({ attemptId: 'silent', idempotent: false, remainingMs: 400 })
     expect(read.final).toMatchObject({ outcome: 'deadline', ran: 'unknown' })
     expect(server.requests).toHaveLength(1)
   })
 
-  it('says not_run when the connection is refused before anything was sent', async () => {
+  it('reports not_run when the connection is refused before anything was sent', async () => {
     await start(() => {})
     await server.close()
     const read = await call({ attemptId: 'refused', idempotent: false })
@@ -67,7 +67,7 @@
     expect((await call({ attemptId: 'later', idempotent: false })).refused?.reason).toBe('endpoint_down')
   })
 
-  it('sends an idempotent call again over a new connection when a kept-alive one was reset', async () => {
+  it('sends an idempotent call again over a new connection when a keep-alive connection was reset', async () => {
     await start((socket, number) => {
       if (number === 1) socket.destroy()
       else socket.write(COMPLETE_RESPONSE)
@@ -77,8 +77,8 @@
     expect(server.requests).toHaveLength(3)
   })
 
-  // Guards against this: a lookup waits for its deadline although the service is well.
-  it('sends an idempotent call again beside one that stays silent, and takes the first answer', async () => {
+  // Guards against a lookup waiting until its deadline although the service works.
+  it('sends an idempotent call again in parallel to one without a response, and uses the first response', async () => {
     await start((socket, number) => { if (number !== 0) socket.write(COMPLETE_RESPONSE) })
     const read = await call({ attemptId: 'a' })
     expect(read.output.toString()).toBe('ok')
@@ -86,7 +86,7 @@
     expect(harness.events('a')).toContain('attempts.resumed')
   })
 
-  it('ends a call as crashed when the service dies under it', async () => {
+  it('ends a call as crashed when the service exits during the call', async () => {
     await start(socket => {
       server.close().catch(() => {})
       socket.destroy()
--- a/packages/anvilarch-daemon/src/agent/__tests__/plainRun.test.ts
+++ b/packages/anvilarch-daemon/src/agent/__tests__/plainRun.test.ts
@@ -10,12 +10,12 @@
 describe('startPlainRun', () => {
   let server: RawServer
   let connections: EndpointConnections
-  let heads: number
+  let headCount: number
 
   const start = async (onRequest: (socket: Socket, number: number) => void): Promise<void> => {
     server = await startRawServer(onRequest)
     connections = createEndpointConnections(server.url)
-    heads = 0
+    headCount = 0
   }
 
   const run = (given: { method?: string, idempotent?: boolean, onCheck?: (run: EndpointRun) => void } = {}): EndpointRun => {
@@ -28,12 +28,12 @@
     }
     const deps = { connections, clock, basePath: '', idleTimeoutMs: 100, onUnreachable: () => {}, checkProcess }
     const started = startPlainRun(deps, { requestId: 'r', attemptId: 'a', workClass: 'lookup', idempotent, outputMode: 'raw', call }, {
-      onHead: () => { heads++ }, onOutput: () => true, onToken: () => {}, onResumed: () => {}
+      onHead: () => { headCount++ }, onOutput: () => true, onToken: () => {}, onResumed: () => {}
     })
     return started
   }
 
-  const answer = async (bytes: string, given: { method?: string, idempotent?: boolean } = {}): Promise<RunEnd> => {
+  const runAgainst = async (bytes: string, given: { method?: string, idempotent?: boolean } = {}): Promise<RunEnd> => {
     await start(socket => { socket.end(bytes) })
     return await run(given).done
   }
@@ -43,8 +43,9 @@
     await server.close()
   })
 
-  // Guards against this: about one idempotent call in forty to a service that resets connections failed, though its second try would have been answered.
-  it('is not given up by the judgement on its first try while the tick has sent it again', async () => {
+  // Guards against a race between the process check after the first send and the tick that sends the call again. It made
+  // about one in forty idempotent calls to a service that resets connections fail, although the second send would have succeeded.
+  it('does not fail after its first send when the tick has sent the call again in the meantime', async () => {
     await start((socket, number) => {
       if (number === 0) socket.destroy()
       else setTimeout(() => { socket.write(COMPLETE_RESPONSE) }, 20)
@@ -54,24 +55,24 @@
     expect(server.requests).toHaveLength(2)
   })
 
-  // Guards against this: a caller takes an answer that was cut for the whole one, since both end with the connection.
-  it.each([true, false])('does not take an answer that ends with its connection, nor pass on its head, when idempotent is %s', async idempotent => {
-    expect(await answer('HTTP/1.1 200 OK\r\n\r\nhalf', { idempotent })).toMatchObject({ outcome: 'endpoint_failed', ran: 'unknown' })
-    expect(heads).toBe(0)
+  // Guards against a truncated response being taken for a complete one, since both end with the connection.
+  it.each([true, false])('rejects a response delimited by the end of its connection, without forwarding its head, when idempotent is %s', async idempotent => {
+    expect(await runAgainst('HTTP/1.1 200 OK\r\n\r\nhalf', { idempotent })).toMatchObject({ outcome: 'endpoint_failed', ran: 'unknown' })
+    expect(headCount).toBe(0)
   })
 
-  // Guards against this: a coding that says nothing of the end passes for a frame.
-  it.each(['gzip', 'chunked, gzip', 'gzip\r\ntransfer-encoding: xchunked'])('does not take an answer for whole whose codings are %j', async codings => {
-    expect(await answer(`HTTP/1.1 200 OK\r\ntransfer-encoding: ${codings}\r\n\r\nhalf`)).toMatchObject({ outcome: 'endpoint_failed', ran: 'unknown' })
-    expect(heads).toBe(0)
+  // Guards against transfer codings that do not delimit the body being taken for framing.
+  it.each(['gzip', 'chunked, gzip', 'gzip\r\ntransfer-encoding: xchunked'])('rejects a response with the transfer codings %j', async codings => {
+    expect(await runAgainst(`HTTP/1.1 200 OK\r\ntransfer-encoding: ${codings}\r\n\r\nhalf`)).toMatchObject({ outcome: 'endpoint_failed', ran: 'unknown' })
+    expect(headCount).toBe(0)
   })
 
   it.each([
     ['a status without a body', 'GET', 'HTTP/1.1 204 No Content\r\n\r\n'],
-    ['the answer to a HEAD', 'HEAD', 'HTTP/1.1 200 OK\r\n\r\n'],
-    ['an answer in chunks', 'GET', 'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nfull\r\n0\r\n\r\n']
-  ])('takes %s for whole without a length', async (_name, method, bytes) => {
-    expect(await answer(bytes, { method })).toMatchObject({ outcome: 'completed', ran: 'ran' })
-    expect(heads).toBe(1)
+    ['the response to a HEAD request', 'HEAD', 'HTTP/1.1 200 OK\r\n\r\n'],
+    ['a chunked response', 'GET', 'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nfull\r\n0\r\n\r\n']
+  ])('accepts %s without a length as complete', async (_name, method, bytes) => {
+    expect(await runAgainst(bytes, { method })).toMatchObject({ outcome: 'completed', ran: 'ran' })
+    expect(headCount).toBe(1)
   })
 })
--- a/packages/anvilarch-daemon/src/agent/__tests__/processPause.test.ts
+++ b/packages/anvilarch-daemon/src/agent/__tests__/processPause.test.ts
@@ -10,7 +10,7 @@
   while (performance.now() < untilMs);
 }
 
-describe('an agent whose own process stands still', () => {
+describe('an agent after a process pause', () => {
   let engine: EngineStandin
   let harness: AgentHarness
 
@@ -29,7 +29,8 @@
     expect(harness.violations).toEqual([])
   })
 
-  // Guards against this: after a host wakes up, its agent opens each of its streams to the engine anew and drops the connections of all gateways.
+  // Guards against an agent that, after its host resumes, reopens all streams to the engine and drops the connections of all
+  // gateways.
   it('keeps its streams to the engine and the connections of its gateways', async () => {
     const reading = readFrames(harness.client.startAttempt(startMessage({ attemptId: 'a', body: { model: 'small', messages: [{ role: 'user', content: 'x' }], max_tokens: 60 }, outputMode: 'stream' })))
     await waitUntil(() => harness.events('a').includes('attempts.first_token'))
--- a/packages/anvilarch-daemon/src/agent/__tests__/startAgent.test.ts
+++ b/packages/anvilarch-daemon/src/agent/__tests__/startAgent.test.ts
@@ -35,7 +35,7 @@
     expect(harness.events('whole')).toEqual(['attempts.accepted', 'attempts.first_token', 'attempts.ended'])
   })
 
-  it('passes the events of a stream through, without the usage event that the caller did not ask for', async () => {
+  it('passes the events of a stream through, without a usage event that the caller did not request', async () => {
     const read = await readFrames(harness.client.startAttempt(startMessage({ attemptId: 'stream', body: { ...CHAT, stream: true }, outputMode: 'stream' })))
     expect(textOfEvents(read.output)).toEqual({ text: expectedText('/v1/chat/completions', CHAT), tokens: 20, isWhole: true })
     expect(read.output.toString()).not.toContain('"usage"')
@@ -56,7 +56,7 @@
     expect(new Set(outcomes)).toEqual(new Set(['completed']))
   })
 
-  it('passes the error status of an engine through as a whole answer', async () => {
+  it('passes an error response of an engine through as a complete response', async () => {
     const read = await readFrames(harness.client.startAttempt(startMessage({ attemptId: 'bad', body: { model: 'small' } })))
     expect(read.status).toBe(400)
     expect(read.final).toMatchObject({ outcome: 'completed', ran: 'ran' })
--- a/packages/anvilarch-daemon/src/agent/attemptTable.ts
+++ b/packages/anvilarch-daemon/src/agent/attemptTable.ts
@@ -116,7 +116,7 @@
     if (event.incarnation !== state.options.incarnation) return [refuse(event.id, 'wrong_incarnation')]
     const entry = state.entries.get(event.id)
     if (entry !== undefined) return [commandForKnown(event.id, entry)]
-    return [refuse(event.id, bar(state, event.id, event.nowMs) ? 'barred' : 'wrong_incarnation')]
+    return [refuse(event.id, barId(state, event.id, event.nowMs) ? 'barred' : 'wrong_incarnation')]
   },
   cancel: onCancel,
   accepted: (state, event) => {
@@ -127,7 +127,7 @@
   },
   refused: (state, event) => {
     invariant(!state.entries.has(event.id), 'refused_attempt_unknown', () => `"${event.id}" is known already`)
-    bar(state, event.id, event.nowMs)
+    barId(state, event.id, event.nowMs)
     return []
   },
   started: (state, event) => {
@@ -177,7 +177,7 @@
 
 // At the limit of tombstones, an id can't be prevented from starting later, so that it must not be reported as not run.
 // The peer then gets the same response as from an agent that was restarted.
-function bar (state: AttemptTableState, id: string, nowMs: number): boolean {
+function barId (state: AttemptTableState, id: string, nowMs: number): boolean {
   if (!hasTombstoneCapacity(state)) return false
   state.entries.set(id, { state: 'barred', untilMs: nowMs + state.options.barRetentionMs })
   state.tombstones++
@@ -188,7 +188,7 @@
   const { id } = event
   const entry = state.entries.get(id)
   if (entry === undefined) {
-    return [{ kind: 'cancelAnswer', id, outcome: bar(state, id, event.nowMs) ? 'barred' : 'unknown' }]
+    return [{ kind: 'cancelAnswer', id, outcome: barId(state, id, event.nowMs) ? 'barred' : 'unknown' }]
   }
   if (entry.state === 'barred') return [{ kind: 'cancelAnswer', id, outcome: 'barred' }]
   if (isLive(entry)) {
--- a/packages/anvilarch-daemon/src/agent/endpointTask.ts
+++ b/packages/anvilarch-daemon/src/agent/endpointTask.ts
@@ -206,15 +206,15 @@
   }
 
   const view = (): ServiceView => {
-    const now = {
+    const current = {
       settings,
       assigned,
       models: health.models().filter(loaded => loaded.model !== unloadingModel),
       version: context.configuration.version(),
       document: context.configuration.current()?.document
     }
-    settled = settledService(now, settled === '' ? lastLoadedService : settled)
-    return { ...now, settled }
+    settled = settledService(current, settled === '' ? lastLoadedService : settled)
+    return { ...current, settled }
   }
 
   // No work is accepted before the endpoint has responded to a probe.
--- a/packages/anvilarch-daemon/src/agent/endpoints/engineConnection.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/engineConnection.ts
@@ -111,7 +111,7 @@
  * Without a length or chunks, a body is complete only if it parses as JSON. The body of an error response may be
  * truncated, since its status suffices.
  */
-function isCompleteResponse (end: ExchangeEnd, { unframedBody: unproved }: ReceivedResponse): boolean {
+function isCompleteResponse (end: ExchangeEnd, { unframedBody }: ReceivedResponse): boolean {
   if (end.kind !== 'complete') return false
-  return unproved === undefined || parseOrUndefined(Buffer.concat(unproved).toString('utf8')) !== undefined
+  return unframedBody === undefined || parseOrUndefined(Buffer.concat(unframedBody).toString('utf8')) !== undefined
 }
--- a/packages/anvilarch-daemon/src/agent/endpoints/httpExchange.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/httpExchange.ts
@@ -33,7 +33,7 @@
 }
 
 /** Hop-by-hop headers, which the agent sets itself. */
-const HOP_HEADERS = new Set(['connection', 'keep-alive', 'proxy-connection', 'transfer-encoding', 'upgrade', 'te', 'trailer', 'host', 'content-length', 'expect'])
+const HOP_BY_HOP_HEADERS = new Set(['connection', 'keep-alive', 'proxy-connection', 'transfer-encoding', 'upgrade', 'te', 'trailer', 'host', 'content-length', 'expect'])
 
 /**
  * @param headers - headers of a message
@@ -42,7 +42,7 @@
 export function endToEndHeaders (headers: Record<string, string | string[] | undefined>): Headers {
   const kept: Headers = {}
   for (const [name, value] of Object.entries(headers)) {
-    if (value === undefined || HOP_HEADERS.has(name.toLowerCase())) continue
+    if (value === undefined || HOP_BY_HOP_HEADERS.has(name.toLowerCase())) continue
     kept[name.toLowerCase()] = Array.isArray(value) ? value.join(', ') : value
   }
   return kept
--- a/packages/anvilarch-daemon/src/agent/endpoints/modelRun.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/modelRun.ts
@@ -226,9 +226,9 @@
     preempt: async () => {
       if (hasEnded()) return false
       preemption ??= createPreemption()
-      const { slotFree: parked } = preemption
+      const { slotFree } = preemption
       connection?.exchange.abort()
-      await parked
+      await slotFree
       return !hasEnded()
     },
     resume: () => { preemption?.resume() },
--- a/packages/anvilarch-daemon/src/agent/endpoints/plainRun.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/plainRun.ts
@@ -80,7 +80,7 @@
       return
     }
     if (ended !== undefined) return
-    if (maySendAgain(end)) {
+    if (mayRetry(end)) {
       sink.onResumed('broken', 0)
       send(true)
       return
@@ -89,7 +89,7 @@
   }
 
   // After a refused connection the next one would be refused too; a reset may affect a single idle connection.
-  const maySendAgain = (end: ExchangeEnd): boolean =>
+  const mayRetry = (end: ExchangeEnd): boolean =>
     call.idempotent && winner === undefined && sends < MAX_SENDS && end.kind === 'error' && end.sent
 
   const send = (fresh: boolean): void => {
--- a/packages/anvilarch-daemon/src/agent/fencing.ts
+++ b/packages/anvilarch-daemon/src/agent/fencing.ts
@@ -21,7 +21,7 @@
   | { kind: 'apply', token: number }
 
 /** Decision on an order. */
-export type FencingVerdict = 'allowed' | 'no_floor' | 'stale_fencing_token'
+export type FencingDecision = 'allowed' | 'no_floor' | 'stale_fencing_token'
 
 /** State before the floor is known and any order has been seen. */
 export const INITIAL_FENCING: FencingState = { floorKnown: false, highestToken: 0 }
@@ -31,10 +31,10 @@
  * @param event - the event to apply
  * @returns the next state, and the decision
  */
-export function fencingStep (state: FencingState, event: FencingEvent): { state: FencingState, verdict: FencingVerdict } {
+export function fencingStep (state: FencingState, event: FencingEvent): { state: FencingState, decision: FencingDecision } {
   const next = advance(state, event)
   invariant(next.highestToken >= state.highestToken, 'fencing_token_grows', () => `${state.highestToken} became ${next.highestToken}`)
-  return { state: next, verdict: verdictOn(next, event) }
+  return { state: next, decision: decisionOn(next, event) }
 }
 
 function advance (state: FencingState, event: FencingEvent): FencingState {
@@ -42,7 +42,7 @@
   return { ...state, highestToken: Math.max(state.highestToken, event.token) }
 }
 
-function verdictOn (state: FencingState, event: FencingEvent): FencingVerdict {
+function decisionOn (state: FencingState, event: FencingEvent): FencingDecision {
   if (!state.floorKnown) return 'no_floor'
   return event.token < state.highestToken ? 'stale_fencing_token' : 'allowed'
 }
--- a/packages/anvilarch-daemon/src/agent/orders.ts
+++ b/packages/anvilarch-daemon/src/agent/orders.ts
@@ -5,7 +5,7 @@
 import type { DaemonContext } from '../context'
 import type { EndpointTask } from './endpointTask'
 import type { EngineOrderResult } from './endpoints/types'
-import { type FencingEvent, type FencingVerdict, fencingStep, INITIAL_FENCING } from './fencing'
+import { type FencingEvent, type FencingDecision, fencingStep, INITIAL_FENCING } from './fencing'
 import { afterOrder, isReloadDue, type LastLoad } from './lastLoad'
 
 /** Fields of the response to an order. */
@@ -50,10 +50,10 @@
   const endedOrders = new Map<string, EndedOrder>()
   let reloading = false
 
-  const applyFencing = (event: FencingEvent): FencingVerdict => {
+  const applyFencing = (event: FencingEvent): FencingDecision => {
     const step = fencingStep(fencing, event)
     fencing = step.state
-    return step.verdict
+    return step.decision
   }
 
   // All orders that wait for the row share one read.
@@ -130,8 +130,8 @@
     const action = actions[request.action]
     if (task === undefined || action === undefined || task.settings.kind !== 'model') return { outcome: 'refused', reason: 'unknown_endpoint' }
     await readFloor()
-    const verdict = applyFencing({ kind: 'order', token: Number(request.fencingToken) })
-    if (verdict !== 'allowed') return { outcome: 'refused', reason: verdict }
+    const decision = applyFencing({ kind: 'order', token: Number(request.fencingToken) })
+    if (decision !== 'allowed') return { outcome: 'refused', reason: decision }
     record('accepted', request)
     return await startedAfterTimeout(request, execute(task, request, action))
   }
--- a/packages/anvilarch-daemon/src/timeline/__tests__/createTimeline.test.ts
+++ b/packages/anvilarch-daemon/src/timeline/__tests__/createTimeline.test.ts
@@ -2,7 +2,7 @@
 import { createTimeline } from '../createTimeline'
 
 describe('createTimeline', () => {
-  it('keeps the latest events in order and finds them by request, job, time and number', () => {
+  it('keeps the latest events in order, and queries them by request, job, time and limit', () => {
     const clock = createFakeClock(1000)
     const timeline = createTimeline({ clock, process: 'agent-1', capacity: 4 })
     for (let index = 0; index < 6; index++) {
