--- a/packages/anvilarch-daemon/src/agent/endpoints/engineConnection.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/engineConnection.ts
@@ -23,8 +23,8 @@
   onStream: (headers: Headers) => void
   onEvent: (event: EngineEvent) => void
   /** A response that is not a stream has started. */
-  onPlainResponse: (status: number, headers: Headers) => void
-  onPlainResponseData: (data: Uint8Array) => void
+  onNonStreamHead: (status: number, headers: Headers) => void
+  onNonStreamData: (data: Uint8Array) => void
 }
 
 /** Options of `openEngineConnection`. */
@@ -35,7 +35,7 @@
   /** The call resumes a stream. */
   isResume: boolean
   /** Whether to accept a response that is not a stream as the result; otherwise it is a failed try. */
-  acceptsPlainResponse: boolean
+  acceptsNonStream: boolean
 }
 
 /** A connection in progress. */
@@ -71,7 +71,7 @@
     phase = phaseOf(options, status, headers)
     unframedBody = framed || status >= MIN_NON_SUCCESS_STATUS ? undefined : []
     if (phase === 'streaming') listener.onStream(headers)
-    else if (phase === 'answering') listener.onPlainResponse(status, headers)
+    else if (phase === 'answering') listener.onNonStreamHead(status, headers)
   }
 
   const exchange = openExchange(options.dispatcher, options.call, {
@@ -79,7 +79,7 @@
     onData: data => {
       if (phase === 'answering') {
         unframedBody?.push(data)
-        listener.onPlainResponseData(data)
+        listener.onNonStreamData(data)
       } else if (phase === 'streaming') events.feed(data)
     }
   }, options.clock)
@@ -90,7 +90,7 @@
 function phaseOf (options: EngineConnectionOptions, status: number, headers: Headers): Phase {
   if (status === 200 && (headers['content-type'] ?? '').startsWith('text/event-stream')) return 'streaming'
   if (options.isResume && status === STATUS_UNKNOWN_STREAM) return 'unknown_stream'
-  return options.acceptsPlainResponse && !options.isResume && status !== STATUS_ATTEMPT_EXISTS ? 'answering' : 'failed'
+  return options.acceptsNonStream && !options.isResume && status !== STATUS_ATTEMPT_EXISTS ? 'answering' : 'failed'
 }
 
 interface ReceivedResponse {
--- a/packages/anvilarch-daemon/src/agent/endpoints/modelRun.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/modelRun.ts
@@ -123,12 +123,12 @@
       clock: deps.clock,
       call: callFor(opening),
       isResume: opening === 'resume',
-      acceptsPlainResponse: !headSent
+      acceptsNonStream: !headSent
     }, {
       onStream: headers => { sendHead(200, { ...headers, 'content-type': formatter.contentType }) },
       onEvent,
-      onPlainResponse: sendHead,
-      onPlainResponseData: emit
+      onNonStreamHead: sendHead,
+      onNonStreamData: emit
     })
     connection = opened
     const connectionEnd = await opened.end
