--- a/packages/anvilarch-daemon/src/admission/__tests__/admissionHistory.test.ts
+++ b/packages/anvilarch-daemon/src/admission/__tests__/admissionHistory.test.ts
@@ -1,5 +1,5 @@
 import fc from 'fast-check'
-import { must } from '../../agent/__fixtures__/must'
+import { assertCondition } from '../../agent/__fixtures__/assertCondition'
 import type { WorkClass } from 'anvilarch-protocol'
 import { type AdmissionCommand, admissionLoad, admissionStep, type AdmissionEvent, createAdmissionState } from '..'
 
@@ -112,29 +112,29 @@
     const phase = this.phases.get(command.id)
     switch (command.kind) {
       case 'refuse': {
-        must(event.kind === 'arrive' && event.id === command.id && phase === undefined, `"${command.id}" was rejected on ${event.kind}`)
+        assertCondition(event.kind === 'arrive' && event.id === command.id && phase === undefined, `"${command.id}" was rejected on ${event.kind}`)
         break
       }
       case 'start':
       case 'resume': {
-        must(phase === (command.kind === 'start' ? 'waiting' : 'parked'), `${command.kind} of "${command.id}", which is ${phase ?? 'unknown'}`)
-        must(!this.draining && !this.down, `"${command.id}" was started in a drain or on an endpoint that is down`)
+        assertCondition(phase === (command.kind === 'start' ? 'waiting' : 'parked'), `${command.kind} of "${command.id}", which is ${phase ?? 'unknown'}`)
+        assertCondition(!this.draining && !this.down, `"${command.id}" was started in a drain or on an endpoint that is down`)
         this.phases.set(command.id, 'running')
         const runningIds = this.occupyingIds()
         if (this.state.running.get(command.id)?.isProtected === true) this.protectedIds.add(command.id)
-        must(this.protectedIds.size === 0 || this.idsIn(['running', 'preempting']).filter(id => this.protectedIds.has(id)).length <= 1, 'more items are protected than the limit allows')
-        must(runningIds.length === 1 || !runningIds.some(id => this.isolated.has(id)), `"${command.id}" runs beside an isolated attempt`)
-        must(runningIds.length <= OPTIONS.slots, `${runningIds.length} attempts occupy a slot`)
+        assertCondition(this.protectedIds.size === 0 || this.idsIn(['running', 'preempting']).filter(id => this.protectedIds.has(id)).length <= 1, 'more items are protected than the limit allows')
+        assertCondition(runningIds.length === 1 || !runningIds.some(id => this.isolated.has(id)), `"${command.id}" runs beside an isolated attempt`)
+        assertCondition(runningIds.length <= OPTIONS.slots, `${runningIds.length} attempts occupy a slot`)
         break
       }
       case 'preempt': {
-        must(!this.protectedIds.has(command.id), `"${command.id}" is preempted, but protected`)
-        must(phase === 'running', `"${command.id}" is preempted, but ${phase ?? 'unknown'}`)
+        assertCondition(!this.protectedIds.has(command.id), `"${command.id}" is preempted, but protected`)
+        assertCondition(phase === 'running', `"${command.id}" is preempted, but ${phase ?? 'unknown'}`)
         this.phases.set(command.id, 'preempting')
         break
       }
       case 'giveUp': {
-        must(phase === (command.started ? 'parked' : 'waiting'), `"${command.id}" is given up, but ${phase ?? 'unknown'}`)
+        assertCondition(phase === (command.started ? 'parked' : 'waiting'), `"${command.id}" is given up, but ${phase ?? 'unknown'}`)
         this.phases.set(command.id, 'over')
         break
       }
@@ -156,9 +156,9 @@
 
   private check (): void {
     const load = admissionLoad(this.state)
-    must(load.runningOnline + load.runningBatch === this.occupyingIds().length, 'the load report does not match the running attempts')
-    must(load.queued === this.idsIn(['waiting', 'parked']).length, 'the load report does not match the waiting attempts')
-    must(this.state.batchLimit.limit <= OPTIONS.slots, 'the batch limit is above the slots')
+    assertCondition(load.runningOnline + load.runningBatch === this.occupyingIds().length, 'the load report does not match the running attempts')
+    assertCondition(load.queued === this.idsIn(['waiting', 'parked']).length, 'the load report does not match the waiting attempts')
+    assertCondition(this.state.batchLimit.limit <= OPTIONS.slots, 'the batch limit is above the slots')
   }
 
   /** Frees slots and advances the time until every admitted attempt has ended. */
@@ -169,7 +169,7 @@
       this.apply({ kind: 'finish', pick: round })
       this.apply({ kind: 'tick', ms: 100 })
     }
-    must(this.idsIn(['waiting', 'parked', 'running', 'preempting']).length === 0, 'an admitted attempt never ended')
+    assertCondition(this.idsIn(['waiting', 'parked', 'running', 'preempting']).length === 0, 'an admitted attempt never ended')
   }
 }
 
--- a/packages/anvilarch-daemon/src/agent/__fixtures__/rawServer.ts
+++ b/packages/anvilarch-daemon/src/agent/__fixtures__/rawServer.ts
@@ -1,4 +1,4 @@
-/** A TCP server that reads HTTP requests and does with each connection what the test says. */
+/** A TCP server that reads HTTP requests and leaves the response to the test, and a TCP relay. */
 import { connect, createServer, type Socket } from 'node:net'
 import type { AddressInfo } from 'node:net'
 
@@ -6,13 +6,13 @@
 export interface RawServer {
   url: string
   port: number
-  /** Request lines in the order in which they came. */
+  /** Request lines in order of arrival. */
   requests: string[]
   close: () => Promise<void>
 }
 
-/** An answer with a body, after which the connection is kept open. */
-export const WHOLE_ANSWER = 'HTTP/1.1 200 OK\r\ncontent-length: 2\r\nconnection: keep-alive\r\n\r\nok'
+/** A response with a body, on a keep-alive connection. */
+export const COMPLETE_RESPONSE = 'HTTP/1.1 200 OK\r\ncontent-length: 2\r\nconnection: keep-alive\r\n\r\nok'
 
 /**
  * @param onRequest - called with the connection and the number of the request, from 0
@@ -47,24 +47,24 @@
   }
 }
 
-/** Passes a connection on until it goes silent, as something between two hosts does that has lost track of it. */
+/** Forwards connections until it stops silently, like a network device that has dropped their state. */
 export interface Relay {
   address: string
-  goSilent: () => void
+  stopForwarding: () => void
   close: () => void
 }
 
 /**
- * @param target - IP number and port behind the relay
+ * @param target - IP address and port behind the relay
  * @returns the relay
  */
 export async function startRelay (target: string): Promise<Relay> {
   const url = new URL(`http://${target}`)
   const sockets: Socket[] = []
-  const server = createServer(near => {
-    const far = connect(Number(url.port), url.hostname)
-    sockets.push(near, far)
-    for (const [from, to] of [[near, far], [far, near]]) {
+  const server = createServer(downstream => {
+    const upstream = connect(Number(url.port), url.hostname)
+    sockets.push(downstream, upstream)
+    for (const [from, to] of [[downstream, upstream], [upstream, downstream]]) {
       from.on('error', () => {})
       from.pipe(to)
     }
@@ -72,7 +72,7 @@
   await new Promise<void>(resolve => { server.listen(0, '127.0.0.1', resolve) })
   return {
     address: `127.0.0.1:${(server.address() as AddressInfo).port}`,
-    goSilent: () => {
+    stopForwarding: () => {
       for (const socket of sockets) {
         socket.unpipe()
         socket.pause()
--- a/packages/anvilarch-daemon/src/agent/__tests__/startAgent.test.ts
+++ b/packages/anvilarch-daemon/src/agent/__tests__/startAgent.test.ts
@@ -1,5 +1,5 @@
 import { type EngineStandin, expectedPlainAnswer, expectedText, type PlainStandin, startEngineStandin, startPlainStandin } from 'anvilarch-standins'
-import { type AgentHarness, readFrames, startAgentHarness, startMessage, textOfEvents, until } from '../__fixtures__/agentHarness'
+import { type AgentHarness, readFrames, startAgentHarness, startMessage, textOfEvents, waitUntil } from '../__fixtures__/agentHarness'
 
 const FAST_ENGINE = { baseStepMs: 2, perSequenceMs: 0, prefillPerTokenMs: 0, perThousandContextTokensMs: 0 }
 const CHAT = { model: 'small', messages: [{ role: 'user', content: 'Explain a transfer hold.' }], max_tokens: 20 }
@@ -35,7 +35,7 @@
     expect(harness.events('whole')).toEqual(['attempts.accepted', 'attempts.first_token', 'attempts.ended'])
   })
 
-  it('passes the events of a stream through, without the usage event that the caller did not ask for', async () => {
+  it('passes the events of a stream through, without a usage event that the caller did not request', async () => {
     const read = await readFrames(harness.client.startAttempt(startMessage({ attemptId: 'stream', body: { ...CHAT, stream: true }, outputMode: 'stream' })))
     expect(textOfEvents(read.output)).toEqual({ text: expectedText('/v1/chat/completions', CHAT), tokens: 20, isWhole: true })
     expect(read.output.toString()).not.toContain('"usage"')
@@ -51,12 +51,12 @@
   it('fills an idle engine with batch items', async () => {
     const body = { ...CHAT, max_tokens: 500 }
     const reading = Promise.all(Array.from({ length: 8 }, async (_, id) => await readFrames(harness.client.startAttempt(startMessage({ attemptId: `b${id}`, body, workClass: 'batch' })))))
-    await until(() => engine.load().running === 8)
+    await waitUntil(() => engine.load().running === 8)
     const outcomes = (await reading).map(read => read.final?.outcome)
     expect(new Set(outcomes)).toEqual(new Set(['completed']))
   })
 
-  it('passes the error status of an engine through as a whole answer', async () => {
+  it('passes an error response of an engine through as a complete response', async () => {
     const read = await readFrames(harness.client.startAttempt(startMessage({ attemptId: 'bad', body: { model: 'small' } })))
     expect(read.status).toBe(400)
     expect(read.final).toMatchObject({ outcome: 'completed', ran: 'ran' })
--- a/packages/anvilarch-daemon/src/agent/attemptSessions.ts
+++ b/packages/anvilarch-daemon/src/agent/attemptSessions.ts
@@ -1,6 +1,6 @@
 /**
- * Serves many attempts over one open stream. A stream of its own for each attempt cost an agent 4.5 ms of processor time
- * a lookup; see docs/design/0003-sessions.md.
+ * Multiplexes many attempts over one open stream. A separate HTTP/2 stream for each attempt costs an agent 4.5 ms of CPU
+ * time per lookup; see docs/design/0003-sessions.md.
  */
 import { create } from '@bufbuild/protobuf'
 import {
@@ -11,27 +11,27 @@
 import type { Frame } from './attemptReader'
 import type { AttemptRegistry } from './attemptRegistry'
 
-/** What a session needs of the agent. */
+/** Dependencies of a session. */
 export interface AttemptSessionsDeps {
   registry: Pick<AttemptRegistry, 'start' | 'resume'>
-  /** Aborted when the agent stops; open sessions would otherwise hold up the end of its server. */
+  /** Aborted when the agent shuts down; open sessions would otherwise delay the shutdown of its server. */
   stopped: AbortSignal
 }
 
-/** One attempt that is read within a session. */
+/** One attempt that is streamed within a session. */
 interface SessionStream {
   abort: AbortController
-  /** Output bytes that may still be sent. */
+  /** Output bytes that may be sent before the gateway grants more credit. */
   creditBytes: number
-  /** Ends the wait for credit. */
+  /** Resolves the wait for credit; undefined when nothing waits. */
   onCredit: (() => void) | undefined
 }
 
 /**
- * @param deps - the attempts, and the agent's end
- * @param requests - what the gateway sends
- * @param signal - aborted when the connection is gone
- * @returns what goes to the gateway
+ * @param deps - the attempts, and the agent's shutdown signal
+ * @param requests - commands of the gateway
+ * @param signal - aborted when the connection closes
+ * @returns responses to the gateway, each a batch of frames
  */
 export async function * serveSession (
   deps: AttemptSessionsDeps, requests: AsyncIterable<SessionRequest>, signal: AbortSignal
@@ -47,7 +47,7 @@
   } finally {
     signal.removeEventListener('abort', end)
     deps.stopped.removeEventListener('abort', end)
-    for (const stream of streams.values()) leave(stream)
+    for (const stream of streams.values()) closeStream(stream)
   }
 }
 
@@ -55,24 +55,24 @@
   deps: AttemptSessionsDeps, requests: AsyncIterable<SessionRequest>, streams: Map<number, SessionStream>, outbox: MessageBatcher<SessionFrame>
 ): Promise<void> {
   for await (const request of requests) {
-    for (const command of request.commands) carryOut(deps, command, streams, outbox)
+    for (const command of request.commands) executeCommand(deps, command, streams, outbox)
   }
 }
 
-function carryOut (deps: AttemptSessionsDeps, command: SessionCommand, streams: Map<number, SessionStream>, outbox: MessageBatcher<SessionFrame>): void {
+function executeCommand (deps: AttemptSessionsDeps, command: SessionCommand, streams: Map<number, SessionStream>, outbox: MessageBatcher<SessionFrame>): void {
   const { kind, stream: number } = command
-  if (kind.case === 'start') open(streams, outbox, number, signal => deps.registry.start(kind.value, signal))
-  if (kind.case === 'resume') open(streams, outbox, number, signal => deps.registry.resume(kind.value, signal))
+  if (kind.case === 'start') openStream(streams, outbox, number, signal => deps.registry.start(kind.value, signal))
+  if (kind.case === 'resume') openStream(streams, outbox, number, signal => deps.registry.resume(kind.value, signal))
   const stream = streams.get(number)
   if (stream === undefined) return
-  if (kind.case === 'leave') leave(stream)
+  if (kind.case === 'leave') closeStream(stream)
   if (kind.case === 'creditBytes') {
     stream.creditBytes += kind.value
     stream.onCredit?.()
   }
 }
 
-function open (
+function openStream (
   streams: Map<number, SessionStream>, outbox: MessageBatcher<SessionFrame>, number: number, call: (signal: AbortSignal) => AsyncGenerator<Frame>
 ): void {
   const stream: SessionStream = { abort: new AbortController(), creditBytes: STREAM_CREDIT_BYTES, onCredit: undefined }
@@ -81,13 +81,16 @@
     streams.delete(number)
     outbox.put(create(SessionFrameSchema, { stream: number, kind: { case: 'ended', value: problem } }))
   }
-  pass(stream, call(stream.abort.signal), frame => {
+  forwardFrames(stream, call(stream.abort.signal), frame => {
     outbox.put(create(SessionFrameSchema, { stream: number, kind: { case: 'frame', value: create(AttemptFrameSchema, frame) } }))
   }).then(() => { finish('') }, error => { finish(error instanceof Error ? error.message : String(error)) })
 }
 
-/** A caller that does not read holds back its own stream: without credit its frames stay in the attempt's buffer. */
-async function pass (stream: SessionStream, frames: AsyncGenerator<Frame>, put: (frame: Frame) => void): Promise<void> {
+/**
+ * Forwards frames while there is credit. Without credit, output stays in the attempt's buffer, so that a caller that does
+ * not read delays its own stream only.
+ */
+async function forwardFrames (stream: SessionStream, frames: AsyncGenerator<Frame>, put: (frame: Frame) => void): Promise<void> {
   for await (const frame of frames) {
     put(frame)
     if (frame.kind?.case === 'output') stream.creditBytes -= frame.kind.value.data?.length ?? 0
@@ -98,10 +101,10 @@
   }
 }
 
-function leave (stream: SessionStream): void {
-  stream.abort.abort(LEFT)
+function closeStream (stream: SessionStream): void {
+  stream.abort.abort(STREAM_CLOSED)
   stream.onCredit?.()
 }
 
-/** One reason for all, because making an error object for each abort is costly. */
-const LEFT = new Error('the gateway left the stream')
+/** Shared abort reason: creating an error object for each abort is expensive. */
+const STREAM_CLOSED = new Error('the gateway left the stream')
--- a/packages/anvilarch-daemon/src/agent/attemptTable.ts
+++ b/packages/anvilarch-daemon/src/agent/attemptTable.ts
@@ -1,28 +1,28 @@
 /**
- * What this agent knows of attempt ids. Start messages, resumptions and cancellations may arrive late, twice or in any
- * order; the table decides on each so that an id runs at most once, and so that `barred` is said only of an id that
- * never ran here and never will.
+ * The state of all attempt ids at this agent. Start messages, resumptions and cancellations may arrive late, twice or in
+ * any order. The table handles each so that an id runs at most once, and so that `barred` is reported only for an id that
+ * has never run here and never will. Pure, apart from updating the state in place.
  */
 import type { AttemptOutcome } from 'anvilarch-protocol'
 import { invariant } from 'anvilarch-utils'
 
-/** An id as the table knows it. */
+/** State of one id. `barred`: it never runs here. */
 export type AttemptEntry =
   | { state: 'barred', untilMs: number }
   | LiveEntry
   | EndedEntry
 
-/** An attempt that waits or runs. */
+/** An attempt that is queued or running. */
 export interface LiveEntry {
   state: 'queued' | 'running'
   deadlineMs: number
-  /** A call that can't be repeated runs to its end even if nobody reads it, since its effect can't be undone. */
+  /** Whether to stop it when nothing reads it. False for non-idempotent calls, whose effects can't be undone. */
   stopsUnread: boolean
   readers: number
   unreadSinceMs: number
 }
 
-/** An attempt that is over. `forgotten`: it ran, but its output is no longer kept. */
+/** An attempt that has ended. `forgotten`: it ran, but its output has been discarded. */
 export interface EndedEntry {
   state: 'ended' | 'forgotten'
   outcome: AttemptOutcome
@@ -30,17 +30,17 @@
   endedAtMs: number
   deadlineMs: number
   readers: number
-  /** A reader was given all of it. */
+  /** A reader has received the final frame. */
   delivered: boolean
   untilMs: number
 }
 
-/** Something happened to an attempt id. */
+/** An event that concerns an attempt id. */
 export type AttemptTableEvent =
   | { kind: 'deliver', nowMs: number, id: string, incarnation: string }
-  /** Answers `consider`: the attempt was taken in. */
+  /** Response to `consider`: the attempt was admitted. */
   | { kind: 'accepted', nowMs: number, id: string, deadlineMs: number, stopsUnread: boolean }
-  /** Answers `consider`: it never runs here. */
+  /** Response to `consider`: the attempt was refused and never runs here. */
   | { kind: 'refused', nowMs: number, id: string }
   | { kind: 'started', nowMs: number, id: string }
   | { kind: 'ended', nowMs: number, id: string, outcome: AttemptOutcome, totalBytes: number }
@@ -50,26 +50,26 @@
   | { kind: 'readerClosed', nowMs: number, id: string, delivered: boolean }
   | { kind: 'tick', nowMs: number }
 
-/** What the agent must do or answer. */
+/** A command for the agent to execute or to respond with. */
 export type AttemptTableCommand =
-  /** The id is new: decide on it, and tell the table at once by `accepted` or `refused`. */
+  /** The id is new: decide on admission, and report it to the table synchronously by `accepted` or `refused`. */
   | { kind: 'consider', id: string }
-  /** Read the known attempt. */
+  /** Attach a reader to the known attempt. */
   | { kind: 'attach', id: string }
-  /** The attempt ran here, but its output is gone. */
+  /** The attempt ran here, but its output has been discarded. */
   | { kind: 'lost', id: string }
   | { kind: 'refuse', id: string, reason: 'barred' | 'wrong_incarnation' }
   | { kind: 'cancelAnswer', id: string, outcome: 'barred' | 'cancelled' | 'finished' | 'unknown' }
   | { kind: 'stop', id: string, reason: 'cancelled' | 'unread' }
   | { kind: 'forgetOutput', id: string }
 
-/** Bounds of the table. */
+/** Retention times and limits of the table. */
 export interface AttemptTableOptions {
   incarnation: string
   attemptRetentionMs: number
   barRetentionMs: number
   readerGraceMs: number
-  maxBars: number
+  maxTombstones: number
   maxRetainedBytes: number
 }
 
@@ -78,28 +78,29 @@
   options: AttemptTableOptions
   entries: Map<string, AttemptEntry>
   retainedBytes: number
-  /** Entries without output: barred or forgotten. */
-  bars: number
-  live: number
+  /** Number of entries without output: barred or forgotten. */
+  tombstones: number
+  liveCount: number
   nextSweepMs: number
 }
 
-/** Next state and what to do. */
+/** Next state and the commands to execute. */
 export interface AttemptTableStep {
   state: AttemptTableState
   commands: AttemptTableCommand[]
 }
 
-/** Sweeps of the whole table are this far apart at most, and a part of the shorter retention at least. */
+/** Maximum time between two sweeps of the table; less if a retention time is short. */
 const MAX_SWEEP_INTERVAL_MS = 5000
+/** Sweeps within the shortest of the retention and grace times. */
 const SWEEPS_PER_RETENTION = 4
 
 /**
- * @param options - bounds
+ * @param options - retention times and limits
  * @returns a table without ids
  */
 export function createAttemptTable (options: AttemptTableOptions): AttemptTableState {
-  return { options, entries: new Map(), retainedBytes: 0, bars: 0, live: 0, nextSweepMs: 0 }
+  return { options, entries: new Map(), retainedBytes: 0, tombstones: 0, liveCount: 0, nextSweepMs: 0 }
 }
 
 type Handler<Kind extends AttemptTableEvent['kind']> = (state: AttemptTableState, event: Extract<AttemptTableEvent, { kind: Kind }>) => AttemptTableCommand[]
@@ -108,25 +109,25 @@
   deliver: (state, event) => {
     if (event.incarnation !== state.options.incarnation) return [refuse(event.id, 'wrong_incarnation')]
     const entry = state.entries.get(event.id)
-    if (entry !== undefined) return [readKnown(event.id, entry)]
-    return hasRoomForBar(state) ? [{ kind: 'consider', id: event.id }] : [refuse(event.id, 'wrong_incarnation')]
+    if (entry !== undefined) return [commandForKnown(event.id, entry)]
+    return hasTombstoneCapacity(state) ? [{ kind: 'consider', id: event.id }] : [refuse(event.id, 'wrong_incarnation')]
   },
   resume: (state, event) => {
     if (event.incarnation !== state.options.incarnation) return [refuse(event.id, 'wrong_incarnation')]
     const entry = state.entries.get(event.id)
-    if (entry !== undefined) return [readKnown(event.id, entry)]
-    return [refuse(event.id, bar(state, event.id, event.nowMs) ? 'barred' : 'wrong_incarnation')]
+    if (entry !== undefined) return [commandForKnown(event.id, entry)]
+    return [refuse(event.id, barId(state, event.id, event.nowMs) ? 'barred' : 'wrong_incarnation')]
   },
   cancel: onCancel,
   accepted: (state, event) => {
     invariant(!state.entries.has(event.id), 'attempt_accepted_once', () => `"${event.id}" is known already`)
-    state.live++
+    state.liveCount++
     state.entries.set(event.id, { state: 'queued', deadlineMs: event.deadlineMs, stopsUnread: event.stopsUnread, readers: 0, unreadSinceMs: event.nowMs })
     return []
   },
   refused: (state, event) => {
     invariant(!state.entries.has(event.id), 'refused_attempt_unknown', () => `"${event.id}" is known already`)
-    bar(state, event.id, event.nowMs)
+    barId(state, event.id, event.nowMs)
     return []
   },
   started: (state, event) => {
@@ -147,9 +148,9 @@
 }
 
 /**
- * @param state - the table; changed in place
- * @param event - what happened
- * @returns the table and what to do
+ * @param state - the table; updated in place
+ * @param event - the event to apply
+ * @returns the table and the commands to execute
  */
 export function attemptTableStep (state: AttemptTableState, event: AttemptTableEvent): AttemptTableStep {
   const handle = HANDLERS[event.kind] as Handler<typeof event.kind>
@@ -165,21 +166,21 @@
   return { kind: 'refuse', id, reason }
 }
 
-function readKnown (id: string, entry: AttemptEntry): AttemptTableCommand {
+function commandForKnown (id: string, entry: AttemptEntry): AttemptTableCommand {
   if (entry.state === 'barred') return refuse(id, 'barred')
   return entry.state === 'forgotten' ? { kind: 'lost', id } : { kind: 'attach', id }
 }
 
-function hasRoomForBar (state: AttemptTableState): boolean {
-  return state.bars < state.options.maxBars
+function hasTombstoneCapacity (state: AttemptTableState): boolean {
+  return state.tombstones < state.options.maxTombstones
 }
 
-// When the bars are full, an id can't be kept from starting later; then nothing may be said of it, least of all that
-// it did not run. The peer is told what it hears of an agent that was replaced.
-function bar (state: AttemptTableState, id: string, nowMs: number): boolean {
-  if (!hasRoomForBar(state)) return false
+// At the limit of tombstones, an id can't be prevented from starting later, so that it must not be reported as not run.
+// The peer then gets the same response as from an agent that was restarted.
+function barId (state: AttemptTableState, id: string, nowMs: number): boolean {
+  if (!hasTombstoneCapacity(state)) return false
   state.entries.set(id, { state: 'barred', untilMs: nowMs + state.options.barRetentionMs })
-  state.bars++
+  state.tombstones++
   return true
 }
 
@@ -187,7 +188,7 @@
   const { id } = event
   const entry = state.entries.get(id)
   if (entry === undefined) {
-    return [{ kind: 'cancelAnswer', id, outcome: bar(state, id, event.nowMs) ? 'barred' : 'unknown' }]
+    return [{ kind: 'cancelAnswer', id, outcome: barId(state, id, event.nowMs) ? 'barred' : 'unknown' }]
   }
   if (entry.state === 'barred') return [{ kind: 'cancelAnswer', id, outcome: 'barred' }]
   if (isLive(entry)) {
@@ -199,9 +200,9 @@
 function onEnded (state: AttemptTableState, event: Extract<AttemptTableEvent, { kind: 'ended' }>): AttemptTableCommand[] {
   const entry = state.entries.get(event.id)
   invariant(entry?.state === 'queued' || entry?.state === 'running', 'attempt_ends_once', () => `"${event.id}" is ${entry?.state ?? 'unknown'}`)
-  state.live--
+  state.liveCount--
   state.retainedBytes += event.totalBytes
-  // Set anew, so that the entries that are over stand in the order in which they ended.
+  // Reinserted, so that ended entries are in the order in which they ended.
   state.entries.delete(event.id)
   state.entries.set(event.id, {
     state: 'ended',
@@ -213,23 +214,23 @@
     delivered: false,
     untilMs: event.nowMs + state.options.attemptRetentionMs
   })
-  return state.retainedBytes > state.options.maxRetainedBytes ? forgetOldest(state, event.nowMs, event.id) : []
+  return state.retainedBytes > state.options.maxRetainedBytes ? discardOldestOutputs(state, event.nowMs, event.id) : []
 }
 
-function forgetOldest (state: AttemptTableState, nowMs: number, exceptId: string): AttemptTableCommand[] {
+function discardOldestOutputs (state: AttemptTableState, nowMs: number, exceptId: string): AttemptTableCommand[] {
   const commands: AttemptTableCommand[] = []
   for (const [id, entry] of state.entries) {
     if (state.retainedBytes <= state.options.maxRetainedBytes) break
-    if (entry.state === 'ended' && entry.readers === 0 && id !== exceptId) commands.push(forget(state, id, entry, nowMs))
+    if (entry.state === 'ended' && entry.readers === 0 && id !== exceptId) commands.push(discardOutput(state, id, entry, nowMs))
   }
   return commands
 }
 
-// The id stays known until no resumption can come any more: a gateway that asked then would be told `barred`, and
-// would tell its caller that the attempt did not run.
-function forget (state: AttemptTableState, id: string, entry: EndedEntry, nowMs: number): AttemptTableCommand {
+// Keeps the id until no resumption can arrive any more. Without the entry, a resumption would be refused as `barred`, and
+// the gateway would report to its caller that the attempt did not run.
+function discardOutput (state: AttemptTableState, id: string, entry: EndedEntry, nowMs: number): AttemptTableCommand {
   state.retainedBytes -= entry.totalBytes
-  state.bars++
+  state.tombstones++
   entry.state = 'forgotten'
   entry.untilMs = Math.max(nowMs, entry.deadlineMs) + state.options.barRetentionMs
   return { kind: 'forgetOutput', id }
@@ -263,9 +264,9 @@
   }
   if (entry.untilMs > nowMs) return
   if (entry.state === 'ended') {
-    if (entry.readers === 0) commands.push(forget(state, id, entry, nowMs))
+    if (entry.readers === 0) commands.push(discardOutput(state, id, entry, nowMs))
     return
   }
   state.entries.delete(id)
-  state.bars--
+  state.tombstones--
 }
--- a/packages/anvilarch-daemon/src/agent/endpointTask.ts
+++ b/packages/anvilarch-daemon/src/agent/endpointTask.ts
@@ -1,4 +1,4 @@
-/** One endpoint: its admission, its health, and the attempts that run on it. */
+/** Manages one endpoint: its admission, its health, and the attempts that run on it. */
 import type { EndpointSettings } from 'anvilarch-configuration'
 import type { AttemptOutcome, RefusalReason } from 'anvilarch-protocol'
 import { type AdmissionCommand, type AdmissionEvent, admissionLoad, admissionStep, createAdmissionState, type AdmissionLoad, type RunningAttempt } from '../admission'
@@ -10,19 +10,19 @@
 import type { AttemptEnd, LiveAttempt } from './liveAttempt'
 import { createRunSink, type RunTimes } from './runSink'
 
-/** Told of what becomes of attempts. */
+/** Callbacks for the progress of attempts. */
 export interface EndpointTaskListener {
   onStarted: (attempt: LiveAttempt) => void
   onEnded: (attempt: LiveAttempt, end: AttemptEnd) => void
 }
 
-/** A refusal, with the time to come back. */
+/** A refusal, with the time after which to retry. */
 export interface TaskRefusal {
   reason: RefusalReason
   retryAfterMs: number
 }
 
-/** `begin` starts what the arrival made startable; it is called once the attempt is on record. */
+/** Result of a submission. `begin` executes the commands that admission issued; it is called once the attempt is recorded. */
 export type Submission = { refusal: TaskRefusal } | { refusal: undefined, begin: () => void }
 
 /** The task of one endpoint. */
@@ -30,31 +30,32 @@
   settings: EndpointSettings
   adapter: EndpointAdapter
   health: EndpointHealth
-  /** Service given by the last order. */
+  /** Service assigned by the last order. */
   assigned: () => string
   assign: (service: string) => void
-  /** Service that the last order to load was for; empty for none. */
-  loadFor: (service: string) => void
-  /** Whether the endpoint could serve this service now. */
+  /** Sets the service of the last load order; empty for none. */
+  setLoadedService: (service: string) => void
+  /** @returns why the endpoint can't serve this service now, or undefined if it can */
   refusalFor: (service: string, requestVersion: number) => TaskRefusal | undefined
-  /** Takes an attempt in, or says why not. */
+  /** Admits or refuses an attempt. */
   submit: (attempt: LiveAttempt) => Submission
-  /** Ends a waiting or running attempt. */
+  /** Ends a queued or running attempt. */
   stop: (attempt: LiveAttempt, reason: StopReason, detail: string) => void
-  /** Deadlines, silence and the batch limit. Nothing counts as silent just after a pause of this process. */
+  /** Checks deadlines, timeouts and the batch limit. Timeouts are not checked right after a process pause. */
   tick: (nowMs: number, afterPause: boolean) => void
-  /** Asks the endpoint for its state, and takes over the batch policy of its service. */
+  /** Probes the endpoint and applies the batch policy of its service. */
   refresh: () => Promise<void>
   drain: () => void
-  handBack: () => void
+  /** Ends running batch attempts as preempted, to shorten a drain. */
+  returnBatch: () => void
   load: () => AdmissionLoad
   view: () => ServiceView
-  /** Attempts that wait or hold a slot. */
+  /** Number of attempts that are queued or occupy a slot. */
   active: () => number
-  /** Attempts in progress that need a model. */
-  needing: (model: string) => number
-  /** Takes a model from service before it is unloaded, so that nothing new starts on it. */
-  withdraw: (model: string | undefined) => void
+  /** Number of attempts in progress on a model. */
+  countUsing: (model: string) => number
+  /** Hides a model that is about to be unloaded, so that no new attempt starts on it; undefined hides none. */
+  setUnloadingModel: (model: string | undefined) => void
   close: () => Promise<void>
 }
 
@@ -73,12 +74,12 @@
   isolated_busy: { outcome: 'preempted', detail: 'the endpoint was not free in time to run the attempt alone' }
 }
 
-/** @returns whether the attempt is one that no other prompt is computed beside, and has no token yet */
-function isComputedAlone (attempt: RunningAttempt): boolean {
+/** @returns whether the attempt is in its prefill, and that prefill must run without another one beside it */
+function isPrefillingSolo (attempt: RunningAttempt): boolean {
   return attempt.soloFirstToken && attempt.isPrefilling
 }
 
-/** @returns whether what became of the attempt is of its own doing, since it ran alone for as long as it had to */
+/** @returns whether the outcome can only be due to the attempt itself, since it ran alone for as long as required */
 function ranAlone (attempt: RunningAttempt | undefined, outcome: AttemptOutcome): boolean {
   if (attempt === undefined) return false
   if (attempt.soloFirstToken) return outcome === 'completed' || attempt.isPrefilling
@@ -86,27 +87,27 @@
 }
 
 /**
- * @param context - shared parts of the daemon
+ * @param context - shared components of the daemon
  * @param settings - the endpoint
- * @param listener - told of what becomes of attempts
- * @returns the task, which takes no work until its endpoint has answered a probe
+ * @param listener - callbacks for attempts
+ * @returns the task, which accepts no work until its endpoint has responded to a probe
  */
 export function createEndpointTask (context: DaemonContext, settings: EndpointSettings, listener: EndpointTaskListener): EndpointTask {
   const { clock, metrics, timeline } = context
   const entries = new Map<string, Entry>()
   let assigned = ''
   let settled = ''
-  let loadedFor = ''
-  let withdrawn: string | undefined
-  /** Whether the last crash came while one attempt computed its prompt alone. */
+  let lastLoadedService = ''
+  let unloadingModel: string | undefined
+  /** Whether an attempt was in a solo prefill at the last crash, which makes it the likely cause. */
   let crashCauseKnown = false
 
   const adapter = ENDPOINT_ADAPTERS[settings.kind]({
     url: settings.url,
     clock,
-    silenceMs: context.settings.agent.endpointSilenceMs,
+    idleTimeoutMs: context.settings.agent.endpointSilenceMs,
     onUnreachable: () => { health.probe().catch(() => {}) },
-    judge: async incarnation => await health.judge(incarnation),
+    checkProcess: async incarnation => await health.checkProcess(incarnation),
     incarnation: () => health.incarnation()
   })
 
@@ -114,7 +115,7 @@
     onUp: () => { step({ kind: 'endpointUp', nowMs: clock.nowMs() }) },
     onDown: () => { step({ kind: 'endpointDown', nowMs: clock.nowMs() }) },
     onCrash: detail => {
-      crashCauseKnown = [...state.running.values()].some(isComputedAlone)
+      crashCauseKnown = [...state.running.values()].some(isPrefillingSolo)
       timeline.record('endpoint.crashed', { detail: { endpoint: settings.name, detail, running: entries.size, causeKnown: crashCauseKnown } })
     }
   })
@@ -126,9 +127,9 @@
     preemptible: adapter.preemptible
   })
 
-  const step = (event: AdmissionEvent): void => { act(admissionStep(state, event).commands) }
+  const step = (event: AdmissionEvent): void => { execute(admissionStep(state, event).commands) }
 
-  const act = (commands: AdmissionCommand[]): void => {
+  const execute = (commands: AdmissionCommand[]): void => {
     for (const command of commands) {
       const entry = entries.get(command.id)
       if (entry !== undefined) handlers[command.kind](entry, command as never)
@@ -146,8 +147,8 @@
       const { attempt, run } = entry
       metrics.preemptions.inc({ endpoint: settings.name })
       timeline.record('attempts.preempted', { requestId: attempt.requestId, attemptId: attempt.id, detail: { endpoint: settings.name } })
-      run?.preempt().then(isParked => {
-        if (isParked && entries.get(attempt.id) === entry) step({ kind: 'released', nowMs: clock.nowMs(), id: attempt.id })
+      run?.preempt().then(isSlotFree => {
+        if (isSlotFree && entries.get(attempt.id) === entry) step({ kind: 'released', nowMs: clock.nowMs(), id: attempt.id })
       }).catch(() => {})
     },
     giveUp: (entry, command) => {
@@ -166,16 +167,16 @@
     const sink = createRunSink(context, attempt, times, { endpoint: settings.name, isPlain: settings.kind === 'plain', step })
     const run = adapter.start({ ...attempt, requestId: attempt.requestId, attemptId: attempt.id }, sink)
     entry.run = run
-    run.done.catch(error => brokenRun(attempt, error)).then(result => { finish(entry, result) }).catch(error => { context.logger.error('an attempt could not be ended', { attempt: attempt.id, error: String(error) }) })
+    run.done.catch(error => failedRunEnd(attempt, error)).then(result => { finish(entry, result) }).catch(error => { context.logger.error('an attempt could not be ended', { attempt: attempt.id, error: String(error) }) })
   }
 
-  // A run that broke a rule of the program must still give its slot back, or the endpoint would lose one for good.
-  const brokenRun = (attempt: LiveAttempt, error: unknown): RunEnd => {
+  // A run that failed by a bug must still release its slot; the endpoint would otherwise lose a slot permanently.
+  const failedRunEnd = (attempt: LiveAttempt, error: unknown): RunEnd => {
     context.logger.error('a run failed', { attempt: attempt.id, error: String(error) })
     return { outcome: 'endpoint_failed', ran: 'unknown', detail: String(error), outputTokens: 0 }
   }
 
-  // The slot is free; whoever waited for the end may have been told before.
+  // The slot is free. The end of the attempt may have been reported earlier, by `stop`.
   const finish = (entry: Entry, result: RunEnd): void => {
     const { attempt } = entry
     const wasAlone = ranAlone(state.running.get(attempt.id), result.outcome)
@@ -205,18 +206,18 @@
   }
 
   const view = (): ServiceView => {
-    const now = {
+    const current = {
       settings,
       assigned,
-      models: health.models().filter(loaded => loaded.model !== withdrawn),
+      models: health.models().filter(loaded => loaded.model !== unloadingModel),
       version: context.configuration.version(),
       document: context.configuration.current()?.document
     }
-    settled = settledService(now, settled === '' ? loadedFor : settled)
-    return { ...now, settled }
+    settled = settledService(current, settled === '' ? lastLoadedService : settled)
+    return { ...current, settled }
   }
 
-  // Nothing is taken before the endpoint has answered a probe.
+  // No work is accepted before the endpoint has responded to a probe.
   step({ kind: 'endpointDown', nowMs: clock.nowMs() })
 
   return {
@@ -225,7 +226,7 @@
     health,
     assigned: () => assigned,
     assign: service => { assigned = service },
-    loadFor: service => { loadedFor = service },
+    setLoadedService: service => { lastLoadedService = service },
     refusalFor: (service, requestVersion) => {
       if (health.state() !== 'ready') return { reason: 'endpoint_down', retryAfterMs: 0 }
       const reason = serviceRefusal(view(), service, requestVersion)
@@ -236,14 +237,14 @@
       const refused = commands.find(command => command.kind === 'refuse')
       if (refused !== undefined) return { refusal: { reason: refused.reason, retryAfterMs: refused.retryAfterMs } }
       entries.set(attempt.id, { attempt, run: undefined, times: { startedMs: 0, firstTokenMs: undefined, lastTokenMs: undefined } })
-      return { refusal: undefined, begin: () => { act(commands) } }
+      return { refusal: undefined, begin: () => { execute(commands) } }
     },
     stop,
     tick: (nowMs, afterPause) => {
       for (const { attempt, run } of [...entries.values()]) {
         if (run === undefined) continue
         if (attempt.deadlineMs <= nowMs) stop(attempt, 'deadline', 'the deadline passed')
-        else if (!afterPause) run.checkSilence(nowMs)
+        else if (!afterPause) run.checkTimeout(nowMs)
       }
       step({ kind: 'tick', nowMs })
     },
@@ -253,12 +254,12 @@
       if (service?.kind === 'model') step({ kind: 'policy', nowMs: clock.nowMs(), policy: service.batch })
     },
     drain: () => { step({ kind: 'drain', nowMs: clock.nowMs() }) },
-    handBack: () => { step({ kind: 'handBack', nowMs: clock.nowMs() }) },
+    returnBatch: () => { step({ kind: 'handBack', nowMs: clock.nowMs() }) },
     load: () => admissionLoad(state),
     view,
     active: () => entries.size,
-    needing: model => [...entries.values()].filter(entry => entry.attempt.model === model).length,
-    withdraw: model => { withdrawn = model },
+    countUsing: model => [...entries.values()].filter(entry => entry.attempt.model === model).length,
+    setUnloadingModel: model => { unloadingModel = model },
     close: async () => { await adapter.close() }
   }
 }
--- a/packages/anvilarch-daemon/src/agent/endpoints/engineConnection.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/engineConnection.ts
@@ -1,44 +1,44 @@
-/** One connection to an engine, read to its end. */
+/** Opens one connection to an engine and reads its response to the end. */
 import type { Dispatcher } from 'undici'
 import type { Clock } from 'anvilarch-utils'
 import type { EndpointCall, Headers } from '../../attempts/types'
 import { createEngineEventReader, type EngineEvent } from './engineEvents'
 import { type ExchangeEnd, type HttpExchange, openExchange, parseOrUndefined } from './httpExchange'
 
-/** What ended a connection. */
+/** How a connection ended. */
 export type ConnectionEnd =
-  /** The end mark came. */
+  /** The end mark of the stream was received. */
   | { kind: 'finished' }
-  /** The engine gave an answer that is not a stream, such as an error; it was read whole. */
+  /** The engine sent a complete response that is not a stream, such as an error. */
   | { kind: 'answered' }
-  /** The same, but it broke off. */
+  /** The same, but the response was truncated. */
   | { kind: 'half_answered' }
-  /** The engine does not know the stream that was to be resumed. */
+  /** The engine has no stream to resume. */
   | { kind: 'unknown_stream' }
   | { kind: 'broken', sent: boolean, detail: string }
 
-/** Takes what the engine sends. */
+/** Callbacks for the response of the engine. */
 export interface EngineListener {
-  /** A stream opens. */
+  /** A stream has started. */
   onStream: (headers: Headers) => void
   onEvent: (event: EngineEvent) => void
-  /** An answer that is not a stream. */
-  onAnswer: (status: number, headers: Headers) => void
-  onAnswerData: (data: Uint8Array) => void
+  /** A response that is not a stream has started. */
+  onNonStreamHead: (status: number, headers: Headers) => void
+  onNonStreamData: (data: Uint8Array) => void
 }
 
-/** How to open the connection. */
+/** Options of `openEngineConnection`. */
 export interface EngineConnectionOptions {
   dispatcher: Dispatcher
   clock: Clock
   call: EndpointCall
-  /** The call is to attach to a stream. */
+  /** The call resumes a stream. */
   isResume: boolean
-  /** A status other than 200 is the engine's answer; else it is a failed try. */
-  mayAnswer: boolean
+  /** Whether to accept a response that is not a stream as the result; otherwise it is a failed try. */
+  acceptsNonStream: boolean
 }
 
-/** A connection that is being read. */
+/** A connection in progress. */
 export interface EngineConnection {
   exchange: HttpExchange
   end: Promise<ConnectionEnd>
@@ -46,69 +46,72 @@
 
 type Phase = 'opening' | 'streaming' | 'finished' | 'answering' | 'unknown_stream' | 'failed'
 
-const FIRST_FAILURE_STATUS = 300
-const STATUS_UNKNOWN = 404
-/** The engine has the attempt already; it is to be resumed. */
-const STATUS_EXISTS = 409
+const MIN_NON_SUCCESS_STATUS = 300
+const STATUS_UNKNOWN_STREAM = 404
+/** The engine already has the attempt, so that it must be resumed. */
+const STATUS_ATTEMPT_EXISTS = 409
 
 /**
- * @param options - what to send and over which connection
- * @param listener - takes what comes
+ * @param options - the call and its connection
+ * @param listener - callbacks for the response
  * @returns the connection
  */
 export function openEngineConnection (options: EngineConnectionOptions, listener: EngineListener): EngineConnection {
   let phase: Phase = 'opening'
   let status = 0
-  let unproved: Uint8Array[] | undefined
+  let unframedBody: Uint8Array[] | undefined
   const events = createEngineEventReader(event => {
     if (phase !== 'streaming') return
     if (event.isEnd) phase = 'finished'
     listener.onEvent(event)
   })
 
-  const onHead = (given: number, headers: Headers, framed: boolean): void => {
-    status = given
+  const onHead = (receivedStatus: number, headers: Headers, framed: boolean): void => {
+    status = receivedStatus
     phase = phaseOf(options, status, headers)
-    unproved = framed || status >= FIRST_FAILURE_STATUS ? undefined : []
+    unframedBody = framed || status >= MIN_NON_SUCCESS_STATUS ? undefined : []
     if (phase === 'streaming') listener.onStream(headers)
-    else if (phase === 'answering') listener.onAnswer(status, headers)
+    else if (phase === 'answering') listener.onNonStreamHead(status, headers)
   }
 
   const exchange = openExchange(options.dispatcher, options.call, {
     onHead,
     onData: data => {
       if (phase === 'answering') {
-        unproved?.push(data)
-        listener.onAnswerData(data)
+        unframedBody?.push(data)
+        listener.onNonStreamData(data)
       } else if (phase === 'streaming') events.feed(data)
     }
   }, options.clock)
 
-  return { exchange, end: exchange.done.then(exchangeEnd => connectionEnd(phase, exchangeEnd, { status, unproved })) }
+  return { exchange, end: exchange.done.then(exchangeEnd => connectionEnd(phase, exchangeEnd, { status, unframedBody })) }
 }
 
 function phaseOf (options: EngineConnectionOptions, status: number, headers: Headers): Phase {
   if (status === 200 && (headers['content-type'] ?? '').startsWith('text/event-stream')) return 'streaming'
-  if (options.isResume && status === STATUS_UNKNOWN) return 'unknown_stream'
-  return options.mayAnswer && !options.isResume && status !== STATUS_EXISTS ? 'answering' : 'failed'
+  if (options.isResume && status === STATUS_UNKNOWN_STREAM) return 'unknown_stream'
+  return options.acceptsNonStream && !options.isResume && status !== STATUS_ATTEMPT_EXISTS ? 'answering' : 'failed'
 }
 
-interface Read {
+interface ReceivedResponse {
   status: number
-  /** Body of an answer of which neither a frame nor the status says that it is whole. */
-  unproved: Uint8Array[] | undefined
+  /** Body of a successful response whose framing does not show that it is complete; undefined for all others. */
+  unframedBody: Uint8Array[] | undefined
 }
 
-function connectionEnd (phase: Phase, end: ExchangeEnd, read: Read): ConnectionEnd {
+function connectionEnd (phase: Phase, end: ExchangeEnd, received: ReceivedResponse): ConnectionEnd {
   if (phase === 'finished' || phase === 'unknown_stream') return { kind: phase }
-  if (phase === 'answering') return { kind: isWholeAnswer(end, read) ? 'answered' : 'half_answered' }
+  if (phase === 'answering') return { kind: isCompleteResponse(end, received) ? 'answered' : 'half_answered' }
   const sent = end.kind === 'complete' || end.sent
-  if (phase === 'failed') return { kind: 'broken', sent, detail: `status ${read.status}` }
+  if (phase === 'failed') return { kind: 'broken', sent, detail: `status ${received.status}` }
   return { kind: 'broken', sent, detail: end.kind === 'error' ? `${end.code}: ${end.detail}` : 'the stream broke off before its end' }
 }
 
-/** Without a frame, only a body that is JSON to its end is known to be whole. An error is told by its status alone. */
-function isWholeAnswer (end: ExchangeEnd, { unproved }: Read): boolean {
+/**
+ * Without a length or chunks, a body is complete only if it parses as JSON. The body of an error response may be
+ * truncated, since its status suffices.
+ */
+function isCompleteResponse (end: ExchangeEnd, { unframedBody }: ReceivedResponse): boolean {
   if (end.kind !== 'complete') return false
-  return unproved === undefined || parseOrUndefined(Buffer.concat(unproved).toString('utf8')) !== undefined
+  return unframedBody === undefined || parseOrUndefined(Buffer.concat(unframedBody).toString('utf8')) !== undefined
 }
--- a/packages/anvilarch-daemon/src/agent/endpoints/modelRun.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/modelRun.ts
@@ -1,10 +1,11 @@
 /**
- * One attempt at a model engine, over as many connections as it takes.
+ * Runs one attempt at a model engine, over as many connections as needed.
  *
- * What goes wrong: a connection goes silent for good while new ones work; the engine drops it; the engine forgets the
- * stream; the agent itself cuts it off to make room for online work. The run notices by silence, an error, status 404
- * or its own flag, and goes on by token offset: first by attaching to the engine's stream, and where the engine no
- * longer knows it by a new generation that continues the text so far. So the output has each token once.
+ * The run recovers from these interruptions: a connection stops delivering data while new connections work; the engine
+ * closes the connection; the engine discards the stream; the agent preempts the attempt for online work. They are detected
+ * by a timeout, an error, status 404 and a flag. The run then continues at its token offset: it resumes the engine's
+ * stream or, if the engine no longer has it, starts a new generation that continues the text so far. The output therefore
+ * has each token once.
  */
 import { invariant, type RunStatus } from 'anvilarch-utils'
 import { createTranscript } from '../../attempts/output/transcript'
@@ -14,20 +15,20 @@
 import type { EngineEvent } from './engineEvents'
 import { cancelStream, resumeCall } from './engineStreams'
 import { parseModelRequest } from './modelRequest'
-import { OUTPUT_SHAPERS } from './outputShapers'
-import { createPark, type Park } from './park'
+import { OUTPUT_FORMATTERS } from './outputFormatters'
+import { createPreemption, type Preemption } from './preemption'
 import type { AdapterOptions, AttemptCall, EndpointRun, RunEnd, RunSink, StopReason } from './types'
 
-/** What a model run needs of its endpoint. */
+/** Dependencies of a model run. */
 export interface ModelRunDeps extends AdapterOptions {
   connections: EndpointConnections
   basePath: string
 }
 
-/** Connections that may be opened one after another without a token coming. */
-const MAX_QUIET_CONNECTIONS = 4
+/** Consecutive connections without a token after which the attempt fails. */
+const MAX_TOKENLESS_CONNECTIONS = 4
 
-/** Characters of an error of the engine that are told on. */
+/** Maximum characters of an engine error that are reported. */
 const MAX_DETAIL_LENGTH = 500
 
 /** How to open the next connection. */
@@ -36,25 +37,25 @@
 type Failure = Extract<ConnectionEnd, { kind: 'broken' | 'unknown_stream' | 'half_answered' }>
 
 /**
- * @param deps - connections, times and the agent's judgement on the endpoint
+ * @param deps - connections, timeouts and the process status of the endpoint
  * @param attempt - the attempt
- * @param sink - takes the output
+ * @param sink - receives the output
  * @returns the run
  */
 export function startModelRun (deps: ModelRunDeps, attempt: AttemptCall, sink: RunSink): EndpointRun {
   const request = parseModelRequest(attempt.call)
-  const shaper = OUTPUT_SHAPERS[attempt.outputMode]({ wantsUsage: request?.wantsUsage ?? false, isChat: request?.isChat ?? false })
+  const formatter = OUTPUT_FORMATTERS[attempt.outputMode]({ wantsUsage: request?.wantsUsage ?? false, isChat: request?.isChat ?? false })
   const transcript = createTranscript()
   const produced = transcript.continuation
   let incarnation = deps.incarnation()
   let headSent = false
   let anySent = false
   let connections = 0
-  let quietConnections = 0
-  let silent = false
+  let tokenlessConnections = 0
+  let timedOut = false
   let connection: EngineConnection | undefined
   let ended: RunEnd | undefined
-  let park: Park | undefined
+  let preemption: Preemption | undefined
 
   const hasEnded = (): boolean => ended !== undefined
 
@@ -84,16 +85,16 @@
     failStream('the answer is larger than "maxOutputBytes"')
   }
 
-  const faultOf = (event: EngineEvent): string | undefined => {
+  const errorOf = (event: EngineEvent): string | undefined => {
     if (event.error !== undefined) return `the engine told an error within its stream: ${event.error.slice(0, MAX_DETAIL_LENGTH)}`
     return event.isEnd && !transcript.finished() ? 'the engine ended its stream without telling why' : undefined
   }
 
   const onEvent = (event: EngineEvent): void => {
     if (hasEnded()) return
-    const fault = faultOf(event)
-    if (fault !== undefined) {
-      failStream(fault)
+    const error = errorOf(event)
+    if (error !== undefined) {
+      failStream(error)
       return
     }
     if (event.chunk !== undefined) {
@@ -101,15 +102,15 @@
       transcript.add(event.chunk)
     }
     if (event.tokenText !== undefined) {
-      quietConnections = 0
+      tokenlessConnections = 0
       sink.onToken()
     }
-    emit(shaper.onEvent(event))
+    emit(formatter.onEvent(event))
   }
 
   const callFor = (opening: Opening): EndpointCall => {
     const call = opening === 'resume'
-      ? resumeCall(attempt.attemptId, (request?.given.tokens ?? 0) + produced().tokens)
+      ? resumeCall(attempt.attemptId, (request?.initial.tokens ?? 0) + produced().tokens)
       : request?.call(produced()) ?? attempt.call
     return { ...call, path: deps.basePath + call.path, headers: { ...call.headers, 'x-request-id': attempt.requestId, 'x-attempt-id': attempt.attemptId } }
   }
@@ -122,16 +123,16 @@
       clock: deps.clock,
       call: callFor(opening),
       isResume: opening === 'resume',
-      mayAnswer: !headSent
+      acceptsNonStream: !headSent
     }, {
-      onStream: headers => { sendHead(200, { ...headers, 'content-type': shaper.contentType }) },
+      onStream: headers => { sendHead(200, { ...headers, 'content-type': formatter.contentType }) },
       onEvent,
-      onAnswer: sendHead,
-      onAnswerData: emit
+      onNonStreamHead: sendHead,
+      onNonStreamData: emit
     })
     connection = opened
     const connectionEnd = await opened.end
-    // Between two connections there is none whose silence could be noticed.
+    // No timeout applies between two connections.
     connection = undefined
     anySent ||= opened.exchange.sent()
     await fresh?.destroy()
@@ -142,18 +143,18 @@
     await cancelStream({ ...deps, attemptId: attempt.attemptId }, produced().tokens === 0)
   }
 
-  /** Decides how to go on after a connection that brought no end. */
+  /** Decides how to continue after a connection that ended without the end of the response. */
   const recover = async (last: Failure): Promise<Opening | undefined> => {
-    const wasSilent = silent
-    silent = false
-    quietConnections++
-    if (wasSilent) deps.connections.renew(attempt.workClass)
+    const hadTimedOut = timedOut
+    timedOut = false
+    tokenlessConnections++
+    if (hadTimedOut) deps.connections.replacePool(attempt.workClass)
     if (last.kind === 'half_answered') end('endpoint_failed', 'ran', 'the answer of the engine broke off')
     else if (last.kind === 'broken' && !last.sent && !anySent) endUnsent(last.detail)
-    else await judgeEngine(last)
+    else await checkEngine(last)
     if (hasEnded()) return undefined
     if (last.kind === 'unknown_stream') return 'continue'
-    sink.onResumed(wasSilent ? 'silence' : 'broken', produced().tokens)
+    sink.onResumed(hadTimedOut ? 'silence' : 'broken', produced().tokens)
     return 'resume'
   }
 
@@ -162,56 +163,56 @@
     end('endpoint_failed', 'not_run', detail)
   }
 
-  const judgeEngine = async (last: Failure): Promise<void> => {
-    const verdict = await deps.judge(incarnation)
+  const checkEngine = async (last: Failure): Promise<void> => {
+    const status = await deps.checkProcess(incarnation)
     if (hasEnded()) return
-    if (verdict === 'crashed') {
+    if (status === 'crashed') {
       end('endpoint_crashed', ranSoFar(), 'the engine was restarted or is gone')
-    } else if (quietConnections >= MAX_QUIET_CONNECTIONS) {
-      end('endpoint_failed', ranSoFar(), `no token over ${quietConnections} connections`)
+    } else if (tokenlessConnections >= MAX_TOKENLESS_CONNECTIONS) {
+      end('endpoint_failed', ranSoFar(), `no token over ${tokenlessConnections} connections`)
     } else if (last.kind === 'unknown_stream' && !attempt.idempotent) {
-      // The engine may have run it and forgotten, which forbids a second run.
+      // The engine may have run it and discarded the stream, so that a second run is not allowed.
       end('endpoint_failed', ranSoFar(), 'the engine does not know the stream')
     } else if (last.kind === 'unknown_stream' && !transcript.continuable()) {
       end('endpoint_failed', 'ran', 'the engine does not know the stream, and its text alone does not continue it')
     }
   }
 
-  const waitParked = async (current: Park): Promise<Opening | undefined> => {
+  const waitForResume = async (current: Preemption): Promise<Opening | undefined> => {
     if (anySent) await cancelAtEngine()
-    current.noteParked()
+    current.markSlotFree()
     await current.resumed
-    park = undefined
+    preemption = undefined
     if (hasEnded()) return undefined
-    quietConnections = 0
-    // An engine that was replaced while the attempt waited did not crash under it.
+    tokenlessConnections = 0
+    // A restart of the engine while the attempt waited is not a crash during the attempt.
     incarnation = deps.incarnation()
     sink.onResumed('preempted', produced().tokens)
     return anySent ? 'resume' : 'begin'
   }
 
-  const goOn = async (last: ConnectionEnd): Promise<Opening | undefined> => {
-    if (last.kind === 'finished') emit(shaper.finish(produced().tokens))
+  const nextOpening = async (last: ConnectionEnd): Promise<Opening | undefined> => {
+    if (last.kind === 'finished') emit(formatter.finish(produced().tokens))
     if (last.kind === 'finished' || last.kind === 'answered') {
       end('completed', 'ran', '')
       return undefined
     }
-    return park !== undefined ? await waitParked(park) : await recover(last)
+    return preemption !== undefined ? await waitForResume(preemption) : await recover(last)
   }
 
   const run = async (): Promise<RunEnd> => {
     let opening: Opening | undefined = 'begin'
     while (opening !== undefined && !hasEnded()) {
-      const last: ConnectionEnd = park === undefined ? await readConnection(opening) : { kind: 'broken', sent: false, detail: 'preempted' }
-      opening = hasEnded() ? undefined : await goOn(last)
+      const last: ConnectionEnd = preemption === undefined ? await readConnection(opening) : { kind: 'broken', sent: false, detail: 'preempted' }
+      opening = hasEnded() ? undefined : await nextOpening(last)
     }
     invariant(ended !== undefined, 'model_run_has_end', () => `attempt ${attempt.attemptId} stopped without an outcome`)
     if (needsCancel(ended)) await cancelAtEngine()
-    park?.noteParked()
+    preemption?.markSlotFree()
     return ended
   }
 
-  // A run that ended by anything but the engine's own end may still hold a slot there.
+  // A run that did not end with the engine's response may still occupy a slot of the engine.
   const needsCancel = (result: RunEnd): boolean => anySent && result.outcome !== 'completed' && result.outcome !== 'endpoint_crashed'
 
   return {
@@ -219,22 +220,22 @@
     stop: (reason: StopReason) => {
       const result = end(reason, ranSoFar(), `stopped: ${reason}`)
       connection?.exchange.abort()
-      park?.resume()
+      preemption?.resume()
       return result
     },
     preempt: async () => {
       if (hasEnded()) return false
-      park ??= createPark()
-      const { parked } = park
+      preemption ??= createPreemption()
+      const { slotFree } = preemption
       connection?.exchange.abort()
-      await parked
+      await slotFree
       return !hasEnded()
     },
-    resume: () => { park?.resume() },
-    checkSilence: nowMs => {
-      if (hasEnded() || park !== undefined || connection === undefined) return
-      if (nowMs - connection.exchange.lastActivityMs() < deps.silenceMs) return
-      silent = true
+    resume: () => { preemption?.resume() },
+    checkTimeout: nowMs => {
+      if (hasEnded() || preemption !== undefined || connection === undefined) return
+      if (nowMs - connection.exchange.lastActivityMs() < deps.idleTimeoutMs) return
+      timedOut = true
       connection.exchange.abort()
     }
   }
--- a/packages/anvilarch-daemon/src/agent/endpoints/outputShapers.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/outputFormatters.ts
@@ -1,10 +1,10 @@
-/** How the events of an engine become the output of an attempt, by output mode. */
+/** Converts the events of an engine into the output of an attempt, by output mode. */
 import type { OutputMode } from '../../attempts/types'
 import type { CompletionChunk, EngineEvent, Usage } from './engineEvents'
 import { createAssembly } from './wholeBody'
 
-/** Turns events into output bytes. */
-export interface OutputShaper {
+/** Converts events into output bytes. */
+export interface OutputFormatter {
   contentType: string
   /** @returns bytes to append, if any */
   onEvent: (event: EngineEvent) => Uint8Array | undefined
@@ -12,28 +12,28 @@
   finish: (outputTokens: number) => Uint8Array | undefined
 }
 
-/** What a shaper needs to know of the request. */
-export interface ShaperOptions {
-  /** The caller asked for the usage event itself. */
+/** Properties of the request that affect its output. */
+export interface FormatterOptions {
+  /** The caller requested the usage event. */
   wantsUsage: boolean
   isChat: boolean
 }
 
-/** Shapers by output mode. */
-export const OUTPUT_SHAPERS: Record<OutputMode, (options: ShaperOptions) => OutputShaper> = {
-  stream: createStreamShaper,
-  raw: createStreamShaper,
-  whole: createWholeShaper
+/** Creates the formatter for each output mode. */
+export const OUTPUT_FORMATTERS: Record<OutputMode, (options: FormatterOptions) => OutputFormatter> = {
+  stream: createStreamFormatter,
+  raw: createStreamFormatter,
+  whole: createWholeFormatter
 }
 
-function createStreamShaper (options: ShaperOptions): OutputShaper {
+function createStreamFormatter (options: FormatterOptions): OutputFormatter {
   let roleSent = false
   return {
     contentType: 'text/event-stream; charset=utf-8',
     onEvent: event => {
       if (event.chunk !== undefined) {
         if (isUsageOnly(event.chunk) && !options.wantsUsage) return undefined
-        // A stream that goes on over a new connection may open with the role again.
+        // A stream resumed over a new connection may start with the role again.
         if (isRoleOnly(event)) {
           if (roleSent) return undefined
           roleSent = true
@@ -45,7 +45,7 @@
   }
 }
 
-function createWholeShaper (options: ShaperOptions): OutputShaper {
+function createWholeFormatter (options: FormatterOptions): OutputFormatter {
   const assembly = createAssembly(options.isChat)
   return {
     contentType: 'application/json',
--- a/packages/anvilarch-daemon/src/agent/endpoints/plainRun.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/plainRun.ts
@@ -1,39 +1,39 @@
 /**
- * One call to a plain service, passed through as it is.
+ * Runs one call to a plain service, passed through unchanged.
  *
- * A call that is not idempotent goes out once, on a connection of its own: on a kept-alive connection the server's
- * idle close can cross the request, and then nobody knows whether it ran. Only a failure before the request was handed
- * to a connection proves that it did not run; after that, without a whole answer, the outcome is unknown. An answer that ends with
- * its connection is not taken: one that was cut would look whole.
+ * A non-idempotent call is sent once, over a dedicated connection: on a keep-alive connection, the request can race with
+ * the server closing the idle connection, and it is then unknown whether it ran. Only a failure before the request was
+ * handed to a connection proves that it did not run; after that, without a complete response, the outcome is unknown. A
+ * response that is delimited by the end of its connection is rejected, since truncation could not be detected.
  *
- * An idempotent call that stays silent is sent again beside the first one, since a silent connection and a slow
- * service look the same; the first answer counts.
+ * An idempotent call without a response is sent a second time in parallel, since a dead connection can't be distinguished
+ * from a slow service; the first response is used.
  */
 import type { Clock, RunStatus } from 'anvilarch-utils'
 import type { EndpointConnections } from './connections'
 import { type ExchangeEnd, type HttpExchange, openExchange } from './httpExchange'
-import type { AttemptCall, EndpointRun, EndpointVerdict, RunEnd, RunSink, StopReason } from './types'
+import type { AttemptCall, EndpointRun, ProcessStatus, RunEnd, RunSink, StopReason } from './types'
 
-/** What a plain run needs of its endpoint. */
+/** Dependencies of a plain run. */
 export interface PlainRunDeps {
   connections: EndpointConnections
   clock: Clock
   basePath: string
-  /** Silence after which an idempotent call is sent again. */
-  silenceMs: number
-  /** The endpoint could not be reached. */
+  /** Time without data after which an idempotent call is sent again. */
+  idleTimeoutMs: number
+  /** Called when the endpoint is unreachable. */
   onUnreachable: () => void
-  /** @returns whether a process still listens there */
-  judge: (incarnation: string) => Promise<EndpointVerdict>
+  /** @returns whether a process still listens at the endpoint */
+  checkProcess: (incarnation: string) => Promise<ProcessStatus>
 }
 
-/** Times an idempotent call may go out. */
+/** Maximum sends of an idempotent call. */
 const MAX_SENDS = 2
 
 /**
- * @param deps - connections and times
+ * @param deps - connections and timeouts
  * @param call - the call
- * @param sink - takes the answer
+ * @param sink - receives the response
  * @returns the run
  */
 export function startPlainRun (deps: PlainRunDeps, call: AttemptCall, sink: RunSink): EndpointRun {
@@ -53,9 +53,9 @@
     return ended
   }
 
-  const ranWithoutAnswer = (): RunStatus => anySent ? 'unknown' : 'not_run'
+  const ranWithoutResponse = (): RunStatus => anySent ? 'unknown' : 'not_run'
 
-  const win = (exchange: HttpExchange): boolean => {
+  const selectWinner = (exchange: HttpExchange): boolean => {
     if (winner !== undefined) return winner === exchange
     winner = exchange
     for (const other of open) {
@@ -64,7 +64,7 @@
     return true
   }
 
-  const settle = async (exchange: HttpExchange, end: ExchangeEnd): Promise<void> => {
+  const onExchangeEnd = async (exchange: HttpExchange, end: ExchangeEnd): Promise<void> => {
     open.delete(exchange)
     if (end.kind !== 'complete' && end.sent) anySent = true
     if (ended !== undefined || end.kind === 'aborted') return
@@ -74,22 +74,22 @@
     }
     if (!end.sent) deps.onUnreachable()
     if (open.size > 0) return
-    // A service that died under the call would be lost again by the next one.
-    if (end.sent && await deps.judge('') === 'crashed') {
-      finish('endpoint_crashed', ranWithoutAnswer(), `${end.code}: ${end.detail}`)
+    // A call that crashed the service would crash it again if it were retried.
+    if (end.sent && await deps.checkProcess('') === 'crashed') {
+      finish('endpoint_crashed', ranWithoutResponse(), `${end.code}: ${end.detail}`)
       return
     }
     if (ended !== undefined) return
-    if (maySendAgain(end)) {
+    if (mayRetry(end)) {
       sink.onResumed('broken', 0)
       send(true)
       return
     }
-    finish('endpoint_failed', ranWithoutAnswer(), `${end.code}: ${end.detail}`)
+    finish('endpoint_failed', ranWithoutResponse(), `${end.code}: ${end.detail}`)
   }
 
-  // After a refused connection the next one would be refused too; a reset may have hit an idle connection only.
-  const maySendAgain = (end: ExchangeEnd): boolean =>
+  // After a refused connection the next one would be refused too; a reset may affect a single idle connection.
+  const mayRetry = (end: ExchangeEnd): boolean =>
     call.idempotent && winner === undefined && sends < MAX_SENDS && end.kind === 'error' && end.sent
 
   const send = (fresh: boolean): void => {
@@ -103,7 +103,7 @@
       onHead: (status, headers, framed) => {
         if (ended !== undefined) return
         if (!framed) exchange.fail('unframed_answer', 'the answer names neither a length nor chunks')
-        else if (win(exchange)) sink.onHead(status, headers)
+        else if (selectWinner(exchange)) sink.onHead(status, headers)
       },
       onData: data => {
         if (ended !== undefined || winner !== exchange) return
@@ -112,7 +112,7 @@
     }, deps.clock)
     open.add(exchange)
     exchange.done.then(async end => {
-      await settle(exchange, end)
+      await onExchangeEnd(exchange, end)
       await client?.destroy()
     }).catch(() => {})
   }
@@ -123,17 +123,17 @@
     done,
     stop: (reason: StopReason) => {
       for (const exchange of open) anySent ||= exchange.sent()
-      return finish(reason, ranWithoutAnswer(), `stopped: ${reason}`)
+      return finish(reason, ranWithoutResponse(), `stopped: ${reason}`)
     },
     preempt: async () => false,
     resume: () => {},
-    checkSilence: nowMs => {
-      // With no exchange open, the run is deciding itself on how to go on.
+    checkTimeout: nowMs => {
+      // With no exchange open, `onExchangeEnd` is deciding how to continue.
       if (ended !== undefined || !call.idempotent || winner !== undefined || sends >= MAX_SENDS || open.size === 0) return
       for (const exchange of open) {
-        if (nowMs - exchange.lastActivityMs() < deps.silenceMs) return
+        if (nowMs - exchange.lastActivityMs() < deps.idleTimeoutMs) return
       }
-      deps.connections.renew(call.workClass)
+      deps.connections.replacePool(call.workClass)
       sink.onResumed('silence', 0)
       send(true)
     }
--- a/packages/anvilarch-daemon/src/agent/fencing.ts
+++ b/packages/anvilarch-daemon/src/agent/fencing.ts
@@ -1,40 +1,40 @@
 /**
- * Fencing of orders: the token of an order is the epoch of the placement lease, and an order with a lower token than
- * the highest seen comes from a holder that lost the lease while it was paused. After a restart the agent has seen
- * nothing, so that it must know the lease row's epoch before it judges any order. Pure.
+ * Fencing of orders. The token of an order is the epoch of the placement lease, and an order with a token lower than the
+ * highest one seen was sent by a process that lost the lease during a process pause. After a restart the agent has seen
+ * no token, so that it must read the epoch of the lease row, the floor, before it accepts any order. Pure.
  */
 import { invariant } from 'anvilarch-utils'
 
-/** What the agent knows of tokens. */
+/** Tokens seen by the agent. */
 export interface FencingState {
-  /** The lease row was read since the agent started. */
+  /** The lease row has been read since the agent started. */
   floorKnown: boolean
   highestToken: number
 }
 
-/** Something happened to the tokens. */
+/** An event that carries a token. */
 export type FencingEvent =
   | { kind: 'floor', token: number }
-  /** An order came. */
+  /** An order has arrived. */
   | { kind: 'order', token: number }
-  /** An order that was taken is about to go to the endpoint; a newer one may have come meanwhile. */
+  /** An accepted order is about to be sent to the endpoint; a newer one may have arrived in the meantime. */
   | { kind: 'apply', token: number }
 
-/** What becomes of the order. */
-export type FencingVerdict = 'allowed' | 'no_floor' | 'stale_fencing_token'
+/** Decision on an order. */
+export type FencingDecision = 'allowed' | 'no_floor' | 'stale_fencing_token'
 
-/** Before the floor is known and any order was seen. */
+/** State before the floor is known and any order has been seen. */
 export const INITIAL_FENCING: FencingState = { floorKnown: false, highestToken: 0 }
 
 /**
- * @param state - what is known
- * @param event - what happened
- * @returns what is known now, and the verdict
+ * @param state - tokens seen so far
+ * @param event - the event to apply
+ * @returns the next state, and the decision
  */
-export function fencingStep (state: FencingState, event: FencingEvent): { state: FencingState, verdict: FencingVerdict } {
+export function fencingStep (state: FencingState, event: FencingEvent): { state: FencingState, decision: FencingDecision } {
   const next = advance(state, event)
   invariant(next.highestToken >= state.highestToken, 'fencing_token_grows', () => `${state.highestToken} became ${next.highestToken}`)
-  return { state: next, verdict: verdictOn(next, event) }
+  return { state: next, decision: decisionOn(next, event) }
 }
 
 function advance (state: FencingState, event: FencingEvent): FencingState {
@@ -42,7 +42,7 @@
   return { ...state, highestToken: Math.max(state.highestToken, event.token) }
 }
 
-function verdictOn (state: FencingState, event: FencingEvent): FencingVerdict {
+function decisionOn (state: FencingState, event: FencingEvent): FencingDecision {
   if (!state.floorKnown) return 'no_floor'
   return event.token < state.highestToken ? 'stale_fencing_token' : 'allowed'
 }
--- a/packages/anvilarch-daemon/src/agent/peerServer.ts
+++ b/packages/anvilarch-daemon/src/agent/peerServer.ts
@@ -1,4 +1,4 @@
-/** The HTTP/2 cleartext server towards gateways. */
+/** The cleartext HTTP/2 server for gateways. */
 import { createServer, type Http2Server, type ServerHttp2Session } from 'node:http2'
 import type { AddressInfo } from 'node:net'
 import type { ConnectRouter } from '@connectrpc/connect'
@@ -8,39 +8,38 @@
 
 /** A listening server. */
 export interface PeerServer {
-  /** IP number and port. */
+  /** IP address and port. */
   address: string
   /**
-   * Asks each connection for a sign of life and closes those that gave none since the last but one call. A connection
-   * that something in between has lost track of would otherwise keep its streams open for good, which would show as a
-   * drain that never ends.
+   * Pings each connection at the ping interval and closes those whose ping has timed out. A connection dropped by a
+   * network device in between would otherwise keep its streams open forever, and a drain would never end.
    */
   ping: (nowMs: number) => void
-  /** Lets streams in progress end, then closes all connections. */
+  /** Waits a limited time for streams in progress to end, then closes all connections. */
   close: () => Promise<void>
 }
 
-/** Times of signs of life. */
-export type ConnectionTimes = Pick<AgentOptions, 'pingIntervalMs' | 'connectionTimeoutMs'>
+/** Interval and timeout of pings. */
+export type PingOptions = Pick<AgentOptions, 'pingIntervalMs' | 'connectionTimeoutMs'>
 
-/** How long sessions may take to end by themselves. */
+/** Time for connections to close gracefully. */
 const CLOSE_GRACE_MS = 1000
 
-/** Streams of one connection; a gateway opens one for each attempt in progress. */
+/** Maximum concurrent streams of one connection; a gateway may open one for each attempt in progress. */
 const MAX_STREAMS = 10_000
 
 /**
- * @param listen - IP number and port; port 0 takes any
+ * @param listen - IP address and port; port 0 selects a free one
  * @param routes - the services
- * @param clock - for the bound on closing and the age of signs of life
- * @param times - when to ask for a sign of life, and when to close a connection without one
+ * @param clock - for the close timeout and the age of ping responses
+ * @param options - interval and timeout of pings
  * @returns the server, once it listens
  */
-export async function startPeerServer (listen: string, routes: (router: ConnectRouter) => void, clock: Clock, times: ConnectionTimes): Promise<PeerServer> {
+export async function startPeerServer (listen: string, routes: (router: ConnectRouter) => void, clock: Clock, options: PingOptions): Promise<PeerServer> {
   const server = createServer({ settings: { maxConcurrentStreams: MAX_STREAMS } }, connectNodeAdapter({ routes, acceptCompression: [] }))
-  const sessions = new Map<ServerHttp2Session, SessionLife>()
+  const sessions = new Map<ServerHttp2Session, SessionLiveness>()
   server.on('session', session => {
-    sessions.set(session, { lastHeardMs: clock.nowMs(), isAsked: false })
+    sessions.set(session, { lastAckMs: clock.nowMs(), isPingPending: false })
     session.once('close', () => { sessions.delete(session) })
     session.on('error', () => {})
   })
@@ -57,27 +56,27 @@
       for (const session of sessions.keys()) session.destroy()
     },
     ping: nowMs => {
-      for (const [session, life] of sessions) pingSession(session, life, nowMs, clock, times)
+      for (const [session, liveness] of sessions) pingSession(session, liveness, nowMs, clock, options)
     }
   }
 }
 
-interface SessionLife {
-  lastHeardMs: number
-  /** A ping is on its way. */
-  isAsked: boolean
+interface SessionLiveness {
+  lastAckMs: number
+  /** A ping has not been acknowledged yet. */
+  isPingPending: boolean
 }
 
-function pingSession (session: ServerHttp2Session, life: SessionLife, nowMs: number, clock: Clock, times: ConnectionTimes): void {
-  const quietMs = nowMs - life.lastHeardMs
-  if (life.isAsked && quietMs >= times.connectionTimeoutMs) {
+function pingSession (session: ServerHttp2Session, liveness: SessionLiveness, nowMs: number, clock: Clock, options: PingOptions): void {
+  const sinceAckMs = nowMs - liveness.lastAckMs
+  if (liveness.isPingPending && sinceAckMs >= options.connectionTimeoutMs) {
     session.destroy()
     return
   }
-  if (life.isAsked || quietMs < times.pingIntervalMs || session.destroyed) return
-  life.isAsked = session.ping(() => {
-    life.isAsked = false
-    life.lastHeardMs = clock.nowMs()
+  if (liveness.isPingPending || sinceAckMs < options.pingIntervalMs || session.destroyed) return
+  liveness.isPingPending = session.ping(() => {
+    liveness.isPingPending = false
+    liveness.lastAckMs = clock.nowMs()
   })
 }
 
--- a/packages/anvilarch-daemon/src/context.ts
+++ b/packages/anvilarch-daemon/src/context.ts
@@ -1,4 +1,4 @@
-/** What every slice of a daemon is given: settings, time, random numbers, logs, metrics and the platform. */
+/** Shared components of a daemon: settings, clock, random numbers, logger, metrics, timeline, platform and configuration. */
 import { randomUUID } from 'node:crypto'
 import type { DaemonSettings } from 'anvilarch-configuration'
 import type { PlatformPorts } from 'anvilarch-protocol'
@@ -11,10 +11,10 @@
 import { createTimeline, DEFAULT_CAPACITY } from './timeline/createTimeline'
 import type { Timeline } from './timeline/types'
 
-/** Shared parts of one daemon process. */
+/** Shared components of one daemon process. */
 export interface DaemonContext {
   settings: DaemonSettings
-  /** Differs between two starts of the same daemon. */
+  /** Unique to each start of the daemon. */
   incarnation: string
   clock: Clock
   random: Random
@@ -25,45 +25,45 @@
   configuration: ConfigurationHolder
 }
 
-/** The shared parts, together with what ends them. */
+/** The shared components, with a function to release them. */
 export interface OwnedContext extends DaemonContext {
-  /** Frees the connections to the platform and stops reporting violations. */
+  /** Closes the connections to the platform and stops reporting invariant violations. */
   close: () => Promise<void>
 }
 
 /**
- * Creates the shared parts of a daemon. Nothing is started; connections open on first use.
+ * Creates the shared components of a daemon. Nothing is started; connections open on first use.
  *
  * @param settings - validated settings
- * @param replaced - parts to use in place of those of a real process, for tests
- * @returns the shared parts; their creator closes them after all slices have stopped
+ * @param overrides - replacements of components, for tests
+ * @returns the shared components; the caller closes them after all other components have stopped
  */
-export function createContext (settings: DaemonSettings, replaced: Partial<DaemonContext> = {}): OwnedContext {
-  const clock = replaced.clock ?? createSystemClock()
-  const logger = replaced.logger ?? createLogger({ level: settings.log.level, process: settings.name })
-  const metrics = replaced.metrics ?? createMetrics({ processMetrics: true })
-  const timeline = replaced.timeline ?? createTimeline({ clock, process: settings.name, capacity: DEFAULT_CAPACITY })
+export function createContext (settings: DaemonSettings, overrides: Partial<DaemonContext> = {}): OwnedContext {
+  const clock = overrides.clock ?? createSystemClock()
+  const logger = overrides.logger ?? createLogger({ level: settings.log.level, process: settings.name })
+  const metrics = overrides.metrics ?? createMetrics({ processMetrics: true })
+  const timeline = overrides.timeline ?? createTimeline({ clock, process: settings.name, capacity: DEFAULT_CAPACITY })
   const platform = createPlatform({ settings: settings.platform, clock, metrics })
-  const stopReports = onViolation((name, detail) => {
+  const unsubscribe = onViolation((name, detail) => {
     metrics.invariantViolations.inc({ name })
     timeline.record('invariant.violated', { detail: { name, found: detail } })
     logger.error('an invariant does not hold', { name, found: detail })
   })
   const base = {
     settings,
-    incarnation: replaced.incarnation ?? randomUUID(),
+    incarnation: overrides.incarnation ?? randomUUID(),
     clock,
-    random: replaced.random ?? createRandom(processSeed()),
+    random: overrides.random ?? createRandom(processSeed()),
     logger,
     metrics,
     timeline,
-    platform: replaced.platform ?? platform
+    platform: overrides.platform ?? platform
   }
   return {
     ...base,
-    configuration: replaced.configuration ?? createConfigurationHolder(base),
+    configuration: overrides.configuration ?? createConfigurationHolder(base),
     close: async () => {
-      stopReports()
+      unsubscribe()
       await platform.close()
     }
   }
