--- a/packages/anvilarch-daemon/src/jobs/__fixtures__/batchClient.ts
+++ b/packages/anvilarch-daemon/src/jobs/__fixtures__/batchClient.ts
@@ -36,7 +36,7 @@
       for (;;) {
         const batch = await openai.batches.retrieve(id)
         if (!['in_progress', 'cancelling'].includes(batch.status)) return batch
-        await nextTurn()
+        await nextCheck()
       }
     },
     results: async fileId => {
@@ -47,15 +47,15 @@
 }
 
 /** Waits a little between two looks at a condition. */
-export async function nextTurn (): Promise<void> {
+export async function nextCheck (): Promise<void> {
   await new Promise(resolve => setTimeout(resolve, 5))
 }
 
 /**
- * @param isTrue - is asked until it says yes
+ * @param condition - is asked until it says yes
  */
-export async function until (isTrue: () => boolean): Promise<void> {
-  while (!isTrue()) await nextTurn()
+export async function until (condition: () => boolean): Promise<void> {
+  while (!condition()) await nextCheck()
 }
 
 /**
@@ -81,7 +81,7 @@
  * @param url - of the gateway
  * @param content - of the file, whose end never comes
  */
-export async function breakUpload (url: string, content: string): Promise<void> {
+export async function abortUpload (url: string, content: string): Promise<void> {
   const { hostname, port } = new URL(url)
   const head = 'POST /v1/files HTTP/1.1\r\nhost: x\r\nauthorization: Bearer shop\r\ncontent-length: 100000\r\n' +
     'content-type: multipart/form-data; boundary=b\r\n\r\n' +
--- a/packages/anvilarch-daemon/src/jobs/__fixtures__/fakeRunner.ts
+++ b/packages/anvilarch-daemon/src/jobs/__fixtures__/fakeRunner.ts
@@ -9,7 +9,7 @@
   /** Longest run of an item. */
   maxRunMs: number
   /** Share of runs that are refused because of load. */
-  refuse: number
+  refusedShare: number
   slots: number
 }
 
@@ -24,7 +24,7 @@
 }
 
 /** Words in a prompt that make the fake endpoint fail. */
-export const BAD_PROMPTS = { fail: 'FAIL', refuse: 'REJECT', quarantine: 'QUARANTINED' }
+export const FAILING_PROMPTS = { fail: 'FAIL', refuse: 'REJECT', quarantine: 'QUARANTINED' }
 
 /**
  * @param options - time and behaviour
@@ -42,7 +42,7 @@
 
   const execute = async (request: WorkRequest, signal?: AbortSignal): Promise<WorkResult> => {
     const prompt = promptOf(request)
-    if (options.refuse > 0 && options.random.next() < options.refuse) return failed('overloaded', 'not_run')
+    if (options.refusedShare > 0 && options.random.next() < options.refusedShare) return failed('overloaded', 'not_run')
     started.set(prompt, (started.get(prompt) ?? 0) + 1)
     const durationMs = runTimeMs(prompt)
     if (durationMs > 0) await sleep(options.clock, durationMs, signal)
@@ -50,9 +50,9 @@
       cancelled++
       return failed('cancelled', 'ran')
     }
-    if (prompt.includes(BAD_PROMPTS.quarantine)) return failed('quarantined', 'ran')
-    if (prompt.includes(BAD_PROMPTS.fail)) return failed('endpoint_failed', 'ran')
-    if (prompt.includes(BAD_PROMPTS.refuse)) return answered(400, { error: { message: 'bad prompt' } })
+    if (prompt.includes(FAILING_PROMPTS.quarantine)) return failed('quarantined', 'ran')
+    if (prompt.includes(FAILING_PROMPTS.fail)) return failed('endpoint_failed', 'ran')
+    if (prompt.includes(FAILING_PROMPTS.refuse)) return answered(400, { error: { message: 'bad prompt' } })
     return answered(200, { choices: [{ message: { role: 'assistant', content: `re: ${prompt}` } }] })
   }
 
--- a/packages/anvilarch-daemon/src/jobs/__fixtures__/memoryStore.ts
+++ b/packages/anvilarch-daemon/src/jobs/__fixtures__/memoryStore.ts
@@ -28,8 +28,8 @@
   let revision = 0
 
   const apply = (commit: Commit): CommitResult => {
-    const holds = commit.conditions.every(({ key, version }) => (rows.get(key)?.version ?? 0) === version)
-    if (!holds) {
+    const areConditionsMet = commit.conditions.every(({ key, version }) => (rows.get(key)?.version ?? 0) === version)
+    if (!areConditionsMet) {
       counts.conflicts++
       return { outcome: 'conflict', rows: commit.conditions.map(({ key }) => rows.get(key) ?? { key, version: 0, value: null }) }
     }
--- a/packages/anvilarch-daemon/src/jobs/__fixtures__/simulatedCaller.ts
+++ b/packages/anvilarch-daemon/src/jobs/__fixtures__/simulatedCaller.ts
@@ -65,8 +65,8 @@
  */
 export async function submitJob (gateway: SimulatedGateway, job: SubmittedJob, upload: number): Promise<void> {
   const batch = { fileId: job.fileIds[upload], endpoint: '/v1/chat/completions', completionWindow: '24h', windowMs: 86_400_000, metadata: null }
-  const draw = createRandom(gateway.context.clock.nowMs() + gateway.name.charCodeAt(1)).next
-  const accepted = await acceptJob(gateway.context, { caller: CALLER, key: job.key, batch }, draw)
+  const randomValue = createRandom(gateway.context.clock.nowMs() + gateway.name.charCodeAt(1)).next
+  const accepted = await acceptJob(gateway.context, { caller: CALLER, key: job.key, batch }, randomValue)
   job.ids.add(accepted.id)
 }
 
--- a/packages/anvilarch-daemon/src/jobs/__fixtures__/simulatedFleet.ts
+++ b/packages/anvilarch-daemon/src/jobs/__fixtures__/simulatedFleet.ts
@@ -9,7 +9,7 @@
 import { createFakeRunner, type FakeRunner } from './fakeRunner'
 import { createFaultyPlatform, noFaults, type PlatformFaults, type ProcessGate } from './faultyPlatform'
 import { type CommitListener, createMemoryStore, type MemoryStore } from './memoryStore'
-import { createTestContext, QUIET_DIRECTORY } from './testContext'
+import { createTestContext, STATIC_DIRECTORY } from './testContext'
 
 /** A gateway of the fleet. */
 export interface SimulatedGateway {
@@ -75,9 +75,9 @@
     proceed: () => {
       if (state !== 'stopped') return
       state = 'running'
-      const held = waiting
+      const queued = waiting
       waiting = []
-      for (const action of held) action()
+      for (const action of queued) action()
     },
     state: () => state
   }
@@ -90,10 +90,10 @@
 
 /**
  * @param seed - of all random numbers
- * @param refuse - share of runs that the endpoints refuse
+ * @param refusedShare - share of runs that the endpoints refuse
  * @returns a fleet without gateways
  */
-export function createSimulatedFleet (seed: number, refuse: number): SimulatedFleet {
+export function createSimulatedFleet (seed: number, refusedShare: number): SimulatedFleet {
   const clock = createFakeClock(1_000_000)
   const violations: string[] = []
   current = violations
@@ -114,7 +114,7 @@
 
   const addGateway = (): SimulatedGateway => {
     const { name, context, gate } = addProcess()
-    const runner = createFakeRunner({ clock: context.clock, random: context.random, maxRunMs: MAX_RUN_MS, refuse, slots: SLOTS })
+    const runner = createFakeRunner({ clock: context.clock, random: context.random, maxRunMs: MAX_RUN_MS, refusedShare, slots: SLOTS })
     let worker: Worker | undefined
     const gateway = { name, context, runner, gate, worker: () => worker }
     startProcess(context, runner, fleet.maxBufferedItems).then(running => { worker = running }, error => { violations.push(String(error)) })
@@ -132,7 +132,7 @@
   const describe = () => ({ address: '', operationsAddress: '', configurationVersion: 1, state: 'serving' as const, heldParts: 0 })
   const heartbeat = await startHeartbeat(context, lifecycle, describe)
   const observer = await startLeaseObserver(context, lifecycle, heartbeat)
-  return await startWorker(context, { runner, directory: QUIET_DIRECTORY, heartbeat, observer }, lifecycle, { buffer: { maxItems, maxBytes: MAX_BUFFERED_BYTES } })
+  return await startWorker(context, { runner, directory: STATIC_DIRECTORY, heartbeat, observer }, lifecycle, { buffer: { maxItems, maxBytes: MAX_BUFFERED_BYTES } })
 }
 
 /** Looks at each commit as the table takes it, since what is wrong there may be hidden by a later commit. */
--- a/packages/anvilarch-daemon/src/jobs/__fixtures__/testContext.ts
+++ b/packages/anvilarch-daemon/src/jobs/__fixtures__/testContext.ts
@@ -76,7 +76,7 @@
 }
 
 /** A directory that never changes. */
-export const QUIET_DIRECTORY: AgentDirectory = {
+export const STATIC_DIRECTORY: AgentDirectory = {
   list: () => [],
   get: () => undefined,
   noteLoad: () => {},
--- a/packages/anvilarch-daemon/src/jobs/__fixtures__/testGateway.ts
+++ b/packages/anvilarch-daemon/src/jobs/__fixtures__/testGateway.ts
@@ -8,7 +8,7 @@
 import { createFakeRunner, type FakeRunner, type FakeRunnerOptions } from './fakeRunner'
 import { createFaultyPlatform, noFaults, type PlatformFaults } from './faultyPlatform'
 import { createMemoryStore, type MemoryStore } from './memoryStore'
-import { createTestContext, QUIET_DIRECTORY, type TestContextOptions } from './testContext'
+import { createTestContext, STATIC_DIRECTORY, type TestContextOptions } from './testContext'
 import { startTestServer, type TestServer } from './testServer'
 
 /** A gateway under test. */
@@ -46,11 +46,11 @@
   const gateway = { pollIntervalMs: 30, drainTimeoutMs: 1_000, ...options.gateway }
   const context = createTestContext({ name: options.name ?? 'g', incarnation: '1', clock, platform, seed: 7, document: options.document, gateway })
   const lifecycle = createLifecycleManager({ clock })
-  const runner = createFakeRunner({ clock, random, maxRunMs: 2, refuse: 0, slots: 64, ...options.runner })
+  const runner = createFakeRunner({ clock, random, maxRunMs: 2, refusedShare: 0, slots: 64, ...options.runner })
   const describe = () => ({ address: '', operationsAddress: '', configurationVersion: 1, state: 'serving' as const, heldParts: 0 })
   const heartbeat = await startHeartbeat(context, lifecycle, describe)
   const observer = await startLeaseObserver(context, lifecycle, heartbeat)
-  const jobs = await startJobs(context, { runner, directory: QUIET_DIRECTORY, heartbeat, observer }, lifecycle)
+  const jobs = await startJobs(context, { runner, directory: STATIC_DIRECTORY, heartbeat, observer }, lifecycle)
   const server = await startTestServer(jobs.routes)
   const stop = async (): Promise<void> => {
     await server.close()
--- a/packages/anvilarch-daemon/src/jobs/__fixtures__/testServer.ts
+++ b/packages/anvilarch-daemon/src/jobs/__fixtures__/testServer.ts
@@ -36,8 +36,8 @@
 }
 
 function callerContext (request: IncomingMessage, response: ServerResponse, params: Record<string, string>): CallerContext {
-  const gone = new AbortController()
-  response.once('close', () => { if (!response.writableFinished) gone.abort() })
+  const closed = new AbortController()
+  response.once('close', () => { if (!response.writableFinished) closed.abort() })
   return {
     request,
     response,
@@ -46,7 +46,7 @@
     requestId: 'r',
     caller: (request.headers.authorization ?? 'Bearer nobody').slice('Bearer '.length),
     deadlineMs: undefined,
-    signal: gone.signal
+    signal: closed.signal
   }
 }
 
--- a/packages/anvilarch-daemon/src/jobs/__tests__/itemAttempts.test.ts
+++ b/packages/anvilarch-daemon/src/jobs/__tests__/itemAttempts.test.ts
@@ -21,7 +21,7 @@
 const HISTORIES = Number(process.env.ITEM_ATTEMPTS_HISTORIES ?? 200)
 
 /** Items of one part at endpoints whose behaviour the test sets. */
-class World {
+class ItemSimulation {
   readonly clock: FakeClock = createFakeClock(1_000_000)
   readonly behaviour = new Map<string, Behaviour>(ENDPOINTS.map(name => [name, 'works']))
   readonly runs = new Map<string, number>()
@@ -55,7 +55,7 @@
   }
 
   private runner (): RequestRunner {
-    const idle = createFakeRunner({ clock: this.clock, random: this.random, maxRunMs: 0, refuse: 0, slots: 1 })
+    const idle = createFakeRunner({ clock: this.clock, random: this.random, maxRunMs: 0, refusedShare: 0, slots: 1 })
     return { ...idle, run: async request => await this.run(request) }
   }
 
@@ -71,14 +71,14 @@
   }
 
   private choose (avoid: ReadonlySet<string> = new Set()): string | undefined {
-    const there = ENDPOINTS.filter(name => this.behaviour.get(name) !== 'away')
-    const others = there.filter(name => !avoid.has(name))
-    const pool = others.length > 0 ? others : there
+    const available = ENDPOINTS.filter(name => this.behaviour.get(name) !== 'away')
+    const others = available.filter(name => !avoid.has(name))
+    const pool = others.length > 0 ? others : available
     return pool.length === 0 ? undefined : this.random.pick(pool)
   }
 
   /** @returns whether all items have ended */
-  async pass (durationMs: number): Promise<boolean> {
+  async advance (durationMs: number): Promise<boolean> {
     const untilMs = this.clock.nowMs() + durationMs
     while (this.clock.nowMs() < untilMs && this.items.waiting() + this.items.running() > 0) {
       for (let ready = this.items.next(this.clock.nowMs()); ready !== undefined; ready = this.items.next(this.clock.nowMs())) this.items.start(ready)
@@ -111,72 +111,72 @@
 describe('attempts of items', () => {
   // Guards against this: an item is listed as failed by the one endpoint that is left, which fails everything.
   it('does an item that one endpoint fails again and again, once another one is back', async () => {
-    const world = new World(['a', 'b', 'c'], SEED)
-    world.set(['fails', 'away', 'away'])
-    expect(await world.pass(60_000)).toBe(false)
-    world.set(['fails', 'works', 'away'])
-    expect(await world.pass(60_000)).toBe(true)
-    expect([...world.kinds.values()]).toEqual(['output', 'output', 'output'])
+    const simulation = new ItemSimulation(['a', 'b', 'c'], SEED)
+    simulation.set(['fails', 'away', 'away'])
+    expect(await simulation.advance(60_000)).toBe(false)
+    simulation.set(['fails', 'works', 'away'])
+    expect(await simulation.advance(60_000)).toBe(true)
+    expect([...simulation.kinds.values()]).toEqual(['output', 'output', 'output'])
   })
 
   // Guards against this: one endpoint of two is lost with the item, and counts as one that has failed it.
   it('takes an endpoint that was lost while it ran the item for none that has failed it', async () => {
-    const world = new World(['a'], SEED, 2)
-    const lostFirst = jest.spyOn(world as unknown as { run: (request: WorkRequest) => Promise<WorkResult> }, 'run')
+    const simulation = new ItemSimulation(['a'], SEED, 2)
+    const lostFirst = jest.spyOn(simulation as unknown as { run: (request: WorkRequest) => Promise<WorkResult> }, 'run')
     lostFirst.mockResolvedValueOnce(answered(500, ['e2', 'e1']))
-    world.set(['fails', 'away', 'away'])
-    expect(await world.pass(60_000)).toBe(false)
-    world.set(['fails', 'works', 'away'])
-    expect(await world.pass(60_000)).toBe(true)
-    expect([...world.kinds.values()]).toEqual(['output'])
+    simulation.set(['fails', 'away', 'away'])
+    expect(await simulation.advance(60_000)).toBe(false)
+    simulation.set(['fails', 'works', 'away'])
+    expect(await simulation.advance(60_000)).toBe(true)
+    expect([...simulation.kinds.values()]).toEqual(['output'])
   })
 
   // Guards against this: an item is listed as failed by one endpoint, since others were lost with it before.
   it('takes the loss of an endpoint for no attempt of the items that it ran', async () => {
-    const world = new World(['a', 'b'], SEED)
-    world.set(['away', 'lost', 'away'])
-    for (let run = 1; run < MAX_ATTEMPTS; run++) expect(await world.pass(2_000)).toBe(false)
-    world.set(['fails', 'away', 'away'])
-    expect(await world.pass(20_000)).toBe(false)
-    world.set(['works', 'away', 'away'])
-    expect(await world.pass(60_000)).toBe(true)
-    expect([...world.kinds.values()]).toEqual(['output', 'output'])
+    const simulation = new ItemSimulation(['a', 'b'], SEED)
+    simulation.set(['away', 'lost', 'away'])
+    for (let run = 1; run < MAX_ATTEMPTS; run++) expect(await simulation.advance(2_000)).toBe(false)
+    simulation.set(['fails', 'away', 'away'])
+    expect(await simulation.advance(20_000)).toBe(false)
+    simulation.set(['works', 'away', 'away'])
+    expect(await simulation.advance(60_000)).toBe(true)
+    expect([...simulation.kinds.values()]).toEqual(['output', 'output'])
   })
 
   it('does the items that can be done, whatever the other endpoints do beside one that fails', async () => {
     const property = fc.asyncProperty(fc.array(phase, { minLength: 1, maxLength: 8 }), fc.nat({ max: 1_000 }), async (phases, seed) => {
-      const world = new World(['a', 'FAIL b', 'c', 'd', 'FAIL e', 'f'], seed)
+      const simulation = new ItemSimulation(['a', 'FAIL b', 'c', 'd', 'FAIL e', 'f'], seed)
       for (const { failing, others, ms } of phases) {
-        world.set([failing === 'e1' ? 'fails' : 'works', ...others])
-        await world.pass(ms)
+        simulation.set([failing === 'e1' ? 'fails' : 'works', ...others])
+        await simulation.advance(ms)
       }
-      world.set(['works', 'works', 'works'])
-      expect(await world.pass(10 * 60_000)).toBe(true)
-      expect(Object.fromEntries(world.kinds)).toEqual({ 0: 'output', 1: 'error', 2: 'output', 3: 'output', 4: 'error', 5: 'output' })
-      expect(new Set(world.requestIds).size).toBe(world.requestIds.length)
+      simulation.set(['works', 'works', 'works'])
+      expect(await simulation.advance(10 * 60_000)).toBe(true)
+      expect(Object.fromEntries(simulation.kinds)).toEqual({ 0: 'output', 1: 'error', 2: 'output', 3: 'output', 4: 'error', 5: 'output' })
+      expect(new Set(simulation.requestIds).size).toBe(simulation.requestIds.length)
     })
     await fc.assert(property, { seed: SEED, numRuns: HISTORIES })
   }, 60_000)
 
   // Guards against this: an item that no endpoint can do keeps its job open and the endpoints busy.
   it('ends an item that every endpoint fails after its attempts', async () => {
-    const world = new World(['FAIL a'], SEED)
-    expect(await world.pass(60_000)).toBe(true)
-    expect([world.kinds.get(0), world.runs.get('FAIL a')]).toEqual(['error', MAX_ATTEMPTS])
+    const simulation = new ItemSimulation(['FAIL a'], SEED)
+    expect(await simulation.advance(60_000)).toBe(true)
+    expect([simulation.kinds.get(0), simulation.runs.get('FAIL a')]).toEqual(['error', MAX_ATTEMPTS])
   })
 
   it('ends an item that the only endpoint of its service fails after its attempts', async () => {
-    const world = new World(['FAIL a'], SEED, 1)
-    world.set(['works', 'away', 'away'])
-    expect(await world.pass(60_000)).toBe(true)
-    expect([world.kinds.get(0), world.runs.get('FAIL a')]).toEqual(['error', MAX_ATTEMPTS])
+    const simulation = new ItemSimulation(['FAIL a'], SEED, 1)
+    simulation.set(['works', 'away', 'away'])
+    expect(await simulation.advance(60_000)).toBe(true)
+    expect([simulation.kinds.get(0), simulation.runs.get('FAIL a')]).toEqual(['error', MAX_ATTEMPTS])
   })
 
   it('ends an item within minutes when the endpoints that have not failed it never come back', async () => {
-    const world = new World(['FAIL a'], SEED)
-    world.set(['works', 'away', 'away'])
-    expect(await world.pass(10 * 60_000)).toBe(true)
-    expect(world.kinds.get(0)).toBe('error')
-    expect(world.runs.get('FAIL a')).toBeLessThanOrEqual(20)
+    const simulation = new ItemSimulation(['FAIL a'], SEED)
+    simulation.set(['works', 'away', 'away'])
+    expect(await simulation.advance(10 * 60_000)).toBe(true)
+    expect(simulation.kinds.get(0)).toBe('error')
+    expect(simulation.runs.get('FAIL a')).toBeLessThanOrEqual(20)
   })
 })
--- a/packages/anvilarch-daemon/src/jobs/__tests__/jobFailures.test.ts
+++ b/packages/anvilarch-daemon/src/jobs/__tests__/jobFailures.test.ts
@@ -17,11 +17,11 @@
   gateway.context.timeline.query().filter(({ event }) => event === 'jobs.part_ended').map(({ detail }) => detail?.end)
 
 /** Advances until a condition holds and returns how long it took. */
-async function advanceUntil (fleet: SimulatedFleet, isTrue: () => boolean, limitMs = 120_000): Promise<number> {
-  let passedMs = 0
-  for (; !isTrue() && passedMs < limitMs; passedMs += 50) await fleet.clock.advanceAsync(50)
-  expect(isTrue()).toBe(true)
-  return passedMs
+async function advanceUntil (fleet: SimulatedFleet, condition: () => boolean, limitMs = 120_000): Promise<number> {
+  let elapsedMs = 0
+  for (; !condition() && elapsedMs < limitMs; elapsedMs += 50) await fleet.clock.advanceAsync(50)
+  expect(condition()).toBe(true)
+  return elapsedMs
 }
 
 describe('jobs when gateways and the platform fail', () => {
@@ -36,9 +36,9 @@
     return fleet.gateways
   }
 
-  const isOver = (): boolean => jobRowOf(fleet, [...job.ids][0])?.state === 'completed'
+  const isCompleted = (): boolean => jobRowOf(fleet, [...job.ids][0])?.state === 'completed'
 
-  const expectWhole = (): void => {
+  const expectAllResults = (): void => {
     const results = readResults(fleet, [...job.ids][0])
     expect(results.map(({ customId }) => Number(customId.slice(1))).sort((left, right) => left - right)).toEqual(job.prompts.map((_prompt, index) => index))
     expect(fleet.violations).toEqual([])
@@ -50,8 +50,8 @@
   it('runs a job whose gateway is lost right after it accepted it', async () => {
     const [accepting] = await start(2, 20)
     accepting.gate.kill()
-    await advanceUntil(fleet, isOver)
-    expectWhole()
+    await advanceUntil(fleet, isCompleted)
+    expectAllResults()
   })
 
   it('takes over the parts of a lost gateway a little after its lease, and runs only what was not committed', async () => {
@@ -60,11 +60,11 @@
     lost.gate.kill()
     const held = partRows(fleet).filter(row => row.holder === 'g0.1').length
     expect(held).toBeGreaterThan(0)
-    const passedMs = await advanceUntil(fleet, () => partRows(fleet).every(row => row.holder !== 'g0.1'))
-    expect(passedMs).toBeGreaterThan(LEASE_MS / 2)
-    expect(passedMs).toBeLessThan(1.5 * LEASE_MS + 3 * POLL_MS)
-    await advanceUntil(fleet, isOver)
-    expectWhole()
+    const elapsedMs = await advanceUntil(fleet, () => partRows(fleet).every(row => row.holder !== 'g0.1'))
+    expect(elapsedMs).toBeGreaterThan(LEASE_MS / 2)
+    expect(elapsedMs).toBeLessThan(1.5 * LEASE_MS + 3 * POLL_MS)
+    await advanceUntil(fleet, isCompleted)
+    expectAllResults()
     expect(startedRuns(other)).toBeLessThanOrEqual(40)
   })
 
@@ -73,26 +73,26 @@
     const [holder] = await start(1, 8, 8)
     const { table } = holder.context.platform
     const { commit } = table
-    let arrive = (): void => {}
-    const underWay = new Promise<void>(resolve => { arrive = resolve })
+    let deliver = (): void => {}
+    const delivery = new Promise<void>(resolve => { deliver = resolve })
     let sent = 0
     table.commit = async each => {
       if (!each.writes.some(({ value }) => value?.includes('"segment":0') === true)) return await commit(each)
       sent += 1
-      await underWay
+      await delivery
       return await commit(each)
     }
     await advanceUntil(fleet, () => sent > 0)
     holder.gate.stop()
     fleet.addGateway()
     await advanceUntil(fleet, () => partRows(fleet)[0].holder === 'g1.1')
-    arrive()
+    deliver()
     await fleet.clock.advanceAsync(50)
     expect(partRows(fleet)[0].completed).toBe(0)
     holder.gate.proceed()
-    await advanceUntil(fleet, isOver)
+    await advanceUntil(fleet, isCompleted)
     await fleet.clock.advanceAsync(2 * LEASE_MS)
-    expectWhole()
+    expectAllResults()
     expect(endedParts(holder)).toEqual(['taken_over'])
   })
 
@@ -105,8 +105,8 @@
     await fleet.clock.advanceAsync(60_000)
     expect(startedRuns(only)).toBe(before)
     fleet.faults.table.outage = false
-    await advanceUntil(fleet, isOver)
-    expectWhole()
+    await advanceUntil(fleet, isCompleted)
+    expectAllResults()
     expect(startedRuns(only)).toBe(200)
   })
 
@@ -116,8 +116,8 @@
     fleet.faults.table.outage = true
     await fleet.clock.advanceAsync(60_000)
     fleet.faults.table.outage = false
-    await advanceUntil(fleet, isOver)
-    expectWhole()
+    await advanceUntil(fleet, isCompleted)
+    expectAllResults()
     expect(Math.max(...partRows(fleet).map(row => row.epoch))).toBe(1)
   })
 
@@ -129,29 +129,29 @@
     await advanceUntil(fleet, () => startedRuns(only) > 0)
     fleet.faults.objects.outage = true
     await fleet.clock.advanceAsync(120_000)
-    const most = 12 + only.context.settings.gateway.maxBatchInProgress
+    const maxRuns = 12 + only.context.settings.gateway.maxBatchInProgress
     expect(startedRuns(only)).toBeGreaterThan(4)
-    expect(startedRuns(only)).toBeLessThanOrEqual(most)
+    expect(startedRuns(only)).toBeLessThanOrEqual(maxRuns)
     fleet.faults.objects.outage = false
-    await advanceUntil(fleet, isOver)
-    expectWhole()
+    await advanceUntil(fleet, isCompleted)
+    expectAllResults()
     expect(startedRuns(only)).toBe(100)
   })
 
   it('hands its parts back when it drains, so that others go on at once', async () => {
-    const [leaving, other] = await start(2, 80)
+    const [draining, other] = await start(2, 80)
     await advanceUntil(fleet, () => partRows(fleet).filter(row => row.holder === 'g0.1').length >= 2)
-    const drained = leaving.worker()?.drain()
-    const passedMs = await advanceUntil(fleet, () => partRows(fleet).every(row => row.holder !== 'g0.1'))
-    expect(passedMs).toBeLessThan(3_000)
-    await advanceUntil(fleet, () => leaving.worker()?.heldParts() === 0)
+    const drained = draining.worker()?.drain()
+    const elapsedMs = await advanceUntil(fleet, () => partRows(fleet).every(row => row.holder !== 'g0.1'))
+    expect(elapsedMs).toBeLessThan(3_000)
+    await advanceUntil(fleet, () => draining.worker()?.heldParts() === 0)
     await fleet.clock.advanceAsync(POLL_MS)
     await drained
     const committed = partRows(fleet).reduce((sum, row) => sum + row.completed, 0)
     expect(committed).toBeGreaterThan(0)
-    await advanceUntil(fleet, isOver, 60_000)
-    expectWhole()
-    expect(startedRuns(leaving) + startedRuns(other)).toBe(80)
+    await advanceUntil(fleet, isCompleted, 60_000)
+    expectAllResults()
+    expect(startedRuns(draining) + startedRuns(other)).toBe(80)
   })
 
   // Guards against this: items failed that were never run.
@@ -166,8 +166,8 @@
     await fleet.clock.advanceAsync(180_000)
     expect(refused).toBeGreaterThan(8 * 3)
     only.runner.run = run
-    await advanceUntil(fleet, isOver)
-    expectWhole()
+    await advanceUntil(fleet, isCompleted)
+    expectAllResults()
     expect(readResults(fleet, [...job.ids][0]).every(({ kind }) => kind === 'output')).toBe(true)
   })
 
--- a/packages/anvilarch-daemon/src/jobs/__tests__/jobHistories.test.ts
+++ b/packages/anvilarch-daemon/src/jobs/__tests__/jobHistories.test.ts
@@ -4,7 +4,7 @@
  * gateways are stopped past their lease and continued, killed and replaced, or drained.
  */
 import fc from 'fast-check'
-import { BAD_PROMPTS } from '../__fixtures__/fakeRunner'
+import { FAILING_PROMPTS } from '../__fixtures__/fakeRunner'
 import { cancelSubmitted, jobRowOf, jobsUnderKey, readResults, type SubmittedJob, submitJob, uploadJob } from '../__fixtures__/simulatedCaller'
 import { createSimulatedFleet, type SimulatedFleet } from '../__fixtures__/simulatedFleet'
 
@@ -17,8 +17,8 @@
 const GATEWAYS = 3
 const SEED = Number(process.env.JOB_HISTORIES_SEED ?? 20_261)
 const RUNS = Number(process.env.JOB_HISTORIES ?? 100)
-const HEAL_MS = 400_000
-const HEAL_STEP_MS = 2_000
+const RECOVERY_MS = 400_000
+const RECOVERY_STEP_MS = 2_000
 
 const gateway = fc.nat({ max: GATEWAYS - 1 })
 const upload = fc.nat({ max: 1 })
@@ -39,13 +39,13 @@
 
 function promptsOf (number: number, items: number): string[] {
   return Array.from({ length: items }, (_value, index) => {
-    const flaw = index % 7 === 5 ? BAD_PROMPTS.fail : index % 7 === 6 ? BAD_PROMPTS.refuse : 'ok'
-    return `${number}/${index} ${flaw}`
+    const outcome = index % 7 === 5 ? FAILING_PROMPTS.fail : index % 7 === 6 ? FAILING_PROMPTS.refuse : 'ok'
+    return `${number}/${index} ${outcome}`
   })
 }
 
-async function take (fleet: SimulatedFleet, jobs: SubmittedJob[], step: Step): Promise<void> {
-  const quiet = (promise: Promise<unknown>): void => { promise.catch(() => {}) }
+async function applyStep (fleet: SimulatedFleet, jobs: SubmittedJob[], step: Step): Promise<void> {
+  const ignoreErrors = (promise: Promise<unknown>): void => { promise.catch(() => {}) }
   if (step.type === 'wait') {
     await fleet.clock.advanceAsync(step.ms)
   } else if (step.type === 'fault') {
@@ -55,11 +55,11 @@
     })
   } else {
     const target = fleet.gateways[step.gateway]
-    if (step.type === 'submit') quiet(submitJob(target, jobs[step.job], step.upload))
-    else if (step.type === 'cancel') quiet(cancelSubmitted(target, jobs[step.job]))
+    if (step.type === 'submit') ignoreErrors(submitJob(target, jobs[step.job], step.upload))
+    else if (step.type === 'cancel') ignoreErrors(cancelSubmitted(target, jobs[step.job]))
     else if (step.type === 'stop') target.gate.stop()
     else if (step.type === 'proceed') target.gate.proceed()
-    else if (step.type === 'drain') quiet(target.worker()?.drain() ?? Promise.resolve())
+    else if (step.type === 'drain') ignoreErrors(target.worker()?.drain() ?? Promise.resolve())
     else kill(fleet, step.gateway)
   }
 }
@@ -71,18 +71,18 @@
   fleet.gateways[index] = fleet.gateways.pop() as SimulatedFleet['gateways'][number]
 }
 
-async function heal (fleet: SimulatedFleet, jobs: SubmittedJob[]): Promise<void> {
+async function recover (fleet: SimulatedFleet, jobs: SubmittedJob[]): Promise<void> {
   for (const service of [fleet.faults.table, fleet.faults.objects]) Object.assign(service, { outage: false, latencyMs: 0, loseReplies: 0 })
   for (const { gate } of fleet.gateways) gate.proceed()
-  const fresh = fleet.addGateway()
+  const extra = fleet.addGateway()
   await fleet.clock.advanceAsync(3_000)
   for (const sent of jobs) {
-    const sending = submitJob(fresh, sent, 0)
+    const sending = submitJob(extra, sent, 0)
     await fleet.clock.advanceAsync(100)
     await sending
   }
   const isActive = (): boolean => [...fleet.store.rows.keys()].some(key => key.startsWith('active/'))
-  for (let healedMs = 0; healedMs < HEAL_MS && isActive(); healedMs += HEAL_STEP_MS) await fleet.clock.advanceAsync(HEAL_STEP_MS)
+  for (let elapsedMs = 0; elapsedMs < RECOVERY_MS && isActive(); elapsedMs += RECOVERY_STEP_MS) await fleet.clock.advanceAsync(RECOVERY_STEP_MS)
 }
 
 function check (fleet: SimulatedFleet, sent: SubmittedJob): void {
@@ -107,9 +107,9 @@
       const fleet = createSimulatedFleet(seed, 0.1)
       for (let number = 0; number < GATEWAYS; number++) fleet.addGateway()
       const jobs = [await uploadJob(fleet, 0, promptsOf(0, 14)), await uploadJob(fleet, 1, promptsOf(1, 30))]
-      await take(fleet, jobs, { type: 'submit', job: seed % 2, gateway: 0, upload: 0 })
-      for (const each of steps) await take(fleet, jobs, each)
-      await heal(fleet, jobs)
+      await applyStep(fleet, jobs, { type: 'submit', job: seed % 2, gateway: 0, upload: 0 })
+      for (const each of steps) await applyStep(fleet, jobs, each)
+      await recover(fleet, jobs)
       expect(fleet.violations).toEqual([])
       for (const sent of jobs) check(fleet, sent)
     })
--- a/packages/anvilarch-daemon/src/jobs/__tests__/jobRoutes.test.ts
+++ b/packages/anvilarch-daemon/src/jobs/__tests__/jobRoutes.test.ts
@@ -1,4 +1,4 @@
-import { type BatchClient, breakUpload, createBatchClient, itemLine, itemLines, until } from '../__fixtures__/batchClient'
+import { type BatchClient, abortUpload, createBatchClient, itemLine, itemLines, until } from '../__fixtures__/batchClient'
 import { createMemoryStore } from '../__fixtures__/memoryStore'
 import { startTestGateway, type TestGateway } from '../__fixtures__/testGateway'
 
@@ -15,7 +15,7 @@
 
   afterEach(async () => { await gateway.stop() })
 
-  const expectNothingKept = (): void => {
+  const expectNothingStored = (): void => {
     expect([...gateway.store.objects.keys()]).toEqual([])
     expect([...rowsOf(gateway, 'file/'), ...rowsOf(gateway, 'upload/'), ...rowsOf(gateway, 'callerfile/')]).toEqual([])
   }
@@ -30,12 +30,12 @@
     ['is too long', itemLine(6, 'x'.repeat(3_000)), /Line 7 .*2048 bytes/]
   ])('names the line that %s and keeps nothing', async (_name, line, message) => {
     await expect(client.upload(itemLines(6) + line + '\n' + itemLines(3))).rejects.toMatchObject({ status: 400, message: expect.stringMatching(message) })
-    expectNothingKept()
+    expectNothingStored()
   })
 
   it.each([['no items', '\n\n'], ['blank lines without end', '\n'.repeat(9_000)]])('refuses a file of %s', async (_name, content) => {
     await expect(client.upload(content)).rejects.toMatchObject({ status: 400 })
-    expectNothingKept()
+    expectNothingStored()
   })
 
   it('refuses a form of another purpose, and one without a file', async () => {
@@ -47,19 +47,19 @@
     expect(await post({ purpose: 'fine-tune', file: new Blob([itemLines(9)]) })).toBe(400)
     expect(await post({ purpose: 'batch' })).toBe(400)
     expect((await fetch(`${gateway.server.url}/v1/files`, { method: 'POST', body: 'text' })).status).toBe(400)
-    expectNothingKept()
+    expectNothingStored()
   })
 
   // Guards against this: half a file that can be run, or chunks that stay for ever.
   it('keeps nothing of an upload that breaks off', async () => {
-    await breakUpload(gateway.server.url, itemLines(40))
+    await abortUpload(gateway.server.url, itemLines(40))
     await until(() => gateway.store.counts.puts > 0)
     await until(() => gateway.store.objects.size === 0 && rowsOf(gateway, 'upload/').length === 0)
-    expectNothingKept()
+    expectNothingStored()
     const body = `--b\r\ncontent-disposition: form-data; name="file"; filename="f"\r\n\r\n${itemLines(3)}`
     const headers = { 'content-type': 'multipart/form-data; boundary=b' }
     expect((await fetch(`${gateway.server.url}/v1/files`, { method: 'POST', body, headers })).status).toBe(400)
-    expectNothingKept()
+    expectNothingStored()
   })
 
   it('says that nothing was run, and when to come back, while a service of the platform is down', async () => {
--- a/packages/anvilarch-daemon/src/jobs/__tests__/openaiBatches.test.ts
+++ b/packages/anvilarch-daemon/src/jobs/__tests__/openaiBatches.test.ts
@@ -1,4 +1,4 @@
-import { BAD_PROMPTS } from '../__fixtures__/fakeRunner'
+import { FAILING_PROMPTS } from '../__fixtures__/fakeRunner'
 import { type BatchClient, createBatchClient, itemLine, itemLines, until } from '../__fixtures__/batchClient'
 import { startTestGateway, type TestGateway, type TestGatewayOptions } from '../__fixtures__/testGateway'
 
@@ -31,7 +31,7 @@
   // Guards against this: a job that never ends.
   it('ends a batch whose items can never be done, with a reason for each in the error file', async () => {
     await start()
-    const prompts = [BAD_PROMPTS.fail, BAD_PROMPTS.refuse, BAD_PROMPTS.quarantine, 'fine']
+    const prompts = [FAILING_PROMPTS.fail, FAILING_PROMPTS.refuse, FAILING_PROMPTS.quarantine, 'fine']
     const file = await client.upload(prompts.map((prompt, index) => itemLine(index, prompt)).join('\n'))
     const batch = await client.untilEnded((await client.submit(file.id)).id)
     expect(batch.request_counts).toEqual({ total: 4, completed: 1, failed: 3 })
@@ -39,8 +39,8 @@
     const codes = Object.fromEntries(errors.map(({ custom_id: id, error }) => [id, error?.code]))
     expect(codes).toEqual({ 'c-0': 'endpoint_failed', 'c-1': 'status_400', 'c-2': 'quarantined' })
     expect(errors.find(({ custom_id: id }) => id === 'c-1')?.response?.status_code).toBe(400)
-    expect(gateway.runner.started.get(BAD_PROMPTS.fail)).toBe(3)
-    expect(gateway.runner.started.get(BAD_PROMPTS.quarantine)).toBe(1)
+    expect(gateway.runner.started.get(FAILING_PROMPTS.fail)).toBe(3)
+    expect(gateway.runner.started.get(FAILING_PROMPTS.quarantine)).toBe(1)
   }, 20_000)
 
   // Guards against this: a cancelled job that goes on.
--- a/packages/anvilarch-daemon/src/jobs/__tests__/partCore.test.ts
+++ b/packages/anvilarch-daemon/src/jobs/__tests__/partCore.test.ts
@@ -22,7 +22,7 @@
 }
 
 /** A table with one part and its job, holders that send to it, and objects by name. */
-class World {
+class TableModel {
   row: PartRow | undefined
   version = 0
   jobVersion = 1
@@ -73,9 +73,9 @@
     if (sent === undefined) return
     const { commitId, kind, row } = sent.pending
     if (!this.outcomes.has(commitId)) {
-      const holds = sent.partVersion === this.version && (kind === 'release' || sent.jobVersion === this.jobVersion)
-      if (holds) this.take(kind, row)
-      this.outcomes.set(commitId, holds ? this.version : undefined)
+      const areConditionsMet = sent.partVersion === this.version && (kind === 'release' || sent.jobVersion === this.jobVersion)
+      if (areConditionsMet) this.take(kind, row)
+      this.outcomes.set(commitId, areConditionsMet ? this.version : undefined)
     }
     holder.replies.push({ sent, version: this.outcomes.get(commitId) })
   }
@@ -118,20 +118,20 @@
   }
 }
 
-const ACTIONS: Record<string, (world: World, holder: Holder, count: number) => void> = {
-  claim: (world, holder) => { world.claim(holder) },
-  flush: (world, holder, count) => { world.flush(holder, count) },
-  deliver: (world, holder, count) => { world.deliver(holder, count) },
-  reply: (world, holder) => { world.reply(holder) },
+const ACTIONS: Record<string, (model: TableModel, holder: Holder, count: number) => void> = {
+  claim: (model, holder) => { model.claim(holder) },
+  flush: (model, holder, count) => { model.flush(holder, count) },
+  deliver: (model, holder, count) => { model.deliver(holder, count) },
+  reply: (model, holder) => { model.reply(holder) },
   loseReply: (_world, holder) => { holder.replies.pop() },
-  lapse: (world, holder) => { world.dispatch(holder, { type: 'lapsed' }) },
-  reread: (world, holder) => { world.reread(holder) },
-  release: (world, holder) => { world.dispatch(holder, { type: 'release', commitId: world.nextId() }) },
-  jobRowChanges: world => { world.jobVersion += 1 },
-  endJob: (world, _holder, count) => {
+  lapse: (model, holder) => { model.dispatch(holder, { type: 'lapsed' }) },
+  reread: (model, holder) => { model.reread(holder) },
+  release: (model, holder) => { model.dispatch(holder, { type: 'release', commitId: model.nextId() }) },
+  jobRowChanges: model => { model.jobVersion += 1 },
+  endJob: (model, _holder, count) => {
     if (count > 1) return
-    world.jobVersion += 1
-    world.jobActive = false
+    model.jobVersion += 1
+    model.jobActive = false
   }
 }
 
@@ -144,73 +144,73 @@
 describe('stepPart', () => {
   it('commits each item at most once, under one holder, and nothing to a job that has ended', () => {
     fc.assert(fc.property(fc.array(action, { maxLength: 80, size: 'max' }), actions => {
-      const world = new World()
-      world.claim(world.holders[0])
-      for (const { name, holder, count } of actions) ACTIONS[name](world, world.holders[holder], count)
-      const items = world.committedItems()
+      const model = new TableModel()
+      model.claim(model.holders[0])
+      for (const { name, holder, count } of actions) ACTIONS[name](model, model.holders[holder], count)
+      const items = model.committedItems()
       expect(new Set(items).size).toBe(items.length)
-      expect(items.length).toBe((world.row?.completed ?? 0) + (world.row?.failed ?? 0))
+      expect(items.length).toBe((model.row?.completed ?? 0) + (model.row?.failed ?? 0))
     }), { seed: SEED, numRuns: RUNS })
   })
 
   it('finishes every part that one holder is left to run to its end', () => {
     fc.assert(fc.property(fc.array(action, { maxLength: 40, size: 'max' }), actions => {
-      const world = new World()
-      for (const { name, holder, count } of actions) if (name !== 'endJob') ACTIONS[name](world, world.holders[holder], count)
-      const last = world.holders[0]
+      const model = new TableModel()
+      for (const { name, holder, count } of actions) if (name !== 'endJob') ACTIONS[name](model, model.holders[holder], count)
+      const last = model.holders[0]
       last.replies = []
-      if (world.row === undefined || !isPartDone(world.row)) world.claim(last)
-      for (let round = 0; round < ITEMS && !isPartDone(world.row as PartRow); round++) {
-        world.flush(last, 3)
-        world.deliver(last, last.sent.length - 1)
-        while (last.replies.length > 0) world.reply(last)
+      if (model.row === undefined || !isPartDone(model.row)) model.claim(last)
+      for (let round = 0; round < ITEMS && !isPartDone(model.row as PartRow); round++) {
+        model.flush(last, 3)
+        model.deliver(last, last.sent.length - 1)
+        while (last.replies.length > 0) model.reply(last)
       }
-      expect(world.committedItems().sort((left, right) => left - right)).toEqual(Array.from({ length: ITEMS }, (_value, index) => index))
+      expect(model.committedItems().sort((left, right) => left - right)).toEqual(Array.from({ length: ITEMS }, (_value, index) => index))
     }), { seed: SEED, numRuns: RUNS })
   })
 
   // Guards against this: an item shown twice.
   it('keeps a commit whose outcome is open, with its content, over a lapse of the lease', () => {
-    const world = new World()
-    const [holder] = world.holders
-    world.claim(holder)
-    world.flush(holder, 4)
+    const model = new TableModel()
+    const [holder] = model.holders
+    model.claim(holder)
+    model.flush(holder, 4)
     const first = holder.sent[0]
-    world.dispatch(holder, { type: 'lapsed' })
-    world.reread(holder)
+    model.dispatch(holder, { type: 'lapsed' })
+    model.reread(holder)
     expect(holder.sent[1].pending).toBe(first.pending)
-    world.deliver(holder, 0)
-    world.deliver(holder, 1)
-    world.reply(holder)
-    world.reply(holder)
-    expect(holder.state?.row.segments.length).toBe(world.row?.segments.length)
-    expect(world.committedItems().length).toBe(4)
+    model.deliver(holder, 0)
+    model.deliver(holder, 1)
+    model.reply(holder)
+    model.reply(holder)
+    expect(holder.state?.row.segments.length).toBe(model.row?.segments.length)
+    expect(model.committedItems().length).toBe(4)
   })
 
   // Guards against this: a part reported as finished while the table lacks its last items.
   it('does not take a second reply to one commit for the reply to the next', () => {
-    const world = new World()
-    const [holder] = world.holders
-    world.claim(holder)
-    world.flush(holder, 6)
-    world.deliver(holder, 0)
-    world.deliver(holder, 0)
-    world.reply(holder)
-    world.flush(holder, 6)
-    world.reply(holder)
+    const model = new TableModel()
+    const [holder] = model.holders
+    model.claim(holder)
+    model.flush(holder, 6)
+    model.deliver(holder, 0)
+    model.deliver(holder, 0)
+    model.reply(holder)
+    model.flush(holder, 6)
+    model.reply(holder)
     expect(holder.state?.end).toBeUndefined()
-    world.deliver(holder, 1)
-    world.reply(holder)
+    model.deliver(holder, 1)
+    model.reply(holder)
     expect(holder.state?.end).toBe('finished')
-    expect(world.committedItems().length).toBe(ITEMS)
+    expect(model.committedItems().length).toBe(ITEMS)
   })
 
   it('stops for good when the job has ended', () => {
-    const world = new World()
-    const [holder] = world.holders
-    world.claim(holder)
-    world.dispatch(holder, { type: 'job_ended' })
-    world.flush(holder, 4)
+    const model = new TableModel()
+    const [holder] = model.holders
+    model.claim(holder)
+    model.dispatch(holder, { type: 'job_ended' })
+    model.flush(holder, 4)
     expect(holder.state?.end).toBe('job_ended')
     expect(holder.sent).toEqual([])
   })
--- a/packages/anvilarch-daemon/src/jobs/__tests__/scheduling.test.ts
+++ b/packages/anvilarch-daemon/src/jobs/__tests__/scheduling.test.ts
@@ -12,7 +12,7 @@
 describe('scheduleOrder', () => {
   const jobs = [activeRow('a1', 'a', 50), activeRow('a2', 'a', 20), activeRow('a3', 'a', 30), activeRow('b1', 'b', 900), activeRow('c1', 'c', 5)]
   const order = (lastServed: Record<string, number>, held: Record<string, number> = {}): string[] => scheduleOrder({
-    jobs, wallMs: 10, heldFor: caller => held[caller] ?? 0, lastServed: caller => lastServed[caller] ?? 0, callerRank: caller => caller.charCodeAt(0)
+    jobs, wallMs: 10, leasedPartsOf: caller => held[caller] ?? 0, lastServed: caller => lastServed[caller] ?? 0, callerRank: caller => caller.charCodeAt(0)
   }).map(job => job.jobId)
 
   it('takes callers in turn, and of one caller the job that is due first', () => {
--- a/packages/anvilarch-daemon/src/jobs/acceptJob.ts
+++ b/packages/anvilarch-daemon/src/jobs/acceptJob.ts
@@ -5,7 +5,7 @@
 import { requireConfiguration } from '../callers/requireConfiguration'
 import type { DaemonContext } from '../context'
 import { type BatchRequest, checkFileFits, contentHash } from './batchRequest'
-import { type Draw, newJobId } from './ids'
+import { type RandomSource, newJobId } from './ids'
 import { type ActiveRow, type FileRow, JOB_KEYS, type JobKeyRow, type JobRow, parseRow } from './rows'
 import { settleCommit } from '../platform/settleCommit'
 
@@ -36,12 +36,12 @@
 /**
  * @param context - shared parts of the daemon
  * @param request - who asks for what
- * @param draw - random numbers for the job's id
+ * @param randomValue - random numbers for the job's id
  * @returns the job: a new one, or the one that was accepted for the same request before
  * @throws AnvilarchError when it is not accepted; says `unknown` when that could not be learned
  */
-export async function acceptJob (context: DaemonContext, request: AcceptRequest, draw: Draw): Promise<JobRow> {
-  const jobId = newJobId(context.clock.wallMs(), draw)
+export async function acceptJob (context: DaemonContext, request: AcceptRequest, randomValue: RandomSource): Promise<JobRow> {
+  const jobId = newJobId(context.clock.wallMs(), randomValue)
   for (let round = 0; round < MAX_ROUNDS; round++) {
     const file = await readFile(context, request)
     const hash = contentHash(request.batch, file.value)
@@ -97,8 +97,8 @@
       { code: 'conflict', step: STEP, ran: 'not_run' }
     )
   }
-  const isOver = key.job.state === 'cancelled' || key.job.state === 'expired'
-  return request.key === undefined && isOver ? undefined : key.job
+  const endedIncomplete = key.job.state === 'cancelled' || key.job.state === 'expired'
+  return request.key === undefined && endedIncomplete ? undefined : key.job
 }
 
 /** Two requests at the same moment may both pass; the limit is a guard against floods, not an exact quota. */
--- a/packages/anvilarch-daemon/src/jobs/answers.ts
+++ b/packages/anvilarch-daemon/src/jobs/apiObjects.ts
@@ -5,7 +5,7 @@
 const MS_PER_SECOND = 1_000
 
 /** A file as clients see it. */
-export interface FileAnswer {
+export interface FileObject {
   id: string
   object: 'file'
   bytes: number
@@ -22,7 +22,7 @@
  * @param row - of the file
  * @returns the file as clients see it
  */
-export function fileAnswer (row: FileRow): FileAnswer {
+export function toFileObject (row: FileRow): FileObject {
   return {
     id: row.id,
     object: 'file',
@@ -40,7 +40,7 @@
  * @param sizeBytes - of the content
  * @returns the file of results as clients see it
  */
-export function resultFileAnswer (job: JobRow, kind: ResultKind, sizeBytes: number): FileAnswer {
+export function toResultFileObject (job: JobRow, kind: ResultKind, sizeBytes: number): FileObject {
   return {
     id: resultFileId(job.id, kind),
     object: 'file',
@@ -58,7 +58,7 @@
  * @param state - to show
  * @returns the job as clients see it
  */
-export function jobAnswer (job: JobRow, counts: ItemCounts, state: ShownState): Record<string, unknown> {
+export function toBatchObject (job: JobRow, counts: ItemCounts, state: ShownState): Record<string, unknown> {
   const total = job.partItems.reduce((sum, items) => sum + items, 0)
   const endedAt = job.endedAtMs === undefined ? null : toSeconds(job.endedAtMs)
   const isEnded = job.state !== 'in_progress'
@@ -93,7 +93,7 @@
  * @param hasMore - whether there are further ones
  * @returns a list as clients see it
  */
-export function listAnswer (items: Array<Record<string, unknown> | FileAnswer>, hasMore: boolean): Record<string, unknown> {
+export function toListObject (items: Array<Record<string, unknown> | FileObject>, hasMore: boolean): Record<string, unknown> {
   return {
     object: 'list',
     data: items,
--- a/packages/anvilarch-daemon/src/jobs/batchRoutes.ts
+++ b/packages/anvilarch-daemon/src/jobs/batchRoutes.ts
@@ -5,10 +5,10 @@
 import type { CallerContext, Route } from '../callers/types'
 import type { DaemonContext } from '../context'
 import { acceptJob } from './acceptJob'
-import { jobAnswer, listAnswer } from './answers'
+import { toBatchObject, toListObject } from './apiObjects'
 import { parseBatchRequest, parseKey } from './batchRequest'
 import { cancelJob } from './cancelJob'
-import type { Draw } from './ids'
+import type { RandomSource } from './ids'
 import { parsePage, readIndexPage } from './paging'
 import { type JobReader, shownState } from './readJob'
 import { JOB_KEYS, type JobRow, parseRow } from './rows'
@@ -21,40 +21,40 @@
 /**
  * @param context - shared parts of the daemon
  * @param reader - of jobs
- * @param draw - random numbers for ids
+ * @param randomValue - random numbers for ids
  * @returns the routes
  */
-export function batchRoutes (context: DaemonContext, reader: JobReader, draw: Draw): Route[] {
-  const answer = async (job: JobRow): Promise<Record<string, unknown>> => {
+export function batchRoutes (context: DaemonContext, reader: JobReader, randomValue: RandomSource): Route[] {
+  const describeJob = async (job: JobRow): Promise<Record<string, unknown>> => {
     const stopMs = STOP_POLLS * context.settings.gateway.pollIntervalMs
-    return jobAnswer(job, await reader.counts(job), shownState(job, context.clock.wallMs(), stopMs))
+    return toBatchObject(job, await reader.counts(job), shownState(job, context.clock.wallMs(), stopMs))
   }
 
   const create = async ({ request, response, caller, signal }: CallerContext): Promise<void> => {
     const key = parseKey(request.headers['idempotency-key'])
     const batch = parseBatchRequest(parseJsonObject(await readBody(request, MAX_BODY_BYTES)))
-    const job = await acceptJob(context, { caller, key, batch, signal }, draw)
+    const job = await acceptJob(context, { caller, key, batch, signal }, randomValue)
     // The job stands, so that no failure to count its items may turn this answer into an error.
     const counts = await reader.counts(job).catch(() => ({ completed: 0, failed: 0 }))
-    sendJson(response, 200, jobAnswer(job, counts, job.state))
+    sendJson(response, 200, toBatchObject(job, counts, job.state))
   }
 
   const list = async ({ response, caller, query }: CallerContext): Promise<void> => {
     const page = await readIndexPage(context.platform.table, JOB_KEYS.callerJobs(caller), parsePage(query), ROW_KEYS.job)
-    const answers = []
-    for (const row of page.rows) answers.push(await answer(parseRow<JobRow>(row.value)))
-    sendJson(response, 200, listAnswer(answers, page.hasMore))
+    const batches = []
+    for (const row of page.rows) batches.push(await describeJob(parseRow<JobRow>(row.value)))
+    sendJson(response, 200, toListObject(batches, page.hasMore))
   }
 
   const show = async ({ response, caller, params, signal }: CallerContext): Promise<void> => {
     const { job } = await reader.read(caller, params.id, signal)
-    sendJson(response, 200, await answer(job))
+    sendJson(response, 200, await describeJob(job))
   }
 
   const cancel = async ({ response, caller, params }: CallerContext): Promise<void> => {
     const job = await cancelJob(context, reader, caller, params.id)
     const counts = await reader.counts(job).catch(() => ({ completed: 0, failed: 0 }))
-    sendJson(response, 200, jobAnswer(job, counts, 'cancelling'))
+    sendJson(response, 200, toBatchObject(job, counts, 'cancelling'))
   }
 
   return [
--- a/packages/anvilarch-daemon/src/jobs/chunkWriter.ts
+++ b/packages/anvilarch-daemon/src/jobs/chunkWriter.ts
@@ -84,12 +84,12 @@
   const isChunkFull = (line: Buffer): boolean =>
     customIds.size >= options.partItems || (customIds.size > 0 && pendingBytes + line.length > options.partBytes)
 
-  const noteItem = (line: Buffer): void => {
+  const addItem = (line: Buffer): void => {
     const parsed = parseItemLine(line)
-    if (!parsed.ok) throw badLine(lineNumber, parsed.problem)
+    if (!parsed.ok) throw invalidLine(lineNumber, parsed.problem)
     const { customId, url, body } = parsed.item
     const before = customIds.get(customId)
-    if (before !== undefined) throw badLine(lineNumber, `"custom_id" "${customId}" was used on line ${before} already`)
+    if (before !== undefined) throw invalidLine(lineNumber, `"custom_id" "${customId}" was used on line ${before} already`)
     customIds.set(customId, lineNumber)
     urls.add(url)
     if (models.size < MAX_LISTED_MODELS) models.add(String(body.model))
@@ -98,13 +98,13 @@
   const addLine = async (line: Buffer): Promise<void> => {
     lineNumber += 1
     if (line.length > options.maxItemBytes) {
-      throw badLine(lineNumber, `it has more than the ${options.maxItemBytes} bytes that an item may have`)
+      throw invalidLine(lineNumber, `it has more than the ${options.maxItemBytes} bytes that an item may have`)
     }
     const isItem = !isBlankLine(line)
     // A chunk is closed only before a further item, so that no chunk is without items.
     if (isItem && isChunkFull(line)) await closeChunk()
-    if (isItem) noteItem(line)
-    else if (pendingBytes > options.partBytes + options.maxItemBytes) throw badLine(lineNumber, 'there are too many blank lines')
+    if (isItem) addItem(line)
+    else if (pendingBytes > options.partBytes + options.maxItemBytes) throw invalidLine(lineNumber, 'there are too many blank lines')
     pending.push(line)
     pendingBytes += line.length
   }
@@ -127,7 +127,7 @@
       if (customIds.size > 0) await closeChunk()
       await Promise.all(puts)
       checkFailure()
-      if (chunkItems.length === 0) throw badContent('The file has no items. Each line must be a JSON object.')
+      if (chunkItems.length === 0) throw invalidContent('The file has no items. Each line must be a JSON object.')
       return { sizeBytes, sha256: hash.digest('hex'), chunkItems, urls: [...urls], models: [...models] }
     },
     discard: async () => {
@@ -137,11 +137,11 @@
   }
 }
 
-function badLine (lineNumber: number, problem: string): AnvilarchError {
-  return badContent(`Line ${lineNumber} of the file can't be used: ${problem}. Nothing was kept; correct the line and upload the file again.`)
+function invalidLine (lineNumber: number, problem: string): AnvilarchError {
+  return invalidContent(`Line ${lineNumber} of the file can't be used: ${problem}. Nothing was kept; correct the line and upload the file again.`)
 }
 
-function badContent (message: string): AnvilarchError {
+function invalidContent (message: string): AnvilarchError {
   return new AnvilarchError(message, { code: 'bad_request', step: STEP, ran: 'not_run' })
 }
 
--- a/packages/anvilarch-daemon/src/jobs/fileRoutes.ts
+++ b/packages/anvilarch-daemon/src/jobs/fileRoutes.ts
@@ -5,8 +5,8 @@
 import { sendJson } from '../callers/http/sendJson'
 import type { CallerContext, Route } from '../callers/types'
 import type { DaemonContext } from '../context'
-import { fileAnswer, listAnswer, resultFileAnswer } from './answers'
-import { type Draw, parseResultFileId } from './ids'
+import { toFileObject, toListObject, toResultFileObject } from './apiObjects'
+import { type RandomSource, parseResultFileId } from './ids'
 import { parsePage, readIndexPage } from './paging'
 import { type JobReader, partRows } from './readJob'
 import { sendFileContent, sendResults } from './resultContent'
@@ -33,10 +33,10 @@
 /**
  * @param context - shared parts of the daemon
  * @param reader - of jobs
- * @param draw - random numbers for ids
+ * @param randomValue - random numbers for ids
  * @returns the routes
  */
-export function fileRoutes (context: DaemonContext, reader: JobReader, draw: Draw): Route[] {
+export function fileRoutes (context: DaemonContext, reader: JobReader, randomValue: RandomSource): Route[] {
   const { table } = context.platform
 
   const readFile = async (caller: string, fileId: string): Promise<VersionedFile> => {
@@ -71,18 +71,18 @@
   }
 
   const upload = async ({ request, response, caller }: CallerContext): Promise<void> => {
-    sendJson(response, 200, fileAnswer(await uploadFile(context, caller, request, draw)))
+    sendJson(response, 200, toFileObject(await uploadFile(context, caller, request, randomValue)))
   }
 
   const list = async ({ response, caller, query }: CallerContext): Promise<void> => {
     const page = await readIndexPage(table, JOB_KEYS.callerFiles(caller), parsePage(query), ROW_KEYS.file)
-    sendJson(response, 200, listAnswer(page.rows.map(row => fileAnswer(parseRow<FileRow>(row.value))), page.hasMore))
+    sendJson(response, 200, toListObject(page.rows.map(row => toFileObject(parseRow<FileRow>(row.value))), page.hasMore))
   }
 
   const show = async ({ response, caller, params }: CallerContext): Promise<void> => {
     const results = await readResultFile(caller, params.id)
-    if (results === undefined) sendJson(response, 200, fileAnswer((await readFile(caller, params.id)).file))
-    else sendJson(response, 200, resultFileAnswer(results.job, results.kind, await resultSize(results.job, results.kind)))
+    if (results === undefined) sendJson(response, 200, toFileObject((await readFile(caller, params.id)).file))
+    else sendJson(response, 200, toResultFileObject(results.job, results.kind, await resultSize(results.job, results.kind)))
   }
 
   const content = async ({ response, caller, params, signal }: CallerContext): Promise<void> => {
--- a/packages/anvilarch-daemon/src/jobs/ids.ts
+++ b/packages/anvilarch-daemon/src/jobs/ids.ts
@@ -9,24 +9,24 @@
 const RESULT_FILE = /^file-(batch_[0-9a-z]+)-(output|error)$/
 
 /** Draws a number in [0, 1). */
-export type Draw = () => number
+export type RandomSource = () => number
 
 /**
  * @param wallMs - wall time of the upload
- * @param draw - random numbers
+ * @param randomValue - random numbers
  * @returns an id for an uploaded file
  */
-export function newFileId (wallMs: number, draw: Draw): string {
-  return `file-${countdown(wallMs)}${randomText(draw)}`
+export function newFileId (wallMs: number, randomValue: RandomSource): string {
+  return `file-${countdown(wallMs)}${randomText(randomValue)}`
 }
 
 /**
  * @param wallMs - wall time of the job's arrival
- * @param draw - random numbers
+ * @param randomValue - random numbers
  * @returns an id for a job
  */
-export function newJobId (wallMs: number, draw: Draw): string {
-  return `batch_${countdown(wallMs)}${randomText(draw)}`
+export function newJobId (wallMs: number, randomValue: RandomSource): string {
+  return `batch_${countdown(wallMs)}${randomText(randomValue)}`
 }
 
 /**
@@ -51,8 +51,8 @@
   return String(COUNTDOWN_FROM_MS - Math.floor(wallMs)).padStart(COUNTDOWN_DIGITS, '0')
 }
 
-function randomText (draw: Draw): string {
+function randomText (randomValue: RandomSource): string {
   let text = ''
-  for (let digit = 0; digit < RANDOM_DIGITS; digit++) text += Math.floor(draw() * 36).toString(36)
+  for (let digit = 0; digit < RANDOM_DIGITS; digit++) text += Math.floor(randomValue() * 36).toString(36)
   return text
 }
--- a/packages/anvilarch-daemon/src/jobs/startItemPump.ts
+++ b/packages/anvilarch-daemon/src/jobs/itemDispatcher.ts
@@ -2,35 +2,35 @@
 import type { RequestRunner } from '../attempts/types'
 import type { DaemonContext } from '../context'
 import type { ResultBuffer } from './resultBuffer'
-import type { HeldPart } from './runPart'
+import type { LeasedPart } from './leasedPart'
 
 /** What the pump needs. */
-export interface ItemPumpOptions {
+export interface ItemDispatcherOptions {
   context: DaemonContext
   runner: RequestRunner
   buffer: ResultBuffer
-  parts: () => Iterable<HeldPart>
+  parts: () => Iterable<LeasedPart>
 }
 
 /** Starts items. */
-export interface ItemPump {
+export interface ItemDispatcher {
   /** Looks soon whether items may be started. Many calls make one look. */
-  wake: () => void
+  schedule: () => void
   /** Looks now. */
-  pump: () => void
+  dispatch: () => void
 }
 
 /** Ends of runs within this time are answered by one look, so that a busy gateway does not wake up for each. */
-const COALESCE_MS = 10
+const COALESCE_DELAY_MS = 10
 /** A service without reported room gets one item this often, since a report may be old or missing. */
-const PROBE_INTERVAL_MS = 1_000
+const UNREPORTED_START_INTERVAL_MS = 1_000
 /** An item whose service has no room lets items of other services of its part go first for this long. */
 const POSTPONE_MS = 200
 /** Items of a part that may be postponed in one look. */
 const MAX_POSTPONED = 16
 
 /** Room of one look, by service. */
-interface Room {
+interface Capacity {
   items: number
   services: Map<string, number>
 }
@@ -39,35 +39,35 @@
  * @param options - parts and the runner that knows of room
  * @returns a pump at rest
  */
-export function startItemPump (options: ItemPumpOptions): ItemPump {
+export function createItemDispatcher (options: ItemDispatcherOptions): ItemDispatcher {
   const { context, runner, buffer } = options
   const { clock } = context
-  const probedMs = new Map<string, number>()
-  let planned = false
-  let turn = 0
+  const lastStartMs = new Map<string, number>()
+  let isScheduled = false
+  let rotation = 0
 
-  const roomOf = (service: string, room: Room): number => {
-    const known = room.services.get(service)
+  const capacityOf = (service: string, capacity: Capacity): number => {
+    const known = capacity.services.get(service)
     if (known !== undefined) return known
-    const free = Math.max(runner.freeBatch(service), isProbeDue(service) ? 1 : 0)
-    room.services.set(service, free)
-    return free
+    const freeItems = Math.max(runner.freeBatch(service), isUnreportedStartDue(service) ? 1 : 0)
+    capacity.services.set(service, freeItems)
+    return freeItems
   }
 
-  const isProbeDue = (service: string): boolean =>
-    clock.nowMs() - (probedMs.get(service) ?? Number.NEGATIVE_INFINITY) >= PROBE_INTERVAL_MS
+  const isUnreportedStartDue = (service: string): boolean =>
+    clock.nowMs() - (lastStartMs.get(service) ?? Number.NEGATIVE_INFINITY) >= UNREPORTED_START_INTERVAL_MS
 
-  const startFrom = (part: HeldPart, room: Room): void => {
+  const startFrom = (part: LeasedPart, capacity: Capacity): void => {
     let postponed = 0
-    while (room.items > 0 && !buffer.isFull()) {
+    while (capacity.items > 0 && !buffer.isFull()) {
       const ready = part.next()
       if (ready === undefined) return
       const { service } = ready.target
-      const free = roomOf(service, room)
-      if (free > 0) {
-        room.items -= 1
-        room.services.set(service, free - 1)
-        probedMs.set(service, clock.nowMs())
+      const freeItems = capacityOf(service, capacity)
+      if (freeItems > 0) {
+        capacity.items -= 1
+        capacity.services.set(service, freeItems - 1)
+        lastStartMs.set(service, clock.nowMs())
         part.start(ready)
         continue
       }
@@ -77,23 +77,23 @@
     }
   }
 
-  const pump = (): void => {
+  const dispatch = (): void => {
     const parts = [...options.parts()]
     const running = parts.reduce((sum, part) => sum + part.running(), 0)
-    const room: Room = { items: context.settings.gateway.maxBatchInProgress - running, services: new Map() }
-    turn += 1
-    for (let step = 0; step < parts.length; step++) startFrom(parts[(turn + step) % parts.length], room)
+    const capacity: Capacity = { items: context.settings.gateway.maxBatchInProgress - running, services: new Map() }
+    rotation += 1
+    for (let step = 0; step < parts.length; step++) startFrom(parts[(rotation + step) % parts.length], capacity)
   }
 
   return {
-    wake: () => {
-      if (planned) return
-      planned = true
-      clock.after(COALESCE_MS, () => {
-        planned = false
-        pump()
+    schedule: () => {
+      if (isScheduled) return
+      isScheduled = true
+      clock.after(COALESCE_DELAY_MS, () => {
+        isScheduled = false
+        dispatch()
       })
     },
-    pump
+    dispatch
   }
 }
--- a/packages/anvilarch-daemon/src/jobs/itemOutcome.ts
+++ b/packages/anvilarch-daemon/src/jobs/itemOutcome.ts
@@ -25,7 +25,7 @@
 ])
 
 /** The endpoint or its agent could not be reached any more, or went silent. */
-const LOST_CODE: ErrorCode = 'unavailable'
+const UNREACHABLE_CODE: ErrorCode = 'unavailable'
 
 const STATUS_TOO_MANY_REQUESTS = 429
 const STATUS_UNAVAILABLE = 503
@@ -34,8 +34,8 @@
  * @param result - of one run
  * @returns what to do with the item
  */
-export function judgeResult (result: WorkResult): ItemVerdict {
-  return result.outcome === 'completed' ? judgeStatus(result.status, result.body) : judgeError(result.error)
+export function classifyResult (result: WorkResult): ItemVerdict {
+  return result.outcome === 'completed' ? classifyStatus(result.status, result.body) : classifyError(result.error)
 }
 
 /**
@@ -44,10 +44,10 @@
  */
 export function failureKind ({ statusCode, code }: Extract<ItemVerdict, { verdict: 'run_again' }>): FailureKind {
   if (statusCode !== undefined) return 'answered'
-  return code === LOST_CODE ? 'lost' : 'incomplete'
+  return code === UNREACHABLE_CODE ? 'lost' : 'incomplete'
 }
 
-function judgeStatus (statusCode: number, body: Uint8Array): ItemVerdict {
+function classifyStatus (statusCode: number, body: Uint8Array): ItemVerdict {
   if (statusCode >= 200 && statusCode < 300) return { verdict: 'answered', statusCode, body }
   const code = `status_${statusCode}`
   if (statusCode === STATUS_TOO_MANY_REQUESTS || statusCode === STATUS_UNAVAILABLE) return { verdict: 'wait', code }
@@ -56,7 +56,7 @@
   return { verdict: 'failed', code, message, statusCode, body }
 }
 
-function judgeError (error: AnvilarchError): ItemVerdict {
+function classifyError (error: AnvilarchError): ItemVerdict {
   const { code, message } = error
   if (FINAL_CODES.has(code)) return { verdict: 'failed', code, message }
   if (WAIT_CODES.has(code) || (error.ran === 'not_run' && code !== 'not_found' && code !== 'internal')) {
--- a/packages/anvilarch-daemon/src/jobs/itemQueue.ts
+++ b/packages/anvilarch-daemon/src/jobs/itemQueue.ts
@@ -1,5 +1,5 @@
 /** The items of a leased part that wait to be run: fresh ones in file order, and ones put off until a time. */
-import { type ItemTries, UNTRIED } from './itemAttempts'
+import { type RunHistory, NO_RUNS } from './itemAttempts'
 import { hasItem, itemSetFromText } from './itemSet'
 import type { PartRow } from './rows'
 
@@ -19,8 +19,8 @@
   defer: (index: number, untilMs: number) => void
   /** Items that wait, whether they may be run now or not. */
   waiting: () => number
-  tries: (index: number) => ItemTries
-  noteTries: (index: number, tries: ItemTries) => void
+  history: (index: number) => RunHistory
+  setHistory: (index: number, history: RunHistory) => void
 }
 
 /**
@@ -30,9 +30,9 @@
 export function createItemQueue (row: PartRow): ItemQueue {
   const done = itemSetFromText(row.done)
   const deferred: Deferred[] = []
-  const tries = new Map<number, ItemTries>()
+  const histories = new Map<number, RunHistory>()
   let next = 0
-  let fresh = row.items - row.completed - row.failed
+  let unstarted = row.items - row.completed - row.failed
 
   const skipDone = (): void => {
     while (next < row.items && hasItem(done, next)) next++
@@ -53,11 +53,11 @@
         return
       }
       next = index + 1
-      fresh -= 1
+      unstarted -= 1
     },
     defer: (index, untilMs) => { deferred.push({ index, untilMs }) },
-    waiting: () => fresh + deferred.length,
-    tries: index => tries.get(index) ?? UNTRIED,
-    noteTries: (index, changed) => { tries.set(index, changed) }
+    waiting: () => unstarted + deferred.length,
+    history: index => histories.get(index) ?? NO_RUNS,
+    setHistory: (index, history) => { histories.set(index, history) }
   }
 }
--- a/packages/anvilarch-daemon/src/jobs/jobSearches.ts
+++ b/packages/anvilarch-daemon/src/jobs/jobSearches.ts
@@ -18,7 +18,7 @@
   heartbeat: Heartbeat
   observer: LeaseObserver
   /** Whether this gateway runs a part now. A part that names it as holder without running was leased by a lost reply. */
-  isHeld: (jobId: string, part: number) => boolean
+  isLeasedHere: (jobId: string, part: number) => boolean
 }
 
 /** A part that was just leased. */
@@ -45,16 +45,16 @@
   /** Ends the job if all of its parts are done or its time is up. */
   inspect: (active: ActiveRow) => Promise<boolean>
   /** This gateway finished a part. */
-  noteDone: (active: ActiveRow, part: number, row: PartRow) => void
+  recordDone: (active: ActiveRow, part: number, row: PartRow) => void
   /** Whether a look at the job is worth a read now. */
   isDue: (jobId: string) => boolean
   /** Puts off the next look at a job. */
-  putOff: (jobId: string, delayMs: number) => void
-  forget: (jobId: string) => void
+  delay: (jobId: string, delayMs: number) => void
+  removeJob: (jobId: string) => void
   /** Gives back the parts whose lease could not be settled; to be called until `unsettled` is 0 when no more are leased. */
-  releaseUnsettled: () => Promise<void>
+  releaseUnconfirmed: () => Promise<void>
   /** Leases of which it is not known whether they took effect. */
-  unsettled: () => number
+  unconfirmedClaims: () => number
 }
 
 /** Reads of one look for a part; the next look goes on where this one stopped. */
@@ -63,7 +63,7 @@
 const EXHAUSTED_DELAY_MS = 2_000
 const DELAY_JITTER = 0.3
 /** A lease that could not be settled is found again by the next search. */
-const CLAIM_TRIES = { tries: 3, backoffMs: 200 }
+const CLAIM_SETTLE_OPTIONS = { tries: 3, backoffMs: 200 }
 
 /**
  * @param options - surroundings
@@ -74,29 +74,29 @@
   const { clock, platform, random } = context
   const searches = new Map<string, PartSearch>()
   const notBeforeMs = new Map<string, number>()
-  const unsettled = new Map<string, { commit: Commit, row: PartRow }>()
+  const unconfirmedClaims = new Map<string, { commit: Commit, row: PartRow }>()
   const settleContext = { table: platform.table, clock, random }
 
   const searchOf = (active: ActiveRow): PartSearch => {
     const known = searches.get(active.jobId)
     if (known !== undefined) return known
-    const search = startSearch(active.parts, hashedStart(heartbeat.instance, active.jobId))
+    const search = startSearch(active.parts, startPartOf(heartbeat.instance, active.jobId))
     searches.set(active.jobId, search)
     return search
   }
 
-  const putOff = (jobId: string, delayMs: number): void => {
+  const delay = (jobId: string, delayMs: number): void => {
     notBeforeMs.set(jobId, clock.nowMs() + random.jitter(delayMs, DELAY_JITTER))
   }
 
-  const forget = (jobId: string): void => {
+  const removeJob = (jobId: string): void => {
     searches.delete(jobId)
     notBeforeMs.delete(jobId)
   }
 
-  const isFree = (jobId: string, part: number, row: PartRow): boolean => {
+  const isClaimable = (jobId: string, part: number, row: PartRow): boolean => {
     // A part whose release is under way is free in the table already, and still has a task here that awaits the reply.
-    if (options.isHeld(jobId, part)) return false
+    if (options.isLeasedHere(jobId, part)) return false
     if (row.holder === '' || row.holder === heartbeat.instance) return true
     return observer.stateOf(row.holder) === 'dead'
   }
@@ -116,9 +116,9 @@
       writes: [{ key, value: JSON.stringify(row) }]
     }
     const lapses = heartbeat.lapses()
-    unsettled.set(key, { commit, row })
-    const result = await settleCommit(settleContext, commit, 'jobs.claim_part', CLAIM_TRIES)
-    unsettled.delete(key)
+    unconfirmedClaims.set(key, { commit, row })
+    const result = await settleCommit(settleContext, commit, 'jobs.claim_part', CLAIM_SETTLE_OPTIONS)
+    unconfirmedClaims.delete(key)
     if (result.outcome !== 'committed') return undefined
     context.timeline.record('jobs.part_claimed', { jobId: job.id, detail: { part: reading.part, epoch: row.epoch } })
     const state = claimedPart(heartbeat.instance, row, result.versions[key], jobRow.version)
@@ -130,15 +130,15 @@
    * The next search finds it; a gateway that drains searches no more, and the part would wait for its end. Sending the same
    * commit again says whether the lease took effect.
    */
-  const releaseUnsettled = async (): Promise<void> => {
-    for (const [key, { commit, row }] of [...unsettled]) {
+  const releaseUnconfirmed = async (): Promise<void> => {
+    for (const [key, { commit, row }] of [...unconfirmedClaims]) {
       const result = await platform.table.commit(commit)
-      if (result.outcome === 'committed') await giveBack(key, result.versions[key], row)
-      unsettled.delete(key)
+      if (result.outcome === 'committed') await releasePart(key, result.versions[key], row)
+      unconfirmedClaims.delete(key)
     }
   }
 
-  const giveBack = async (key: string, version: number, row: PartRow): Promise<void> => {
+  const releasePart = async (key: string, version: number, row: PartRow): Promise<void> => {
     const writes = [{ key, value: JSON.stringify({ ...row, holder: '' }) }]
     await platform.table.commit({ commitId: randomUUID(), conditions: [{ key, version }], writes })
   }
@@ -150,7 +150,7 @@
       const { job: jobRow, readings } = await readParts(jobId, partsToRead(before))
       const job = activeJob(jobRow)
       if (jobRow === null || job === undefined) return { found: 'ended' }
-      const step = afterPartsRead(before, readings, (part, row) => isFree(jobId, part, row))
+      const step = afterPartsRead(before, readings, (part, row) => isClaimable(jobId, part, row))
       searches.set(jobId, step.search)
       if (step.claimable !== undefined) {
         const claimed = await claimPart(jobRow, job, step.claimable)
@@ -159,7 +159,7 @@
         await complete(jobRow, job, step.search)
         return { found: 'ended' }
       } else if (step.exhausted) {
-        putOff(jobId, EXHAUSTED_DELAY_MS)
+        delay(jobId, EXHAUSTED_DELAY_MS)
         return { found: 'nothing' }
       }
     }
@@ -209,16 +209,16 @@
   return {
     claim,
     inspect,
-    noteDone: (active, part, row) => { searches.set(active.jobId, withDonePart(searchOf(active), part, row)) },
+    recordDone: (active, part, row) => { searches.set(active.jobId, withDonePart(searchOf(active), part, row)) },
     isDue: jobId => (notBeforeMs.get(jobId) ?? Number.NEGATIVE_INFINITY) <= clock.nowMs(),
-    putOff,
-    forget,
-    releaseUnsettled,
-    unsettled: () => unsettled.size
+    delay,
+    removeJob,
+    releaseUnconfirmed,
+    unconfirmedClaims: () => unconfirmedClaims.size
   }
 }
 
-function hashedStart (instance: string, jobId: string): number {
+function startPartOf (instance: string, jobId: string): number {
   return createHash('sha256').update(instance).update('/').update(jobId).digest().readUInt32BE(0)
 }
 
--- a/packages/anvilarch-daemon/src/jobs/runPart.ts
+++ b/packages/anvilarch-daemon/src/jobs/leasedPart.ts
@@ -11,7 +11,7 @@
 import type { FinishedItem } from './segments'
 
 /** What a held part needs. */
-export interface HeldPartOptions {
+export interface LeasedPartOptions {
   context: DaemonContext
   runner: RequestRunner
   heartbeat: Heartbeat
@@ -29,7 +29,7 @@
 }
 
 /** A part that this gateway holds. */
-export interface HeldPart {
+export interface LeasedPart {
   jobId: string
   caller: string
   part: number
@@ -49,7 +49,7 @@
   /** The job has ended: cancels everything at once. */
   jobEnded: () => void
   /** Starts no more items; gives the part back when those that run ended, or after the grace. */
-  giveBack: (graceMs: number) => void
+  release: (graceMs: number) => void
 }
 
 /** Items that make a segment worth its commit. */
@@ -58,7 +58,7 @@
 /** Results wait this long at most, so that a lost holder costs little; longer for a part with many segments already. */
 const SEGMENT_WAIT_MS = 3_000
 /** Segments after which the wait has doubled, since each one makes the part row longer. */
-const SEGMENTS_PER_STRETCH = 16
+const SEGMENTS_PER_EXTRA_WAIT = 16
 /** Results of one segment at most, after an outage has let them pile up. */
 const MAX_SEGMENT_ITEMS = 2_000
 
@@ -66,14 +66,14 @@
  * @param options - the part, as claimed, and its surroundings
  * @returns the part, with no item started
  */
-export function holdPart (options: HeldPartOptions): HeldPart {
+export function createLeasedPart (options: LeasedPartOptions): LeasedPart {
   const { context, job, part, buffer } = options
   const { clock } = context
   const lines = new Map<number, Buffer>()
   let finished: FinishedItem[] = []
-  let waitingSinceMs = 0
+  let uncommittedSinceMs = 0
   let lastStartMs = clock.nowMs()
-  let giveBackAtMs: number | undefined
+  let releaseDeadlineMs: number | undefined
   let ended = false
 
   const items = createPartItems({
@@ -87,7 +87,7 @@
       if (ended) return
       lines.set(index, result.line)
       buffer.add(result.line.length)
-      if (finished.length === 0) waitingSinceMs = clock.nowMs()
+      if (finished.length === 0) uncommittedSinceMs = clock.nowMs()
       finished.push({ index, kind: result.kind, sizeBytes: result.line.length })
     },
     onRunEnded: () => {
@@ -97,7 +97,7 @@
     }
   })
 
-  const letGo = (index: number): void => {
+  const discardLine = (index: number): void => {
     const line = lines.get(index)
     if (line === undefined) return
     lines.delete(index)
@@ -114,7 +114,7 @@
     lineOf: index => lines.get(index) ?? Buffer.alloc(0),
     onSettled: settled => {
       for (const item of settled) {
-        letGo(item.index)
+        discardLine(item.index)
         context.metrics.itemsFinished.inc({ outcome: item.kind === 'output' ? 'completed' : 'failed' })
       }
       flushIfDue()
@@ -122,33 +122,33 @@
     onEnded: end => {
       ended = true
       items.cancel()
-      for (const index of [...lines.keys()]) letGo(index)
+      for (const index of [...lines.keys()]) discardLine(index)
       options.onEnded(end, commits.row())
     }
   })
 
-  const isDrained = (): boolean => items.running() === 0 && (giveBackAtMs !== undefined || items.waiting() === 0)
+  const isDrained = (): boolean => items.running() === 0 && (releaseDeadlineMs !== undefined || items.waiting() === 0)
 
   const isFlushDue = (): boolean => {
     if (finished.length === 0) return false
     if (finished.length >= SEGMENT_ITEMS || isDrained()) return true
     if (finished.reduce((sum, item) => sum + item.sizeBytes, 0) >= SEGMENT_BYTES) return true
-    const stretch = 1 + commits.row().segments.length / SEGMENTS_PER_STRETCH
-    return clock.nowMs() - waitingSinceMs >= SEGMENT_WAIT_MS * stretch
+    const waitFactor = 1 + commits.row().segments.length / SEGMENTS_PER_EXTRA_WAIT
+    return clock.nowMs() - uncommittedSinceMs >= SEGMENT_WAIT_MS * waitFactor
   }
 
   const flushIfDue = (): void => {
-    if (ended || !commits.idle() || !isFlushDue()) return
+    if (ended || !commits.isIdle() || !isFlushDue()) return
     const batch = finished.slice(0, MAX_SEGMENT_ITEMS)
     finished = finished.slice(MAX_SEGMENT_ITEMS)
-    waitingSinceMs = clock.nowMs()
+    uncommittedSinceMs = clock.nowMs()
     commits.flush(batch)
   }
 
   const releaseIfDrained = (): void => {
-    if (giveBackAtMs === undefined || ended) return
-    if (clock.nowMs() >= giveBackAtMs) items.cancel()
-    if (isDrained() && finished.length === 0 && commits.idle()) commits.release()
+    if (releaseDeadlineMs === undefined || ended) return
+    if (clock.nowMs() >= releaseDeadlineMs) items.cancel()
+    if (isDrained() && finished.length === 0 && commits.isIdle()) commits.release()
   }
 
   return {
@@ -157,13 +157,13 @@
     part,
     isMixed: job.models.length !== 1,
     models: job.models,
-    next: () => ended || giveBackAtMs !== undefined || !commits.isSure() ? undefined : items.next(clock.nowMs()),
+    next: () => ended || releaseDeadlineMs !== undefined || !commits.isLeaseConfirmed() ? undefined : items.next(clock.nowMs()),
     start: ready => {
       lastStartMs = clock.nowMs()
       items.start(ready)
     },
     postpone: items.postpone,
-    waiting: () => giveBackAtMs === undefined ? items.waiting() : 0,
+    waiting: () => releaseDeadlineMs === undefined ? items.waiting() : 0,
     running: items.running,
     idleMs: () => clock.nowMs() - lastStartMs,
     tick: () => {
@@ -172,8 +172,8 @@
       releaseIfDrained()
     },
     jobEnded: commits.jobEnded,
-    giveBack: graceMs => {
-      giveBackAtMs ??= clock.nowMs() + graceMs
+    release: graceMs => {
+      releaseDeadlineMs ??= clock.nowMs() + graceMs
       releaseIfDrained()
     }
   }
--- a/packages/anvilarch-daemon/src/jobs/partChoice.ts
+++ b/packages/anvilarch-daemon/src/jobs/partChoice.ts
@@ -26,14 +26,14 @@
 
 /** Chooses jobs. */
 export interface PartChoice {
-  maxHeldParts: number
+  maxLeasedParts: number
   /** @returns the job to lease a part of, or undefined when nothing more is wanted */
   next: (jobs: Iterable<ActiveRow>, isDue: (job: ActiveRow) => boolean) => ActiveRow | undefined
-  noteServed: (caller: string) => void
+  recordServed: (caller: string) => void
 }
 
 /** Parts held at once. Each keeps its chunk in memory, so this bounds the memory, whatever the size of the jobs. */
-const MAX_HELD_PARTS = 16
+const MAX_LEASED_PARTS = 16
 
 /**
  * @param options - surroundings
@@ -63,35 +63,35 @@
    * A service without room gets one waiting part only. With more, parts that can't start would fill all places, and jobs
    * of other services would stand still behind them.
    */
-  const isWanted = (job: ActiveRow, waiting: Map<string, number>): boolean => {
+  const needsMoreItems = (job: ActiveRow, waiting: Map<string, number>): boolean => {
     const services = servicesOf(job.models)
     if (services.length === 0) return true
     return services.some(service => {
-      const wanted = runner.freeBatch(service) > 0 ? context.settings.gateway.maxBatchInProgress : 1
-      return (waiting.get(service) ?? 0) < wanted
+      const candidates = runner.freeBatch(service) > 0 ? context.settings.gateway.maxBatchInProgress : 1
+      return (waiting.get(service) ?? 0) < candidates
     })
   }
 
-  const heldFor = (caller: string): number => [...options.parts()].filter(part => part.caller === caller).length
+  const leasedPartsOf = (caller: string): number => [...options.parts()].filter(part => part.caller === caller).length
 
-  const hasCapacity = (): boolean => [...options.parts()].length < MAX_HELD_PARTS
+  const hasCapacity = (): boolean => [...options.parts()].length < MAX_LEASED_PARTS
 
   return {
-    maxHeldParts: MAX_HELD_PARTS,
+    maxLeasedParts: MAX_LEASED_PARTS,
     next: (jobs, isDue) => {
       if (!hasCapacity() || context.configuration.current() === undefined) return undefined
       const waiting = waitingByService()
-      const wanted = [...jobs].filter(job => isDue(job) && isWanted(job, waiting))
+      const wanted = [...jobs].filter(job => isDue(job) && needsMoreItems(job, waiting))
       const order = scheduleOrder({
         jobs: wanted,
         wallMs: context.clock.wallMs(),
-        heldFor,
+        leasedPartsOf,
         lastServed: caller => lastServed.get(caller) ?? 0,
         callerRank: caller => rankOf(ranks, options.instance, caller)
       })
       return order[0]
     },
-    noteServed: caller => { lastServed.set(caller, ++served) }
+    recordServed: caller => { lastServed.set(caller, ++served) }
   }
 }
 
--- a/packages/anvilarch-daemon/src/jobs/partCommits.ts
+++ b/packages/anvilarch-daemon/src/jobs/partCommits.ts
@@ -30,9 +30,9 @@
   /** Writes and commits finished items; only when `idle`. */
   flush: (items: FinishedItem[]) => void
   /** Whether a new flush would be taken now. */
-  idle: () => boolean
+  isIdle: () => boolean
   /** Whether the holder may start items and commit: its lease stands and its rows were read since it last lapsed. */
-  isSure: () => boolean
+  isLeaseConfirmed: () => boolean
   /** Looks whether the lease had lapsed. */
   checkLease: () => void
   jobEnded: () => void
@@ -57,11 +57,11 @@
   const partKey = ROW_KEYS.part(jobId, part)
   const jobKey = ROW_KEYS.job(jobId)
   let state = options.state
-  let knownLapses = options.lapses
+  let confirmedLapses = options.lapses
   /** Only the latest command of its kind goes on; an older one that wakes up finds that it is outdated. */
-  let round = 0
+  let latestOperation = 0
 
-  const isSure = (): boolean => heartbeat.holdsLease() && heartbeat.lapses() === knownLapses && !state.doubtful
+  const isLeaseConfirmed = (): boolean => heartbeat.holdsLease() && heartbeat.lapses() === confirmedLapses && !state.isLeaseUncertain
 
   const dispatch = (event: PartEvent): void => {
     const step = stepPart(state, event)
@@ -75,9 +75,9 @@
   }
 
   const executors: { [Type in PartCommand['type']]: (command: Extract<PartCommand, { type: Type }>) => void } = {
-    write_objects: command => { writeObjects(command.pending).catch(stopBroken) },
-    commit: command => { sendCommit(command).catch(stopBroken) },
-    reread: () => { readAgain().catch(stopBroken) },
+    write_objects: command => { writeObjects(command.pending).catch(stopOnFault) },
+    commit: command => { sendCommit(command).catch(stopOnFault) },
+    reread: () => { rereadRows().catch(stopOnFault) },
     settled: command => {
       context.timeline.record('jobs.segment_committed', { jobId, detail: { part, epoch: state.row.epoch, items: command.items.length } })
       options.onSettled(command.items)
@@ -86,20 +86,20 @@
   }
 
   /** Platform errors are dealt with where they arise; what comes here is a fault of the program. */
-  const stopBroken = (error: unknown): void => {
+  const stopOnFault = (error: unknown): void => {
     context.logger.error('a part was stopped by an error', { jobId, part, error: String(error) })
     if (state.end !== undefined) return
     state = { ...state, end: 'broken', pending: undefined }
     options.onEnded('broken')
   }
 
-  const isCurrent = (own: number): boolean => round === own && state.end === undefined
+  const isCurrent = (operationNumber: number): boolean => latestOperation === operationNumber && state.end === undefined
 
   /** Repeats an operation until it succeeds. Gives up when it is outdated. */
-  const persist = async <Value>(own: number, operation: () => Promise<Value>, needsLease: boolean): Promise<Value | undefined> => {
+  const retryWhileCurrent = async <Value>(operationNumber: number, operation: () => Promise<Value>, needsLease: boolean): Promise<Value | undefined> => {
     let backoffMs = FIRST_BACKOFF_MS
-    while (isCurrent(own)) {
-      if (needsLease ? !isSure() : !heartbeat.holdsLease()) {
+    while (isCurrent(operationNumber)) {
+      if (needsLease ? !isLeaseConfirmed() : !heartbeat.holdsLease()) {
         await sleep(clock, LEASE_WAIT_MS)
         continue
       }
@@ -121,55 +121,55 @@
   }
 
   const writeObjects = async (pending: PendingCommit): Promise<void> => {
-    const own = ++round
-    for (const ref of pending.segments) await persist(own, async () => await writeSegment(pending, ref), true)
-    if (round === own) dispatch({ type: 'objects_written' })
+    const operationNumber = ++latestOperation
+    for (const ref of pending.segments) await retryWhileCurrent(operationNumber, async () => await writeSegment(pending, ref), true)
+    if (latestOperation === operationNumber) dispatch({ type: 'objects_written' })
   }
 
   const sendCommit = async (command: Extract<PartCommand, { type: 'commit' }>): Promise<void> => {
-    const own = ++round
+    const operationNumber = ++latestOperation
     const { pending, partVersion, jobVersion } = command
     const conditions = [{ key: partKey, version: partVersion }]
     if (pending.kind === 'segment') conditions.push({ key: jobKey, version: jobVersion })
     const writes = [{ key: partKey, value: JSON.stringify(pending.row) }]
     const commit = { commitId: pending.commitId, conditions, writes }
-    const result = await persist(own, async () => await platform.table.commit(commit), true)
+    const result = await retryWhileCurrent(operationNumber, async () => await platform.table.commit(commit), true)
     if (result === undefined) return
     metrics.segments.inc({ outcome: result.outcome })
-    await answered(pending.commitId, result)
+    await handleResult(pending.commitId, result)
   }
 
-  const answered = async (sentId: string, result: CommitResult): Promise<void> => {
+  const handleResult = async (sentId: string, result: CommitResult): Promise<void> => {
     if (result.outcome === 'committed') {
       dispatch({ type: 'committed', sentId, version: result.versions[partKey] })
       return
     }
-    const rows = await readRows(round)
+    const rows = await readRows(latestOperation)
     if (rows !== undefined) dispatch({ type: 'conflict', sentId, rows, commitId: randomUUID() })
   }
 
-  const readRows = async (own: number): Promise<CurrentRows | undefined> => {
-    const rows = await persist(own, async () => await platform.table.read([partKey, jobKey]), false)
+  const readRows = async (operationNumber: number): Promise<CurrentRows | undefined> => {
+    const rows = await retryWhileCurrent(operationNumber, async () => await platform.table.read([partKey, jobKey]), false)
     return rows === undefined ? undefined : toCurrentRows(rows)
   }
 
-  const readAgain = async (): Promise<void> => {
-    const own = ++round
+  const rereadRows = async (): Promise<void> => {
+    const operationNumber = ++latestOperation
     for (let lapses = -1; lapses !== heartbeat.lapses();) {
       lapses = heartbeat.lapses()
-      const rows = await readRows(own)
+      const rows = await readRows(operationNumber)
       if (rows === undefined) return
-      knownLapses = lapses
+      confirmedLapses = lapses
       if (lapses === heartbeat.lapses()) dispatch({ type: 'reread', rows, commitId: randomUUID() })
     }
   }
 
   return {
     flush: items => { dispatch({ type: 'flush', items, commitId: randomUUID() }) },
-    idle: () => state.pending === undefined && state.end === undefined && isSure(),
-    isSure,
+    isIdle: () => state.pending === undefined && state.end === undefined && isLeaseConfirmed(),
+    isLeaseConfirmed,
     checkLease: () => {
-      if (heartbeat.lapses() !== knownLapses && !state.doubtful) dispatch({ type: 'lapsed' })
+      if (heartbeat.lapses() !== confirmedLapses && !state.isLeaseUncertain) dispatch({ type: 'lapsed' })
     },
     jobEnded: () => { dispatch({ type: 'job_ended' }) },
     release: () => { dispatch({ type: 'release', commitId: randomUUID() }) },
--- a/packages/anvilarch-daemon/src/jobs/partCore.ts
+++ b/packages/anvilarch-daemon/src/jobs/partCore.ts
@@ -34,8 +34,8 @@
   pending?: PendingCommit
   nextSegment: number
   /** The lease lapsed on the holder's own clock; nothing new is committed until the rows were read again. */
-  doubtful: boolean
-  releaseAsked: boolean
+  isLeaseUncertain: boolean
+  releaseRequested: boolean
   end?: PartEnd
 }
 
@@ -84,7 +84,7 @@
  */
 export function claimedPart (holder: string, row: PartRow, version: number, jobVersion: number): PartState {
   invariant(row.holder === holder, 'claim_names_holder', () => `claimed for "${row.holder}" by "${holder}"`)
-  return { holder, row, version, jobVersion, nextSegment: 0, doubtful: false, releaseAsked: false }
+  return { holder, row, version, jobVersion, nextSegment: 0, isLeaseUncertain: false, releaseRequested: false }
 }
 
 /**
@@ -102,7 +102,7 @@
 
 const HANDLERS: Handlers = {
   flush: (state, event) => {
-    if (state.pending !== undefined || state.doubtful || event.items.length === 0) return { state, commands: [] }
+    if (state.pending !== undefined || state.isLeaseUncertain || event.items.length === 0) return { state, commands: [] }
     const pending = segmentCommit(state, event.items, event.commitId)
     return { state: { ...state, pending, nextSegment: state.nextSegment + 1 }, commands: [{ type: 'write_objects', pending }] }
   },
@@ -116,11 +116,11 @@
   conflict: (state, event) => {
     return event.sentId === state.pending?.commitId ? resolve(state, event.rows, event.commitId, true) : { state, commands: [] }
   },
-  lapsed: state => ({ state: { ...state, doubtful: true }, commands: [{ type: 'reread' }] }),
-  reread: (state, event) => resolve({ ...state, doubtful: false }, event.rows, event.commitId, false),
+  lapsed: state => ({ state: { ...state, isLeaseUncertain: true }, commands: [{ type: 'reread' }] }),
+  reread: (state, event) => resolve({ ...state, isLeaseUncertain: false }, event.rows, event.commitId, false),
   job_ended: state => endPart(state, 'job_ended'),
   release: (state, event) => {
-    if (state.pending !== undefined || state.doubtful) return { state: { ...state, releaseAsked: true }, commands: [] }
+    if (state.pending !== undefined || state.isLeaseUncertain) return { state: { ...state, releaseRequested: true }, commands: [] }
     return releaseCommit(state, event.commitId)
   }
 }
@@ -159,7 +159,7 @@
 }
 
 /** The rows were read, because a commit met a conflict or because the lease had lapsed. */
-function resolve (state: PartState, rows: CurrentRows, commitId: string, refused: boolean): PartStep {
+function resolve (state: PartState, rows: CurrentRows, commitId: string, isRejected: boolean): PartStep {
   const { part } = rows
   if (part !== null) {
     invariant(part.row.epoch >= state.row.epoch, 'part_epoch_grows', () => `epoch ${state.row.epoch} became ${part.row.epoch}`)
@@ -169,14 +169,14 @@
   if (!rows.job.active) return endPart(state, 'job_ended')
   if (part === null || part.row.epoch !== state.row.epoch || part.row.holder !== state.holder) return endPart(state, 'taken_over')
   invariant(part.version === state.version, 'part_has_one_writer', () => `version ${state.version} became ${part.version} under one epoch`)
-  return resend(state, rows.job.version, commitId, refused)
+  return resend(state, rows.job.version, commitId, isRejected)
 }
 
 /** A commit that was refused, or whose condition no longer holds, can't take effect any more: a new id is needed. */
-function resend (state: PartState, jobVersion: number, commitId: string, refused: boolean): PartStep {
+function resend (state: PartState, jobVersion: number, commitId: string, isRejected: boolean): PartStep {
   const { pending } = state
   if (pending === undefined) return { state: { ...state, jobVersion }, commands: [] }
-  const isNew = refused || jobVersion !== state.jobVersion
+  const isNew = isRejected || jobVersion !== state.jobVersion
   const next: PartState = { ...state, jobVersion, pending: isNew ? { ...pending, commitId } : pending }
   if (pending.stage === 'committing') return sendCommit(next)
   return { state: next, commands: [{ type: 'write_objects', pending: next.pending ?? pending }] }
--- a/packages/anvilarch-daemon/src/jobs/partItems.ts
+++ b/packages/anvilarch-daemon/src/jobs/partItems.ts
@@ -3,9 +3,9 @@
 import type { RequestRunner, WorkResult } from '../attempts/types'
 import type { DaemonContext } from '../context'
 import type { ChunkLines } from './chunkLines'
-import { afterFailedRun, areUsedUp, type FailedRun, type RunBounds } from './itemAttempts'
+import { afterFailedRun, areAttemptsExhausted, type FailedRun, type RunBounds } from './itemAttempts'
 import { type Item, type ItemError, type ItemResponse, type ItemResult, parseItemLine, resultLine } from './itemLine'
-import { failureKind, type ItemVerdict, judgeResult } from './itemOutcome'
+import { failureKind, type ItemVerdict, classifyResult } from './itemOutcome'
 import { createItemQueue } from './itemQueue'
 import { type BatchTarget, batchTargetOf, itemRequest } from './itemRequest'
 import type { JobRow, PartRow } from './rows'
@@ -65,7 +65,7 @@
 /** Service of an item that names an unknown model. */
 const NO_SERVICE = ''
 /** Items looked at for one that can be started. */
-const LOOK_AHEAD_ITEMS = 16
+const MAX_SCANNED_ITEMS = 16
 
 /**
  * @param options - the part and where results go
@@ -75,13 +75,13 @@
   const { context, job, part, lines } = options
   const queue = createItemQueue(options.row)
   const running = new Map<number, AbortController>()
-  let peeked: { index: number, item: Item } | undefined
+  let lastParsed: { index: number, item: Item } | undefined
 
   const itemAt = (index: number): Item => {
-    if (peeked?.index === index) return peeked.item
+    if (lastParsed?.index === index) return lastParsed.item
     const parsed = parseItemLine(lines.line(index))
     invariant(parsed.ok, 'accepted_items_parse', () => `item ${index} of part ${part} of job "${job.id}"`)
-    peeked = { index, item: parsed.item }
+    lastParsed = { index, item: parsed.item }
     return parsed.item
   }
 
@@ -98,9 +98,9 @@
     finish(index, 'error', response, { code: verdict.code, message: verdict.message })
   }
 
-  const backOff = (index: number, tries: number, baseMs: number, maxMs: number, leastMs = 0): void => {
+  const backOff = (index: number, tries: number, baseMs: number, maxMs: number, minMs = 0): void => {
     const delayMs = Math.min(baseMs * 2 ** Math.min(tries, 16), maxMs)
-    queue.defer(index, context.clock.nowMs() + Math.max(leastMs, context.random.jitter(delayMs, BACKOFF_JITTER)))
+    queue.defer(index, context.clock.nowMs() + Math.max(minMs, context.random.jitter(delayMs, BACKOFF_JITTER)))
   }
 
   const boundsOf = (service: string): RunBounds => {
@@ -109,40 +109,40 @@
   }
 
   /** @returns whether the item may be run again */
-  const noteFailedRun = (index: number, service: string, run: FailedRun): boolean => {
+  const recordFailedRun = (index: number, service: string, run: FailedRun): boolean => {
     const bounds = boundsOf(service)
-    const tries = afterFailedRun(queue.tries(index), run, bounds)
-    queue.noteTries(index, tries)
-    return !areUsedUp(tries, bounds)
+    const history = afterFailedRun(queue.history(index), run, bounds)
+    queue.setHistory(index, history)
+    return !areAttemptsExhausted(history, bounds)
   }
 
-  const verdicts: { [Kind in ItemVerdict['verdict']]: (ended: EndedRun, verdict: Extract<ItemVerdict, { verdict: Kind }>) => void } = {
+  const handlers: { [Kind in ItemVerdict['verdict']]: (ended: EndedRun, verdict: Extract<ItemVerdict, { verdict: Kind }>) => void } = {
     answered: ({ index, requestId }, verdict) => {
       finish(index, 'output', { statusCode: verdict.statusCode, requestId, body: parseBody(verdict.body) }, null)
     },
     failed: ({ index, requestId }, verdict) => { finishFailed(index, requestId, verdict) },
     run_again: ({ index, requestId, service, takenBy }, verdict) => {
-      const mayRun = noteFailedRun(index, service, { takenBy, kind: failureKind(verdict) })
-      if (mayRun) backOff(index, queue.tries(index).runs - 1, RUN_BACKOFF_MS, MAX_RUN_BACKOFF_MS)
+      const mayRunAgain = recordFailedRun(index, service, { takenBy, kind: failureKind(verdict) })
+      if (mayRunAgain) backOff(index, queue.history(index).runs - 1, RUN_BACKOFF_MS, MAX_RUN_BACKOFF_MS)
       else finishFailed(index, requestId, verdict)
     },
     wait: ({ index }, verdict) => {
-      const tries = queue.tries(index)
-      backOff(index, tries.deferrals, WAIT_BACKOFF_MS, MAX_WAIT_BACKOFF_MS, verdict.retryAfterMs)
-      queue.noteTries(index, { ...tries, deferrals: tries.deferrals + 1 })
+      const history = queue.history(index)
+      backOff(index, history.deferrals, WAIT_BACKOFF_MS, MAX_WAIT_BACKOFF_MS, verdict.retryAfterMs)
+      queue.setHistory(index, { ...history, deferrals: history.deferrals + 1 })
     }
   }
 
-  const judge = (ended: EndedRun, result: WorkResult): void => {
-    const verdict = judgeResult(result)
-    const handle = verdicts[verdict.verdict] as (ended: EndedRun, verdict: ItemVerdict) => void
+  const handleResult = (ended: EndedRun, result: WorkResult): void => {
+    const verdict = classifyResult(result)
+    const handle = handlers[verdict.verdict] as (ended: EndedRun, verdict: ItemVerdict) => void
     handle(ended, verdict)
   }
 
-  const unknownModel = (index: number, model: string): void => {
+  const handleUnknownModel = (index: number, model: string): void => {
     queue.take(index)
     const requestId = requestIdOf(index)
-    if (noteFailedRun(index, NO_SERVICE, { takenBy: [], kind: 'incomplete' })) {
+    if (recordFailedRun(index, NO_SERVICE, { takenBy: [], kind: 'incomplete' })) {
       queue.defer(index, context.clock.nowMs() + UNKNOWN_MODEL_DELAY_MS)
       return
     }
@@ -152,8 +152,8 @@
 
   /** Unique for each run over all holders: an agent that refused an attempt bars its id. */
   const requestIdOf = (index: number): string => {
-    const tries = queue.tries(index)
-    return `${job.id}.${part}.${index}.${options.row.epoch}.${tries.runs}.${tries.deferrals}`
+    const history = queue.history(index)
+    return `${job.id}.${part}.${index}.${options.row.epoch}.${history.runs}.${history.deferrals}`
   }
 
   const run = async (ready: ReadyItem, controller: AbortController): Promise<void> => {
@@ -161,11 +161,11 @@
     const remainingMs = job.expiresAtMs - clock.wallMs()
     const deadlineMs = clock.nowMs() + Math.min(ITEM_TIMEOUT_MS, remainingMs)
     const requestId = requestIdOf(ready.index)
-    const avoid = queue.tries(ready.index).failedAt
+    const avoid = queue.history(ready.index).failedAt
     const request = itemRequest(itemAt(ready.index), { requestId, caller: job.caller, target: ready.target, deadlineMs, avoid })
-    const result = await options.runner.run(request, { signal: controller.signal }).catch(asFailed)
+    const result = await options.runner.run(request, { signal: controller.signal }).catch(toFailedResult)
     running.delete(ready.index)
-    if (!controller.signal.aborted) judge({ index: ready.index, requestId, service: ready.target.service, takenBy: result.takenBy }, result)
+    if (!controller.signal.aborted) handleResult({ index: ready.index, requestId, service: ready.target.service, takenBy: result.takenBy }, result)
     options.onRunEnded()
   }
 
@@ -173,13 +173,13 @@
     next: nowMs => {
       const document = context.configuration.current()?.document
       if (document === undefined) return undefined
-      for (let looked = 0; looked < LOOK_AHEAD_ITEMS; looked++) {
+      for (let scanned = 0; scanned < MAX_SCANNED_ITEMS; scanned++) {
         const index = queue.peek(nowMs)
         if (index === undefined) return undefined
         const model = String(itemAt(index).body.model)
         const target = batchTargetOf(document, model)
         if (target !== undefined) return { index, target }
-        unknownModel(index, model)
+        handleUnknownModel(index, model)
       }
       return undefined
     },
@@ -201,7 +201,7 @@
   }
 }
 
-function asFailed (error: unknown): WorkResult {
+function toFailedResult (error: unknown): WorkResult {
   const details = { code: 'internal', step: 'jobs.run_item', ran: 'unknown' } as const
   return { outcome: 'failed', error: error instanceof AnvilarchError ? error : toAnvilarchError(error, details), attempts: 1, takenBy: [] }
 }
--- a/packages/anvilarch-daemon/src/jobs/partSearch.ts
+++ b/packages/anvilarch-daemon/src/jobs/partSearch.ts
@@ -18,7 +18,7 @@
   /** Part at which the next read begins. */
   cursor: number
   /** Parts seen unfinished since one was last leased; a whole turn of them means that there is none to lease now. */
-  seenInTurn: number
+  unfinishedInPass: number
 }
 
 /** A part row as it was read; version 0 and no row when it was never leased. */
@@ -29,7 +29,7 @@
 }
 
 /** Whether a holder's lease may be taken over. */
-export type IsFree = (part: number, row: PartRow) => boolean
+export type IsClaimable = (part: number, row: PartRow) => boolean
 
 /** What a read showed. */
 export interface SearchStep {
@@ -47,7 +47,7 @@
  * @returns search that knows nothing yet
  */
 export function startSearch (parts: number, start: number): PartSearch {
-  return { parts, done: createItemSet(parts), counts: { completed: 0, failed: 0 }, cursor: start % parts, seenInTurn: 0 }
+  return { parts, done: createItemSet(parts), counts: { completed: 0, failed: 0 }, cursor: start % parts, unfinishedInPass: 0 }
 }
 
 /**
@@ -66,28 +66,28 @@
 /**
  * @param search - before the read
  * @param readings - rows of the parts that `partsToRead` named, in that order
- * @param isFree - judges the holder of a part
+ * @param isClaimable - judges the holder of a part
  * @returns search after the read and what may be leased
  */
-export function afterPartsRead (search: PartSearch, readings: readonly PartReading[], isFree: IsFree): SearchStep {
+export function afterPartsRead (search: PartSearch, readings: readonly PartReading[], isClaimable: IsClaimable): SearchStep {
   let next = search
-  let seen = search.seenInTurn
+  let unfinished = search.unfinishedInPass
   for (const reading of readings) {
     const cursor = (reading.part + 1) % search.parts
     if (reading.row !== undefined && isPartDone(reading.row)) {
       next = { ...withDonePart(next, reading.part, reading.row), cursor }
       continue
     }
-    seen += 1
+    unfinished += 1
     next = { ...next, cursor }
-    if (reading.row === undefined || isFree(reading.part, reading.row)) {
-      return { search: { ...next, seenInTurn: 0 }, claimable: reading, exhausted: false, allDone: false }
+    if (reading.row === undefined || isClaimable(reading.part, reading.row)) {
+      return { search: { ...next, unfinishedInPass: 0 }, claimable: reading, exhausted: false, allDone: false }
     }
   }
   const allDone = isSearchDone(next)
   const open = next.parts - countItems(next.done)
-  const exhausted = allDone || seen >= open
-  return { search: { ...next, seenInTurn: exhausted ? 0 : seen }, exhausted, allDone }
+  const exhausted = allDone || unfinished >= open
+  return { search: { ...next, unfinishedInPass: exhausted ? 0 : unfinished }, exhausted, allDone }
 }
 
 /**
--- a/packages/anvilarch-daemon/src/jobs/readJob.ts
+++ b/packages/anvilarch-daemon/src/jobs/readJob.ts
@@ -3,7 +3,7 @@
 import { AnvilarchError } from 'anvilarch-utils'
 import { LRUCache } from 'lru-cache'
 import type { DaemonContext } from '../context'
-import type { ShownState } from './answers'
+import type { ShownState } from './apiObjects'
 import { type ItemCounts, type JobRow, type JobState, parseRow, type PartRow } from './rows'
 
 /**
--- a/packages/anvilarch-daemon/src/jobs/readMultipart.ts
+++ b/packages/anvilarch-daemon/src/jobs/readMultipart.ts
@@ -41,7 +41,7 @@
           return
         }
         form.fileName = fileName
-        reading = pass(stream, sink)
+        reading = forward(stream, sink)
         reading.catch(fail)
       })
       parser.on('error', fail)
@@ -70,7 +70,7 @@
 }
 
 /** Each piece is followed by a turn of the event loop, so that checking a large file does not hold up other requests. */
-async function pass (stream: BusboyFileStream, sink: ContentSink): Promise<void> {
+async function forward (stream: BusboyFileStream, sink: ContentSink): Promise<void> {
   for await (const data of stream) {
     await sink(data as Buffer)
     await setImmediate()
--- a/packages/anvilarch-daemon/src/jobs/scheduleOrder.ts
+++ b/packages/anvilarch-daemon/src/jobs/scheduleOrder.ts
@@ -7,7 +7,7 @@
   /** Jobs that end before this wall time get no more work. */
   wallMs: number
   /** Parts that this gateway holds for a caller. */
-  heldFor: (caller: string) => number
+  leasedPartsOf: (caller: string) => number
   /** A number that grows with each part leased for a caller; 0 when none was. */
   lastServed: (caller: string) => number
   /** Differs between gateways, so that they do not all begin with the same caller. */
@@ -22,9 +22,9 @@
   const byCaller = new Map<string, ActiveRow[]>()
   for (const job of input.jobs) {
     if (job.expiresAtMs <= input.wallMs) continue
-    const own = byCaller.get(job.caller)
-    if (own === undefined) byCaller.set(job.caller, [job])
-    else own.push(job)
+    const callerJobs = byCaller.get(job.caller)
+    if (callerJobs === undefined) byCaller.set(job.caller, [job])
+    else callerJobs.push(job)
   }
   const callers = [...byCaller.keys()].sort((left, right) => compareCallers(input, left, right))
   for (const jobs of byCaller.values()) jobs.sort(compareDue)
@@ -32,7 +32,7 @@
 }
 
 function compareCallers (input: ScheduleInput, left: string, right: string): number {
-  return input.heldFor(left) - input.heldFor(right) ||
+  return input.leasedPartsOf(left) - input.leasedPartsOf(right) ||
     input.lastServed(left) - input.lastServed(right) ||
     input.callerRank(left) - input.callerRank(right)
 }
--- a/packages/anvilarch-daemon/src/jobs/segments.ts
+++ b/packages/anvilarch-daemon/src/jobs/segments.ts
@@ -20,10 +20,10 @@
  */
 export function segmentRefs (items: readonly FinishedItem[], epoch: number, segment: number): SegmentRef[] {
   return KINDS.flatMap(kind => {
-    const own = items.filter(item => item.kind === kind)
-    if (own.length === 0) return []
-    const sizeBytes = own.reduce((sum, item) => sum + item.sizeBytes, 0)
-    return [{ epoch, segment, kind, items: own.length, sizeBytes }]
+    const itemsOfKind = items.filter(item => item.kind === kind)
+    if (itemsOfKind.length === 0) return []
+    const sizeBytes = itemsOfKind.reduce((sum, item) => sum + item.sizeBytes, 0)
+    return [{ epoch, segment, kind, items: itemsOfKind.length, sizeBytes }]
   })
 }
 
--- a/packages/anvilarch-daemon/src/jobs/startJobs.ts
+++ b/packages/anvilarch-daemon/src/jobs/startJobs.ts
@@ -4,7 +4,7 @@
 import type { DaemonContext } from '../context'
 import { batchRoutes } from './batchRoutes'
 import { fileRoutes } from './fileRoutes'
-import type { Draw } from './ids'
+import type { RandomSource } from './ids'
 import { createJobReader } from './readJob'
 import { startWorker } from './startWorker'
 import { startSweeper } from './sweep/startSweeper'
@@ -13,13 +13,13 @@
 /** Options of `startJobs`. */
 export interface JobsOptions {
   /** Random numbers for ids, which must differ over all gateways. */
-  draw: Draw
+  randomValue: RandomSource
 }
 
-const DRAW_RESOLUTION = 2 ** 40
+const RANDOM_RESOLUTION = 2 ** 40
 
 /** Ids from the system's random source: those of a seeded one could meet those of another gateway. */
-export const DEFAULT_OPTIONS: JobsOptions = { draw: () => randomInt(DRAW_RESOLUTION) / DRAW_RESOLUTION }
+export const DEFAULT_OPTIONS: JobsOptions = { randomValue: () => randomInt(RANDOM_RESOLUTION) / RANDOM_RESOLUTION }
 
 /**
  * @param context - shared parts of the daemon
@@ -35,7 +35,7 @@
   await startSweeper(context, lifecycle, dependencies)
   const worker = await startWorker(context, dependencies, lifecycle)
   return {
-    routes: [...fileRoutes(context, reader, options.draw), ...batchRoutes(context, reader, options.draw)],
+    routes: [...fileRoutes(context, reader, options.randomValue), ...batchRoutes(context, reader, options.randomValue)],
     drain: worker.drain,
     activeCount: worker.activeCount,
     heldParts: worker.heldParts
--- a/packages/anvilarch-daemon/src/jobs/startWorker.ts
+++ b/packages/anvilarch-daemon/src/jobs/startWorker.ts
@@ -12,13 +12,13 @@
 import { type LifecycleManager, sleep } from 'anvilarch-utils'
 import type { DaemonContext } from '../context'
 import { afterPage, type ActiveView, EMPTY_VIEW, withoutJob } from './activeView'
-import { createHeldParts } from './heldParts'
+import { createLeasedParts } from './leasedParts'
 import { createJobSearches } from './jobSearches'
 import { jobMetrics } from './jobMetrics'
 import { createPartChoice } from './partChoice'
 import { createResultBuffer, DEFAULT_OPTIONS as DEFAULT_BUFFER, type ResultBufferOptions } from './resultBuffer'
 import type { ActiveRow } from './rows'
-import { startItemPump } from './startItemPump'
+import { createItemDispatcher } from './itemDispatcher'
 import type { JobsDependencies } from './types'
 import { createWakeableSleep } from './wakeableSleep'
 
@@ -50,7 +50,7 @@
 /** Parts leased in a row before the poll goes on with other things. */
 const CLAIMS_PER_ROUND = 4
 /** Time until a job is looked at again whose part was given back. */
-const GIVEN_BACK_DELAY_MS = 10_000
+const RELEASED_DELAY_MS = 10_000
 /** Time that items in progress have when the gateway drains. */
 const DRAIN_GRACE_MS = 5_000
 
@@ -68,56 +68,56 @@
   const { runner, heartbeat, observer } = dependencies
   const metrics = jobMetrics(context.metrics)
   const stopping = new AbortController()
-  const rest = createWakeableSleep(clock, stopping.signal)
+  const pollSleep = createWakeableSleep(clock, stopping.signal)
   const inspectedMs = new Map<string, number>()
-  const endsDue = new Set<string>()
+  const endChecksDue = new Set<string>()
   const buffer = createResultBuffer(options.buffer)
   let view: ActiveView = EMPTY_VIEW
   let draining = false
   let loops: Array<Promise<void>> = []
 
-  const held = createHeldParts({
+  const leased = createLeasedParts({
     context,
     runner,
     heartbeat,
     buffer,
-    onProgress: () => { pump.wake() },
+    onProgress: () => { dispatcher.schedule() },
     onEnded: (part, end, row) => {
       const active = view.jobs.get(part.jobId)
       if (end === 'finished' && active !== undefined) {
-        searches.noteDone(active, part.part, row)
-        endsDue.add(part.jobId)
+        searches.recordDone(active, part.part, row)
+        endChecksDue.add(part.jobId)
       }
-      rest.wake()
+      pollSleep.wake()
     },
-    onGivenBack: jobId => { searches.putOff(jobId, GIVEN_BACK_DELAY_MS) }
+    onReleased: jobId => { searches.delay(jobId, RELEASED_DELAY_MS) }
   })
-  const searches = createJobSearches({ context, heartbeat, observer, isHeld: held.has })
-  const pump = startItemPump({ context, runner, buffer, parts: held.all })
-  const choice = createPartChoice({ context, runner, instance: heartbeat.instance, parts: held.load })
+  const searches = createJobSearches({ context, heartbeat, observer, isLeasedHere: leased.has })
+  const dispatcher = createItemDispatcher({ context, runner, buffer, parts: leased.all })
+  const choice = createPartChoice({ context, runner, instance: heartbeat.instance, parts: leased.load })
 
-  const dropJob = (jobId: string): void => {
+  const removeJob = (jobId: string): void => {
     view = withoutJob(view, jobId)
-    searches.forget(jobId)
+    searches.removeJob(jobId)
     inspectedMs.delete(jobId)
-    endsDue.delete(jobId)
-    held.dropJob(jobId)
+    endChecksDue.delete(jobId)
+    leased.cancelJob(jobId)
   }
 
   const readView = async (): Promise<void> => {
     const page = await platform.table.scan(ROW_KEYS.activeJobs, { after: view.after, limit: VIEW_PAGE_JOBS })
     const step = afterPage(view, page)
     view = step.view
-    step.ended.forEach(dropJob)
+    step.ended.forEach(removeJob)
     metrics.active.set(view.jobs.size)
   }
 
   /** A cancelled job must stop within a poll, also when the view is longer than a page. */
-  const checkHeldJobs = async (): Promise<void> => {
-    const jobIds = held.jobIds()
+  const checkLeasedJobs = async (): Promise<void> => {
+    const jobIds = leased.jobIds()
     if (jobIds.length === 0) return
     const rows = await platform.table.read(jobIds.map(ROW_KEYS.activeJob))
-    jobIds.filter((_jobId, position) => rows[position] === null).forEach(dropJob)
+    jobIds.filter((_jobId, position) => rows[position] === null).forEach(removeJob)
   }
 
   const claimParts = async (): Promise<void> => {
@@ -131,37 +131,37 @@
 
   const claimFrom = async (active: ActiveRow): Promise<void> => {
     const result = await searches.claim(active)
-    if (result.found === 'nothing') searches.putOff(active.jobId, settings.gateway.pollIntervalMs)
-    if (result.found === 'ended') dropJob(active.jobId)
+    if (result.found === 'nothing') searches.delay(active.jobId, settings.gateway.pollIntervalMs)
+    if (result.found === 'ended') removeJob(active.jobId)
     if (result.found !== 'part') return
-    choice.noteServed(active.caller)
-    held.hold(result.claimed)
+    choice.recordServed(active.caller)
+    leased.add(result.claimed)
   }
 
   const inspect = async (active: ActiveRow): Promise<void> => {
     inspectedMs.set(active.jobId, clock.nowMs())
-    endsDue.delete(active.jobId)
-    if (await searches.inspect(active)) dropJob(active.jobId)
+    endChecksDue.delete(active.jobId)
+    if (await searches.inspect(active)) removeJob(active.jobId)
   }
 
   /** Finds jobs whose time is up, and jobs whose last holder was lost before it could end them. */
   const inspectJobs = async (): Promise<void> => {
-    const oldestMs = clock.nowMs() - INSPECT_INTERVAL_MS
-    const due = [...view.jobs.values()].filter(job => (inspectedMs.get(job.jobId) ?? Number.NEGATIVE_INFINITY) <= oldestMs)
-    const over = [...view.jobs.values()].filter(job => job.expiresAtMs <= clock.wallMs())
-    const others = due.length <= INSPECTED_PER_POLL ? due : [random.pick(due), random.pick(due)]
-    for (const active of new Set([...over.slice(0, INSPECTED_PER_POLL), ...others])) await inspect(active)
+    const dueBeforeMs = clock.nowMs() - INSPECT_INTERVAL_MS
+    const due = [...view.jobs.values()].filter(job => (inspectedMs.get(job.jobId) ?? Number.NEGATIVE_INFINITY) <= dueBeforeMs)
+    const expired = [...view.jobs.values()].filter(job => job.expiresAtMs <= clock.wallMs())
+    const sampled = due.length <= INSPECTED_PER_POLL ? due : [random.pick(due), random.pick(due)]
+    for (const active of new Set([...expired.slice(0, INSPECTED_PER_POLL), ...sampled])) await inspect(active)
   }
 
-  const inspectEnds = async (): Promise<void> => {
-    for (const jobId of [...endsDue]) {
+  const inspectFinishedParts = async (): Promise<void> => {
+    for (const jobId of [...endChecksDue]) {
       const active = view.jobs.get(jobId)
-      if (active === undefined) endsDue.delete(jobId)
+      if (active === undefined) endChecksDue.delete(jobId)
       else await inspect(active)
     }
   }
 
-  const attempt = async (step: () => Promise<void>): Promise<void> => {
+  const runStep = async (step: () => Promise<void>): Promise<void> => {
     try {
       await step()
     } catch (error) {
@@ -174,13 +174,13 @@
     while (!stopping.signal.aborted) {
       if (clock.nowMs() >= nextPollMs) {
         nextPollMs = clock.nowMs() + random.jitter(settings.gateway.pollIntervalMs, POLL_JITTER)
-        await attempt(readView)
-        await attempt(checkHeldJobs)
-        await attempt(inspectJobs)
+        await runStep(readView)
+        await runStep(checkLeasedJobs)
+        await runStep(inspectJobs)
       }
-      await attempt(inspectEnds)
-      await attempt(draining ? searches.releaseUnsettled : claimParts)
-      await rest.sleep(nextPollMs - clock.nowMs())
+      await runStep(inspectFinishedParts)
+      await runStep(draining ? searches.releaseUnconfirmed : claimParts)
+      await pollSleep.sleep(nextPollMs - clock.nowMs())
     }
   }
 
@@ -188,23 +188,23 @@
     while (!stopping.signal.aborted) {
       await sleep(clock, TICK_MS, stopping.signal)
       metrics.bufferedResults.set(buffer.items())
-      if (held.size() === 0) continue
-      held.tick()
-      if (held.size() >= choice.maxHeldParts / 2) held.giveBackStalled()
-      pump.pump()
+      if (leased.size() === 0) continue
+      leased.tick()
+      if (leased.size() >= choice.maxLeasedParts / 2) leased.releaseStalled()
+      dispatcher.dispatch()
     }
   }
 
   const drain = async (): Promise<void> => {
     draining = true
-    rest.wake()
+    pollSleep.wake()
     const { drainTimeoutMs } = settings.gateway
-    const limitMs = clock.nowMs() + drainTimeoutMs
-    held.giveBackAll(Math.min(DRAIN_GRACE_MS, drainTimeoutMs / 2))
-    while (held.size() + searches.unsettled() > 0 && clock.nowMs() < limitMs) await sleep(clock, TICK_MS)
+    const deadlineMs = clock.nowMs() + drainTimeoutMs
+    leased.releaseAll(Math.min(DRAIN_GRACE_MS, drainTimeoutMs / 2))
+    while (leased.size() + searches.unconfirmedClaims() > 0 && clock.nowMs() < deadlineMs) await sleep(clock, TICK_MS)
   }
 
-  const unsubscribe = dependencies.directory.onChange(pump.wake)
+  const unsubscribe = dependencies.directory.onChange(dispatcher.schedule)
   await lifecycle.start({
     name: 'jobs',
     start: () => { loops = [run(), tick()] },
@@ -216,5 +216,5 @@
     },
     stopTimeoutMs: settings.gateway.drainTimeoutMs + DRAIN_GRACE_MS
   })
-  return { activeCount: () => view.jobs.size, heldParts: held.size, drain }
+  return { activeCount: () => view.jobs.size, heldParts: leased.size, drain }
 }
--- a/packages/anvilarch-daemon/src/jobs/sweep/startSweeper.ts
+++ b/packages/anvilarch-daemon/src/jobs/sweep/startSweeper.ts
@@ -59,10 +59,10 @@
   }
 
   const run = async (): Promise<void> => {
-    for (let turn = 0; !stopping.signal.aborted; turn++) {
+    for (let round = 0; !stopping.signal.aborted; round++) {
       await sleep(clock, random.jitter(STEP_INTERVAL_MS, STEP_JITTER), stopping.signal)
       try {
-        await sweepPage(sweeps[turn % sweeps.length])
+        await sweepPage(sweeps[round % sweeps.length])
       } catch (error) {
         context.logger.debug('a sweep was put off', { error: String(error) })
       }
--- a/packages/anvilarch-daemon/src/jobs/sweep/sweepPlan.ts
+++ b/packages/anvilarch-daemon/src/jobs/sweep/sweepPlan.ts
@@ -8,7 +8,7 @@
 /** An upload that takes longer than this is given up, so that its chunks can go. */
 const UPLOAD_TIMEOUT_MS = 24 * 3_600_000
 /** Time after the end of a job in which a holder may still be writing a segment that it can't commit. */
-const LATE_WRITE_MS = 600_000
+const LATE_WRITE_GRACE_MS = 600_000
 const MS_PER_HOUR = 3_600_000
 
 /** Times that the plan depends on. */
@@ -26,7 +26,7 @@
   if (job.state === 'in_progress' || job.endedAtMs === undefined) return 'keep'
   const ageMs = wallMs - job.endedAtMs
   if (ageMs >= retentionHours * MS_PER_HOUR) return 'remove'
-  return ageMs >= LATE_WRITE_MS && job.isSwept !== true ? 'remove_unreferenced' : 'keep'
+  return ageMs >= LATE_WRITE_GRACE_MS && job.isSwept !== true ? 'remove_unreferenced' : 'keep'
 }
 
 /**
@@ -35,7 +35,7 @@
  * @param times - now, and how long results stay
  * @returns whether the file may go
  */
-export function isFileOver (file: FileRow, hasActiveJob: boolean, { wallMs, retentionHours }: SweepTimes): boolean {
+export function isFileExpired (file: FileRow, hasActiveJob: boolean, { wallMs, retentionHours }: SweepTimes): boolean {
   return !hasActiveJob && wallMs - file.createdAtMs >= retentionHours * MS_PER_HOUR
 }
 
@@ -44,7 +44,7 @@
  * @param wallMs - now
  * @returns whether it was given up
  */
-export function isUploadOver (upload: UploadRow, wallMs: number): boolean {
+export function isUploadExpired (upload: UploadRow, wallMs: number): boolean {
   return wallMs - upload.startedAtMs >= UPLOAD_TIMEOUT_MS
 }
 
--- a/packages/anvilarch-daemon/src/jobs/sweep/sweepSteps.ts
+++ b/packages/anvilarch-daemon/src/jobs/sweep/sweepSteps.ts
@@ -3,10 +3,10 @@
 import { type Commit, ROW_KEYS, type Row, type Write } from 'anvilarch-protocol'
 import type { DaemonContext } from '../../context'
 import { JOB_KEYS, type FileRow, type JobKeyRow, type JobRow, parseRow, type PartRow, type UploadRow } from '../rows'
-import { isFileOver, isUploadOver, partOfObject, planJob, referencedNames, type SweepTimes } from './sweepPlan'
+import { isFileExpired, isUploadExpired, partOfObject, planJob, referencedNames, type SweepTimes } from './sweepPlan'
 
 /** Objects listed and removed at once; few, since the object store serves the running jobs first. */
-const REMOVED_AT_ONCE = 8
+const MAX_PARALLEL_REMOVALS = 8
 const LIST_PAGE = 200
 const DELETED_ROWS_PER_COMMIT = 200
 
@@ -29,8 +29,8 @@
   }
 
   const removeObjects = async (names: readonly string[]): Promise<void> => {
-    for (let start = 0; start < names.length; start += REMOVED_AT_ONCE) {
-      await Promise.all(names.slice(start, start + REMOVED_AT_ONCE).map(async name => { await objects.remove(name) }))
+    for (let start = 0; start < names.length; start += MAX_PARALLEL_REMOVALS) {
+      await Promise.all(names.slice(start, start + MAX_PARALLEL_REMOVALS).map(async name => { await objects.remove(name) }))
     }
   }
 
@@ -95,20 +95,20 @@
     },
     file: async (row, times) => {
       const file = parseRow<FileRow>(row.value)
-      if (!isFileOver(file, await hasActiveJob(file), times)) return
+      if (!isFileExpired(file, await hasActiveJob(file), times)) return
       await commit([{ key: row.key, version: row.version }], deletedFileWrites(file))
     },
     upload: async (row, times) => {
       const upload = parseRow<UploadRow>(row.value)
-      if (!isUploadOver(upload, times.wallMs)) return
+      if (!isUploadExpired(upload, times.wallMs)) return
       const fileId = row.key.slice(JOB_KEYS.uploads.length)
       const { key } = row
       // The new version refuses the commit of an upload that is only slow, before its chunks go.
       const value: UploadRow = { ...upload, startedAtMs: 0 }
-      const given = await table.commit({ commitId: randomUUID(), conditions: [{ key, version: row.version }], writes: [{ key, value: JSON.stringify(value) }] })
-      if (given.outcome === 'conflict') return
+      const marked = await table.commit({ commitId: randomUUID(), conditions: [{ key, version: row.version }], writes: [{ key, value: JSON.stringify(value) }] })
+      if (marked.outcome === 'conflict') return
       await removePrefix(`files/${fileId}/`)
-      await commit([{ key, version: given.versions[key] }], [{ key, value: null }])
+      await commit([{ key, version: marked.versions[key] }], [{ key, value: null }])
     }
   }
 }
--- a/packages/anvilarch-daemon/src/jobs/uploadFile.ts
+++ b/packages/anvilarch-daemon/src/jobs/uploadFile.ts
@@ -6,7 +6,7 @@
 import { requireConfiguration } from '../callers/requireConfiguration'
 import type { DaemonContext } from '../context'
 import { type ChunkWriter, createChunkWriter } from './chunkWriter'
-import { type Draw, newFileId } from './ids'
+import { type RandomSource, newFileId } from './ids'
 import { readMultipart, type UploadForm } from './readMultipart'
 import { type FileRow, JOB_KEYS, type UploadRow } from './rows'
 import { settleCommit, type SettleContext } from '../platform/settleCommit'
@@ -20,15 +20,15 @@
  * @param context - shared parts of the daemon
  * @param caller - who uploads
  * @param request - with a multipart form
- * @param draw - random numbers for the file's id
+ * @param randomValue - random numbers for the file's id
  * @returns row of the file
  * @throws AnvilarchError when the file was not taken; then nothing of it is kept
  */
-export async function uploadFile (context: DaemonContext, caller: string, request: IncomingMessage, draw: Draw): Promise<FileRow> {
+export async function uploadFile (context: DaemonContext, caller: string, request: IncomingMessage, randomValue: RandomSource): Promise<FileRow> {
   const { limits } = requireConfiguration(context).document
   const { clock, platform, random, settings } = context
   const settle: SettleContext = { table: platform.table, clock, random }
-  const fileId = newFileId(clock.wallMs(), draw)
+  const fileId = newFileId(clock.wallMs(), randomValue)
   const writer = createChunkWriter({
     objects: platform.objects,
     fileId,
@@ -37,11 +37,11 @@
     maxItemBytes: limits.maxItemBytes,
     maxFileBytes: limits.maxFileBytes
   })
-  const upload = await noteUpload(settle, fileId, { caller, startedAtMs: clock.wallMs() })
+  const upload = await recordUpload(settle, fileId, { caller, startedAtMs: clock.wallMs() })
   const abandon = async (): Promise<void> => { await discard(context, settle, writer, fileId) }
-  const row = await takeContent(request, writer, { fileId, caller, createdAtMs: clock.wallMs() }).catch(async (error: unknown) => {
+  const row = await receiveContent(request, writer, { fileId, caller, createdAtMs: clock.wallMs() }).catch(async (error: unknown) => {
     await abandon()
-    throw asNotRun(error)
+    throw toNotRun(error)
   })
   await commitFile(settle, row, upload).catch(async (error: unknown) => {
     // A commit that may have taken effect shows a file whose chunks must stay.
@@ -53,14 +53,14 @@
 }
 
 /** No row names the file before its commit, so that whatever fails earlier leaves no file behind. */
-function asNotRun (error: unknown): AnvilarchError {
+function toNotRun (error: unknown): AnvilarchError {
   const known = toAnvilarchError(error, { code: 'internal', step: STEP })
   if (known.ran === 'not_run') return known
   const { peer, retryAfterMs } = known
   return new AnvilarchError(known.message, { code: 'platform_unavailable', step: STEP, peer, retryAfterMs, ran: 'not_run', cause: known })
 }
 
-async function takeContent (
+async function receiveContent (
   request: IncomingMessage, writer: ChunkWriter, identity: { fileId: string, caller: string, createdAtMs: number }
 ): Promise<FileRow> {
   const form = await readMultipart(request, writer.push)
@@ -81,10 +81,10 @@
  * A gateway that dies in the middle of an upload leaves chunks that no file names. This row tells the sweeper of them, so
  * that it need not list all chunks to find a few.
  */
-async function noteUpload (settle: SettleContext, fileId: string, row: UploadRow): Promise<Condition> {
+async function recordUpload (settle: SettleContext, fileId: string, row: UploadRow): Promise<Condition> {
   const key = JOB_KEYS.upload(fileId)
   const commit = { commitId: randomUUID(), conditions: [{ key, version: 0 }], writes: [{ key, value: JSON.stringify(row) }] }
-  const result = await settleCommit(settle, commit, STEP).catch((error: unknown) => { throw asNotRun(error) })
+  const result = await settleCommit(settle, commit, STEP).catch((error: unknown) => { throw toNotRun(error) })
   if (result.outcome === 'committed') return { key, version: result.versions[key] }
   throw new AnvilarchError('The id of the upload is in use. Send the file again.', {
     code: 'overloaded', step: STEP, ran: 'not_run', retryAfterMs: RETRY_MS
@@ -92,11 +92,11 @@
 }
 
 function checkForm (form: UploadForm): void {
-  if (form.fileName === undefined) throw badForm('The form has no field "file" with a file.')
-  if (form.purpose !== PURPOSE) throw badForm(`The field "purpose" must be "${PURPOSE}", found ${JSON.stringify(form.purpose ?? null)}.`)
+  if (form.fileName === undefined) throw invalidForm('The form has no field "file" with a file.')
+  if (form.purpose !== PURPOSE) throw invalidForm(`The field "purpose" must be "${PURPOSE}", found ${JSON.stringify(form.purpose ?? null)}.`)
 }
 
-function badForm (message: string): AnvilarchError {
+function invalidForm (message: string): AnvilarchError {
   return new AnvilarchError(message, { code: 'bad_request', step: STEP, ran: 'not_run' })
 }
 
--- a/packages/anvilarch-daemon/src/jobs/wakeableSleep.ts
+++ b/packages/anvilarch-daemon/src/jobs/wakeableSleep.ts
@@ -13,18 +13,18 @@
  * @returns the sleep of one task
  */
 export function createWakeableSleep (clock: Clock, signal: AbortSignal): WakeableSleep {
-  let isDue = false
+  let isWoken = false
   let current: AbortController | undefined
   const wake = (): void => {
-    isDue = true
+    isWoken = true
     current?.abort()
   }
   signal.addEventListener('abort', wake, { once: true })
   return {
     sleep: async delayMs => {
       current = new AbortController()
-      if (!isDue) await sleep(clock, delayMs, current.signal)
-      isDue = signal.aborted
+      if (!isWoken) await sleep(clock, delayMs, current.signal)
+      isWoken = signal.aborted
       current = undefined
     },
     wake
