--- a/packages/anvilarch-daemon/src/jobs/acceptJob.ts
+++ b/packages/anvilarch-daemon/src/jobs/acceptJob.ts
@@ -1,4 +1,4 @@
-/** Accepts a job: its rows and the row of its key are one commit, so that a resend always finds the first one. */
+/** Accepts a job. Its rows and the row of its key are written in one commit, so that a resend always finds the first job. */
 import { randomUUID } from 'node:crypto'
 import { ROW_KEYS, type Row } from 'anvilarch-protocol'
 import { AnvilarchError } from 'anvilarch-utils'
@@ -9,24 +9,24 @@
 import { type ActiveRow, type FileRow, JOB_KEYS, type JobKeyRow, type JobRow, parseRow } from './rows'
 import { settleCommit } from '../platform/settleCommit'
 
-/** Who asks for what. */
+/** A request to accept a job. */
 export interface AcceptRequest {
   caller: string
-  /** `Idempotency-Key`, if the caller sent one. */
+  /** `Idempotency-Key` header, if the caller sent one. */
   key: string | undefined
   batch: BatchRequest
   signal?: AbortSignal
 }
 
 const STEP = 'jobs.accept'
-/** Rounds of reading and committing; each further one means that another request changed a row in between. */
+/** Rounds of reading and committing. Another round is needed when a concurrent request has changed a row in between. */
 const MAX_ROUNDS = 6
 const CONFLICT_RETRY_MS = 1_000
 const RATE_RETRY_MS = 30_000
-/** Default keys live beside those of callers and must not meet them. */
+/** Prefix of default keys, which are stored in the same rows as the keys of callers and must not equal one of them. */
 const DEFAULT_KEY_PREFIX = '~content-'
 
-/** The rows that the decision is based on. */
+/** Rows read before the commit. */
 interface AcceptReading {
   file: { row: Row, value: FileRow }
   key: { row: Row, value: JobKeyRow, job: JobRow | undefined } | undefined
@@ -35,10 +35,10 @@
 
 /**
  * @param context - shared parts of the daemon
- * @param request - who asks for what
- * @param randomValue - random numbers for the job's id
- * @returns the job: a new one, or the one that was accepted for the same request before
- * @throws AnvilarchError when it is not accepted; says `unknown` when that could not be learned
+ * @param request - request to accept a job
+ * @param randomValue - source of random numbers for the id of the job
+ * @returns the new job, or the job that was accepted earlier for the same request
+ * @throws AnvilarchError when the job is not accepted; with `ran` `unknown` when the outcome of the commit is unknown
  */
 export async function acceptJob (context: DaemonContext, request: AcceptRequest, randomValue: RandomSource): Promise<JobRow> {
   const jobId = newJobId(context.clock.wallMs(), randomValue)
@@ -87,7 +87,7 @@
   return rows.filter(row => row !== null).map(row => parseRow<JobRow>(row.value))
 }
 
-/** A job under a caller's own key is that job for good; one under a default key is made anew after it failed to complete. */
+/** A caller's own key always returns its first job. Under a default key, a cancelled or expired job is replaced by a new one. */
 function knownJob (reading: AcceptReading, request: AcceptRequest, hash: string): JobRow | undefined {
   const { key } = reading
   if (key?.job === undefined) return undefined
@@ -101,7 +101,7 @@
   return request.key === undefined && endedIncomplete ? undefined : key.job
 }
 
-/** Two requests at the same moment may both pass; the limit is a guard against floods, not an exact quota. */
+/** Concurrent requests may exceed the limit; it protects against floods and is not an exact quota. */
 async function checkActiveJobs (context: DaemonContext, caller: string): Promise<void> {
   const { document } = requireConfiguration(context)
   const limits = document.callers[caller] ?? document.defaultCaller
@@ -134,7 +134,7 @@
   }
 }
 
-/** @returns false when another request changed a row in between */
+/** @returns false when a concurrent request has changed a row since it was read */
 async function commitJob (context: DaemonContext, request: AcceptRequest, job: JobRow, reading: AcceptReading): Promise<boolean> {
   const { file, key, jobs } = reading
   const active: ActiveRow = {
@@ -146,7 +146,7 @@
     expiresAtMs: job.expiresAtMs
   }
   const keyRow: JobKeyRow = { jobId: job.id, contentHash: job.contentHash }
-  // The file's row changes too, so that a delete of the file at the same moment meets a conflict.
+  // The file row changes too, so that a concurrent delete of the file fails with a conflict.
   const jobIds = [...jobs.filter(known => known.state === 'in_progress').map(known => known.id), job.id]
   const fileRow: FileRow = { ...file.value, jobIds }
   const jobKey = JOB_KEYS.jobByKey(job.caller, job.key)
--- a/packages/anvilarch-daemon/src/jobs/activeView.ts
+++ b/packages/anvilarch-daemon/src/jobs/activeView.ts
@@ -1,34 +1,35 @@
 /**
- * What this gateway has seen of the active jobs. One page is read at each poll, so that the cost of a poll does not grow
- * with the number of jobs; a page replaces what was known of its range of keys.
+ * Local view of the active jobs. One page is read at each poll, so that the cost of a poll does not grow with the number of
+ * jobs. A page replaces the entries of the view in its range of keys.
  */
 import { ROW_KEYS, type Row, type ScanPage } from 'anvilarch-protocol'
 import { type ActiveRow, parseRow } from './rows'
 
-/** The view, and where the next page begins. */
+/** The view and the start of the next page. */
 export interface ActiveView {
   jobs: ReadonlyMap<string, ActiveRow>
-  /** Key after which the next page begins; undefined for the first page. */
+  /** Key after which the next page starts; undefined for the first page. */
   after: string | undefined
-  /** Times that the whole range was read. */
+  /** Number of times that the whole range was read. */
   rounds: number
 }
 
-/** View before the first page. */
+/** View before the first page was read. */
 export const EMPTY_VIEW: ActiveView = { jobs: new Map(), after: undefined, rounds: 0 }
 
-/** Which jobs a page showed to have ended. */
+/** Result of reading a page. */
 export interface ViewStep {
   view: ActiveView
-  /** Jobs that were known and are gone. */
+  /** Jobs of the view that are missing from the page. */
   ended: string[]
 }
 
 /**
- * An active row is written once and deleted once, so a known job that is missing from its range has ended.
+ * Merges a page into the view. An active row is written once and deleted once, so a job of the view that is missing from the
+ * range of the page has ended.
  *
- * @param view - before the page
- * @param page - read after `view.after`
+ * @param view - view before the page
+ * @param page - page read after `view.after`
  * @returns view after the page
  */
 export function afterPage (view: ActiveView, page: ScanPage): ViewStep {
@@ -55,9 +56,9 @@
 }
 
 /**
- * @param view - of the jobs
- * @param jobId - that is known to have ended
- * @returns view without it
+ * @param view - view of the active jobs
+ * @param jobId - id of a job that has ended
+ * @returns view without the job
  */
 export function withoutJob (view: ActiveView, jobId: string): ActiveView {
   if (!view.jobs.has(jobId)) return view
--- a/packages/anvilarch-daemon/src/jobs/apiObjects.ts
+++ b/packages/anvilarch-daemon/src/jobs/apiObjects.ts
@@ -1,10 +1,10 @@
-/** Files and jobs as the OpenAI API shows them. */
+/** Converts files and jobs to the objects of the OpenAI API. */
 import { resultFileId } from './ids'
 import type { FileRow, ItemCounts, JobRow, JobState, ResultKind } from './rows'
 
 const MS_PER_SECOND = 1_000
 
-/** A file as clients see it. */
+/** A file object of the OpenAI API. */
 export interface FileObject {
   id: string
   object: 'file'
@@ -15,12 +15,12 @@
   status: 'processed'
 }
 
-/** States that clients see. */
+/** Job states in responses. */
 export type ShownState = JobState | 'cancelling'
 
 /**
- * @param row - of the file
- * @returns the file as clients see it
+ * @param row - row of the file
+ * @returns the file object
  */
 export function toFileObject (row: FileRow): FileObject {
   return {
@@ -35,10 +35,10 @@
 }
 
 /**
- * @param job - that has ended
- * @param kind - which results
- * @param sizeBytes - of the content
- * @returns the file of results as clients see it
+ * @param job - job that has ended
+ * @param kind - kind of results
+ * @param sizeBytes - size of the content
+ * @returns the file object of the results
  */
 export function toResultFileObject (job: JobRow, kind: ResultKind, sizeBytes: number): FileObject {
   return {
@@ -54,9 +54,9 @@
 
 /**
  * @param job - row of the job
- * @param counts - finished items
- * @param state - to show
- * @returns the job as clients see it
+ * @param counts - number of finished items
+ * @param state - state to show
+ * @returns the batch object
  */
 export function toBatchObject (job: JobRow, counts: ItemCounts, state: ShownState): Record<string, unknown> {
   const total = job.partItems.reduce((sum, items) => sum + items, 0)
@@ -89,9 +89,9 @@
 }
 
 /**
- * @param items - of one page
- * @param hasMore - whether there are further ones
- * @returns a list as clients see it
+ * @param items - objects of one page
+ * @param hasMore - whether there are further pages
+ * @returns the list object
  */
 export function toListObject (items: Array<Record<string, unknown> | FileObject>, hasMore: boolean): Record<string, unknown> {
   return {
--- a/packages/anvilarch-daemon/src/jobs/batchRequest.ts
+++ b/packages/anvilarch-daemon/src/jobs/batchRequest.ts
@@ -1,10 +1,10 @@
-/** Checks the body of a request for a new job. */
+/** Parses and validates requests that create a job. */
 import { createHash } from 'node:crypto'
 import { AnvilarchError } from 'anvilarch-utils'
 import { ITEM_URLS } from './itemLine'
 import type { FileRow } from './rows'
 
-/** What a caller asks for. */
+/** A validated request. */
 export interface BatchRequest {
   fileId: string
   endpoint: string
@@ -25,8 +25,8 @@
 
 /**
  * @param value - parsed JSON body
- * @returns the request
- * @throws AnvilarchError with code `bad_request` that names the field
+ * @returns the validated request
+ * @throws AnvilarchError with code `bad_request` that names the invalid field
  */
 export function parseBatchRequest (value: Record<string, unknown>): BatchRequest {
   const { input_file_id: fileId, endpoint, completion_window: completionWindow } = value
@@ -59,9 +59,9 @@
 }
 
 /**
- * @param request - what the caller asks for
- * @param file - that it names
- * @throws AnvilarchError with code `bad_request` when the file does not fit
+ * @param request - request for a job
+ * @param file - input file of the request
+ * @throws AnvilarchError with code `bad_request` when items of the file use another path than the request
  */
 export function checkFileFits (request: BatchRequest, file: FileRow): void {
   const others = file.urls.filter(url => url !== request.endpoint)
@@ -70,11 +70,12 @@
 }
 
 /**
- * Two uploads of the same content are the same work, so the hash takes the content and not the id of the file.
+ * Computes the hash that identifies a resend of the same job. It covers the content of the file and not its id, so that two
+ * uploads of the same content are equal.
  *
- * @param request - what the caller asks for
- * @param file - that it names
- * @returns hash that is equal for a resend of the same job
+ * @param request - request for a job
+ * @param file - input file of the request
+ * @returns the hash in hex
  */
 export function contentHash (request: BatchRequest, file: FileRow): string {
   const metadata = Object.entries(request.metadata ?? {}).sort(([left], [right]) => left < right ? -1 : 1)
@@ -83,9 +84,9 @@
 }
 
 /**
- * @param header - `Idempotency-Key`, if the caller sent one
+ * @param header - `Idempotency-Key` header, if present
  * @returns the key, or undefined
- * @throws AnvilarchError with code `bad_request` when it can't be used
+ * @throws AnvilarchError with code `bad_request` when the key is invalid
  */
 export function parseKey (header: string | string[] | undefined): string | undefined {
   if (header === undefined) return undefined
--- a/packages/anvilarch-daemon/src/jobs/batchRoutes.ts
+++ b/packages/anvilarch-daemon/src/jobs/batchRoutes.ts
@@ -13,15 +13,15 @@
 import { type JobReader, shownState } from './readJob'
 import { JOB_KEYS, type JobRow, parseRow } from './rows'
 
-/** Longest body of a request for a job; its items are in the file. */
+/** Longest body of a request that creates a job; the items are in the file. */
 const MAX_BODY_BYTES = 64 * 1024
-/** Polls after which each holder has noticed that a job was cancelled. */
+/** Polls after which each holder has detected a cancelled job. */
 const STOP_POLLS = 2
 
 /**
  * @param context - shared parts of the daemon
- * @param reader - of jobs
- * @param randomValue - random numbers for ids
+ * @param reader - reader of jobs
+ * @param randomValue - source of random numbers for ids
  * @returns the routes
  */
 export function batchRoutes (context: DaemonContext, reader: JobReader, randomValue: RandomSource): Route[] {
@@ -34,7 +34,7 @@
     const key = parseKey(request.headers['idempotency-key'])
     const batch = parseBatchRequest(parseJsonObject(await readBody(request, MAX_BODY_BYTES)))
     const job = await acceptJob(context, { caller, key, batch, signal }, randomValue)
-    // The job stands, so that no failure to count its items may turn this answer into an error.
+    // The job is already accepted, so a failure to count its items must not turn this response into an error.
     const counts = await reader.counts(job).catch(() => ({ completed: 0, failed: 0 }))
     sendJson(response, 200, toBatchObject(job, counts, job.state))
   }
--- a/packages/anvilarch-daemon/src/jobs/cancelJob.ts
+++ b/packages/anvilarch-daemon/src/jobs/cancelJob.ts
@@ -1,4 +1,4 @@
-/** Cancels a job for its caller. */
+/** Cancels a job on request of its caller. */
 import { AnvilarchError } from 'anvilarch-utils'
 import type { DaemonContext } from '../context'
 import { endCommit } from './endJob'
@@ -7,16 +7,16 @@
 import { settleCommit } from '../platform/settleCommit'
 
 const STEP = 'jobs.cancel'
-/** The job row changes only with its state, so that a second conflict shows a job that has ended. */
+/** The job row changes only with its state, so that after a conflict the next read finds a job that has ended. */
 const MAX_ROUNDS = 3
 
 /**
  * @param context - shared parts of the daemon
- * @param reader - of jobs
- * @param caller - who asks
- * @param jobId - of the job
- * @returns the cancelled job; cancelling it again changes nothing
- * @throws AnvilarchError with code `conflict` when the job completed or expired before
+ * @param reader - reader of jobs
+ * @param caller - name of the caller
+ * @param jobId - id of the job
+ * @returns the cancelled job; cancelling it again has no effect
+ * @throws AnvilarchError with code `conflict` when the job has completed or expired
  */
 export async function cancelJob (context: DaemonContext, reader: JobReader, caller: string, jobId: string): Promise<JobRow> {
   const { clock, platform, random } = context
--- a/packages/anvilarch-daemon/src/jobs/chunkLines.ts
+++ b/packages/anvilarch-daemon/src/jobs/chunkLines.ts
@@ -1,4 +1,4 @@
-/** The item lines of one chunk, found once and decoded only when an item is run. */
+/** The item lines of one chunk, located once and decoded only when an item is run. */
 import { isBlankLine } from './itemLine'
 
 const NEWLINE = 0x0a
@@ -11,7 +11,7 @@
 }
 
 /**
- * @param chunk - content of a chunk object; blank lines are no items
+ * @param chunk - content of a chunk object; blank lines are skipped
  * @returns its item lines
  */
 export function chunkLines (chunk: Uint8Array): ChunkLines {
--- a/packages/anvilarch-daemon/src/jobs/chunkWriter.ts
+++ b/packages/anvilarch-daemon/src/jobs/chunkWriter.ts
@@ -1,4 +1,4 @@
-/** Checks the lines of an upload and writes them to the object store in chunks, so that memory does not grow with the file. */
+/** Validates the lines of an upload and writes them to the object store in chunks, so that memory does not grow with the file. */
 import { createHash } from 'node:crypto'
 import { OBJECT_NAMES, type ObjectPort } from 'anvilarch-protocol'
 import { AnvilarchError } from 'anvilarch-utils'
@@ -9,15 +9,15 @@
 export interface ChunkWriterOptions {
   objects: ObjectPort
   fileId: string
-  /** Items of one chunk at most. */
+  /** Most items of one chunk. */
   partItems: number
-  /** Bytes of one chunk, unless a single item is larger. */
+  /** Most bytes of one chunk, unless a single item is larger. */
   partBytes: number
   maxItemBytes: number
   maxFileBytes: number
 }
 
-/** What is known of a file whose content was written. */
+/** Properties of the written content. */
 export interface WrittenContent {
   sizeBytes: number
   sha256: string
@@ -28,24 +28,24 @@
 
 /** Writes the content of one file. */
 export interface ChunkWriter {
-  /** Resolves when more may be pushed. Rejects with what is wrong with the content, or with the object store. */
+  /** Resolves when more may be pushed. Rejects when the content is invalid or the object store fails. */
   push: (data: Buffer) => Promise<void>
   finish: () => Promise<WrittenContent>
-  /** Removes what was written. */
+  /** Removes the chunks written so far. */
   discard: () => Promise<void>
 }
 
 const STEP = 'jobs.upload'
-/** Chunks on their way to the object store at the same time. */
+/** Chunks written to the object store concurrently. */
 const MAX_PUTS = 2
-/** More models than this are run all the same, but not listed. */
+/** Models beyond this number are run but not listed in the file row. */
 const MAX_LISTED_MODELS = 16
 
 /**
- * A `custom_id` that stands twice in one chunk is refused. Over the whole file it is not looked for, since that would need
- * memory that grows with the file; each line is an item of its own and has one result, whatever its `custom_id`.
+ * A `custom_id` that occurs twice in one chunk is rejected. Duplicates in different chunks are not detected, since that would
+ * need memory that grows with the file; each line is a separate item with one result, whatever its `custom_id`.
  *
- * @param options - where to write and the bounds
+ * @param options - target and bounds
  * @returns a writer of an empty file
  */
 export function createChunkWriter (options: ChunkWriterOptions): ChunkWriter {
@@ -101,7 +101,7 @@
       throw invalidLine(lineNumber, `it has more than the ${options.maxItemBytes} bytes that an item may have`)
     }
     const isItem = !isBlankLine(line)
-    // A chunk is closed only before a further item, so that no chunk is without items.
+    // A chunk is closed only when another item follows, so that no chunk is without items.
     if (isItem && isChunkFull(line)) await closeChunk()
     if (isItem) addItem(line)
     else if (pendingBytes > options.partBytes + options.maxItemBytes) throw invalidLine(lineNumber, 'there are too many blank lines')
--- a/packages/anvilarch-daemon/src/jobs/endJob.ts
+++ b/packages/anvilarch-daemon/src/jobs/endJob.ts
@@ -1,4 +1,4 @@
-/** Ends a job: its state, its place among the active jobs and nothing else changes, in one commit. */
+/** Creates the commit that ends a job: it changes the state of the job and removes it from the active jobs. */
 import { randomUUID } from 'node:crypto'
 import { type Commit, type CommitResult, ROW_KEYS } from 'anvilarch-protocol'
 import { JOB_KEYS, type ItemCounts, type JobRow, type JobState } from './rows'
@@ -6,19 +6,19 @@
 /** How a job ends. */
 export interface JobEnd {
   state: Exclude<JobState, 'in_progress'>
-  /** Wall time. */
+  /** Wall-clock time. */
   endedAtMs: number
-  /** Results, when all are known. */
+  /** Number of results, if all items are finished. */
   counts?: ItemCounts
 }
 
 /**
- * Part commits are conditioned on the version of the job row. Changing the row here therefore stops them all: whatever a
- * holder sends after this commit is refused, however late it arrives.
+ * Part commits are conditioned on the version of the job row. Since this commit changes the row, every later part commit of
+ * a holder is rejected, however late it arrives.
  *
- * @param job - in progress
- * @param version - of its row
- * @param end - how it ends
+ * @param job - job in progress
+ * @param version - version of its row
+ * @param end - final state
  * @returns the commit
  */
 export function endCommit (job: JobRow, version: number, end: JobEnd): Commit {
@@ -35,8 +35,8 @@
 }
 
 /**
- * @param result - of a commit that ended a job
- * @returns whether it was this commit that ended it
+ * @param result - result of a commit that ends a job
+ * @returns whether this commit ended the job
  */
 export function didEnd (result: CommitResult): boolean {
   return result.outcome === 'committed'
--- a/packages/anvilarch-daemon/src/jobs/fileRoutes.ts
+++ b/packages/anvilarch-daemon/src/jobs/fileRoutes.ts
@@ -17,13 +17,13 @@
 
 const STEP = 'jobs.file'
 
-/** An uploaded file with the version of its row. */
+/** An uploaded file and the version of its row. */
 interface VersionedFile {
   file: FileRow
   version: number
 }
 
-/** A file of results, by its job. */
+/** A result file, identified by job and kind. */
 interface ResultFile {
   job: JobRow
   version: number
@@ -32,8 +32,8 @@
 
 /**
  * @param context - shared parts of the daemon
- * @param reader - of jobs
- * @param randomValue - random numbers for ids
+ * @param reader - reader of jobs
+ * @param randomValue - source of random numbers for ids
  * @returns the routes
  */
 export function fileRoutes (context: DaemonContext, reader: JobReader, randomValue: RandomSource): Route[] {
@@ -46,7 +46,7 @@
     return { file, version: row.version }
   }
 
-  /** Results show when the job has ended: they do not change any more, and partial ones are there all the same. */
+  /** Result files exist once the job has ended, since they no longer change; results of a cancelled or expired job are partial. */
   const readResultFile = async (caller: string, fileId: string): Promise<ResultFile | undefined> => {
     const named = parseResultFileId(fileId)
     if (named === undefined) return undefined
@@ -108,8 +108,8 @@
 }
 
 /**
- * The row goes with a row in the list of uploads, so that the sweeper takes the chunks away. A job that is accepted at the
- * same moment changes the row of the file, and one of the two commits meets a conflict.
+ * Deletes the file row and, in the same commit, writes an upload row, so that the sweeper removes the chunks. A job that is
+ * accepted on the file at the same time changes the file row, and one of the two commits fails with a conflict.
  */
 async function removeFile (context: DaemonContext, { file, version }: VersionedFile): Promise<void> {
   const { clock, platform, random } = context
--- a/packages/anvilarch-daemon/src/jobs/ids.ts
+++ b/packages/anvilarch-daemon/src/jobs/ids.ts
@@ -1,19 +1,19 @@
-/** Identifiers of files and jobs. They sort newest first, so that a scan in key order is the list that clients expect. */
+/** Identifiers of files and jobs. They sort newest first, so that a scan in key order yields the order that clients expect. */
 import type { ResultKind } from './rows'
 
-/** Milliseconds far enough ahead to count down from (year 2286), so that a later id sorts first. */
+/** Time (year 2286) from which the creation time is subtracted, so that a later id sorts first. */
 const COUNTDOWN_FROM_MS = 9_999_999_999_999
 const COUNTDOWN_DIGITS = 13
 const RANDOM_DIGITS = 12
 
 const RESULT_FILE = /^file-(batch_[0-9a-z]+)-(output|error)$/
 
-/** Draws a number in [0, 1). */
+/** Returns a random number in [0, 1). */
 export type RandomSource = () => number
 
 /**
- * @param wallMs - wall time of the upload
- * @param randomValue - random numbers
+ * @param wallMs - wall-clock time of the upload
+ * @param randomValue - source of random numbers
  * @returns an id for an uploaded file
  */
 export function newFileId (wallMs: number, randomValue: RandomSource): string {
@@ -21,8 +21,8 @@
 }
 
 /**
- * @param wallMs - wall time of the job's arrival
- * @param randomValue - random numbers
+ * @param wallMs - wall-clock time at which the job was submitted
+ * @param randomValue - source of random numbers
  * @returns an id for a job
  */
 export function newJobId (wallMs: number, randomValue: RandomSource): string {
@@ -30,9 +30,9 @@
 }
 
 /**
- * @param jobId - of the job
- * @param kind - which of its results
- * @returns id of the file of results
+ * @param jobId - id of the job
+ * @param kind - kind of results
+ * @returns id of the result file
  */
 export function resultFileId (jobId: string, kind: ResultKind): string {
   return `file-${jobId}-${kind}`
@@ -40,7 +40,7 @@
 
 /**
  * @param fileId - any file id
- * @returns job and kind when it names a file of results
+ * @returns job and kind when the id names a result file
  */
 export function parseResultFileId (fileId: string): { jobId: string, kind: ResultKind } | undefined {
   const match = RESULT_FILE.exec(fileId)
--- a/packages/anvilarch-daemon/src/jobs/itemAttempts.ts
+++ b/packages/anvilarch-daemon/src/jobs/itemAttempts.ts
@@ -1,54 +1,54 @@
-/** Decides which failed runs of an item use up its attempts. Pure. */
+/** Pure functions that decide which failed runs of an item count as attempts, and when its attempts are exhausted. */
 
-/** How often an item was tried by this holder, and where it failed. */
+/** Runs of an item by this holder, and the endpoints where they failed. */
 export interface RunHistory {
   /** Runs that failed. */
   runs: number
   /** Failed runs that count as attempts. */
   attempts: number
-  /** Times that it was put off without a run, since the last run. */
+  /** Number of times that it was deferred without a run, since the last run. */
   deferrals: number
-  /** Keys of the endpoints that took it in runs that failed. */
+  /** Keys of the endpoints that accepted it in failed runs. */
   failedAt: ReadonlySet<string>
-  /** Keys of those among them that answered with a failure. */
+  /** Keys of the endpoints among them that returned a failure response. */
   failedResponses: ReadonlySet<string>
 }
 
-/** How a run failed: its endpoint answered with a failure, was lost, or gave no whole answer. */
+/** How a run failed: its endpoint returned a failure, was lost, or did not return a complete response. */
 export type FailureKind = 'answered' | 'lost' | 'incomplete'
 
 /** A run that failed. */
 export interface FailedRun {
-  /** Keys of the endpoints whose agents took it, the last one last. */
+  /** Keys of the endpoints whose agents accepted it, the most recent last. */
   takenBy: readonly string[]
   kind: FailureKind
 }
 
-/** What bounds the runs of an item. */
+/** Bounds of the runs of an item. */
 export interface RunBounds {
   maxAttempts: number
-  /** Endpoints that its service is to have. */
+  /** Configured number of endpoints of its service. */
   replicas: number
 }
 
-/** Runs that count as no attempt. With the waits between runs this is some six minutes, in which endpoints come back from a restart. */
+/** Most failed runs that do not count as attempts. With the backoff they span about six minutes, in which endpoints can restart. */
 const MAX_UNCOUNTED_RUNS = 16
 
-/** Shared, since most items never fail. */
+/** Shared empty set, since most items never fail. */
 const NO_ENDPOINTS: ReadonlySet<string> = new Set()
 
-/** An item that was not tried. */
+/** History of an item that was not run. */
 export const NO_RUNS: RunHistory = { runs: 0, attempts: 0, deferrals: 0, failedAt: NO_ENDPOINTS, failedResponses: NO_ENDPOINTS }
 
 /**
- * One endpoint that answers with failures says as much of itself as of the item, however often it is asked. So a run that
- * it fails again counts as no attempt while other endpoints of the service have not been heard. The loss of an endpoint
- * says nothing of the items that it ran; one that crashes endpoints is quarantined.
+ * Repeated failures of the same endpoint may be caused by the endpoint as well as by the item. A repeated failure is
+ * therefore not an attempt while other endpoints of the service have not failed the item too. The loss of an endpoint is
+ * not an attempt of the items that it ran, since an item that crashes endpoints is quarantined.
  *
- * @param history - before the run
- * @param run - that failed
- * @param bounds - of the runs
- * @returns the tries with it
+ * @param history - history before the run
+ * @param run - the failed run
+ * @param bounds - bounds of the runs
+ * @returns the history with the run added
  */
 export function afterFailedRun (history: RunHistory, run: FailedRun, bounds: RunBounds): RunHistory {
   const failedResponses = withFailedResponse(history.failedResponses, run)
@@ -69,9 +69,9 @@
 }
 
 /**
- * @param tries - of an item
- * @param bounds - of its runs
- * @returns whether it is not run again
+ * @param history - history of an item
+ * @param bounds - bounds of its runs
+ * @returns whether the item is not run again
  */
 export function areAttemptsExhausted ({ runs, attempts }: RunHistory, { maxAttempts }: RunBounds): boolean {
   return attempts >= maxAttempts || runs - attempts >= MAX_UNCOUNTED_RUNS
--- a/packages/anvilarch-daemon/src/jobs/itemDispatcher.ts
+++ b/packages/anvilarch-daemon/src/jobs/itemDispatcher.ts
@@ -1,10 +1,10 @@
-/** Starts items of the held parts as the fleet has room for them. */
+/** Starts items of the leased parts as far as the fleet has capacity. */
 import type { RequestRunner } from '../attempts/types'
 import type { DaemonContext } from '../context'
 import type { ResultBuffer } from './resultBuffer'
 import type { LeasedPart } from './leasedPart'
 
-/** What the pump needs. */
+/** Options of `createItemDispatcher`. */
 export interface ItemDispatcherOptions {
   context: DaemonContext
   runner: RequestRunner
@@ -14,30 +14,30 @@
 
 /** Starts items. */
 export interface ItemDispatcher {
-  /** Looks soon whether items may be started. Many calls make one look. */
+  /** Schedules a dispatch within `COALESCE_DELAY_MS`; calls in the meantime are merged. */
   schedule: () => void
-  /** Looks now. */
+  /** Starts items now. */
   dispatch: () => void
 }
 
-/** Ends of runs within this time are answered by one look, so that a busy gateway does not wake up for each. */
+/** Runs that end within this time lead to one dispatch, so that a busy gateway does not dispatch after each run. */
 const COALESCE_DELAY_MS = 10
-/** A service without reported room gets one item this often, since a report may be old or missing. */
+/** A service without reported capacity gets one item per interval, since the report may be outdated or missing. */
 const UNREPORTED_START_INTERVAL_MS = 1_000
-/** An item whose service has no room lets items of other services of its part go first for this long. */
+/** An item whose service has no capacity is postponed this long, so that items of the part for other services are started. */
 const POSTPONE_MS = 200
-/** Items of a part that may be postponed in one look. */
+/** Most items of a part that are postponed in one dispatch. */
 const MAX_POSTPONED = 16
 
-/** Room of one look, by service. */
+/** Free capacity during one dispatch. */
 interface Capacity {
   items: number
   services: Map<string, number>
 }
 
 /**
- * @param options - parts and the runner that knows of room
- * @returns a pump at rest
+ * @param options - the leased parts, and the runner that reports free capacity
+ * @returns a dispatcher without a scheduled dispatch
  */
 export function createItemDispatcher (options: ItemDispatcherOptions): ItemDispatcher {
   const { context, runner, buffer } = options
--- a/packages/anvilarch-daemon/src/jobs/itemLine.ts
+++ b/packages/anvilarch-daemon/src/jobs/itemLine.ts
@@ -1,7 +1,7 @@
-/** The lines of input and result files: one JSON object each, as the OpenAI batch API has them. */
+/** Parses lines of input files and formats lines of result files, in the JSON Lines format of the OpenAI batch API. */
 import type { ResultKind } from './rows'
 
-/** Paths that an item may name. */
+/** Paths that an item may request. */
 export const ITEM_URLS: readonly string[] = ['/v1/chat/completions', '/v1/completions']
 
 /** Longest `custom_id`. */
@@ -15,17 +15,17 @@
   body: Record<string, unknown>
 }
 
-/** A line as read, or what is wrong with it. */
+/** The item of a line, or the reason why the line is invalid. */
 export type ParsedLine = { ok: true, item: Item } | { ok: false, problem: string }
 
-/** What became of an item that was answered. */
+/** Response of an endpoint to an item. */
 export interface ItemResponse {
   statusCode: number
   requestId: string
   body: unknown
 }
 
-/** Why an item has no answer. */
+/** Reason why an item has failed. */
 export interface ItemError {
   code: string
   message: string
@@ -33,7 +33,7 @@
 
 /**
  * @param line - bytes of a line
- * @returns whether it holds nothing but white space, and so is no item
+ * @returns whether the line is empty or white space only, and so not an item
  */
 export function isBlankLine (line: Uint8Array): boolean {
   for (const byte of line) {
@@ -44,7 +44,7 @@
 
 /**
  * @param line - bytes of a line
- * @returns the item, or what is wrong with the line
+ * @returns the item, or the reason why the line is invalid
  */
 export function parseItemLine (line: Buffer): ParsedLine {
   let value: unknown
@@ -67,11 +67,11 @@
 }
 
 /**
- * @param id - of the result, unique in the job
- * @param customId - of the item
- * @param response - the endpoint's answer, if there was one
- * @param error - why there is no good answer, if there is none
- * @returns the line of a result file
+ * @param id - id of the result, unique in the job
+ * @param customId - `custom_id` of the item
+ * @param response - response of the endpoint, if there was one
+ * @param error - reason of the failure, if the item failed
+ * @returns a line of a result file
  */
 export function resultLine (id: string, customId: string, response: ItemResponse | null, error: ItemError | null): Buffer {
   const shown = response === null
@@ -80,7 +80,7 @@
   return Buffer.from(JSON.stringify({ id, custom_id: customId, response: shown, error }) + '\n')
 }
 
-/** A finished item with its line. */
+/** Result of a finished item, formatted as a line. */
 export interface ItemResult {
   kind: ResultKind
   line: Buffer
--- a/packages/anvilarch-daemon/src/jobs/itemOutcome.ts
+++ b/packages/anvilarch-daemon/src/jobs/itemOutcome.ts
@@ -1,37 +1,37 @@
-/** Decides what the end of one run means for an item: a result, a further run, or only a wait. */
+/** Decides by the result of one run whether an item is final, is run again, or waits. */
 import type { AnvilarchError, ErrorCode } from 'anvilarch-utils'
 import type { WorkResult } from '../attempts/types'
 import type { FailureKind } from './itemAttempts'
 
 /** What to do with an item. */
 export type ItemVerdict =
-  /** Final, in the output file. */
+  /** Final; written to the output file. */
   | { verdict: 'answered', statusCode: number, body: Uint8Array }
-  /** Final, in the error file; with the endpoint's answer if there was one. */
+  /** Final; written to the error file, with the endpoint's response if there was one. */
   | { verdict: 'failed', code: string, message: string, statusCode?: number, body?: Uint8Array }
-  /** Run again; this run used up one of the item's attempts. */
+  /** Run again, if the item has attempts left. */
   | { verdict: 'run_again', code: string, message: string, statusCode?: number, body?: Uint8Array }
-  /** Not run, or given way to other work: wait, without using up an attempt. */
+  /** Not run, or preempted by other work: run again after a backoff, without counting an attempt. */
   | { verdict: 'wait', code: string, retryAfterMs?: number }
 
-/** The fleet can't take the item now, or took it back for more urgent work. Nothing is wrong with the item. */
+/** Codes of runs that the fleet rejected or preempted for reasons other than the item itself. */
 const WAIT_CODES: ReadonlySet<ErrorCode> = new Set([
   'overloaded', 'draining', 'rate_limited', 'not_ready', 'platform_unavailable', 'stale_configuration', 'stale_lease', 'cancelled'
 ])
 
-/** The item itself is at fault, so that another run ends the same way. */
+/** Codes of failures caused by the item itself, so that another run would fail in the same way. */
 const FINAL_CODES: ReadonlySet<ErrorCode> = new Set([
   'quarantined', 'bad_request', 'too_large', 'method_not_allowed', 'unauthorized'
 ])
 
-/** The endpoint or its agent could not be reached any more, or went silent. */
+/** Code of a run whose endpoint or agent became unreachable or unresponsive. */
 const UNREACHABLE_CODE: ErrorCode = 'unavailable'
 
 const STATUS_TOO_MANY_REQUESTS = 429
 const STATUS_UNAVAILABLE = 503
 
 /**
- * @param result - of one run
+ * @param result - result of one run
  * @returns what to do with the item
  */
 export function classifyResult (result: WorkResult): ItemVerdict {
@@ -39,8 +39,8 @@
 }
 
 /**
- * @param verdict - of a run that failed
- * @returns how it failed
+ * @param verdict - verdict on a failed run
+ * @returns how the run failed
  */
 export function failureKind ({ statusCode, code }: Extract<ItemVerdict, { verdict: 'run_again' }>): FailureKind {
   if (statusCode !== undefined) return 'answered'
--- a/packages/anvilarch-daemon/src/jobs/itemQueue.ts
+++ b/packages/anvilarch-daemon/src/jobs/itemQueue.ts
@@ -1,9 +1,9 @@
-/** The items of a leased part that wait to be run: fresh ones in file order, and ones put off until a time. */
+/** The items of a leased part that wait to be run: unstarted items in file order, and items deferred until a time. */
 import { type RunHistory, NO_RUNS } from './itemAttempts'
 import { hasItem, itemSetFromText } from './itemSet'
 import type { PartRow } from './rows'
 
-/** An item that was put off. */
+/** A deferred item. */
 interface Deferred {
   index: number
   untilMs: number
@@ -11,21 +11,21 @@
 
 /** The waiting items of one part. */
 export interface ItemQueue {
-  /** @returns the next item that may be run now, without taking it */
+  /** @returns the next item that may be run now, without removing it */
   peek: (nowMs: number) => number | undefined
-  /** Takes an item that `peek` gave. */
+  /** Removes an item that `peek` returned. */
   take: (index: number) => void
-  /** Puts an item back until a time. */
+  /** Puts an item back, to be run no earlier than a time. */
   defer: (index: number, untilMs: number) => void
-  /** Items that wait, whether they may be run now or not. */
+  /** Number of waiting items, including those that may not be run yet. */
   waiting: () => number
   history: (index: number) => RunHistory
   setHistory: (index: number, history: RunHistory) => void
 }
 
 /**
- * @param row - the part as leased; items that are done are left out
- * @returns the queue of its other items
+ * @param row - part row as committed by the claim
+ * @returns queue of the items that are not done
  */
 export function createItemQueue (row: PartRow): ItemQueue {
   const done = itemSetFromText(row.done)
--- a/packages/anvilarch-daemon/src/jobs/itemRequest.ts
+++ b/packages/anvilarch-daemon/src/jobs/itemRequest.ts
@@ -1,32 +1,32 @@
-/** Turns an item into a request for the attempts slice. */
+/** Converts an item into a request for the request runner. */
 import type { ConfigurationDocument } from 'anvilarch-configuration'
 import type { WorkRequest } from '../attempts/types'
 import { affinityKeyOf, completionFingerprint } from '../callers/completions/completionRequest'
 import type { Item } from './itemLine'
 
-/** Names the run of an item. */
+/** Identity, target and deadline of one run of an item. */
 export interface ItemRun {
   requestId: string
   caller: string
   target: BatchTarget
   deadlineMs: number
-  /** Keys of endpoints that have failed the item. */
+  /** Keys of the endpoints at which the item has failed; other endpoints are preferred. */
   avoid: ReadonlySet<string>
 }
 
-/** Where the items that name a model go. */
+/** Service and model that run the items with a model name. */
 export interface BatchTarget {
   service: string
-  /** The name that the engine knows the model by. */
+  /** Name of the model in requests to the endpoint. */
   engineModel: string
 }
 
 /**
- * Names are looked up as for online requests: as a service first, then as a model, then as an adapter.
+ * Resolves a model name in the same order as online requests: as a service, as a model, as an adapter.
  *
- * @param document - the configuration in force
- * @param name - of a model, as an item has it
- * @returns the service that takes batch work for it
+ * @param document - active configuration
+ * @param name - model name of an item
+ * @returns the service that accepts batch work for the name, and its model
  */
 export function batchTargetOf (document: ConfigurationDocument, name: string): BatchTarget | undefined {
   const services = Object.entries(document.services).flatMap(([service, spec]) =>
@@ -39,12 +39,12 @@
 }
 
 /**
- * @param item - to run
- * @param run - its identity, target and deadline
+ * @param item - item to run
+ * @param run - identity, target and deadline of the run
  * @returns the request
  */
 export function itemRequest (item: Item, run: ItemRun): WorkRequest {
-  // The answer of an item is one JSON body, so that a client's `stream` flag has no meaning here.
+  // The response to an item is a single JSON body, so the `stream` flag of the client is removed.
   const { stream, stream_options: streamOptions, ...body } = item.body
   const { service, engineModel } = run.target
   return {
@@ -61,7 +61,7 @@
     outputMode: 'whole',
     idempotent: true,
     deadlineMs: run.deadlineMs,
-    // The same content has the same fingerprint online and in a job, so that a quarantine holds for both.
+    // The same content has the same fingerprint online and in a job, so that a quarantine applies to both.
     fingerprint: completionFingerprint(service, item.body),
     affinityKey: affinityKeyOf(item.body),
     avoid: run.avoid
--- a/packages/anvilarch-daemon/src/jobs/itemSet.ts
+++ b/packages/anvilarch-daemon/src/jobs/itemSet.ts
@@ -1,4 +1,4 @@
-/** Sets of item indexes of one part, as bits, so that the row of a part stays small however its items finish. */
+/** Sets of item indexes as bit sets, so that the size of a part row does not depend on the order in which its items finish. */
 
 const BITS_PER_BYTE = 8
 
@@ -6,7 +6,7 @@
 export type ItemSet = Uint8Array
 
 /**
- * @param itemCount - indexes go from 0 to one less
+ * @param itemCount - exclusive upper bound of the indexes
  * @returns an empty set
  */
 export function createItemSet (itemCount: number): ItemSet {
@@ -14,18 +14,18 @@
 }
 
 /**
- * @param set - to look in
- * @param index - to look for
- * @returns whether the set has the index
+ * @param set - set to test
+ * @param index - index of an item
+ * @returns whether the set contains the index
  */
 export function hasItem (set: ItemSet, index: number): boolean {
   return ((set[index >> 3] ?? 0) & (1 << (index & 7))) !== 0
 }
 
 /**
- * @param set - is not changed
- * @param indexes - to add
- * @returns a set with the indexes added
+ * @param set - set to copy
+ * @param indexes - indexes to add
+ * @returns a copy of the set with the indexes added
  */
 export function withItems (set: ItemSet, indexes: readonly number[]): ItemSet {
   const next = Uint8Array.from(set)
@@ -34,8 +34,8 @@
 }
 
 /**
- * @param set - to count
- * @returns how many indexes it has
+ * @param set - set to count
+ * @returns number of indexes in the set
  */
 export function countItems (set: ItemSet): number {
   let count = 0
@@ -46,8 +46,8 @@
 }
 
 /**
- * @param set - to write
- * @returns base64 text
+ * @param set - set to encode
+ * @returns the set in base64
  */
 export function itemSetToText (set: ItemSet): string {
   return Buffer.from(set).toString('base64')
--- a/packages/anvilarch-daemon/src/jobs/jobMetrics.ts
+++ b/packages/anvilarch-daemon/src/jobs/jobMetrics.ts
@@ -1,8 +1,8 @@
-/** Metrics of the jobs of one gateway, beside those that several slices record. */
+/** Metrics of the jobs of one gateway, in addition to those that are shared with other folders. */
 import { Counter, Gauge } from 'prom-client'
 import type { Metrics } from '../metrics/types'
 
-/** What the jobs record. */
+/** Metrics recorded by the jobs. */
 export interface JobMetrics {
   active: Gauge
   bufferedResults: Gauge
@@ -13,8 +13,8 @@
 const known = new WeakMap<Metrics, JobMetrics>()
 
 /**
- * @param metrics - of the daemon
- * @returns the metrics of its jobs, created with the first call
+ * @param metrics - metrics of the daemon
+ * @returns the metrics of its jobs, created by the first call
  */
 export function jobMetrics (metrics: Metrics): JobMetrics {
   const existing = known.get(metrics)
--- a/packages/anvilarch-daemon/src/jobs/jobSearches.ts
+++ b/packages/anvilarch-daemon/src/jobs/jobSearches.ts
@@ -1,4 +1,4 @@
-/** Looks for parts that this gateway may lease, leases them, and notices jobs whose parts are all done. */
+/** Searches jobs for parts that this gateway may claim, claims them, and ends jobs whose parts are all done. */
 import { createHash, randomUUID } from 'node:crypto'
 import { type Commit, ROW_KEYS, type Row } from 'anvilarch-protocol'
 import type { DaemonContext } from '../context'
@@ -12,62 +12,62 @@
 import { type ActiveRow, isPartDone, type JobRow, parseRow, type PartRow } from './rows'
 import { settleCommit } from '../platform/settleCommit'
 
-/** What the searches need. */
+/** Options of `createJobSearches`. */
 export interface JobSearchesOptions {
   context: DaemonContext
   heartbeat: Heartbeat
   observer: LeaseObserver
-  /** Whether this gateway runs a part now. A part that names it as holder without running was leased by a lost reply. */
+  /** Whether this gateway runs a part. A part that names it as holder but does not run was claimed by a commit whose reply was lost. */
   isLeasedHere: (jobId: string, part: number) => boolean
 }
 
-/** A part that was just leased. */
+/** A part that was just claimed. */
 export interface ClaimedPart {
   job: JobRow
   part: number
   state: PartState
-  /** Lapses of the heartbeat when the lease was asked for. */
+  /** `lapses()` of the heartbeat just before the claim was sent. */
   lapses: number
 }
 
-/** What a look at a job gave. */
+/** Result of a search in a job. */
 export type SearchResult =
   | { found: 'part', claimed: ClaimedPart }
-  /** Nothing to lease now. */
+  /** No part can be claimed now. */
   | { found: 'nothing' }
-  /** The job has ended, here or elsewhere. */
+  /** The job has ended, on this or another gateway. */
   | { found: 'ended' }
 
-/** The searches of a gateway, one for each job that it has looked at. */
+/** The searches of a gateway, one for each job that it has searched. */
 export interface JobSearches {
-  /** Looks for a part and leases it. */
+  /** Searches for a part and claims it. */
   claim: (active: ActiveRow) => Promise<SearchResult>
-  /** Ends the job if all of its parts are done or its time is up. */
+  /** Ends the job if all of its parts are done or it has expired. Returns whether the job has ended. */
   inspect: (active: ActiveRow) => Promise<boolean>
-  /** This gateway finished a part. */
+  /** Records a part that this gateway has finished. */
   recordDone: (active: ActiveRow, part: number, row: PartRow) => void
-  /** Whether a look at the job is worth a read now. */
+  /** Whether the job may be searched now. */
   isDue: (jobId: string) => boolean
-  /** Puts off the next look at a job. */
+  /** Delays the next search in a job. */
   delay: (jobId: string, delayMs: number) => void
   removeJob: (jobId: string) => void
-  /** Gives back the parts whose lease could not be settled; to be called until `unsettled` is 0 when no more are leased. */
+  /** Releases the parts of unconfirmed claims. When no more parts are claimed, to be called until `unconfirmedClaims` is 0. */
   releaseUnconfirmed: () => Promise<void>
-  /** Leases of which it is not known whether they took effect. */
+  /** Number of claims whose outcome is unknown. */
   unconfirmedClaims: () => number
 }
 
-/** Reads of one look for a part; the next look goes on where this one stopped. */
+/** Most reads of one search for a part; the next search continues where this one stopped. */
 const MAX_READS = 8
-/** Time until a job without a free part is looked at again. */
+/** Delay before a job without a claimable part is searched again. */
 const EXHAUSTED_DELAY_MS = 2_000
 const DELAY_JITTER = 0.3
-/** A lease that could not be settled is found again by the next search. */
+/** Few attempts, since a claim whose outcome stays unknown is found by the next search. */
 const CLAIM_SETTLE_OPTIONS = { tries: 3, backoffMs: 200 }
 
 /**
- * @param options - surroundings
- * @returns searches that know nothing yet
+ * @param options - dependencies
+ * @returns searches without any job
  */
 export function createJobSearches (options: JobSearchesOptions): JobSearches {
   const { context, heartbeat, observer } = options
@@ -95,7 +95,7 @@
   }
 
   const isClaimable = (jobId: string, part: number, row: PartRow): boolean => {
-    // A part whose release is under way is free in the table already, and still has a task here that awaits the reply.
+    // While a release is in progress, the row may be free already although the task here still waits for the reply.
     if (options.isLeasedHere(jobId, part)) return false
     if (row.holder === '' || row.holder === heartbeat.instance) return true
     return observer.stateOf(row.holder) === 'dead'
@@ -126,9 +126,9 @@
   }
 
   /**
-   * A lease whose reply was lost names this gateway as holder, and nobody else may take the part while this gateway lives.
-   * The next search finds it; a gateway that drains searches no more, and the part would wait for its end. Sending the same
-   * commit again says whether the lease took effect.
+   * A claim whose reply was lost may have made this gateway the holder, and no other gateway may take over the part while
+   * this one is alive. Normally the next search finds the part, but a draining gateway does not search, and the part would
+   * stay blocked until the process exits. Resending the same commit returns whether the claim took effect.
    */
   const releaseUnconfirmed = async (): Promise<void> => {
     for (const [key, { commit, row }] of [...unconfirmedClaims]) {
@@ -181,7 +181,7 @@
     if (result.outcome === 'committed') context.timeline.record('jobs.expired', { jobId: job.id })
   }
 
-  /** Reads on only while parts prove to be done, so that a look at an unfinished job costs one read. */
+  /** Continues to read only while all parts read are done, so that the check of an unfinished job costs one read. */
   const inspect = async (active: ActiveRow): Promise<boolean> => {
     const { jobId } = active
     for (;;) {
@@ -231,7 +231,7 @@
   return { part, version: row?.version ?? 0, row: row === null ? undefined : parseRow<PartRow>(row.value) }
 }
 
-/** A takeover keeps what is committed and takes the next epoch, so that commits of the holder before it are refused. */
+/** A takeover keeps the committed results and increments the epoch, so that commits of the previous holder are rejected. */
 function leasedRow (reading: PartReading, items: number, holder: string): PartRow {
   if (reading.row !== undefined) return { ...reading.row, epoch: reading.row.epoch + 1, holder }
   return { epoch: 1, holder, items, done: itemSetToText(createItemSet(items)), completed: 0, failed: 0, segments: [] }
--- a/packages/anvilarch-daemon/src/jobs/leasedPart.ts
+++ b/packages/anvilarch-daemon/src/jobs/leasedPart.ts
@@ -1,4 +1,4 @@
-/** One part that this gateway holds: runs its items, gathers results and commits them in segments. */
+/** One part that this gateway leases: runs its items, buffers their results and commits them in segments. */
 import type { RequestRunner } from '../attempts/types'
 import type { DaemonContext } from '../context'
 import type { Heartbeat } from '../leases/types'
@@ -10,7 +10,7 @@
 import type { JobRow, PartRow } from './rows'
 import type { FinishedItem } from './segments'
 
-/** What a held part needs. */
+/** Options of `createLeasedPart`. */
 export interface LeasedPartOptions {
   context: DaemonContext
   runner: RequestRunner
@@ -18,22 +18,22 @@
   buffer: ResultBuffer
   job: JobRow
   part: number
-  /** As claimed. */
+  /** State after the claim. */
   state: PartState
-  /** Lapses of the heartbeat when the lease was asked for. */
+  /** `lapses()` of the heartbeat just before the part was claimed. */
   lapses: number
   lines: ChunkLines
-  /** A run ended, so that another item may be started. */
+  /** Called after each run, since another item may be started. */
   onProgress: () => void
   onEnded: (end: PartEnd, row: PartRow) => void
 }
 
-/** A part that this gateway holds. */
+/** A part that this gateway leases. */
 export interface LeasedPart {
   jobId: string
   caller: string
   part: number
-  /** Whether its items may name more than one model. */
+  /** Whether its items may use more than one model. */
   isMixed: boolean
   models: string[]
   /** @returns the next item that may be started now */
@@ -44,26 +44,26 @@
   running: () => number
   /** Time since an item was last started. */
   idleMs: () => number
-  /** Commits what is due, and looks at the lease. Called several times a second. */
+  /** Commits the results that are due and checks the lease. Called several times a second. */
   tick: () => void
-  /** The job has ended: cancels everything at once. */
+  /** Cancels all items at once after the job has ended. */
   jobEnded: () => void
-  /** Starts no more items; gives the part back when those that run ended, or after the grace. */
+  /** Starts no more items; releases the part when the runs in progress have ended, or after the grace period. */
   release: (graceMs: number) => void
 }
 
-/** Items that make a segment worth its commit. */
+/** Finished items, or bytes of results, after which a segment is committed without further wait. */
 const SEGMENT_ITEMS = 300
 const SEGMENT_BYTES = 4 * 1024 * 1024
-/** Results wait this long at most, so that a lost holder costs little; longer for a part with many segments already. */
+/** Longest wait of a result for its commit, to bound what is lost with the holder; longer for a part with many segments. */
 const SEGMENT_WAIT_MS = 3_000
-/** Segments after which the wait has doubled, since each one makes the part row longer. */
+/** The wait grows by `SEGMENT_WAIT_MS` with this many segments, since each segment makes the part row longer. */
 const SEGMENTS_PER_EXTRA_WAIT = 16
-/** Results of one segment at most, after an outage has let them pile up. */
+/** Most results of one segment, for example after an outage during which results have accumulated. */
 const MAX_SEGMENT_ITEMS = 2_000
 
 /**
- * @param options - the part, as claimed, and its surroundings
+ * @param options - the claimed part and its dependencies
  * @returns the part, with no item started
  */
 export function createLeasedPart (options: LeasedPartOptions): LeasedPart {
--- a/packages/anvilarch-daemon/src/jobs/leasedParts.ts
+++ b/packages/anvilarch-daemon/src/jobs/leasedParts.ts
@@ -1,4 +1,4 @@
-/** The parts that this gateway holds, from their lease to their end. */
+/** The parts that this gateway leases, from their claim to their end. */
 import { OBJECT_NAMES } from 'anvilarch-protocol'
 import { invariant, sleep } from 'anvilarch-utils'
 import type { RequestRunner } from '../attempts/types'
@@ -13,57 +13,57 @@
 import type { PartRow } from './rows'
 import { type LeasedPart, createLeasedPart } from './leasedPart'
 
-/** What the held parts need. */
+/** Options of `createLeasedParts`. */
 export interface LeasedPartsOptions {
   context: DaemonContext
   runner: RequestRunner
   heartbeat: Heartbeat
   buffer: ResultBuffer
-  /** A run ended, so that another item may be started. */
+  /** Called after each run and each loaded part, since another item may be started. */
   onProgress: () => void
   onEnded: (part: LeasedPart, end: PartEnd, row: PartRow) => void
-  /** The part was given back for now: its job is worth another look only later. */
+  /** Called when a part is released before its end, so that its job is not searched again for a while. */
   onReleased: (jobId: string) => void
 }
 
-/** The parts that this gateway holds. */
+/** The parts that this gateway leases. */
 export interface LeasedParts {
   all: () => Iterable<LeasedPart>
   size: () => number
   has: (jobId: string, part: number) => boolean
   jobIds: () => string[]
-  /** All parts, also those whose items are still being read. */
+  /** All parts, including those whose items are still loading. */
   load: () => Iterable<PartLoad>
-  /** Reads the items of a part that was leased, and begins. */
+  /** Loads the items of a claimed part and starts it. */
   add: (claimed: ClaimedPart) => void
   /** Cancels all parts of a job that has ended. */
   cancelJob: (jobId: string) => void
-  /** Commits what is due; called several times a second. */
+  /** Commits the results that are due. Called several times a second. */
   tick: () => void
-  /** Gives back parts that could not start an item for long. */
+  /** Releases parts that have not been able to start an item for `STALL_TIMEOUT_MS`. */
   releaseStalled: () => void
-  /** Gives back all parts, and each one that is leased later. */
+  /** Releases all parts, and each part that finishes loading later. */
   releaseAll: (graceMs: number) => void
 }
 
-/** A part that could not start an item for this long keeps others from being leased. */
+/** A part that could not start an item for this long may be released, since it keeps other parts from being claimed. */
 const STALL_TIMEOUT_MS = 15_000
-/** A chunk that could not be read is tried again this often before the part is given back. */
+/** Reads of a chunk before the part is released. */
 const MAX_CHUNK_READS = 3
 const CHUNK_BACKOFF_MS = 500
 const BACKOFF_JITTER = 0.2
 const NO_LINES: ChunkLines = { count: 0, line: () => Buffer.alloc(0) }
 
 /**
- * @param options - surroundings
- * @returns no parts yet
+ * @param options - dependencies and callbacks
+ * @returns an empty collection
  */
 export function createLeasedParts (options: LeasedPartsOptions): LeasedParts {
   const { context } = options
   const { metrics, timeline } = context
   const leased = new Map<string, LeasedPart>()
   const loading = new Map<string, PartLoad>()
-  /** Set when this gateway drains. */
+  /** Grace period of releases; set while this gateway is draining. */
   let graceMs: number | undefined
 
   const handleEnd = (part: LeasedPart, end: PartEnd, row: PartRow): void => {
@@ -103,7 +103,7 @@
     release(leasedPart)
   }
 
-  /** Not awaited by the poll: an object store that does not answer must not keep it from noticing cancelled jobs. */
+  /** Not awaited by the poll loop, so that an unresponsive object store does not delay the detection of cancelled jobs. */
   const loadItems = async (claimed: ClaimedPart): Promise<void> => {
     const { job, part } = claimed
     const chunk = await readChunk(context, OBJECT_NAMES.fileChunk(job.fileId, part))
--- a/packages/anvilarch-daemon/src/jobs/lineSplitter.ts
+++ b/packages/anvilarch-daemon/src/jobs/lineSplitter.ts
@@ -4,15 +4,15 @@
 
 /** Splits bytes into lines; each line keeps its newline. */
 export interface LineSplitter {
-  /** @returns the lines that end in the data; a line longer than the bound is returned as soon as it is over it */
+  /** @returns the lines that end in the data; an incomplete line is returned as soon as it exceeds the bound */
   push: (data: Buffer) => Buffer[]
-  /** @returns the last line when it has no newline */
+  /** @returns the last line, if it has no newline */
   finish: () => Buffer | undefined
 }
 
 /**
- * @param maxLineBytes - a longer line is not collected any further
- * @returns a splitter
+ * @param maxLineBytes - bound of the bytes buffered for one line
+ * @returns a splitter without buffered data
  */
 export function createLineSplitter (maxLineBytes: number): LineSplitter {
   let pieces: Buffer[] = []
--- a/packages/anvilarch-daemon/src/jobs/paging.ts
+++ b/packages/anvilarch-daemon/src/jobs/paging.ts
@@ -1,14 +1,14 @@
-/** Pages of lists, as the OpenAI API asks for them. */
+/** Pagination of lists with the query parameters of the OpenAI API. */
 import type { Row, TablePort } from 'anvilarch-protocol'
 import { AnvilarchError } from 'anvilarch-utils'
 
 const DEFAULT_LIMIT = 20
 const MAX_LIMIT = 100
 
-/** Which page a caller wants. */
+/** A requested page. */
 export interface PageRequest {
   limit: number
-  /** Id after which the page begins. */
+  /** Id after which the page starts. */
   after: string | undefined
 }
 
@@ -19,9 +19,9 @@
 }
 
 /**
- * @param query - of the request
- * @returns the page that it asks for
- * @throws AnvilarchError with code `bad_request`
+ * @param query - query parameters of the request
+ * @returns the requested page
+ * @throws AnvilarchError with code `bad_request` when a parameter is invalid
  */
 export function parsePage (query: URLSearchParams): PageRequest {
   const text = query.get('limit')
@@ -33,11 +33,11 @@
 }
 
 /**
- * @param table - to read
- * @param prefix - of index rows, whose keys end in an id
- * @param page - which one
- * @param rowKey - key of the row that an id names
- * @returns the rows named by the page; an id whose row is gone is left out
+ * @param table - table to read
+ * @param prefix - prefix of the index rows, whose keys end in an id
+ * @param page - page to read
+ * @param rowKey - returns the key of the row with an id
+ * @returns the rows of the ids on the page, without ids whose row was deleted
  */
 export async function readIndexPage (
   table: TablePort, prefix: string, page: PageRequest, rowKey: (id: string) => string
--- a/packages/anvilarch-daemon/src/jobs/partChoice.ts
+++ b/packages/anvilarch-daemon/src/jobs/partChoice.ts
@@ -1,4 +1,4 @@
-/** Chooses the job whose part this gateway leases next: enough waiting items for each service, and no more. */
+/** Chooses the job of which this gateway claims a part next, so that each service has enough waiting items and no more. */
 import { createHash } from 'node:crypto'
 import type { RequestRunner } from '../attempts/types'
 import type { DaemonContext } from '../context'
@@ -6,38 +6,38 @@
 import type { ActiveRow } from './rows'
 import { scheduleOrder } from './scheduleOrder'
 
-/** What a held part means for the choice. */
+/** What the choice depends on of a leased part. */
 export interface PartLoad {
   caller: string
   models: readonly string[]
-  /** Items that wait to be started. */
+  /** Number of items waiting to be started. */
   waiting: () => number
 }
 
-/** What the choice depends on. */
+/** Options of `createPartChoice`. */
 export interface PartChoiceOptions {
   context: DaemonContext
   runner: RequestRunner
-  /** Ranks the callers differently on each gateway. */
+  /** Instance of this gateway, so that callers rank differently on each gateway. */
   instance: string
-  /** The held parts, also those whose items are still being read. */
+  /** The leased parts, including those whose items are still loading. */
   parts: () => Iterable<PartLoad>
 }
 
-/** Chooses jobs. */
+/** Chooses jobs, and records which callers were served. */
 export interface PartChoice {
   maxLeasedParts: number
-  /** @returns the job to lease a part of, or undefined when nothing more is wanted */
+  /** @returns the job to claim a part of, or undefined when no more parts are needed */
   next: (jobs: Iterable<ActiveRow>, isDue: (job: ActiveRow) => boolean) => ActiveRow | undefined
   recordServed: (caller: string) => void
 }
 
-/** Parts held at once. Each keeps its chunk in memory, so this bounds the memory, whatever the size of the jobs. */
+/** Most parts leased at once. Each keeps its chunk in memory, so that memory is bounded whatever the size of the jobs. */
 const MAX_LEASED_PARTS = 16
 
 /**
- * @param options - surroundings
- * @returns a choice that has served nobody yet
+ * @param options - dependencies and the leased parts
+ * @returns a choice that has not served any caller
  */
 export function createPartChoice (options: PartChoiceOptions): PartChoice {
   const { context, runner } = options
@@ -60,8 +60,8 @@
   }
 
   /**
-   * A service without room gets one waiting part only. With more, parts that can't start would fill all places, and jobs
-   * of other services would stand still behind them.
+   * A service without free capacity gets one waiting part only. With more, parts that cannot start would use up
+   * `MAX_LEASED_PARTS`, and jobs of other services would be blocked behind them.
    */
   const needsMoreItems = (job: ActiveRow, waiting: Map<string, number>): boolean => {
     const services = servicesOf(job.models)
--- a/packages/anvilarch-daemon/src/jobs/partCommits.ts
+++ b/packages/anvilarch-daemon/src/jobs/partCommits.ts
@@ -1,4 +1,4 @@
-/** Carries out the commands of the part core: writes segments, commits, reads rows again; the core decides. */
+/** Executes the commands of the state machine in `partCore`: writes segments, commits and rereads rows. */
 import { randomUUID } from 'node:crypto'
 import { type CommitResult, OBJECT_NAMES, ROW_KEYS, type Row } from 'anvilarch-protocol'
 import { sleep } from 'anvilarch-utils'
@@ -9,17 +9,17 @@
 import { type JobRow, parseRow, type PartRow, type SegmentRef } from './rows'
 import type { FinishedItem } from './segments'
 
-/** What the commits of one part need. */
+/** Options of `startPartCommits`. */
 export interface PartCommitsOptions {
   context: DaemonContext
   heartbeat: Heartbeat
   jobId: string
   part: number
-  /** As claimed. */
+  /** State after the claim. */
   state: PartState
-  /** Lapses of the heartbeat when the lease was asked for. */
+  /** `lapses()` of the heartbeat just before the part was claimed. */
   lapses: number
-  /** The line of results of a finished item. */
+  /** Returns the result line of a finished item. */
   lineOf: (index: number) => Buffer
   onSettled: (items: FinishedItem[]) => void
   onEnded: (end: PartEnd) => void
@@ -27,13 +27,13 @@
 
 /** The commits of one part. */
 export interface PartCommits {
-  /** Writes and commits finished items; only when `idle`. */
+  /** Writes and commits finished items; has no effect unless `isIdle`. */
   flush: (items: FinishedItem[]) => void
-  /** Whether a new flush would be taken now. */
+  /** Whether a new flush would be accepted now. */
   isIdle: () => boolean
-  /** Whether the holder may start items and commit: its lease stands and its rows were read since it last lapsed. */
+  /** Whether the holder may start items and commit: its lease is valid and its rows were read after the last lapse. */
   isLeaseConfirmed: () => boolean
-  /** Looks whether the lease had lapsed. */
+  /** Checks whether the lease has lapsed since the rows were read. */
   checkLease: () => void
   jobEnded: () => void
   release: () => void
@@ -43,11 +43,11 @@
 const FIRST_BACKOFF_MS = 250
 const MAX_BACKOFF_MS = 4_000
 const BACKOFF_JITTER = 0.3
-/** How often a holder without a valid lease looks again. */
+/** Interval at which a holder without a valid lease checks it again. */
 const LEASE_WAIT_MS = 200
 
 /**
- * @param options - the part and where its events go
+ * @param options - the claimed part and its callbacks
  * @returns the commits of the part
  */
 export function startPartCommits (options: PartCommitsOptions): PartCommits {
@@ -58,7 +58,7 @@
   const jobKey = ROW_KEYS.job(jobId)
   let state = options.state
   let confirmedLapses = options.lapses
-  /** Only the latest command of its kind goes on; an older one that wakes up finds that it is outdated. */
+  /** Number of the latest write, commit or reread. An older operation stops when it finds that its number is outdated. */
   let latestOperation = 0
 
   const isLeaseConfirmed = (): boolean => heartbeat.holdsLease() && heartbeat.lapses() === confirmedLapses && !state.isLeaseUncertain
@@ -85,7 +85,7 @@
     ended: command => { options.onEnded(command.end) }
   }
 
-  /** Platform errors are dealt with where they arise; what comes here is a fault of the program. */
+  /** Ends the part after an internal error. Errors of the platform are retried by `retryWhileCurrent` and do not get here. */
   const stopOnFault = (error: unknown): void => {
     context.logger.error('a part was stopped by an error', { jobId, part, error: String(error) })
     if (state.end !== undefined) return
@@ -95,7 +95,7 @@
 
   const isCurrent = (operationNumber: number): boolean => latestOperation === operationNumber && state.end === undefined
 
-  /** Repeats an operation until it succeeds. Gives up when it is outdated. */
+  /** Repeats an operation until it succeeds, or returns undefined once it is outdated. */
   const retryWhileCurrent = async <Value>(operationNumber: number, operation: () => Promise<Value>, needsLease: boolean): Promise<Value | undefined> => {
     let backoffMs = FIRST_BACKOFF_MS
     while (isCurrent(operationNumber)) {
--- a/packages/anvilarch-daemon/src/jobs/partCore.ts
+++ b/packages/anvilarch-daemon/src/jobs/partCore.ts
@@ -1,31 +1,31 @@
 /**
- * The commits of one leased part: state and event in, next state and commands out.
+ * Pure state machine of the commits of one leased part: takes a state and an event, returns the next state and commands.
  *
- * One commit is under way at a time. Its content never changes: it is sent again under the same id until its outcome is
- * known, so a lost reply is settled and never guessed at. Each try at other content takes a new segment number, because
- * an object name must stand for one content only.
+ * At most one commit is in progress. Its content never changes: it is resent under the same id until its outcome is known,
+ * so that a lost reply leaves no doubt whether it took effect. Other content gets a new segment number, because an object
+ * name must always refer to the same content.
  */
 import { invariant } from 'anvilarch-utils'
 import { type FinishedItem, segmentRefs, withSegments } from './segments'
 import { isPartDone, type PartRow, type SegmentRef } from './rows'
 
-/** Why a holder is through with a part. `broken`: an invariant did not hold, so it stops where it stands. */
+/** Why a holder no longer runs a part. `broken`: an internal error or a violated invariant, after which nothing more is committed. */
 export type PartEnd = 'finished' | 'job_ended' | 'taken_over' | 'released' | 'broken'
 
-/** A commit under way. */
+/** A commit in progress. */
 export interface PendingCommit {
   kind: 'segment' | 'release'
   commitId: string
-  /** Row of the part as it is to be. */
+  /** Row of the part after the commit. */
   row: PartRow
   items: FinishedItem[]
   segment: number
   segments: SegmentRef[]
-  /** A row must not name an object that is not there, so objects are written first. */
+  /** Objects are written before the row, since a row must not reference a missing object. */
   stage: 'writing' | 'committing'
 }
 
-/** What a holder knows of its part. */
+/** State of a leased part at its holder. */
 export interface PartState {
   holder: string
   row: PartRow
@@ -33,13 +33,13 @@
   jobVersion: number
   pending?: PendingCommit
   nextSegment: number
-  /** The lease lapsed on the holder's own clock; nothing new is committed until the rows were read again. */
+  /** The lease has lapsed by the holder's own clock. Nothing new is committed until the rows have been read again. */
   isLeaseUncertain: boolean
   releaseRequested: boolean
   end?: PartEnd
 }
 
-/** The rows of job and part as the table has them. */
+/** The rows of job and part, as read from the table. */
 export interface CurrentRows {
   /** Null when the row is absent. */
   part: { version: number, row: PartRow } | null
@@ -47,8 +47,8 @@
 }
 
 /**
- * What happens to a part. `commitId` is a fresh id, used only when a new commit is made; `sentId` names the commit that
- * was answered, since the reply to an earlier one may come late.
+ * Events of a part. `commitId` is a new id, used only when the event leads to a new commit. `sentId` is the id of the commit
+ * that the reply belongs to, since the reply to an earlier commit may arrive late.
  */
 export type PartEvent =
   | { type: 'flush', items: FinishedItem[], commitId: string }
@@ -60,27 +60,27 @@
   | { type: 'job_ended' }
   | { type: 'release', commitId: string }
 
-/** What the holder is to do. */
+/** Commands to the holder. */
 export type PartCommand =
   | { type: 'write_objects', pending: PendingCommit }
   | { type: 'commit', pending: PendingCommit, partVersion: number, jobVersion: number }
   | { type: 'reread' }
-  /** The results of these items are in the table; their lines can be let go. */
+  /** The results of these items are committed; their buffered lines can be discarded. */
   | { type: 'settled', items: FinishedItem[] }
   | { type: 'ended', end: PartEnd }
 
-/** Next state and what to do. */
+/** Next state and the commands to execute. */
 export interface PartStep {
   state: PartState
   commands: PartCommand[]
 }
 
 /**
- * @param holder - instance that leased the part
- * @param row - as committed by the claim
- * @param version - of the part row
- * @param jobVersion - of the job row
- * @returns state of a part that was just leased
+ * @param holder - instance that claimed the part
+ * @param row - part row as committed by the claim
+ * @param version - version of the part row
+ * @param jobVersion - version of the job row
+ * @returns initial state of the claimed part
  */
 export function claimedPart (holder: string, row: PartRow, version: number, jobVersion: number): PartState {
   invariant(row.holder === holder, 'claim_names_holder', () => `claimed for "${row.holder}" by "${holder}"`)
@@ -88,8 +88,8 @@
 }
 
 /**
- * @param state - of the part
- * @param event - what happened
+ * @param state - state of the part
+ * @param event - event to apply
  * @returns next state and commands
  */
 export function stepPart (state: PartState, event: PartEvent): PartStep {
@@ -146,7 +146,7 @@
   return { state, commands: [{ type: 'commit', pending, partVersion: version, jobVersion }] }
 }
 
-/** The commit under way took effect. */
+/** Applies the commit in progress, which took effect. */
 function settle (state: PartState, version: number): PartStep {
   const { pending } = state
   if (pending === undefined) return { state, commands: [] }
@@ -158,13 +158,13 @@
   return { state: ended.state, commands: [settled, ...ended.commands] }
 }
 
-/** The rows were read, because a commit met a conflict or because the lease had lapsed. */
+/** Compares the state with rows that were read after a conflict or after the lease had lapsed. */
 function resolve (state: PartState, rows: CurrentRows, commitId: string, isRejected: boolean): PartStep {
   const { part } = rows
   if (part !== null) {
     invariant(part.row.epoch >= state.row.epoch, 'part_epoch_grows', () => `epoch ${state.row.epoch} became ${part.row.epoch}`)
   }
-  // Whether the pending commit took effect is looked at first: its results are in the table also when the job has ended since.
+  // Checked first: a pending commit that took effect counts, even if the job has ended since.
   if (part !== null && isPendingIn(state, part.row)) return settle(state, part.version)
   if (!rows.job.active) return endPart(state, 'job_ended')
   if (part === null || part.row.epoch !== state.row.epoch || part.row.holder !== state.holder) return endPart(state, 'taken_over')
@@ -172,7 +172,7 @@
   return resend(state, rows.job.version, commitId, isRejected)
 }
 
-/** A commit that was refused, or whose condition no longer holds, can't take effect any more: a new id is needed. */
+/** Resends the pending commit. A rejected commit, or one with an outdated condition, can never take effect and gets a new id. */
 function resend (state: PartState, jobVersion: number, commitId: string, isRejected: boolean): PartStep {
   const { pending } = state
   if (pending === undefined) return { state: { ...state, jobVersion }, commands: [] }
--- a/packages/anvilarch-daemon/src/jobs/partItems.ts
+++ b/packages/anvilarch-daemon/src/jobs/partItems.ts
@@ -1,4 +1,4 @@
-/** Runs the items of one part and judges how each run ended. */
+/** Runs the items of one part and decides after each run whether the item is final, retried or postponed. */
 import { AnvilarchError, invariant, toAnvilarchError } from 'anvilarch-utils'
 import type { RequestRunner, WorkResult } from '../attempts/types'
 import type { DaemonContext } from '../context'
@@ -10,18 +10,18 @@
 import { type BatchTarget, batchTargetOf, itemRequest } from './itemRequest'
 import type { JobRow, PartRow } from './rows'
 
-/** What the items of one part need. */
+/** Options of `createPartItems`. */
 export interface PartItemsOptions {
   context: DaemonContext
   runner: RequestRunner
   job: JobRow
   part: number
-  /** As claimed. */
+  /** Part row as committed by the claim. */
   row: PartRow
   lines: ChunkLines
-  /** Called once for each item that is final. */
+  /** Called once for each item, with its final result. */
   onResult: (index: number, result: ItemResult) => void
-  /** Called when a run ended, whatever became of it. */
+  /** Called after each run, whatever its outcome. */
   onRunEnded: () => void
 }
 
@@ -31,7 +31,7 @@
   target: BatchTarget
 }
 
-/** A run of an item that has ended. */
+/** A run that has ended. */
 interface EndedRun {
   index: number
   requestId: string
@@ -43,32 +43,32 @@
 export interface PartItems {
   next: (nowMs: number) => ReadyItem | undefined
   start: (ready: ReadyItem) => void
-  /** Lets other items go first. */
+  /** Defers an item, so that other items are started first. */
   postpone: (ready: ReadyItem, delayMs: number) => void
   waiting: () => number
   running: () => number
-  /** Cancels the items that run; they are not done. */
+  /** Aborts the runs in progress; their items get no result. */
   cancel: () => void
 }
 
-/** Longest run of an item; a longer one is taken for lost and run again. */
+/** Longest run of an item; a run that exceeds it is ended and the item is run again. */
 const ITEM_TIMEOUT_MS = 300_000
 const WAIT_BACKOFF_MS = 200
 const MAX_WAIT_BACKOFF_MS = 10_000
 const RUN_BACKOFF_MS = 1_000
 const MAX_RUN_BACKOFF_MS = 30_000
 const BACKOFF_JITTER = 0.3
-/** A model may be unknown here only because the configuration that names it is still on its way. */
+/** Delay before an item with an unknown model is checked again, since the configuration that adds the model may not have arrived yet. */
 const UNKNOWN_MODEL_DELAY_MS = 8_000
-/** Attempts of an item while no configuration says otherwise. */
+/** Attempts of an item when no configuration is loaded. */
 const DEFAULT_ITEM_ATTEMPTS = 3
-/** Service of an item that names an unknown model. */
+/** Service name used for an item with an unknown model. */
 const NO_SERVICE = ''
-/** Items looked at for one that can be started. */
+/** Most items examined to find one that can be started. */
 const MAX_SCANNED_ITEMS = 16
 
 /**
- * @param options - the part and where results go
+ * @param options - the part and its callbacks
  * @returns its items, none of them started
  */
 export function createPartItems (options: PartItemsOptions): PartItems {
@@ -108,7 +108,7 @@
     return { maxAttempts: document?.limits.maxItemAttempts ?? DEFAULT_ITEM_ATTEMPTS, replicas: document?.services[service]?.replicas ?? 0 }
   }
 
-  /** @returns whether the item may be run again */
+  /** @returns whether the item has attempts left */
   const recordFailedRun = (index: number, service: string, run: FailedRun): boolean => {
     const bounds = boundsOf(service)
     const history = afterFailedRun(queue.history(index), run, bounds)
@@ -150,7 +150,7 @@
     finishFailed(index, requestId, { verdict: 'failed', code: 'model_not_found', message })
   }
 
-  /** Unique for each run over all holders: an agent that refused an attempt bars its id. */
+  /** Unique for each run across all holders: an agent rejects further attempts under an id that it has refused once. */
   const requestIdOf = (index: number): string => {
     const history = queue.history(index)
     return `${job.id}.${part}.${index}.${options.row.epoch}.${history.runs}.${history.deferrals}`
@@ -206,7 +206,7 @@
   return { outcome: 'failed', error: error instanceof AnvilarchError ? error : toAnvilarchError(error, details), attempts: 1, takenBy: [] }
 }
 
-/** An answer that is not JSON is kept as text. */
+/** Parses a response body; a body that is not JSON is returned as text. */
 function parseBody (body: Uint8Array | undefined): unknown {
   const text = Buffer.from(body ?? new Uint8Array()).toString('utf8')
   try {
--- a/packages/anvilarch-daemon/src/jobs/partSearch.ts
+++ b/packages/anvilarch-daemon/src/jobs/partSearch.ts
@@ -1,58 +1,58 @@
 /**
- * The search for parts of one job that this gateway may lease. Each gateway begins at a part of its own and reads a few
- * rows at a time, so that gateways seldom race for a part; parts seen done are never read again.
+ * Searches the parts of one job for parts that this gateway may claim. Each gateway starts at a part of its own and reads a
+ * few rows at a time, so that gateways seldom race for the same part. Parts that were found done are not read again.
  */
 import { invariant } from 'anvilarch-utils'
 import { countItems, createItemSet, hasItem, type ItemSet, withItems } from './itemSet'
 import { isPartDone, type ItemCounts, type PartRow } from './rows'
 
-/** Part rows read at once. */
+/** Most part rows of one read. */
 export const SEARCH_PAGE_PARTS = 32
 
-/** What is known of the parts of one job. */
+/** Progress of the search in one job. */
 export interface PartSearch {
   parts: number
   done: ItemSet
-  /** Results in the parts that are done. */
+  /** Results of the parts that are done. */
   counts: ItemCounts
-  /** Part at which the next read begins. */
+  /** Part at which the next read starts. */
   cursor: number
-  /** Parts seen unfinished since one was last leased; a whole turn of them means that there is none to lease now. */
+  /** Unfinished parts read since the last claimable one. When it reaches all unfinished parts, none is claimable now. */
   unfinishedInPass: number
 }
 
-/** A part row as it was read; version 0 and no row when it was never leased. */
+/** A part row as read; version 0 and no row when the part was never claimed. */
 export interface PartReading {
   part: number
   version: number
   row: PartRow | undefined
 }
 
-/** Whether a holder's lease may be taken over. */
+/** Returns whether a part with a row may be claimed, for example since its holder is dead. */
 export type IsClaimable = (part: number, row: PartRow) => boolean
 
-/** What a read showed. */
+/** Result of a read. */
 export interface SearchStep {
   search: PartSearch
-  /** The first part that may be leased. */
+  /** The first part that may be claimed. */
   claimable?: PartReading
-  /** No part can be leased now; worth another look after a while. */
+  /** No part can be claimed now; the search is worth repeating later. */
   exhausted: boolean
   allDone: boolean
 }
 
 /**
- * @param parts - of the job
- * @param start - part to begin with
- * @returns search that knows nothing yet
+ * @param parts - number of parts of the job
+ * @param start - part to start at, taken modulo the number of parts
+ * @returns search without any part read
  */
 export function startSearch (parts: number, start: number): PartSearch {
   return { parts, done: createItemSet(parts), counts: { completed: 0, failed: 0 }, cursor: start % parts, unfinishedInPass: 0 }
 }
 
 /**
- * @param search - of a job
- * @returns parts to read next, from the cursor on, without those known to be done
+ * @param search - search in a job
+ * @returns parts to read next, from the cursor on, without those that are done
  */
 export function partsToRead (search: PartSearch): number[] {
   const parts: number[] = []
@@ -64,10 +64,10 @@
 }
 
 /**
- * @param search - before the read
- * @param readings - rows of the parts that `partsToRead` named, in that order
- * @param isClaimable - judges the holder of a part
- * @returns search after the read and what may be leased
+ * @param search - search before the read
+ * @param readings - rows of the parts returned by `partsToRead`, in that order
+ * @param isClaimable - decides by the holder of a part
+ * @returns search after the read and the part that may be claimed
  */
 export function afterPartsRead (search: PartSearch, readings: readonly PartReading[], isClaimable: IsClaimable): SearchStep {
   let next = search
@@ -91,10 +91,10 @@
 }
 
 /**
- * @param search - of a job
- * @param part - seen done
- * @param row - of the part
- * @returns search that knows of it
+ * @param search - search in a job
+ * @param part - part that is done
+ * @param row - row of the part
+ * @returns search with the part recorded as done
  */
 export function withDonePart (search: PartSearch, part: number, row: PartRow): PartSearch {
   if (hasItem(search.done, part)) return search
@@ -103,18 +103,18 @@
 }
 
 /**
- * @param search - of a job
- * @returns whether all parts are known to be done
+ * @param search - search in a job
+ * @returns whether all parts are recorded as done
  */
 export function isSearchDone (search: PartSearch): boolean {
   return countItems(search.done) === search.parts
 }
 
 /**
- * Asserts that the results of a job that is complete add up to its items.
+ * Asserts that a complete job has as many results as items.
  *
- * @param search - with all parts done
- * @param partItems - items of each part
+ * @param search - search with all parts done
+ * @param partItems - number of items in each part
  */
 export function checkJobCounts (search: PartSearch, partItems: readonly number[]): void {
   const items = partItems.reduce((sum, count) => sum + count, 0)
--- a/packages/anvilarch-daemon/src/jobs/readJob.ts
+++ b/packages/anvilarch-daemon/src/jobs/readJob.ts
@@ -1,4 +1,4 @@
-/** Reads jobs and counts their finished items for callers. */
+/** Reads jobs and counts their finished items for responses to callers. */
 import { ROW_KEYS, type Row } from 'anvilarch-protocol'
 import { AnvilarchError } from 'anvilarch-utils'
 import { LRUCache } from 'lru-cache'
@@ -7,15 +7,15 @@
 import { type ItemCounts, type JobRow, type JobState, parseRow, type PartRow } from './rows'
 
 /**
- * Counts of a job in progress are read again after this time. Clients poll, and a large job has many part rows: its counts
- * may be older, so that a polled job costs the table at most about one read a second at each gateway.
+ * Counts of a job in progress are cached this long. Clients poll, and a large job has many part rows: its counts are cached
+ * longer, so that a polled job costs the table at most about one read a second on each gateway.
  */
 const COUNTS_MAX_AGE_MS = 2_000
 const COUNTS_MAX_AGE_MS_PER_PART = 10
 const CACHED_JOBS = 1_000
 const PART_PAGE = 200
 
-/** A job with the version of its row. */
+/** A job and the version of its row. */
 export interface VersionedJob {
   job: JobRow
   version: number
@@ -31,7 +31,7 @@
   counts: (job: JobRow, signal?: AbortSignal) => Promise<ItemCounts>
 }
 
-/** Counts as they were at a time. */
+/** Counts and the time of their reading. */
 interface CachedCounts {
   counts: ItemCounts
   state: JobState
@@ -40,7 +40,7 @@
 
 /**
  * @param context - shared parts of the daemon
- * @returns a reader
+ * @returns a reader with an empty cache of counts
  */
 export function createJobReader (context: DaemonContext): JobReader {
   const { clock, platform } = context
@@ -68,7 +68,7 @@
     counts: async (job, signal) => {
       if (job.counts !== undefined) return job.counts
       const known = cache.get(job.id)
-      // No part can be committed after the job ended, so counts read then are final.
+      // No part is committed after the job has ended, so counts read since then are final.
       const isFinal = known !== undefined && known.state !== 'in_progress'
       const maxAgeMs = Math.max(COUNTS_MAX_AGE_MS, job.partItems.length * COUNTS_MAX_AGE_MS_PER_PART)
       const isFresh = known?.state === job.state && clock.nowMs() - known.readMs < maxAgeMs
@@ -83,9 +83,9 @@
 
 /**
  * @param context - shared parts of the daemon
- * @param jobId - of the job
- * @param signal - ends the reading
- * @yields rows of the parts that were ever leased, in order
+ * @param jobId - id of the job
+ * @param signal - aborts the reading
+ * @yields rows of the parts that were claimed at least once, in order
  */
 export async function * partRows (context: DaemonContext, jobId: string, signal?: AbortSignal): AsyncGenerator<Row> {
   let after: string | undefined
@@ -97,11 +97,12 @@
 }
 
 /**
- * A cancelled job stops in effect with its commit; its last items are cancelled within the next polls of their holders.
+ * No result is committed after the commit that cancels a job, but its last items run until the next polls of their holders.
+ * The job is shown as `cancelling` until then.
  *
- * @param job - to show
- * @param wallMs - wall time
- * @param stopMs - time that holders need to notice
+ * @param job - job to show
+ * @param wallMs - wall-clock time
+ * @param stopMs - time within which each holder detects the cancellation
  * @returns the state to show
  */
 export function shownState (job: JobRow, wallMs: number, stopMs: number): ShownState {
--- a/packages/anvilarch-daemon/src/jobs/readMultipart.ts
+++ b/packages/anvilarch-daemon/src/jobs/readMultipart.ts
@@ -1,13 +1,13 @@
-/** Reads the multipart form of an upload and hands on the content of its file as it comes. */
+/** Reads the multipart form of an upload and streams the content of its file to a sink. */
 import type { IncomingMessage } from 'node:http'
 import { setImmediate } from 'node:timers/promises'
 import { Busboy, type BusboyInstance, type BusboyFileStream, type BusboyHeaders } from '@fastify/busboy'
 import { AnvilarchError } from 'anvilarch-utils'
 
-/** Takes the content of the file. */
+/** Receives the content of the file, piece by piece. */
 export type ContentSink = (data: Buffer) => Promise<void>
 
-/** What the form says besides the content. */
+/** Fields of the form besides the content. */
 export interface UploadForm {
   purpose: string | undefined
   /** Undefined when the form has no file. */
@@ -21,9 +21,9 @@
 const MAX_FIELD_BYTES = 1_024
 
 /**
- * @param request - of the caller
- * @param sink - gets the content; the caller is read no faster than it takes it
- * @returns the fields of the form, when its end was read
+ * @param request - upload request
+ * @param sink - receives the content; the request is read no faster than the sink accepts it
+ * @returns the fields of the form, after its end was read
  * @throws AnvilarchError with code `bad_request` when the form is malformed or ends early
  */
 export async function readMultipart (request: IncomingMessage, sink: ContentSink): Promise<UploadForm> {
@@ -46,12 +46,12 @@
       })
       parser.on('error', fail)
       parser.on('finish', () => { Promise.resolve(reading).then(() => resolve(), fail) })
-      // A caller that goes away in the middle leaves the parser waiting for good, and its chunks in the store.
+      // Otherwise a caller that disconnects would leave the parser waiting forever and its chunks in the store.
       request.on('error', fail)
       request.pipe(parser)
     })
   } finally {
-    // The rest of a refused upload is read and dropped, since many clients read the answer only after they sent all.
+    // The rest of a rejected upload is read and discarded, since many clients read the response only after they have sent everything.
     request.unpipe(parser)
     request.resume()
   }
@@ -69,7 +69,7 @@
   }
 }
 
-/** Each piece is followed by a turn of the event loop, so that checking a large file does not hold up other requests. */
+/** Yields to the event loop after each piece, so that checking a large file does not delay other requests. */
 async function forward (stream: BusboyFileStream, sink: ContentSink): Promise<void> {
   for await (const data of stream) {
     await sink(data as Buffer)
--- a/packages/anvilarch-daemon/src/jobs/resultBuffer.ts
+++ b/packages/anvilarch-daemon/src/jobs/resultBuffer.ts
@@ -1,4 +1,4 @@
-/** Bounds the results that wait for their commit, over all parts of a gateway, so that an outage can't fill the memory. */
+/** Counts and bounds the results waiting for their commit, over all parts of a gateway, so that an outage does not exhaust memory. */
 
 /** Options of `createResultBuffer`. */
 export interface ResultBufferOptions {
@@ -6,14 +6,14 @@
   maxBytes: number
 }
 
-/** Enough for about half a minute of a busy gateway; an outage that lasts longer pauses batch work. */
+/** Enough for about half a minute of a busy gateway; a longer outage pauses batch work. */
 export const DEFAULT_OPTIONS: ResultBufferOptions = { maxItems: 8_000, maxBytes: 16 * 1024 * 1024 }
 
-/** Counts what waits. */
+/** Counts the waiting results. */
 export interface ResultBuffer {
   add: (sizeBytes: number) => void
   remove: (sizeBytes: number) => void
-  /** Whether no further item should be started. Items in progress still fit: they are few against the bound. */
+  /** Whether no further item should be started. The results of items in progress still fit, since they are few compared to the bound. */
   isFull: () => boolean
   items: () => number
 }
--- a/packages/anvilarch-daemon/src/jobs/resultContent.ts
+++ b/packages/anvilarch-daemon/src/jobs/resultContent.ts
@@ -1,4 +1,4 @@
-/** Streams the content of files to callers, with back-pressure. */
+/** Streams the content of files to callers, with backpressure. */
 import { once } from 'node:events'
 import type { ServerResponse } from 'node:http'
 import { OBJECT_NAMES, ROW_KEYS } from 'anvilarch-protocol'
@@ -15,14 +15,14 @@
 /**
  * @param context - shared parts of the daemon
  * @param file - an uploaded file
- * @param response - to the caller
- * @param signal - of the caller going away
+ * @param response - response to the caller
+ * @param signal - aborted when the caller disconnects
  */
 export async function sendFileContent (context: DaemonContext, file: FileRow, response: ServerResponse, signal: AbortSignal): Promise<void> {
   await sendObjects(chunkReaders(context, file, signal), response, signal, { 'content-length': String(file.sizeBytes) })
 }
 
-/** The row names the size of the file alone, so that a chunk of another size shows at the last one, or where the file is exceeded. */
+/** The row has the size of the file only, so a chunk of wrong size is detected at the last chunk or when the file size is exceeded. */
 function chunkReaders (context: DaemonContext, file: FileRow, signal: AbortSignal): ObjectReader[] {
   let foundBytes = 0
   return file.chunkItems.map((_items, chunk) => {
@@ -38,13 +38,13 @@
 }
 
 /**
- * Only segments that are named by part rows are read: whatever a holder wrote without committing it does not show.
+ * Sends the committed results only: segments that no part row references are not read.
  *
  * @param context - shared parts of the daemon
- * @param job - that has ended
- * @param kind - which results
- * @param response - to the caller
- * @param signal - of the caller going away
+ * @param job - job that has ended
+ * @param kind - kind of results
+ * @param response - response to the caller
+ * @param signal - aborted when the caller disconnects
  */
 export async function sendResults (
   context: DaemonContext, job: JobRow, kind: ResultKind, response: ServerResponse, signal: AbortSignal
@@ -80,8 +80,8 @@
 }
 
 /**
- * Once the head is sent an error can't be told any more. The connection is then cut before the end of the body, so that
- * the caller sees that the content is not whole.
+ * After the head has been sent, an error can no longer be reported. The connection is then closed before the end of the body,
+ * so that the caller detects the incomplete content.
  */
 async function sendObjects (
   readers: Iterable<ObjectReader> | AsyncIterable<ObjectReader>, response: ServerResponse, signal: AbortSignal, headers: Record<string, string>
--- a/packages/anvilarch-daemon/src/jobs/rows.ts
+++ b/packages/anvilarch-daemon/src/jobs/rows.ts
@@ -1,17 +1,17 @@
-/** Values of the rows that files and jobs are kept in, and the keys that only this slice uses. */
+/** Values of the table rows that store files and jobs, and the row keys that only this folder uses. */
 import { ROW_KEYS } from 'anvilarch-protocol'
 
-/** Keys besides `ROW_KEYS`. Names of callers and keys of clients are escaped, since a key part must not hold a slash. */
+/** Row keys besides `ROW_KEYS`. Caller names and idempotency keys are escaped, since a segment of a key must not contain a slash. */
 export const JOB_KEYS = {
   callerFiles: (caller: string) => `callerfile/${encodeURIComponent(caller)}/`,
   callerFile: (caller: string, fileId: string) => `callerfile/${encodeURIComponent(caller)}/${fileId}`,
   callerJobs: (caller: string) => ROW_KEYS.callerJobs(encodeURIComponent(caller)),
   callerJob: (caller: string, jobId: string) => ROW_KEYS.callerJob(encodeURIComponent(caller), jobId),
-  /** Active jobs of one caller, to count them without reading its ended ones. */
+  /** Index of the active jobs of one caller, to count them without reading its ended jobs. */
   callerActiveJobs: (caller: string) => `calleractive/${encodeURIComponent(caller)}/`,
   callerActiveJob: (caller: string, jobId: string) => `calleractive/${encodeURIComponent(caller)}/${jobId}`,
   jobByKey: (caller: string, key: string) => ROW_KEYS.jobByKey(encodeURIComponent(caller), encodeURIComponent(key)),
-  /** Uploads in progress; one that stays behind names chunks without a file. */
+  /** Uploads in progress. A row that remains after its upload names chunks that belong to no file. */
   uploads: 'upload/',
   upload: (fileId: string) => `upload/${fileId}`,
   files: 'file/',
@@ -25,7 +25,7 @@
   startedAtMs: number
 }
 
-/** Value of a row `file/<file>`; written when all chunks are in the object store. */
+/** Value of a row `file/<file>`; written after all chunks are in the object store. */
 export interface FileRow {
   id: string
   caller: string
@@ -35,31 +35,31 @@
   /** SHA-256 of the content, in hex. */
   sha256: string
   createdAtMs: number
-  /** Item lines of each chunk. */
+  /** Number of item lines in each chunk. */
   chunkItems: number[]
-  /** Paths named by the items. */
+  /** Distinct `url` values of the items. */
   urls: string[]
-  /** Models named by the items; when there are many, only some. */
+  /** Distinct models of the items; incomplete when there are many. */
   models: string[]
-  /** Jobs accepted on this file that were not ended when this was last written. */
+  /** Jobs on this file that were active when the row was last written. */
   jobIds: string[]
 }
 
 /** States of a job. All but `in_progress` are final. */
 export type JobState = 'in_progress' | 'completed' | 'cancelled' | 'expired'
 
-/** Finished items by kind of result. */
+/** Number of finished items by kind of result. */
 export interface ItemCounts {
   completed: number
   failed: number
 }
 
-/** Value of a row `job/<job>`. It changes only with the state of the job, so that part commits can be conditioned on it. */
+/** Value of a row `job/<job>`. It changes only with the state of the job, so that part commits can be conditioned on its version. */
 export interface JobRow {
   id: string
   caller: string
   key: string
-  /** Hash of file content, endpoint, window and metadata; tells a resend from another job under the same key. */
+  /** Hash of file content, endpoint, window and metadata; distinguishes a resend from another job under the same key. */
   contentHash: string
   fileId: string
   endpoint: string
@@ -67,17 +67,17 @@
   metadata: Record<string, string> | null
   state: JobState
   createdAtMs: number
-  /** Wall time, since it must mean the same to every gateway. */
+  /** Wall-clock time, since it is compared on every gateway. */
   expiresAtMs: number
   endedAtMs?: number
-  /** Items of each part; a part is a chunk of the file. */
+  /** Number of items in each part; a part is a chunk of the file. */
   partItems: number[]
   models: string[]
   /** Set when the job completed. */
   counts?: ItemCounts
   /** Result files that the caller deleted. */
   removed?: ResultKind[]
-  /** Set when objects that no part names were removed after the end. */
+  /** Set after the objects that no part row references were removed, once the job has ended. */
   isSwept?: boolean
 }
 
@@ -87,7 +87,7 @@
   contentHash: string
 }
 
-/** Value of a row `active/<job>`: what a gateway needs to choose work. Deleted in the commit that ends the job. */
+/** Value of a row `active/<job>`: what a gateway needs to choose a job. Deleted in the commit that ends the job. */
 export interface ActiveRow {
   jobId: string
   caller: string
@@ -97,10 +97,10 @@
   expiresAtMs: number
 }
 
-/** The two files of results: answers, and errors of items that could not be done. */
+/** The two result files: responses, and errors of failed items. */
 export type ResultKind = 'output' | 'error'
 
-/** One committed object of results. */
+/** A committed object with results. */
 export interface SegmentRef {
   epoch: number
   segment: number
@@ -111,9 +111,9 @@
 
 /** Value of a row `part/<job>/<n>`; absent until the part is first leased. */
 export interface PartRow {
-  /** Grows with each change of holder; the fencing token of the part. */
+  /** Incremented by each claim; the fencing token of the part. */
   epoch: number
-  /** Instance of the gateway that runs it; empty when nobody does. */
+  /** Instance of the gateway that leases the part; empty when released. */
   holder: string
   items: number
   /** Finished items, as a bit set in base64. */
@@ -124,7 +124,7 @@
 }
 
 /**
- * @param row - of a part
+ * @param row - row of a part
  * @returns whether each item of the part has a committed result
  */
 export function isPartDone (row: PartRow): boolean {
--- a/packages/anvilarch-daemon/src/jobs/scheduleOrder.ts
+++ b/packages/anvilarch-daemon/src/jobs/scheduleOrder.ts
@@ -1,22 +1,22 @@
-/** The order in which jobs are given work: fair between callers, and within a caller the job that is due first. */
+/** Orders jobs for the next claim: fair between callers, and within a caller by the earliest expiry. */
 import type { ActiveRow } from './rows'
 
-/** What the order depends on besides the jobs. */
+/** The jobs and what their order depends on. */
 export interface ScheduleInput {
   jobs: Iterable<ActiveRow>
-  /** Jobs that end before this wall time get no more work. */
+  /** Current wall-clock time; jobs that have expired by then are left out. */
   wallMs: number
-  /** Parts that this gateway holds for a caller. */
+  /** Number of parts that this gateway leases for a caller. */
   leasedPartsOf: (caller: string) => number
-  /** A number that grows with each part leased for a caller; 0 when none was. */
+  /** Sequence number of the last claim for a caller; 0 when there was none. */
   lastServed: (caller: string) => number
-  /** Differs between gateways, so that they do not all begin with the same caller. */
+  /** Tie-breaker that differs between gateways, so that they do not all start with the same caller. */
   callerRank: (caller: string) => number
 }
 
 /**
- * @param input - active jobs and what was served lately
- * @returns jobs in the order in which they may lease a part: one job of each caller in turn
+ * @param input - active jobs and the recent claims of each caller
+ * @returns jobs in the order in which their parts are claimed, one job of each caller in turn
  */
 export function scheduleOrder (input: ScheduleInput): ActiveRow[] {
   const byCaller = new Map<string, ActiveRow[]>()
--- a/packages/anvilarch-daemon/src/jobs/segments.ts
+++ b/packages/anvilarch-daemon/src/jobs/segments.ts
@@ -1,9 +1,9 @@
-/** Bookkeeping of the result segments of one part: pure, and checked against what must always hold. */
+/** Pure functions that add result segments to a part row and assert the invariants of the row. */
 import { invariant } from 'anvilarch-utils'
 import { countItems, hasItem, itemSetFromText, itemSetToText, withItems } from './itemSet'
 import { type PartRow, type ResultKind, type SegmentRef } from './rows'
 
-/** A finished item; its line of results is kept by the task that runs the part. */
+/** A finished item. Its result line is buffered by the leased part until it is committed. */
 export interface FinishedItem {
   index: number
   kind: ResultKind
@@ -14,9 +14,9 @@
 
 /**
  * @param items - finished items that go into one commit
- * @param epoch - of the part's lease
- * @param segment - number of the segment, used once under an epoch
- * @returns one reference for each kind that has items
+ * @param epoch - epoch of the part's lease
+ * @param segment - number of the segment, unique within the epoch
+ * @returns one reference for each kind of result among the items
  */
 export function segmentRefs (items: readonly FinishedItem[], epoch: number, segment: number): SegmentRef[] {
   return KINDS.flatMap(kind => {
@@ -30,7 +30,7 @@
 /**
  * @param row - the part as committed
  * @param items - finished items to add
- * @param segments - the objects that hold their results
+ * @param segments - references to the objects with their results
  * @returns the part with the items added
  */
 export function withSegments (row: PartRow, items: readonly FinishedItem[], segments: readonly SegmentRef[]): PartRow {
@@ -54,10 +54,10 @@
 }
 
 /**
- * Asserts that counts, segments and finished items of a part agree.
+ * Asserts that counts, segments and finished items of a part row are consistent.
  *
  * @param row - the part
- * @throws InvariantViolation when they do not
+ * @throws InvariantViolation when they are not
  */
 export function checkPart (row: PartRow): void {
   const finished = row.completed + row.failed
--- a/packages/anvilarch-daemon/src/jobs/startJobs.ts
+++ b/packages/anvilarch-daemon/src/jobs/startJobs.ts
@@ -1,4 +1,4 @@
-/** Starts the jobs slice of a gateway. */
+/** Starts the batch jobs of a gateway. */
 import { randomInt } from 'node:crypto'
 import type { LifecycleManager } from 'anvilarch-utils'
 import type { DaemonContext } from '../context'
@@ -12,21 +12,21 @@
 
 /** Options of `startJobs`. */
 export interface JobsOptions {
-  /** Random numbers for ids, which must differ over all gateways. */
+  /** Random numbers for ids, which must be unique across all gateways. */
   randomValue: RandomSource
 }
 
 const RANDOM_RESOLUTION = 2 ** 40
 
-/** Ids from the system's random source: those of a seeded one could meet those of another gateway. */
+/** Uses the random source of the system: ids from a seeded source could equal those of another gateway. */
 export const DEFAULT_OPTIONS: JobsOptions = { randomValue: () => randomInt(RANDOM_RESOLUTION) / RANDOM_RESOLUTION }
 
 /**
  * @param context - shared parts of the daemon
  * @param dependencies - runner, directory, heartbeat and observer of the gateway
- * @param lifecycle - drains and stops the slice
- * @param options - source of ids
- * @returns the routes of files and batches, and the handle on running jobs
+ * @param lifecycle - drains and stops the jobs
+ * @param options - source of random numbers for ids
+ * @returns the routes of files and batches, and the handle on the running jobs
  */
 export async function startJobs (
   context: DaemonContext, dependencies: JobsDependencies, lifecycle: LifecycleManager, options: JobsOptions = DEFAULT_OPTIONS
--- a/packages/anvilarch-daemon/src/jobs/startWorker.ts
+++ b/packages/anvilarch-daemon/src/jobs/startWorker.ts
@@ -1,12 +1,12 @@
 /**
- * The task that runs jobs on this gateway: it polls the active jobs, leases parts and ends what is done.
+ * The task that runs jobs on this gateway: polls the active jobs, claims parts, and ends jobs that are done or expired.
  *
- * Cost, counted in a run of 300,000 items through one gateway with parts of 500 items: for each 1,000 items 6.1 commits
- * (2 to lease parts, 4 for segments), 4 objects written and 2 read, 4.4 table reads and 0.2 scans. At 5,900 items a second
- * that is 36 commits, 24 objects written and 27 reads a second for the whole fleet. Items that take long make segments
- * smaller, see `runPart`. Besides, each gateway reads at each poll one page of active jobs, the active rows of the jobs that
- * it holds, and two to four jobs for their end. Memory is bounded by the parts held and the results buffered: it was the
- * same for 20,000, 100,000 and 300,000 items.
+ * Platform calls for each 1,000 items, with 300,000 items on one gateway and parts of 500 items: 6.1 commits (2 to claim
+ * parts, 4 for segments), 4 objects written and 2 read, 4.4 table reads and 0.2 scans. At 5,900 items a second these are
+ * 36 commits, 24 objects written and 27 reads a second for the whole fleet. Slow items make segments smaller, see
+ * `leasedPart`. In addition, each gateway reads in each poll one page of active jobs, the active rows of the jobs of its
+ * leased parts, and two to four jobs to check for their end. Memory is bounded by the leased parts and the buffered
+ * results: it is the same for 20,000, 100,000 and 300,000 items.
  */
 import { ROW_KEYS } from 'anvilarch-protocol'
 import { type LifecycleManager, sleep } from 'anvilarch-utils'
@@ -31,34 +31,34 @@
 
 /** Options of `startWorker`. */
 export interface WorkerOptions {
-  /** Bounds of the results that wait for their commit. */
+  /** Bounds of the results waiting for their commit. */
   buffer: ResultBufferOptions
 }
 
-/** Bounds for a gateway of the usual size. */
+/** Default bounds. */
 export const DEFAULT_OPTIONS: WorkerOptions = { buffer: DEFAULT_BUFFER }
 
-/** Active jobs read at one poll. */
+/** Most active jobs read in one poll. */
 const VIEW_PAGE_JOBS = 500
-/** Jobs looked at for their end at one poll, besides those of which a part was just finished. */
+/** Jobs checked for their end in one poll, besides those of which a part has just finished. */
 const INSPECTED_PER_POLL = 2
-/** A job is looked at for its end no more often than this by one gateway. */
+/** Shortest interval at which one gateway checks a job for its end. */
 const INSPECT_INTERVAL_MS = 5_000
 const POLL_JITTER = 0.2
-/** How often held parts are looked at for results to commit. */
+/** Interval at which leased parts are checked for results to commit. */
 const TICK_MS = 250
-/** Parts leased in a row before the poll goes on with other things. */
+/** Parts claimed in a row before the loop continues with its other steps. */
 const CLAIMS_PER_ROUND = 4
-/** Time until a job is looked at again whose part was given back. */
+/** Delay before a job is searched again after one of its parts was released. */
 const RELEASED_DELAY_MS = 10_000
-/** Time that items in progress have when the gateway drains. */
+/** Grace period for items in progress when the gateway is draining. */
 const DRAIN_GRACE_MS = 5_000
 
 /**
  * @param context - shared parts of the daemon
  * @param dependencies - runner, directory, heartbeat and observer
  * @param lifecycle - drains and stops the task
- * @param options - bounds
+ * @param options - bounds of the task
  * @returns the running task
  */
 export async function startWorker (
@@ -112,7 +112,7 @@
     metrics.active.set(view.jobs.size)
   }
 
-  /** A cancelled job must stop within a poll, also when the view is longer than a page. */
+  /** Detects cancelled jobs of leased parts within one poll, even if the view is longer than a page. */
   const checkLeasedJobs = async (): Promise<void> => {
     const jobIds = leased.jobIds()
     if (jobIds.length === 0) return
@@ -144,7 +144,7 @@
     if (await searches.inspect(active)) removeJob(active.jobId)
   }
 
-  /** Finds jobs whose time is up, and jobs whose last holder was lost before it could end them. */
+  /** Ends expired jobs, and jobs whose last holder was lost before it could end them. */
   const inspectJobs = async (): Promise<void> => {
     const dueBeforeMs = clock.nowMs() - INSPECT_INTERVAL_MS
     const due = [...view.jobs.values()].filter(job => (inspectedMs.get(job.jobId) ?? Number.NEGATIVE_INFINITY) <= dueBeforeMs)
--- a/packages/anvilarch-daemon/src/jobs/sweep/startSweeper.ts
+++ b/packages/anvilarch-daemon/src/jobs/sweep/startSweeper.ts
@@ -1,7 +1,7 @@
 /**
- * Removes what is over, slowly and by one gateway of the fleet. Without it rows and objects would grow without end.
+ * Removes expired jobs, files and uploads, slowly and on one gateway of the fleet, so that rows and objects do not accumulate.
  *
- * One page of one kind of row is looked at in each step, so that a full turn over 15,000 jobs takes some minutes.
+ * Each step checks one page of one kind of row. A full pass over 15,000 jobs takes several minutes.
  */
 import type { Row } from 'anvilarch-protocol'
 import { type LifecycleManager, sleep } from 'anvilarch-utils'
@@ -12,13 +12,13 @@
 import type { SweepTimes } from './sweepPlan'
 import { createSweepSteps } from './sweepSteps'
 
-/** What the sweeper needs. */
+/** Dependencies of the sweeper. */
 export interface SweeperOptions {
   heartbeat: Heartbeat
   observer: LeaseObserver
 }
 
-/** One kind of row that is swept, and how far the turn over it has come. */
+/** One kind of row and the position of the current pass over it. */
 interface Sweep {
   prefix: string
   after: string | undefined
@@ -32,7 +32,7 @@
 /**
  * @param context - shared parts of the daemon
  * @param lifecycle - stops the sweeper
- * @param options - lease of this gateway and observer of others
+ * @param options - heartbeat of this gateway and observer of the others
  */
 export async function startSweeper (context: DaemonContext, lifecycle: LifecycleManager, options: SweeperOptions): Promise<void> {
   const { clock, platform, random } = context
--- a/packages/anvilarch-daemon/src/jobs/sweep/sweepSteps.ts
+++ b/packages/anvilarch-daemon/src/jobs/sweep/sweepSteps.ts
@@ -1,16 +1,16 @@
-/** Removes rows and objects. Each step can stop anywhere and be done again: the row that leads to the rest goes last. */
+/** Removes rows and objects. Each step can be interrupted and repeated, since the row that refers to the rest is removed last. */
 import { randomUUID } from 'node:crypto'
 import { type Commit, ROW_KEYS, type Row, type Write } from 'anvilarch-protocol'
 import type { DaemonContext } from '../../context'
 import { JOB_KEYS, type FileRow, type JobKeyRow, type JobRow, parseRow, type PartRow, type UploadRow } from '../rows'
 import { isFileExpired, isUploadExpired, partOfObject, planJob, referencedNames, type SweepTimes } from './sweepPlan'
 
-/** Objects listed and removed at once; few, since the object store serves the running jobs first. */
+/** Objects removed concurrently; few, since running jobs take precedence at the object store. */
 const MAX_PARALLEL_REMOVALS = 8
 const LIST_PAGE = 200
 const DELETED_ROWS_PER_COMMIT = 200
 
-/** Removes what is over. */
+/** Steps of the sweeper, one for each kind of row. */
 export interface SweepSteps {
   job: (row: Row, times: SweepTimes) => Promise<void>
   file: (row: Row, times: SweepTimes) => Promise<void>
@@ -19,7 +19,7 @@
 
 /**
  * @param context - shared parts of the daemon
- * @returns the steps
+ * @returns the steps of the sweeper
  */
 export function createSweepSteps (context: DaemonContext): SweepSteps {
   const { objects, table } = context.platform
@@ -40,7 +40,7 @@
 
   const listPage = async (prefix: string): Promise<string[]> => (await objects.list(prefix, { limit: LIST_PAGE })).names
 
-  /** Segments that a holder wrote and could not commit: its lease was taken over, or the job ended first. */
+  /** Removes segments that a holder wrote but could not commit, since its part was taken over or the job had ended. */
   const removeUnreferenced = async (job: JobRow): Promise<void> => {
     let after: string | undefined
     do {
@@ -68,7 +68,7 @@
     const [keyRow] = await table.read([keyRowKey])
     const conditions = [{ key: row.key, version: row.version }]
     const writes: Write[] = [{ key: row.key, value: null }, { key: JOB_KEYS.callerJob(job.caller, job.id), value: null }]
-    // The key may lead to a later job with the same content by now.
+    // The key may belong to a later job with the same content by now.
     if (keyRow !== null && parseRow<JobKeyRow>(keyRow.value).jobId === job.id) {
       conditions.push({ key: keyRowKey, version: keyRow.version })
       writes.push({ key: keyRowKey, value: null })
@@ -103,7 +103,7 @@
       if (!isUploadExpired(upload, times.wallMs)) return
       const fileId = row.key.slice(JOB_KEYS.uploads.length)
       const { key } = row
-      // The new version refuses the commit of an upload that is only slow, before its chunks go.
+      // Changes the version of the row before the chunks are removed, so that the commit of a slow upload is rejected.
       const value: UploadRow = { ...upload, startedAtMs: 0 }
       const marked = await table.commit({ commitId: randomUUID(), conditions: [{ key, version: row.version }], writes: [{ key, value: JSON.stringify(value) }] })
       if (marked.outcome === 'conflict') return
@@ -114,10 +114,10 @@
 }
 
 /**
- * The row of a deleted file leaves a row among the uploads, which leads the sweeper to its chunks.
+ * The row of a deleted file is replaced by an upload row, by which the sweeper finds the chunks.
  *
- * @param file - to delete
- * @returns the writes that delete it
+ * @param file - file to delete
+ * @returns the writes that delete the file
  */
 export function deletedFileWrites (file: FileRow): Write[] {
   const orphan: UploadRow = { caller: file.caller, startedAtMs: 0 }
--- a/packages/anvilarch-daemon/src/jobs/types.ts
+++ b/packages/anvilarch-daemon/src/jobs/types.ts
@@ -1,29 +1,29 @@
-/** Files, batch jobs and their results on a gateway. */
+/** Types of the batch jobs of a gateway that other folders use. */
 import type { RequestRunner } from '../attempts/types'
 import type { Route } from '../callers/types'
 import type { Heartbeat, LeaseObserver } from '../leases/types'
 import type { AgentDirectory } from '../membership/types'
 
-/** What the jobs of a gateway need of its other slices. */
+/** Dependencies of the jobs on other parts of the gateway. */
 export interface JobsDependencies {
   /** Runs each item as a request of class `batch`. */
   runner: RequestRunner
-  /** Tells when endpoints come and go, so that waiting items are looked at again. */
+  /** Notifies of changed endpoints, so that waiting items are dispatched again. */
   directory: AgentDirectory
-  /** The lease of this gateway, under which it holds parts of jobs. */
+  /** The lease of this gateway; its leases of job parts are valid only as long as this one. */
   heartbeat: Heartbeat
-  /** Judges the holders of other parts. */
+  /** Reports whether the holders of other parts are alive. */
   observer: LeaseObserver
 }
 
-/** The jobs slice of a running gateway. */
+/** Handle on the jobs of a running gateway. */
 export interface JobsHandle {
   /** OpenAI-style routes for files and batches. */
   routes: Route[]
-  /** Takes no more parts, commits what is done and gives the parts back, so that other gateways go on at once. */
+  /** Claims no more parts, commits finished items and releases all parts, so that other gateways continue them at once. */
   drain: () => Promise<void>
-  /** Jobs of the fleet that are not ended, as last seen in the table. */
+  /** Active jobs of the fleet, as last read from the table. */
   activeCount: () => number
-  /** Parts that this gateway holds; goes into its heartbeat row. */
+  /** Number of parts leased by this gateway; published in its heartbeat row. */
   heldParts: () => number
 }
--- a/packages/anvilarch-daemon/src/jobs/uploadFile.ts
+++ b/packages/anvilarch-daemon/src/jobs/uploadFile.ts
@@ -1,4 +1,4 @@
-/** Takes in a file: its chunks first, its row last, so that a file that can be seen is whole. */
+/** Stores an uploaded file. Its row is written after its chunks, so that a visible file is always complete. */
 import { randomUUID } from 'node:crypto'
 import type { IncomingMessage } from 'node:http'
 import { type Condition, ROW_KEYS } from 'anvilarch-protocol'
@@ -18,11 +18,11 @@
 
 /**
  * @param context - shared parts of the daemon
- * @param caller - who uploads
- * @param request - with a multipart form
- * @param randomValue - random numbers for the file's id
+ * @param caller - name of the caller
+ * @param request - upload request with a multipart form
+ * @param randomValue - source of random numbers for the id of the file
  * @returns row of the file
- * @throws AnvilarchError when the file was not taken; then nothing of it is kept
+ * @throws AnvilarchError when the file was not accepted; then nothing of it remains visible
  */
 export async function uploadFile (context: DaemonContext, caller: string, request: IncomingMessage, randomValue: RandomSource): Promise<FileRow> {
   const { limits } = requireConfiguration(context).document
@@ -44,7 +44,7 @@
     throw toNotRun(error)
   })
   await commitFile(settle, row, upload).catch(async (error: unknown) => {
-    // A commit that may have taken effect shows a file whose chunks must stay.
+    // A commit of unknown outcome may have made the file visible, so its chunks must stay.
     if (error instanceof AnvilarchError && error.ran === 'not_run') await abandon()
     throw error
   })
@@ -52,7 +52,7 @@
   return row
 }
 
-/** No row names the file before its commit, so that whatever fails earlier leaves no file behind. */
+/** Marks an error as `not_run`: no row names the file before its commit, so an earlier failure leaves no file behind. */
 function toNotRun (error: unknown): AnvilarchError {
   const known = toAnvilarchError(error, { code: 'internal', step: STEP })
   if (known.ran === 'not_run') return known
@@ -78,8 +78,8 @@
 }
 
 /**
- * A gateway that dies in the middle of an upload leaves chunks that no file names. This row tells the sweeper of them, so
- * that it need not list all chunks to find a few.
+ * Records the upload before its first chunk is written. A gateway that crashes during an upload leaves chunks that belong to
+ * no file; with this row the sweeper finds them without listing all chunks.
  */
 async function recordUpload (settle: SettleContext, fileId: string, row: UploadRow): Promise<Condition> {
   const key = JOB_KEYS.upload(fileId)
@@ -100,7 +100,7 @@
   return new AnvilarchError(message, { code: 'bad_request', step: STEP, ran: 'not_run' })
 }
 
-/** The sweeper deletes the row of an upload that takes too long before its chunks; the condition on it notices that. */
+/** Makes the file visible. The condition on the upload row fails if the sweeper has expired the upload and removes its chunks. */
 async function commitFile (settle: SettleContext, row: FileRow, upload: Condition): Promise<void> {
   const key = ROW_KEYS.file(row.id)
   const commit = {
@@ -119,7 +119,7 @@
   })
 }
 
-/** What can't be removed now is found by the sweeper. */
+/** Removes the chunks and the row of a failed upload. Whatever cannot be removed now is left to the sweeper. */
 async function discard (context: DaemonContext, settle: SettleContext, writer: ChunkWriter, fileId: string): Promise<void> {
   try {
     await writer.discard()
--- a/packages/anvilarch-daemon/src/jobs/wakeableSleep.ts
+++ b/packages/anvilarch-daemon/src/jobs/wakeableSleep.ts
@@ -1,15 +1,15 @@
-/** A sleep of one task that others can end early. A call between two sleeps ends the next one, so that none is lost. */
+/** A sleep of one task that others can end early. A `wake` between two sleeps ends the next one, so that no call is lost. */
 import { type Clock, sleep } from 'anvilarch-utils'
 
-/** Sleeps and wakes. */
+/** The sleep of one task. */
 export interface WakeableSleep {
   sleep: (delayMs: number) => Promise<void>
   wake: () => void
 }
 
 /**
- * @param clock - to sleep on
- * @param signal - ends each sleep at once
+ * @param clock - clock of the sleep
+ * @param signal - ends the current and all later sleeps
  * @returns the sleep of one task
  */
 export function createWakeableSleep (clock: Clock, signal: AbortSignal): WakeableSleep {
