--- a/packages/anvilarch-daemon/src/jobs/__fixtures__/simulatedFleet.ts
+++ b/packages/anvilarch-daemon/src/jobs/__fixtures__/simulatedFleet.ts
@@ -1,4 +1,4 @@
-/** Several gateways in one process, on one in-memory platform, which can be stopped, continued and killed. */
+/** Several gateways in one process, on one in-memory platform, which can be paused, resumed and killed. */
 import { type Clock, createFakeClock, createLifecycleManager, createRandom, type FakeClock, onViolation } from 'anvilarch-utils'
 import { ROW_KEYS } from 'anvilarch-protocol'
 import type { DaemonContext } from '../../context'
@@ -21,13 +21,13 @@
   worker: () => Worker | undefined
 }
 
-/** Stops, continues and kills a process. */
+/** Pauses, resumes and kills a process. */
 export interface Gate extends ProcessGate {
-  stop: () => void
-  proceed: () => void
+  pause: () => void
+  resume: () => void
   kill: () => void
   state: () => 'running' | 'stopped' | 'dead'
-  /** Runs at once, when the process goes on, or never. */
+  /** Runs an action now, when the process resumes, or never if it is dead. */
   run: (action: () => void) => void
 }
 
@@ -67,12 +67,12 @@
   return {
     run,
     pass: async () => { await new Promise<void>(resolve => { run(resolve) }) },
-    stop: () => { if (state === 'running') state = 'stopped' },
+    pause: () => { if (state === 'running') state = 'stopped' },
     kill: () => {
       state = 'dead'
       waiting = []
     },
-    proceed: () => {
+    resume: () => {
       if (state !== 'stopped') return
       state = 'running'
       const queued = waiting
--- a/packages/anvilarch-daemon/src/jobs/__tests__/jobHistories.test.ts
+++ b/packages/anvilarch-daemon/src/jobs/__tests__/jobHistories.test.ts
@@ -57,8 +57,8 @@
     const target = fleet.gateways[step.gateway]
     if (step.type === 'submit') ignoreErrors(submitJob(target, jobs[step.job], step.upload))
     else if (step.type === 'cancel') ignoreErrors(cancelSubmitted(target, jobs[step.job]))
-    else if (step.type === 'stop') target.gate.stop()
-    else if (step.type === 'proceed') target.gate.proceed()
+    else if (step.type === 'stop') target.gate.pause()
+    else if (step.type === 'proceed') target.gate.resume()
     else if (step.type === 'drain') ignoreErrors(target.worker()?.drain() ?? Promise.resolve())
     else kill(fleet, step.gateway)
   }
@@ -73,7 +73,7 @@
 
 async function recover (fleet: SimulatedFleet, jobs: SubmittedJob[]): Promise<void> {
   for (const service of [fleet.faults.table, fleet.faults.objects]) Object.assign(service, { outage: false, latencyMs: 0, loseReplies: 0 })
-  for (const { gate } of fleet.gateways) gate.proceed()
+  for (const { gate } of fleet.gateways) gate.resume()
   const extra = fleet.addGateway()
   await fleet.clock.advanceAsync(3_000)
   for (const sent of jobs) {
--- a/packages/anvilarch-daemon/src/leases/__tests__/leases.test.ts
+++ b/packages/anvilarch-daemon/src/leases/__tests__/leases.test.ts
@@ -46,9 +46,9 @@
     await fleet.clock.advanceAsync(1_500)
     fleet.faults.table.latencyMs = 400
     await fleet.clock.advanceAsync(900)
-    gate.stop()
+    gate.pause()
     await fleet.clock.advanceAsync(5_600)
-    gate.proceed()
+    gate.resume()
     await fleet.clock.advanceAsync(0)
     expect(heartbeat.holdsLease()).toBe(false)
   })
@@ -56,11 +56,11 @@
   it('knows on its own clock that the lease lapsed while it was stopped, and counts the lapse when it renews', async () => {
     const fleet = createSimulatedFleet(1, 0)
     const { heartbeat, gate } = await startProcess(fleet)
-    gate.stop()
+    gate.pause()
     await fleet.clock.advanceAsync(2 * LEASE_MS)
     expect(heartbeat.holdsLease()).toBe(false)
     expect(heartbeat.lapses()).toBe(0)
-    gate.proceed()
+    gate.resume()
     await fleet.clock.advanceAsync(LEASE_MS)
     expect(heartbeat.holdsLease()).toBe(true)
     expect(heartbeat.lapses()).toBe(1)
@@ -73,7 +73,7 @@
     const [one, other] = [await startProcess(fleet), await startProcess(fleet)]
     await fleet.clock.advanceAsync(2_000)
     expect(other.observer.stateOf(one.heartbeat.instance)).toBe('alive')
-    one.gate.stop()
+    one.gate.pause()
     let stoppedMs = 0
     for (; other.observer.stateOf(one.heartbeat.instance) === 'alive'; stoppedMs += 100) {
       expect(one.heartbeat.holdsLease() || stoppedMs > LEASE_MS / 2).toBe(true)
@@ -126,9 +126,9 @@
       await run(2 * LEASE_MS)
       expect(look()).toBe(1)
       const holder = processes.find(({ lease }) => lease.epoch() !== undefined)
-      holder?.gate.stop()
+      holder?.gate.pause()
       await run(2 * LEASE_MS)
-      holder?.gate.proceed()
+      holder?.gate.resume()
       look()
     }
     expect(highest).toBeGreaterThanOrEqual(5)
@@ -140,11 +140,11 @@
   it('is not held after a lapse until the row was read again', async () => {
     const fleet = createSimulatedFleet(1, 0)
     const [one, other] = [await startProcess(fleet), await startProcess(fleet)]
-    one.gate.stop()
+    one.gate.pause()
     await fleet.clock.advanceAsync(2 * LEASE_MS)
     expect(other.lease.epoch()).toBe(2)
     one.context.platform.table.read = async () => { throw new Error('no reads') }
-    one.gate.proceed()
+    one.gate.resume()
     await fleet.clock.advanceAsync(LEASE_MS)
     expect(one.heartbeat.holdsLease()).toBe(true)
     expect(one.lease.epoch()).toBeUndefined()
