--- a/packages/anvilarch-daemon/src/jobs/__fixtures__/batchClient.ts
+++ b/packages/anvilarch-daemon/src/jobs/__fixtures__/batchClient.ts
@@ -1,15 +1,15 @@
-/** A caller with the `openai` client, as tests of the routes use it. */
+/** A caller with the `openai` client, for tests of the routes. */
 import { connect } from 'node:net'
 import OpenAI, { toFile } from 'openai'
 
-/** One line of a file of results. */
+/** One line of a result file. */
 export interface ResultLine {
   custom_id: string
   response: { status_code: number, body: { choices: Array<{ message: { content: string } }> } } | null
   error: { code: string, message: string } | null
 }
 
-/** Calls a gateway. */
+/** A client of one gateway. */
 export interface BatchClient {
   openai: OpenAI
   upload: (content: string) => Promise<OpenAI.FileObject>
@@ -19,9 +19,9 @@
 }
 
 /**
- * @param url - of the gateway
- * @param caller - account name
- * @returns a client without retries, so that each answer is seen
+ * @param url - URL of the gateway
+ * @param caller - name of the client account
+ * @returns a client without retries, so that each response is visible
  */
 export function createBatchClient (url: string, caller = 'shop'): BatchClient {
   const openai = new OpenAI({ apiKey: caller, baseURL: `${url}/v1`, maxRetries: 0 })
@@ -46,21 +46,21 @@
   }
 }
 
-/** Waits a little between two looks at a condition. */
+/** Waits 5 ms between two checks of a condition. */
 export async function nextCheck (): Promise<void> {
   await new Promise(resolve => setTimeout(resolve, 5))
 }
 
 /**
- * @param condition - is asked until it says yes
+ * @param condition - checked repeatedly until it is true
  */
 export async function until (condition: () => boolean): Promise<void> {
   while (!condition()) await nextCheck()
 }
 
 /**
- * @param index - of the item
- * @param content - of its prompt
+ * @param index - index of the item
+ * @param content - content of its prompt
  * @returns one line of an input file
  */
 export function itemLine (index: number, content = `question ${index}`): string {
@@ -68,18 +68,18 @@
 }
 
 /**
- * @param count - of items
- * @returns an input file
+ * @param count - number of items
+ * @returns content of an input file
  */
 export function itemLines (count: number): string {
   return Array.from({ length: count }, (_value, index) => itemLine(index) + '\n').join('')
 }
 
 /**
- * Sends the beginning of an upload and then goes away.
+ * Sends the beginning of an upload and disconnects.
  *
- * @param url - of the gateway
- * @param content - of the file, whose end never comes
+ * @param url - URL of the gateway
+ * @param content - beginning of the file
  */
 export async function abortUpload (url: string, content: string): Promise<void> {
   const { hostname, port } = new URL(url)
@@ -93,11 +93,11 @@
 }
 
 /**
- * Sends requests one after another on one connection, without waiting for answers.
+ * Pipelines requests on one connection.
  *
- * @param url - of the gateway
- * @param paths - to get; the gateway is asked to close the connection after the last one
- * @returns all that comes until the connection ends
+ * @param url - URL of the gateway
+ * @param paths - paths to get; the last request has the header `connection: close`
+ * @returns all data received until the connection is closed
  */
 export async function getOnOneConnection (url: string, paths: string[]): Promise<string> {
   const { hostname, port } = new URL(url)
--- a/packages/anvilarch-daemon/src/jobs/__fixtures__/fakeRunner.ts
+++ b/packages/anvilarch-daemon/src/jobs/__fixtures__/fakeRunner.ts
@@ -1,34 +1,34 @@
-/** A runner whose endpoints answer from the prompt alone, and fail as the prompt says. */
+/** A request runner whose endpoints respond, or fail, depending on the prompt only. */
 import { AnvilarchError, type Clock, type Random, sleep } from 'anvilarch-utils'
 import type { RequestRunner, WorkRequest, WorkResult } from '../../attempts/types'
 
-/** How the fake endpoints behave. */
+/** Options of `createFakeRunner`. */
 export interface FakeRunnerOptions {
   clock: Clock
   random: Random
   /** Longest run of an item. */
   maxRunMs: number
-  /** Share of runs that are refused because of load. */
+  /** Share of runs that are rejected as `overloaded`. */
   refusedShare: number
   slots: number
 }
 
-/** What became of the runs. */
+/** A request runner that records its runs. */
 export interface FakeRunner extends RequestRunner {
-  /** Runs that began, by custom text of the item. */
+  /** Number of started runs by prompt. */
   started: Map<string, number>
   cancelled: () => number
   running: () => number
-  /** Run time of items whose prompt is `SLOW`. */
+  /** Duration of runs with the prompt `SLOW`. */
   slowMs: number
 }
 
-/** Words in a prompt that make the fake endpoint fail. */
+/** Words in a prompt that make the run fail. */
 export const FAILING_PROMPTS = { fail: 'FAIL', refuse: 'REJECT', quarantine: 'QUARANTINED' }
 
 /**
- * @param options - time and behaviour
- * @returns a runner at rest
+ * @param options - clock and behaviour
+ * @returns a runner without runs
  */
 export function createFakeRunner (options: FakeRunnerOptions): FakeRunner {
   const started = new Map<string, number>()
--- a/packages/anvilarch-daemon/src/jobs/__fixtures__/faultyPlatform.ts
+++ b/packages/anvilarch-daemon/src/jobs/__fixtures__/faultyPlatform.ts
@@ -1,15 +1,15 @@
-/** Ports of one process to a memory store, through a network that can fail. */
+/** Platform ports of one process to a memory store, with injected network faults. */
 import type { PlatformPorts } from 'anvilarch-protocol'
 import { AnvilarchError, type Clock, type Random, sleep } from 'anvilarch-utils'
 import type { MemoryStore } from './memoryStore'
 
-/** Faults of one service. They hold from the next call on. */
+/** Faults of one service. Changes apply from the next call on. */
 export interface ServiceFaults {
-  /** Refuses at once. */
+  /** Calls fail at once, without effect. */
   outage: boolean
-  /** Each way. */
+  /** Latency in each direction. */
   latencyMs: number
-  /** Share of calls whose effect happens and whose reply does not come. */
+  /** Share of calls that take effect but whose reply is lost. */
   loseReplies: number
 }
 
@@ -19,9 +19,9 @@
   objects: ServiceFaults
 }
 
-/** Holds back the replies to a process that is stopped, or drops them when it is dead. */
+/** Delays the replies to a paused process, and drops those to a dead one. */
 export interface ProcessGate {
-  /** Resolves when the process runs; never when it is dead. */
+  /** Resolves when the process is running; never if it is dead. */
   pass: () => Promise<void>
 }
 
@@ -29,7 +29,7 @@
 export interface FaultyPlatformOptions {
   store: MemoryStore
   faults: PlatformFaults
-  /** Time of the network, which goes on while a process is stopped. */
+  /** Clock of the network, which advances while a process is paused. */
   clock: Clock
   random: Random
   timeoutMs: number
@@ -45,8 +45,8 @@
 }
 
 /**
- * @param options - store, faults and time
- * @returns the ports
+ * @param options - store, faults and clock
+ * @returns the platform ports
  */
 export function createFaultyPlatform (options: FaultyPlatformOptions): PlatformPorts {
   const { store, clock, random, timeoutMs } = options
--- a/packages/anvilarch-daemon/src/jobs/__fixtures__/memoryStore.ts
+++ b/packages/anvilarch-daemon/src/jobs/__fixtures__/memoryStore.ts
@@ -1,10 +1,10 @@
-/** The rows and objects of the platform in memory, with the semantics of the ports. */
+/** An in-memory table and object store with the semantics of the platform ports. */
 import type { Commit, CommitResult, Row, ScanPage } from 'anvilarch-protocol'
 
-/** Told of each commit that takes effect. */
+/** Called for each commit that takes effect. */
 export type CommitListener = (commit: Commit, rows: ReadonlyMap<string, Row>) => void
 
-/** Table and objects, without faults. */
+/** Table and object store, without faults. */
 export interface MemoryStore {
   rows: Map<string, Row>
   objects: Map<string, Uint8Array>
@@ -17,7 +17,7 @@
 }
 
 /**
- * @param onCommit - told of each commit before its writes are applied
+ * @param onCommit - called for each commit before its writes are applied
  * @returns an empty store
  */
 export function createMemoryStore (onCommit: CommitListener = () => {}): MemoryStore {
--- a/packages/anvilarch-daemon/src/jobs/__fixtures__/simulatedCaller.ts
+++ b/packages/anvilarch-daemon/src/jobs/__fixtures__/simulatedCaller.ts
@@ -1,4 +1,4 @@
-/** A caller of the simulated fleet: uploads without HTTP, sends jobs again until it is told what became of them. */
+/** A caller of the simulated fleet that uploads, submits, cancels and reads jobs without HTTP. */
 import { createRandom } from 'anvilarch-utils'
 import { OBJECT_NAMES } from 'anvilarch-protocol'
 import { acceptJob } from '../acceptJob'
@@ -8,19 +8,19 @@
 import { type FileRow, type JobRow, parseRow, type PartRow, type ResultKind } from '../rows'
 import type { SimulatedFleet, SimulatedGateway } from './simulatedFleet'
 
-/** A job as its caller knows it. */
+/** A job and what its caller has received about it. */
 export interface SubmittedJob {
   key: string
-  /** Uploads of the same content. */
+  /** Files with the same content. */
   fileIds: string[]
   prompts: string[]
-  /** Ids that the caller was told; more than one is a fault. */
+  /** Job ids that the caller received; more than one is a fault. */
   ids: Set<string>
-  /** The caller was told that the job is cancelled. */
+  /** Whether the caller received the confirmation of a cancellation. */
   cancelled: boolean
 }
 
-/** Results of a job, as its files have them. */
+/** One result of a job, as read from its result files. */
 export interface ReadResult {
   customId: string
   kind: ResultKind
@@ -31,11 +31,11 @@
 const PART_ITEMS = 4
 
 /**
- * @param fleet - to upload to
- * @param number - of the job
- * @param prompts - one for each item
- * @param partItems - items of one part
- * @returns a job that was not sent yet, whose content was uploaded twice
+ * @param fleet - fleet to upload to
+ * @param number - number of the job
+ * @param prompts - one prompt for each item
+ * @param partItems - number of items in one part
+ * @returns a job that is not submitted yet and whose content was uploaded twice
  */
 export async function uploadJob (fleet: SimulatedFleet, number: number, prompts: string[], partItems = PART_ITEMS): Promise<SubmittedJob> {
   const fileIds = [`file-${number}a`, `file-${number}b`]
@@ -57,11 +57,11 @@
 }
 
 /**
- * Sends a job through a gateway; an error is what a caller sees as one.
+ * Submits a job through a gateway. Rejects with the error that a caller would receive.
  *
- * @param gateway - that takes it
- * @param job - to send, for the first time or again
- * @param upload - of its content, which it names
+ * @param gateway - gateway that receives the request
+ * @param job - job to submit, for the first time or again
+ * @param upload - index of the file to name
  */
 export async function submitJob (gateway: SimulatedGateway, job: SubmittedJob, upload: number): Promise<void> {
   const batch = { fileId: job.fileIds[upload], endpoint: '/v1/chat/completions', completionWindow: '24h', windowMs: 86_400_000, metadata: null }
@@ -71,8 +71,8 @@
 }
 
 /**
- * @param gateway - that takes the request
- * @param job - to cancel
+ * @param gateway - gateway that receives the request
+ * @param job - job to cancel
  */
 export async function cancelSubmitted (gateway: SimulatedGateway, job: SubmittedJob): Promise<void> {
   const [jobId] = job.ids
@@ -82,9 +82,9 @@
 }
 
 /**
- * @param fleet - that ran the job
- * @param jobId - of the job
- * @returns row of the job, if there is one
+ * @param fleet - fleet that ran the job
+ * @param jobId - id of the job
+ * @returns row of the job, if it exists
  */
 export function jobRowOf (fleet: SimulatedFleet, jobId: string): JobRow | undefined {
   const row = fleet.store.rows.get(`job/${jobId}`)
@@ -92,9 +92,9 @@
 }
 
 /**
- * @param fleet - that ran the job
- * @param jobId - of the job
- * @returns every result that a caller would read
+ * @param fleet - fleet that ran the job
+ * @param jobId - id of the job
+ * @returns all results that a caller would read
  */
 export function readResults (fleet: SimulatedFleet, jobId: string): ReadResult[] {
   return [...fleet.store.rows.values()].filter(row => row.key.startsWith(`part/${jobId}/`)).flatMap(row => {
@@ -114,9 +114,9 @@
 }
 
 /**
- * @param fleet - that runs the jobs
- * @param key - of a job
- * @returns jobs that were accepted under the key
+ * @param fleet - fleet that runs the jobs
+ * @param key - idempotency key
+ * @returns number of jobs that were accepted under the key
  */
 export function jobsUnderKey (fleet: SimulatedFleet, key: string): number {
   const jobs = [...fleet.store.rows.values()].filter(row => row.key.startsWith('job/'))
--- a/packages/anvilarch-daemon/src/jobs/__fixtures__/simulatedFleet.ts
+++ b/packages/anvilarch-daemon/src/jobs/__fixtures__/simulatedFleet.ts
@@ -1,4 +1,4 @@
-/** Several gateways in one process, on one in-memory platform, which can be paused, resumed and killed. */
+/** Several gateways in one process, on one in-memory platform. Each can be paused, resumed and killed. */
 import { type Clock, createFakeClock, createLifecycleManager, createRandom, type FakeClock, onViolation } from 'anvilarch-utils'
 import { ROW_KEYS } from 'anvilarch-protocol'
 import type { DaemonContext } from '../../context'
@@ -11,7 +11,7 @@
 import { type CommitListener, createMemoryStore, type MemoryStore } from './memoryStore'
 import { createTestContext, STATIC_DIRECTORY } from './testContext'
 
-/** A gateway of the fleet. */
+/** A gateway of the simulated fleet. */
 export interface SimulatedGateway {
   name: string
   context: DaemonContext
@@ -26,7 +26,7 @@
   pause: () => void
   resume: () => void
   kill: () => void
-  state: () => 'running' | 'stopped' | 'dead'
+  state: () => 'running' | 'paused' | 'dead'
   /** Runs an action now, when the process resumes, or never if it is dead. */
   run: (action: () => void) => void
 }
@@ -37,12 +37,12 @@
   store: MemoryStore
   faults: PlatformFaults
   gateways: SimulatedGateway[]
-  /** What must never happen and did. */
+  /** Violated invariants. */
   violations: string[]
-  /** Results that a gateway started from now on keeps while it can't commit. */
+  /** Bound of the result buffer of gateways that are added later. */
   maxBufferedItems: number
   addGateway: () => SimulatedGateway
-  /** A process that runs nothing yet. */
+  /** Adds a process without a worker. */
   addProcess: () => Pick<SimulatedGateway, 'name' | 'context' | 'gate'>
   running: () => SimulatedGateway[]
 }
@@ -52,28 +52,28 @@
 const SLOTS = 6
 const MAX_BUFFERED_BYTES = 1_000_000
 
-/** Violations of the fleet that was created last: invariants in the program have no other way to say whose they are. */
+/** Violations of the fleet that was created last: the listener of violated invariants is global and does not name a fleet. */
 let current: string[] = []
 onViolation((name, detail) => { current.push(`invariant "${name}": ${detail}`) })
 
 /** @returns a gate of a running process */
 export function createGate (): Gate {
-  let state: 'running' | 'stopped' | 'dead' = 'running'
+  let state: 'running' | 'paused' | 'dead' = 'running'
   let waiting: Array<() => void> = []
   const run = (action: () => void): void => {
     if (state === 'running') action()
-    else if (state === 'stopped') waiting.push(action)
+    else if (state === 'paused') waiting.push(action)
   }
   return {
     run,
     pass: async () => { await new Promise<void>(resolve => { run(resolve) }) },
-    pause: () => { if (state === 'running') state = 'stopped' },
+    pause: () => { if (state === 'running') state = 'paused' },
     kill: () => {
       state = 'dead'
       waiting = []
     },
     resume: () => {
-      if (state !== 'stopped') return
+      if (state !== 'paused') return
       state = 'running'
       const queued = waiting
       waiting = []
@@ -83,14 +83,14 @@
   }
 }
 
-/** Time goes on while a process is stopped; its timers fire when it is continued. */
+/** Wraps a clock that advances while the process is paused; its timers fire when the process resumes. */
 function gatedClock (clock: Clock, gate: Gate): Clock {
   return { ...clock, after: (delayMs, onFire) => clock.after(delayMs, () => { gate.run(onFire) }) }
 }
 
 /**
- * @param seed - of all random numbers
- * @param refusedShare - share of runs that the endpoints refuse
+ * @param seed - seed of all random numbers
+ * @param refusedShare - share of runs that the endpoints reject
  * @returns a fleet without gateways
  */
 export function createSimulatedFleet (seed: number, refusedShare: number): SimulatedFleet {
@@ -135,7 +135,7 @@
   return await startWorker(context, { runner, directory: STATIC_DIRECTORY, heartbeat, observer }, lifecycle, { buffer: { maxItems, maxBytes: MAX_BUFFERED_BYTES } })
 }
 
-/** Looks at each commit as the table takes it, since what is wrong there may be hidden by a later commit. */
+/** Checks each commit as the table applies it, since a later commit could hide a violation. */
 function checkCommit (violations: string[]): CommitListener {
   return ({ writes }, rows) => {
     for (const { key, value } of writes) {
--- a/packages/anvilarch-daemon/src/jobs/__fixtures__/testContext.ts
+++ b/packages/anvilarch-daemon/src/jobs/__fixtures__/testContext.ts
@@ -1,4 +1,4 @@
-/** The shared parts of a gateway under test. */
+/** Creates the daemon context of a gateway under test. */
 import type { ConfigurationDocument, DaemonSettings, GatewaySettings } from 'anvilarch-configuration'
 import type { PlatformPorts } from 'anvilarch-protocol'
 import { type Clock, createRandom, SILENT_LOGGER } from 'anvilarch-utils'
@@ -19,7 +19,7 @@
   document?: ConfigurationDocument
 }
 
-/** Settings that tests of jobs depend on; short parts, so that a small job has several. */
+/** Settings that tests of jobs depend on; parts are small, so that a small job has several. */
 const GATEWAY: Partial<GatewaySettings> = {
   pollIntervalMs: 1_000,
   leaseMs: 6_000,
@@ -29,7 +29,7 @@
   drainTimeoutMs: 20_000
 }
 
-/** One service for model `m`, and room for a few jobs. */
+/** Configuration with one service for model `m` and a limit of three active jobs. */
 export const TEST_DOCUMENT: ConfigurationDocument = {
   formatVersion: 1,
   regions: { r: { failureDomains: ['d'] } },
@@ -55,8 +55,8 @@
 }
 
 /**
- * @param options - identity, time and platform
- * @returns a context
+ * @param options - identity, clock and platform
+ * @returns a context with fixed configuration
  */
 export function createTestContext (options: TestContextOptions): DaemonContext {
   const document = options.document ?? TEST_DOCUMENT
--- a/packages/anvilarch-daemon/src/jobs/__fixtures__/testGateway.ts
+++ b/packages/anvilarch-daemon/src/jobs/__fixtures__/testGateway.ts
@@ -1,4 +1,4 @@
-/** A gateway's leases and jobs on an in-memory platform and the clock of the machine. */
+/** Leases and jobs of a gateway, on an in-memory platform and the system clock. */
 import { createLifecycleManager, createRandom, createSystemClock, type LifecycleManager } from 'anvilarch-utils'
 import type { DaemonContext } from '../../context'
 import { startHeartbeat } from '../../leases/startHeartbeat'
@@ -20,7 +20,7 @@
   jobs: JobsHandle
   server: TestServer
   lifecycle: LifecycleManager
-  /** Puts the wall clock forward; timers go on as before. */
+  /** Advances the wall clock without affecting timers. */
   skipTime: (skippedMs: number) => void
   stop: () => Promise<void>
 }
@@ -32,8 +32,8 @@
 }
 
 /**
- * @param options - what differs from a plain gateway
- * @returns the gateway, serving
+ * @param options - differences from the default gateway
+ * @returns the started gateway
  */
 export async function startTestGateway (options: TestGatewayOptions = {}): Promise<TestGateway> {
   const system = createSystemClock()
--- a/packages/anvilarch-daemon/src/jobs/__fixtures__/testServer.ts
+++ b/packages/anvilarch-daemon/src/jobs/__fixtures__/testServer.ts
@@ -1,4 +1,4 @@
-/** A minimal HTTP front for the routes of jobs. */
+/** A minimal HTTP server for the routes of jobs. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import findMyWay from 'find-my-way'
@@ -6,17 +6,17 @@
 import { sendError } from '../../callers/http/errorResponse'
 import type { CallerContext, Route } from '../../callers/types'
 
-/** A listening front. */
+/** A listening server. */
 export interface TestServer {
   url: string
   close: () => Promise<void>
 }
 
 /**
- * The bearer key names the caller.
+ * The bearer token is the name of the caller.
  *
- * @param routes - to serve
- * @returns the front, listening on a free port
+ * @param routes - routes to serve
+ * @returns the server, listening on a free port
  */
 export async function startTestServer (routes: Route[]): Promise<TestServer> {
   const router = findMyWay()
--- a/packages/anvilarch-daemon/src/jobs/__tests__/contents.test.ts
+++ b/packages/anvilarch-daemon/src/jobs/__tests__/contents.test.ts
@@ -4,7 +4,7 @@
 import { startTestGateway, type TestGateway } from '../__fixtures__/testGateway'
 
 describe('createLineSplitter', () => {
-  it('gives the same lines however the bytes are cut', () => {
+  it('returns the same lines however the bytes are split', () => {
     const text = 'one\n\ntwo é\nthree'
     for (let size = 1; size < text.length; size++) {
       const splitter = createLineSplitter(100)
@@ -18,8 +18,8 @@
 })
 
 describe('createChunkWriter', () => {
-  // Guards against this: a gateway that runs out of memory on a large upload.
-  it('takes no more from the caller while two chunks are on their way', async () => {
+  // Guards against a gateway that runs out of memory during a large upload.
+  it('accepts no more data while two chunks are being written', async () => {
     const finishPut: Array<() => void> = []
     const objects = { putIfAbsent: async () => await new Promise<'created'>(resolve => { finishPut.push(() => { resolve('created') }) }) }
     const writer = createChunkWriter({ objects: objects as never, fileId: 'f', partItems: 2, partBytes: 10_000, maxItemBytes: 1_000, maxFileBytes: 100_000 })
@@ -45,8 +45,8 @@
 
   afterEach(async () => { await gateway.stop() })
 
-  // Guards against this: a caller that takes half of its results for all of them.
-  it('breaks the connection when it can not go on, so that a part is not taken for the whole', async () => {
+  // Guards against a caller that mistakes partial results for complete ones.
+  it('closes the connection when the rest of the content cannot be read', async () => {
     const client = createBatchClient(gateway.server.url)
     const file = await client.upload(itemLines(20))
     const batch = await client.untilEnded((await client.submit(file.id)).id)
@@ -64,11 +64,12 @@
     }
     expect((await client.results(batch.output_file_id)).length).toBe(20)
   })
-  // Guards against this: the next answer on the connection passes for the rest of a file.
+
+  // Guards against a client that reads the next response on the connection as the rest of a file.
   it.each([
     ['shorter', (body: Uint8Array) => body.slice(1)],
     ['longer', (body: Uint8Array) => Buffer.concat([body, body])]
-  ])('sends nothing after a file whose last chunk is %s than it was', async (_name, change) => {
+  ])('sends nothing more after a file whose last chunk is %s than recorded', async (_name, change) => {
     const file = await createBatchClient(gateway.server.url).upload(itemLines(20))
     const { objects } = gateway.context.platform
     const { get } = objects
@@ -84,8 +85,8 @@
     expect(text).not.toContain('"object":"list"')
   })
 
-  // Guards against this: a caller waits for bytes that never come.
-  it('answers with an error when the only chunk of a file is too short', async () => {
+  // Guards against a caller that waits for bytes that are never sent.
+  it('returns an error when the only chunk of a file is too short', async () => {
     const file = await createBatchClient(gateway.server.url).upload(itemLines(1))
     const { objects } = gateway.context.platform
     const { get } = objects
--- a/packages/anvilarch-daemon/src/jobs/__tests__/itemAttempts.test.ts
+++ b/packages/anvilarch-daemon/src/jobs/__tests__/itemAttempts.test.ts
@@ -8,19 +8,19 @@
 import { createPartItems, type PartItems } from '../partItems'
 import type { JobRow, PartRow } from '../rows'
 
-/** What an endpoint does with items: it runs them, answers 500, takes none, or is lost with each that it takes. */
+/** Behaviour of an endpoint: completes items, returns 500, accepts none, or is lost with each item that it accepts. */
 type Behaviour = 'works' | 'fails' | 'away' | 'lost'
 
 const ENDPOINTS = ['e1', 'e2', 'e3']
 const MAX_ATTEMPTS = 4
 const RUN_MS = 100
 const DAY_MS = 86_400_000
-/** Longest time from one change to the next. */
+/** Longest time between two changes of behaviour. */
 const MAX_PHASE_MS = 20_000
 const SEED = Number(process.env.ITEM_ATTEMPTS_SEED ?? 20_802)
 const HISTORIES = Number(process.env.ITEM_ATTEMPTS_HISTORIES ?? 200)
 
-/** Items of one part at endpoints whose behaviour the test sets. */
+/** Simulates the items of one part at endpoints whose behaviour the test sets. */
 class ItemSimulation {
   readonly clock: FakeClock = createFakeClock(1_000_000)
   readonly behaviour = new Map<string, Behaviour>(ENDPOINTS.map(name => [name, 'works']))
@@ -77,7 +77,7 @@
     return pool.length === 0 ? undefined : this.random.pick(pool)
   }
 
-  /** @returns whether all items have ended */
+  /** @returns whether all items are final */
   async advance (durationMs: number): Promise<boolean> {
     const untilMs = this.clock.nowMs() + durationMs
     while (this.clock.nowMs() < untilMs && this.items.waiting() + this.items.running() > 0) {
@@ -109,8 +109,8 @@
 })
 
 describe('attempts of items', () => {
-  // Guards against this: an item is listed as failed by the one endpoint that is left, which fails everything.
-  it('does an item that one endpoint fails again and again, once another one is back', async () => {
+  // Guards against an item that fails because the only remaining endpoint fails everything.
+  it('completes an item that one endpoint fails repeatedly once another endpoint is available', async () => {
     const simulation = new ItemSimulation(['a', 'b', 'c'], SEED)
     simulation.set(['fails', 'away', 'away'])
     expect(await simulation.advance(60_000)).toBe(false)
@@ -119,8 +119,8 @@
     expect([...simulation.kinds.values()]).toEqual(['output', 'output', 'output'])
   })
 
-  // Guards against this: one endpoint of two is lost with the item, and counts as one that has failed it.
-  it('takes an endpoint that was lost while it ran the item for none that has failed it', async () => {
+  // Guards against an endpoint that was lost during a run being counted as one that has failed the item.
+  it('does not count an endpoint that was lost while it ran the item as one that has failed it', async () => {
     const simulation = new ItemSimulation(['a'], SEED, 2)
     const lostFirst = jest.spyOn(simulation as unknown as { run: (request: WorkRequest) => Promise<WorkResult> }, 'run')
     lostFirst.mockResolvedValueOnce(answered(500, ['e2', 'e1']))
@@ -131,8 +131,8 @@
     expect([...simulation.kinds.values()]).toEqual(['output'])
   })
 
-  // Guards against this: an item is listed as failed by one endpoint, since others were lost with it before.
-  it('takes the loss of an endpoint for no attempt of the items that it ran', async () => {
+  // Guards against an item that fails at one endpoint for good because other endpoints were lost with it before.
+  it('does not count the loss of an endpoint as an attempt of the items that it ran', async () => {
     const simulation = new ItemSimulation(['a', 'b'], SEED)
     simulation.set(['away', 'lost', 'away'])
     for (let run = 1; run < MAX_ATTEMPTS; run++) expect(await simulation.advance(2_000)).toBe(false)
@@ -143,7 +143,7 @@
     expect([...simulation.kinds.values()]).toEqual(['output', 'output'])
   })
 
-  it('does the items that can be done, whatever the other endpoints do beside one that fails', async () => {
+  it('completes all valid items, whatever the other endpoints do beside one that fails', async () => {
     const property = fc.asyncProperty(fc.array(phase, { minLength: 1, maxLength: 8 }), fc.nat({ max: 1_000 }), async (phases, seed) => {
       const simulation = new ItemSimulation(['a', 'FAIL b', 'c', 'd', 'FAIL e', 'f'], seed)
       for (const { failing, others, ms } of phases) {
@@ -158,21 +158,21 @@
     await fc.assert(property, { seed: SEED, numRuns: HISTORIES })
   }, 60_000)
 
-  // Guards against this: an item that no endpoint can do keeps its job open and the endpoints busy.
-  it('ends an item that every endpoint fails after its attempts', async () => {
+  // Guards against an item that every endpoint fails and that keeps its job active and the endpoints busy.
+  it('ends an item that every endpoint fails after its maximum number of attempts', async () => {
     const simulation = new ItemSimulation(['FAIL a'], SEED)
     expect(await simulation.advance(60_000)).toBe(true)
     expect([simulation.kinds.get(0), simulation.runs.get('FAIL a')]).toEqual(['error', MAX_ATTEMPTS])
   })
 
-  it('ends an item that the only endpoint of its service fails after its attempts', async () => {
+  it('ends an item that the only endpoint of its service fails after its maximum number of attempts', async () => {
     const simulation = new ItemSimulation(['FAIL a'], SEED, 1)
     simulation.set(['works', 'away', 'away'])
     expect(await simulation.advance(60_000)).toBe(true)
     expect([simulation.kinds.get(0), simulation.runs.get('FAIL a')]).toEqual(['error', MAX_ATTEMPTS])
   })
 
-  it('ends an item within minutes when the endpoints that have not failed it never come back', async () => {
+  it('ends an item within minutes when the endpoints that have not failed it stay unavailable', async () => {
     const simulation = new ItemSimulation(['FAIL a'], SEED)
     simulation.set(['works', 'away', 'away'])
     expect(await simulation.advance(10 * 60_000)).toBe(true)
--- a/packages/anvilarch-daemon/src/jobs/__tests__/itemRuns.test.ts
+++ b/packages/anvilarch-daemon/src/jobs/__tests__/itemRuns.test.ts
@@ -6,7 +6,7 @@
 import type { JobRow, PartRow } from '../rows'
 
 const ITEMS = 24
-/** Beyond every delay between two runs, so that no test waits for one. */
+/** Longer than every delay between two runs, so that no test waits for one. */
 const LATER_MS = 600_000
 
 const endpoint = (name: string): FakeAgentOptions => ({ name, kind: 'model' })
@@ -53,16 +53,16 @@
 
   afterEach(async () => { await gateway.stop() })
 
-  // Guards against this: each run of an item goes to the one endpoint that fails it, while others would do it.
-  it('goes to another endpoint with the next run of an item', async () => {
+  // Guards against an item whose runs all go to the one endpoint that fails it, while other endpoints would complete it.
+  it('sends the next run of a failed item to another endpoint', async () => {
     await start([{ ...endpoint('a1'), status: 500 }, endpoint('a2'), endpoint('a3')])
     await runAll()
     expect(gateway.agents[0].executions).not.toEqual([])
     expect(kinds()).toEqual({ output: ITEMS, error: 0 })
   })
 
-  // Guards against this: an item is left undone as it may not go back to the only endpoint that takes it.
-  it('goes back to the endpoint that failed an item when no other one takes it', async () => {
+  // Guards against an item that is never completed because the only endpoint that accepts it is excluded after a failure.
+  it('returns to the endpoint that failed an item when no other endpoint accepts it', async () => {
     const failing: FakeAgentOptions = { ...endpoint('a1'), status: 500 }
     await start([failing, endpoint('a2')])
     gateway.agents[1].faults.refuse = 'overloaded'
--- a/packages/anvilarch-daemon/src/jobs/__tests__/jobFailures.test.ts
+++ b/packages/anvilarch-daemon/src/jobs/__tests__/jobFailures.test.ts
@@ -16,7 +16,7 @@
 const endedParts = (gateway: SimulatedGateway): unknown[] =>
   gateway.context.timeline.query().filter(({ event }) => event === 'jobs.part_ended').map(({ detail }) => detail?.end)
 
-/** Advances until a condition holds and returns how long it took. */
+/** Advances the clock until a condition is true and returns the elapsed time. */
 async function advanceUntil (fleet: SimulatedFleet, condition: () => boolean, limitMs = 120_000): Promise<number> {
   let elapsedMs = 0
   for (; !condition() && elapsedMs < limitMs; elapsedMs += 50) await fleet.clock.advanceAsync(50)
@@ -46,7 +46,7 @@
 
   beforeEach(() => { fleet = createSimulatedFleet(5, 0) })
 
-  // Guards against this: an accepted job that nobody runs.
+  // Guards against an accepted job that no gateway runs.
   it('runs a job whose gateway is lost right after it accepted it', async () => {
     const [accepting] = await start(2, 20)
     accepting.gate.kill()
@@ -54,7 +54,7 @@
     expectAllResults()
   })
 
-  it('takes over the parts of a lost gateway a little after its lease, and runs only what was not committed', async () => {
+  it('takes over the parts of a lost gateway soon after its lease has expired, and runs only uncommitted items', async () => {
     const [lost, other] = await start(2, 40)
     await advanceUntil(fleet, () => partRows(fleet).filter(row => row.holder === 'g0.1').length >= 2)
     lost.gate.kill()
@@ -68,8 +68,8 @@
     expect(startedRuns(other)).toBeLessThanOrEqual(40)
   })
 
-  // Guards against this: items shown twice.
-  it('refuses the commit of a holder that was stopped past its lease', async () => {
+  // Guards against items with two results: a late commit of the previous holder takes effect after a takeover.
+  it('rejects the commit of a holder that was paused beyond its lease', async () => {
     const [holder] = await start(1, 8, 8)
     const { table } = holder.context.platform
     const { commit } = table
@@ -96,7 +96,7 @@
     expect(endedParts(holder)).toEqual(['taken_over'])
   })
 
-  it('starts no item while its lease has lapsed, and goes on after it has read its parts again', async () => {
+  it('starts no item while its lease has lapsed, and continues after rereading its parts', async () => {
     const [only] = await start(1, 200, 200)
     await advanceUntil(fleet, () => startedRuns(only) > 20)
     fleet.faults.table.outage = true
@@ -110,7 +110,7 @@
     expect(startedRuns(only)).toBe(200)
   })
 
-  it('keeps every part with its holder over an outage of the table', async () => {
+  it('keeps the holder of every part during an outage of the table', async () => {
     await start(3, 120)
     await advanceUntil(fleet, () => partRows(fleet).length >= 6)
     fleet.faults.table.outage = true
@@ -121,8 +121,8 @@
     expect(Math.max(...partRows(fleet).map(row => row.epoch))).toBe(1)
   })
 
-  // Guards against this: a gateway that runs out of memory.
-  it('pauses when the results that it can not write fill the buffer, and resumes', async () => {
+  // Guards against a gateway that runs out of memory during an outage of the object store.
+  it('starts no more items while uncommitted results fill the buffer, and resumes afterwards', async () => {
     fleet.maxBufferedItems = 12
     const [only] = await start(1, 100, 100)
     fleet.faults.objects.latencyMs = 0
@@ -138,7 +138,7 @@
     expect(startedRuns(only)).toBe(100)
   })
 
-  it('hands its parts back when it drains, so that others go on at once', async () => {
+  it('releases its parts when it drains, so that other gateways continue them at once', async () => {
     const [draining, other] = await start(2, 80)
     await advanceUntil(fleet, () => partRows(fleet).filter(row => row.holder === 'g0.1').length >= 2)
     const drained = draining.worker()?.drain()
@@ -154,8 +154,8 @@
     expect(startedRuns(draining) + startedRuns(other)).toBe(80)
   })
 
-  // Guards against this: items failed that were never run.
-  it('waits without using up attempts while the fleet refuses its items', async () => {
+  // Guards against items that fail without a run because rejections count as attempts.
+  it('waits without counting attempts while the fleet rejects its items', async () => {
     const [only] = await start(1, 8)
     const { run } = only.runner
     let refused = 0
--- a/packages/anvilarch-daemon/src/jobs/__tests__/jobHistories.test.ts
+++ b/packages/anvilarch-daemon/src/jobs/__tests__/jobHistories.test.ts
@@ -1,7 +1,7 @@
 /**
- * Symptoms looked for: an item without a result, an item with two, a result after the cancel, a second job for a resend.
- * Sequences: two or three gateways run jobs while the table and the object store fail, are slow or lose replies, and while
- * gateways are stopped past their lease and continued, killed and replaced, or drained.
+ * Guards against an item without a result, an item with two results, a result committed after a cancel, and a second job for a
+ * resend. Random histories: three gateways run jobs while the table and the object store fail, are slow or lose replies, and
+ * while gateways are paused beyond their lease and resumed, killed and replaced, or drained.
  */
 import fc from 'fast-check'
 import { FAILING_PROMPTS } from '../__fixtures__/fakeRunner'
@@ -11,7 +11,7 @@
 type Step =
   | { type: 'wait', ms: number }
   | { type: 'submit' | 'cancel', job: number, gateway: number, upload: number }
-  | { type: 'stop' | 'proceed' | 'kill' | 'drain', gateway: number }
+  | { type: 'pause' | 'resume' | 'kill' | 'drain', gateway: number }
   | { type: 'fault', service: 'table' | 'objects', kind: 'outage' | 'latency' | 'lost' | 'none' }
 
 const GATEWAYS = 3
@@ -26,7 +26,7 @@
 const step: fc.Arbitrary<Step> = fc.oneof(
   { weight: 6, arbitrary: fc.record({ type: fc.constant('wait' as const), ms: fc.integer({ min: 50, max: 9_000 }) }) },
   { weight: 3, arbitrary: fc.record({ type: fc.constantFrom('submit' as const, 'submit' as const, 'cancel' as const), job, gateway, upload }) },
-  { weight: 4, arbitrary: fc.record({ type: fc.constantFrom('stop' as const, 'proceed' as const, 'kill' as const, 'drain' as const), gateway }) },
+  { weight: 4, arbitrary: fc.record({ type: fc.constantFrom('pause' as const, 'resume' as const, 'kill' as const, 'drain' as const), gateway }) },
   {
     weight: 4,
     arbitrary: fc.record({
@@ -57,14 +57,14 @@
     const target = fleet.gateways[step.gateway]
     if (step.type === 'submit') ignoreErrors(submitJob(target, jobs[step.job], step.upload))
     else if (step.type === 'cancel') ignoreErrors(cancelSubmitted(target, jobs[step.job]))
-    else if (step.type === 'stop') target.gate.pause()
-    else if (step.type === 'proceed') target.gate.resume()
+    else if (step.type === 'pause') target.gate.pause()
+    else if (step.type === 'resume') target.gate.resume()
     else if (step.type === 'drain') ignoreErrors(target.worker()?.drain() ?? Promise.resolve())
     else kill(fleet, step.gateway)
   }
 }
 
-/** A killed gateway is replaced by another one, in its place in the list. */
+/** Kills a gateway and puts a new one in its place in the list. */
 function kill (fleet: SimulatedFleet, index: number): void {
   fleet.gateways[index].gate.kill()
   fleet.addGateway()
@@ -102,7 +102,7 @@
 }
 
 describe('histories of jobs over several gateways', () => {
-  it('gives each item one result, none after a cancel, and a resend the same job', async () => {
+  it('commits one result for each item and none after a cancel, and returns the same job for a resend', async () => {
     const property = fc.asyncProperty(fc.array(step, { minLength: 5, maxLength: 40, size: 'max' }), fc.nat({ max: 1_000 }), async (steps, seed) => {
       const fleet = createSimulatedFleet(seed, 0.1)
       for (let number = 0; number < GATEWAYS; number++) fleet.addGateway()
--- a/packages/anvilarch-daemon/src/jobs/__tests__/jobRoutes.test.ts
+++ b/packages/anvilarch-daemon/src/jobs/__tests__/jobRoutes.test.ts
@@ -4,7 +4,7 @@
 
 const rowsOf = (gateway: TestGateway, prefix: string): string[] => [...gateway.store.rows.keys()].filter(key => key.startsWith(prefix))
 
-describe('uploads that are refused', () => {
+describe('rejected uploads', () => {
   let gateway: TestGateway
   let client: BatchClient
 
@@ -28,17 +28,17 @@
     ['has an unknown url', '{"custom_id":"x","method":"POST","url":"/v1/embeddings","body":{"model":"m"}}', /Line 7 .*"\/v1\/embeddings"/],
     ['repeats a custom_id', itemLine(5), /Line 7 .*"c-5" was used on line 6/],
     ['is too long', itemLine(6, 'x'.repeat(3_000)), /Line 7 .*2048 bytes/]
-  ])('names the line that %s and keeps nothing', async (_name, line, message) => {
+  ])('names the line that %s and stores nothing', async (_name, line, message) => {
     await expect(client.upload(itemLines(6) + line + '\n' + itemLines(3))).rejects.toMatchObject({ status: 400, message: expect.stringMatching(message) })
     expectNothingStored()
   })
 
-  it.each([['no items', '\n\n'], ['blank lines without end', '\n'.repeat(9_000)]])('refuses a file of %s', async (_name, content) => {
+  it.each([['no items', '\n\n'], ['blank lines without end', '\n'.repeat(9_000)]])('rejects a file of %s', async (_name, content) => {
     await expect(client.upload(content)).rejects.toMatchObject({ status: 400 })
     expectNothingStored()
   })
 
-  it('refuses a form of another purpose, and one without a file', async () => {
+  it('rejects a form with another purpose, and one without a file', async () => {
     const post = async (fields: Record<string, string | Blob>): Promise<number> => {
       const body = new FormData()
       for (const [name, value] of Object.entries(fields)) body.append(name, value as string)
@@ -50,8 +50,8 @@
     expectNothingStored()
   })
 
-  // Guards against this: half a file that can be run, or chunks that stay for ever.
-  it('keeps nothing of an upload that breaks off', async () => {
+  // Guards against an incomplete file that can be run, and against chunks that are never removed.
+  it('stores nothing of an incomplete upload', async () => {
     await abortUpload(gateway.server.url, itemLines(40))
     await until(() => gateway.store.counts.puts > 0)
     await until(() => gateway.store.objects.size === 0 && rowsOf(gateway, 'upload/').length === 0)
@@ -62,7 +62,7 @@
     expectNothingStored()
   })
 
-  it('says that nothing was run, and when to come back, while a service of the platform is down', async () => {
+  it('reports that nothing was run, and when to retry, while a service of the platform is down', async () => {
     const expectRefusal = async (attempt: Promise<unknown>): Promise<void> => {
       const error = await attempt.catch((caught: unknown) => caught)
       expect(error).toMatchObject({ status: 503, error: { ran: 'not_run' } })
@@ -80,7 +80,7 @@
   })
 })
 
-describe('jobs that are sent again', () => {
+describe('resubmitted jobs', () => {
   const store = createMemoryStore()
   let gateways: TestGateway[]
   let clients: BatchClient[]
@@ -95,8 +95,8 @@
 
   afterEach(async () => { for (const gateway of gateways) await gateway.stop() })
 
-  // Guards against this: one job run twice.
-  it('accepts one job when it is sent to two gateways at once, with and without a key, also when it was uploaded twice', async () => {
+  // Guards against a job that runs twice.
+  it('accepts one job when it is submitted to two gateways at once, with and without a key, even if its file was uploaded twice', async () => {
     const again = (await clients[1].upload(itemLines(6))).id
     for (const { faults } of gateways) faults.table.latencyMs = 8
     for (const key of [undefined, 'renewals/2026 #1']) {
@@ -108,7 +108,7 @@
     expect(rowsOf(gateways[0], 'job/').length).toBe(2)
   })
 
-  it('refuses other content under the key of a job', async () => {
+  it('rejects other content under the key of a job', async () => {
     await clients[0].submit(fileId, { key: 'k' })
     const other = (await clients[1].upload(itemLines(7))).id
     await expect(clients[1].submit(other, { key: 'k' })).rejects.toMatchObject({ status: 409 })
@@ -116,7 +116,7 @@
     expect(rowsOf(gateways[0], 'job/').length).toBe(1)
   })
 
-  it('makes a new job of the same content after a cancel, unless the caller named a key', async () => {
+  it('creates a new job for the same content after a cancel, unless the caller sent a key', async () => {
     for (const gateway of gateways) gateway.runner.slowMs = 60_000
     const slow = (await clients[0].upload(itemLine(0, 'SLOW'))).id
     const [plain, named] = [await clients[0].submit(slow), await clients[0].submit(slow, { key: 'k' })]
@@ -127,8 +127,8 @@
     expect((await clients[1].submit(slow, { key: 'k' })).id).toBe(named.id)
   })
 
-  // Guards against this: a caller told of an error, and a job that runs.
-  it('settles an accept whose reply was lost, or says that its outcome is unknown', async () => {
+  // Guards against a job that runs although its caller received a definite error.
+  it('determines whether a commit with a lost reply took effect, or reports that its outcome is unknown', async () => {
     const { table } = gateways[0].context.platform
     const { commit } = table
     let lost = 1
@@ -147,7 +147,7 @@
     table.commit = commit
   })
 
-  it('refuses more active jobs than the caller may have', async () => {
+  it('rejects jobs above the limit of active jobs of the caller', async () => {
     for (const gateway of gateways) gateway.runner.slowMs = 60_000
     const slow = (await clients[0].upload(itemLine(0, 'SLOW'))).id
     const jobs = []
--- a/packages/anvilarch-daemon/src/jobs/__tests__/openaiBatches.test.ts
+++ b/packages/anvilarch-daemon/src/jobs/__tests__/openaiBatches.test.ts
@@ -15,7 +15,7 @@
 
   afterEach(async () => { await gateway.stop() })
 
-  it('uploads a file, runs a batch and reads back one result for each item', async () => {
+  it('uploads a file, runs a batch and returns one result for each item', async () => {
     await start()
     const file = await client.upload(itemLines(30))
     expect(file).toMatchObject({ object: 'file', purpose: 'batch', filename: 'items.jsonl' })
@@ -28,8 +28,8 @@
     expect(gateway.store.counts.conflicts).toBe(0)
   })
 
-  // Guards against this: a job that never ends.
-  it('ends a batch whose items can never be done, with a reason for each in the error file', async () => {
+  // Guards against a job that never ends.
+  it('ends a batch with items that always fail, and lists a reason for each in the error file', async () => {
     await start()
     const prompts = [FAILING_PROMPTS.fail, FAILING_PROMPTS.refuse, FAILING_PROMPTS.quarantine, 'fine']
     const file = await client.upload(prompts.map((prompt, index) => itemLine(index, prompt)).join('\n'))
@@ -43,8 +43,8 @@
     expect(gateway.runner.started.get(FAILING_PROMPTS.quarantine)).toBe(1)
   }, 20_000)
 
-  // Guards against this: a cancelled job that goes on.
-  it('cancels running items within a poll, runs no further ones and keeps the partial results', async () => {
+  // Guards against a cancelled job that continues.
+  it('cancels running items within a poll, starts no more items and keeps the partial results', async () => {
     await start({ runner: { maxRunMs: 0, slots: 8 } })
     gateway.runner.slowMs = HOUR_MS
     const lines = Array.from({ length: 64 }, (_value, index) => itemLine(index, index % 4 === 0 ? 'fast' : 'SLOW'))
@@ -94,7 +94,7 @@
     expect((await createBatchClient(gateway.server.url, 'other').openai.batches.list()).data).toEqual([])
   })
 
-  it('shows nothing of one caller to another', async () => {
+  it('hides files and batches of one caller from another', async () => {
     await start()
     const { openai } = createBatchClient(gateway.server.url, 'other')
     const file = await client.upload(itemLines(2))
@@ -107,7 +107,7 @@
     for (const attempt of attempts) await expect(attempt).rejects.toMatchObject({ status: 404 })
   })
 
-  it('deletes a file that no active batch uses, and lets the sweeper have its chunks', async () => {
+  it('deletes a file that no active batch uses, and leaves its chunks to the sweeper', async () => {
     await start({ runner: { maxRunMs: 0, slots: 8 } })
     gateway.runner.slowMs = HOUR_MS
     const file = await client.upload(itemLine(1, 'SLOW'))
--- a/packages/anvilarch-daemon/src/jobs/__tests__/partCore.test.ts
+++ b/packages/anvilarch-daemon/src/jobs/__tests__/partCore.test.ts
@@ -12,7 +12,7 @@
 type Sent = Extract<PartCommand, { type: 'commit' }>
 type Reply = { sent: Sent, version: number | undefined }
 
-/** A holder with the messages that are on their way to and from the table. */
+/** A holder with its messages in transit to and from the table. */
 interface Holder {
   name: string
   state: PartState | undefined
@@ -21,7 +21,7 @@
   mustReread: boolean
 }
 
-/** A table with one part and its job, holders that send to it, and objects by name. */
+/** Model of a table with one part and its job, of the holders that send commits to it, and of the objects by name. */
 class TableModel {
   row: PartRow | undefined
   version = 0
@@ -67,7 +67,7 @@
     this.dispatch(holder, { type: 'objects_written' })
   }
 
-  /** The table takes a commit. A stopped holder's commit may come after those of others. */
+  /** Delivers a commit to the table, in any order: the commit of a paused holder may arrive after those of others. */
   deliver (holder: Holder, position: number): void {
     const sent = holder.sent[position % Math.max(1, holder.sent.length)]
     if (sent === undefined) return
@@ -142,7 +142,7 @@
 })
 
 describe('stepPart', () => {
-  it('commits each item at most once, under one holder, and nothing to a job that has ended', () => {
+  it('commits each item at most once, only for the current holder, and nothing to a job that has ended', () => {
     fc.assert(fc.property(fc.array(action, { maxLength: 80, size: 'max' }), actions => {
       const model = new TableModel()
       model.claim(model.holders[0])
@@ -153,7 +153,7 @@
     }), { seed: SEED, numRuns: RUNS })
   })
 
-  it('finishes every part that one holder is left to run to its end', () => {
+  it('finishes every part that one holder runs to its end without interference', () => {
     fc.assert(fc.property(fc.array(action, { maxLength: 40, size: 'max' }), actions => {
       const model = new TableModel()
       for (const { name, holder, count } of actions) if (name !== 'endJob') ACTIONS[name](model, model.holders[holder], count)
@@ -169,8 +169,8 @@
     }), { seed: SEED, numRuns: RUNS })
   })
 
-  // Guards against this: an item shown twice.
-  it('keeps a commit whose outcome is open, with its content, over a lapse of the lease', () => {
+  // Guards against an item with two results: its commit is sent again as new content after the lease has lapsed.
+  it('resends a pending commit with the same content after a lapse of the lease', () => {
     const model = new TableModel()
     const [holder] = model.holders
     model.claim(holder)
@@ -187,8 +187,8 @@
     expect(model.committedItems().length).toBe(4)
   })
 
-  // Guards against this: a part reported as finished while the table lacks its last items.
-  it('does not take a second reply to one commit for the reply to the next', () => {
+  // Guards against a part that is reported as finished before its last items are committed.
+  it('does not treat a second reply to one commit as the reply to the next', () => {
     const model = new TableModel()
     const [holder] = model.holders
     model.claim(holder)
@@ -205,7 +205,7 @@
     expect(model.committedItems().length).toBe(ITEMS)
   })
 
-  it('stops for good when the job has ended', () => {
+  it('ends the part permanently when the job has ended', () => {
     const model = new TableModel()
     const [holder] = model.holders
     model.claim(holder)
--- a/packages/anvilarch-daemon/src/jobs/__tests__/scheduling.test.ts
+++ b/packages/anvilarch-daemon/src/jobs/__tests__/scheduling.test.ts
@@ -15,22 +15,22 @@
     jobs, wallMs: 10, leasedPartsOf: caller => held[caller] ?? 0, lastServed: caller => lastServed[caller] ?? 0, callerRank: caller => caller.charCodeAt(0)
   }).map(job => job.jobId)
 
-  it('takes callers in turn, and of one caller the job that is due first', () => {
+  it('alternates between callers, and orders the jobs of one caller by their expiry', () => {
     expect(order({})).toEqual(['a2', 'b1', 'a3', 'a1'])
     expect(order({ a: 2, b: 1 })).toEqual(['b1', 'a2', 'a3', 'a1'])
   })
 
-  it('puts a caller last that holds more parts, whatever it sent', () => {
+  it('puts a caller with more leased parts last, regardless of its last claim', () => {
     expect(order({ b: 7 }, { a: 3 })[0]).toBe('b1')
   })
 
-  it('leaves out jobs whose time is up', () => {
+  it('leaves out expired jobs', () => {
     expect(order({})).not.toContain('c1')
   })
 })
 
 describe('afterPage', () => {
-  it('knows every active job after one turn of pages, and each that ended in its next turn', () => {
+  it('lists every active job after one pass of pages, and reports each ended job within the next pass', () => {
     const ids = fc.uniqueArray(fc.constantFrom(...'abcdefghij'.split('')), { maxLength: 10 })
     fc.assert(fc.property(ids, ids, fc.integer({ min: 1, max: 4 }), (before, after, limit) => {
       let view = EMPTY_VIEW
@@ -55,7 +55,7 @@
 describe('afterPartsRead', () => {
   const part = (completed: number, holder = ''): PartRow => ({ epoch: 1, holder, items: 2, done: '', completed, failed: 0, segments: [] })
 
-  it('finds each free part once in a turn, and that all are done when they are', () => {
+  it('finds each claimable part once in a pass, and reports when all parts are done', () => {
     const run = fc.record({ state: fc.constantFrom('done', 'free', 'held', 'absent'), length: fc.integer({ min: 1, max: 60 }) })
     const runs = fc.array(run, { minLength: 1, maxLength: 4, size: 'max' }).map(each => each.flatMap(({ state, length }) => new Array<string>(length).fill(state)))
     fc.assert(fc.property(runs, fc.nat(), (states, start) => {
--- a/packages/anvilarch-daemon/src/jobs/sweep/__tests__/sweep.test.ts
+++ b/packages/anvilarch-daemon/src/jobs/sweep/__tests__/sweep.test.ts
@@ -13,7 +13,7 @@
   let job: SubmittedJob
   let jobId: string
 
-  /** One turn over all rows, some time from now. */
+  /** Runs one pass over all rows, as if the given time had elapsed. */
   const sweep = async (laterMs: number): Promise<void> => {
     const steps = createSweepSteps(gateway.context)
     const times = { wallMs: fleet.clock.wallMs() + laterMs, retentionHours: RETENTION_HOURS }
@@ -38,13 +38,13 @@
 
   const finish = async (): Promise<void> => { while (fleet.store.rows.has(`active/${jobId}`)) await fleet.clock.advanceAsync(1_000) }
 
-  it('touches nothing of a job in progress, nor its file', async () => {
+  it('removes nothing of a job in progress, nor its file', async () => {
     const before = [...fleet.store.rows.keys(), ...fleet.store.objects.keys()]
     await sweep(1_000 * HOUR_MS)
     expect(before.filter(key => !fleet.store.rows.has(key) && !fleet.store.objects.has(key))).toEqual([`file/${job.fileIds[1]}`, ...chunksOf(job.fileIds[1])])
   })
 
-  it('removes segments that no part names a while after the end, and keeps the results readable', async () => {
+  it('removes unreferenced segments some time after the end of the job, and keeps the results readable', async () => {
     await finish()
     const late = `results/${jobId}/000001/0-7-output`
     fleet.store.objects.set(late, new Uint8Array(3))
@@ -55,8 +55,8 @@
     expect(readResults(fleet, jobId).length).toBe(20)
   })
 
-  // Guards against this: rows or objects that stay for ever.
-  it('removes a job after its retention, also when it is interrupted in between, and leaves a later job of the same content', async () => {
+  // Guards against rows or objects that are never removed.
+  it('removes a job after its retention, even if interrupted, and keeps the key of a later job with the same content', async () => {
     await finish()
     const keyRow = JSON.stringify({ jobId: 'batch_later', contentHash: '' })
     fleet.store.commit({ commitId: 'k', conditions: [], writes: [{ key: `jobkey/shop/${job.key}`, value: keyRow }] })
@@ -75,7 +75,7 @@
     for (const prefix of ['job/', 'part/', 'callerjob/', 'active/', 'calleractive/']) expect(namesOf(fleet.store.rows, prefix)).toEqual([])
   })
 
-  it('removes files that are over, and the chunks of uploads that were given up', async () => {
+  it('removes expired files, and the chunks of expired uploads', async () => {
     await cancelSubmitted(gateway, job)
     fleet.store.objects.set('files/file-lost/000000', new Uint8Array(3))
     const upload = { caller: 'shop', startedAtMs: fleet.clock.wallMs() + 23 * HOUR_MS }
