--- a/packages/anvilarch-daemon/src/jobs/__fixtures__/fakeRunner.ts
+++ b/packages/anvilarch-daemon/src/jobs/__fixtures__/fakeRunner.ts
@@ -52,8 +52,8 @@
     }
     if (prompt.includes(FAILING_PROMPTS.quarantine)) return failed('quarantined', 'ran')
     if (prompt.includes(FAILING_PROMPTS.fail)) return failed('endpoint_failed', 'ran')
-    if (prompt.includes(FAILING_PROMPTS.refuse)) return answered(400, { error: { message: 'bad prompt' } })
-    return answered(200, { choices: [{ message: { role: 'assistant', content: `re: ${prompt}` } }] })
+    if (prompt.includes(FAILING_PROMPTS.refuse)) return completed(400, { error: { message: 'bad prompt' } })
+    return completed(200, { choices: [{ message: { role: 'assistant', content: `re: ${prompt}` } }] })
   }
 
   const fake: FakeRunner = {
@@ -80,7 +80,7 @@
   return body.messages[0].content
 }
 
-function answered (status: number, value: unknown): WorkResult {
+function completed (status: number, value: unknown): WorkResult {
   return { outcome: 'completed', status, headers: {}, body: Buffer.from(JSON.stringify(value)), attempts: 1, outputTokens: 1, takenBy: [] }
 }
 
--- a/packages/anvilarch-daemon/src/jobs/__tests__/itemAttempts.test.ts
+++ b/packages/anvilarch-daemon/src/jobs/__tests__/itemAttempts.test.ts
@@ -9,7 +9,7 @@
 import type { JobRow, PartRow } from '../rows'
 
 /** Behaviour of an endpoint: completes items, returns 500, accepts none, or is lost with each item that it accepts. */
-type Behaviour = 'works' | 'fails' | 'away' | 'lost'
+type Behaviour = 'works' | 'fails' | 'unavailable' | 'lost'
 
 const ENDPOINTS = ['e1', 'e2', 'e3']
 const MAX_ATTEMPTS = 4
@@ -64,14 +64,14 @@
     const target = this.choose(request.avoid)
     const { messages: [{ content }] } = JSON.parse(Buffer.from(request.call.body).toString()) as { messages: Array<{ content: string }> }
     await sleep(this.clock, RUN_MS)
-    if (target === undefined) return answered(503, [])
+    if (target === undefined) return completed(503, [])
     if (this.behaviour.get(target) === 'lost') return lost(target)
     this.runs.set(content, (this.runs.get(content) ?? 0) + 1)
-    return answered(this.behaviour.get(target) === 'fails' || content.startsWith('FAIL') ? 500 : 200, [target])
+    return completed(this.behaviour.get(target) === 'fails' || content.startsWith('FAIL') ? 500 : 200, [target])
   }
 
   private choose (avoid: ReadonlySet<string> = new Set()): string | undefined {
-    const available = ENDPOINTS.filter(name => this.behaviour.get(name) !== 'away')
+    const available = ENDPOINTS.filter(name => this.behaviour.get(name) !== 'unavailable')
     const others = available.filter(name => !avoid.has(name))
     const pool = others.length > 0 ? others : available
     return pool.length === 0 ? undefined : this.random.pick(pool)
@@ -92,7 +92,7 @@
   }
 }
 
-function answered (status: number, takenBy: string[]): WorkResult {
+function completed (status: number, takenBy: string[]): WorkResult {
   return { outcome: 'completed', status, headers: {}, body: Buffer.from('{}'), attempts: 1, outputTokens: 0, takenBy }
 }
 
@@ -101,7 +101,7 @@
   return { outcome: 'failed', error, attempts: 1, takenBy: [target] }
 }
 
-const behaviour = fc.constantFrom<Behaviour>('works', 'away', 'lost')
+const behaviour = fc.constantFrom<Behaviour>('works', 'unavailable', 'lost')
 const phase = fc.record({
   failing: fc.constantFrom('e1', 'e1', 'e1', 'none'),
   others: fc.tuple(behaviour, behaviour),
@@ -112,9 +112,9 @@
   // Guards against an item that fails because the only remaining endpoint fails everything.
   it('completes an item that one endpoint fails repeatedly once another endpoint is available', async () => {
     const simulation = new ItemSimulation(['a', 'b', 'c'], SEED)
-    simulation.set(['fails', 'away', 'away'])
+    simulation.set(['fails', 'unavailable', 'unavailable'])
     expect(await simulation.advance(60_000)).toBe(false)
-    simulation.set(['fails', 'works', 'away'])
+    simulation.set(['fails', 'works', 'unavailable'])
     expect(await simulation.advance(60_000)).toBe(true)
     expect([...simulation.kinds.values()]).toEqual(['output', 'output', 'output'])
   })
@@ -122,11 +122,11 @@
   // Guards against an endpoint that was lost during a run being counted as one that has failed the item.
   it('does not count an endpoint that was lost while it ran the item as one that has failed it', async () => {
     const simulation = new ItemSimulation(['a'], SEED, 2)
-    const lostFirst = jest.spyOn(simulation as unknown as { run: (request: WorkRequest) => Promise<WorkResult> }, 'run')
-    lostFirst.mockResolvedValueOnce(answered(500, ['e2', 'e1']))
-    simulation.set(['fails', 'away', 'away'])
+    const runSpy = jest.spyOn(simulation as unknown as { run: (request: WorkRequest) => Promise<WorkResult> }, 'run')
+    runSpy.mockResolvedValueOnce(completed(500, ['e2', 'e1']))
+    simulation.set(['fails', 'unavailable', 'unavailable'])
     expect(await simulation.advance(60_000)).toBe(false)
-    simulation.set(['fails', 'works', 'away'])
+    simulation.set(['fails', 'works', 'unavailable'])
     expect(await simulation.advance(60_000)).toBe(true)
     expect([...simulation.kinds.values()]).toEqual(['output'])
   })
@@ -134,11 +134,11 @@
   // Guards against an item that fails at one endpoint for good because other endpoints were lost with it before.
   it('does not count the loss of an endpoint as an attempt of the items that it ran', async () => {
     const simulation = new ItemSimulation(['a', 'b'], SEED)
-    simulation.set(['away', 'lost', 'away'])
+    simulation.set(['unavailable', 'lost', 'unavailable'])
     for (let run = 1; run < MAX_ATTEMPTS; run++) expect(await simulation.advance(2_000)).toBe(false)
-    simulation.set(['fails', 'away', 'away'])
+    simulation.set(['fails', 'unavailable', 'unavailable'])
     expect(await simulation.advance(20_000)).toBe(false)
-    simulation.set(['works', 'away', 'away'])
+    simulation.set(['works', 'unavailable', 'unavailable'])
     expect(await simulation.advance(60_000)).toBe(true)
     expect([...simulation.kinds.values()]).toEqual(['output', 'output'])
   })
@@ -167,14 +167,14 @@
 
   it('ends an item that the only endpoint of its service fails after its maximum number of attempts', async () => {
     const simulation = new ItemSimulation(['FAIL a'], SEED, 1)
-    simulation.set(['works', 'away', 'away'])
+    simulation.set(['works', 'unavailable', 'unavailable'])
     expect(await simulation.advance(60_000)).toBe(true)
     expect([simulation.kinds.get(0), simulation.runs.get('FAIL a')]).toEqual(['error', MAX_ATTEMPTS])
   })
 
   it('ends an item within minutes when the endpoints that have not failed it stay unavailable', async () => {
     const simulation = new ItemSimulation(['FAIL a'], SEED)
-    simulation.set(['works', 'away', 'away'])
+    simulation.set(['works', 'unavailable', 'unavailable'])
     expect(await simulation.advance(10 * 60_000)).toBe(true)
     expect(simulation.kinds.get(0)).toBe('error')
     expect(simulation.runs.get('FAIL a')).toBeLessThanOrEqual(20)
--- a/packages/anvilarch-daemon/src/jobs/__tests__/jobFailures.test.ts
+++ b/packages/anvilarch-daemon/src/jobs/__tests__/jobFailures.test.ts
@@ -58,8 +58,8 @@
     const [lost, other] = await start(2, 40)
     await advanceUntil(fleet, () => partRows(fleet).filter(row => row.holder === 'g0.1').length >= 2)
     lost.gate.kill()
-    const held = partRows(fleet).filter(row => row.holder === 'g0.1').length
-    expect(held).toBeGreaterThan(0)
+    const leasedBefore = partRows(fleet).filter(row => row.holder === 'g0.1').length
+    expect(leasedBefore).toBeGreaterThan(0)
     const elapsedMs = await advanceUntil(fleet, () => partRows(fleet).every(row => row.holder !== 'g0.1'))
     expect(elapsedMs).toBeGreaterThan(LEASE_MS / 2)
     expect(elapsedMs).toBeLessThan(1.5 * LEASE_MS + 3 * POLL_MS)
--- a/packages/anvilarch-daemon/src/jobs/__tests__/scheduling.test.ts
+++ b/packages/anvilarch-daemon/src/jobs/__tests__/scheduling.test.ts
@@ -11,8 +11,8 @@
 
 describe('scheduleOrder', () => {
   const jobs = [activeRow('a1', 'a', 50), activeRow('a2', 'a', 20), activeRow('a3', 'a', 30), activeRow('b1', 'b', 900), activeRow('c1', 'c', 5)]
-  const order = (lastServed: Record<string, number>, held: Record<string, number> = {}): string[] => scheduleOrder({
-    jobs, wallMs: 10, leasedPartsOf: caller => held[caller] ?? 0, lastServed: caller => lastServed[caller] ?? 0, callerRank: caller => caller.charCodeAt(0)
+  const order = (lastServed: Record<string, number>, leased: Record<string, number> = {}): string[] => scheduleOrder({
+    jobs, wallMs: 10, leasedPartsOf: caller => leased[caller] ?? 0, lastServed: caller => lastServed[caller] ?? 0, callerRank: caller => caller.charCodeAt(0)
   }).map(job => job.jobId)
 
   it('alternates between callers, and orders the jobs of one caller by their expiry', () => {
@@ -56,13 +56,13 @@
   const part = (completed: number, holder = ''): PartRow => ({ epoch: 1, holder, items: 2, done: '', completed, failed: 0, segments: [] })
 
   it('finds each claimable part once in a pass, and reports when all parts are done', () => {
-    const run = fc.record({ state: fc.constantFrom('done', 'free', 'held', 'absent'), length: fc.integer({ min: 1, max: 60 }) })
+    const run = fc.record({ state: fc.constantFrom('done', 'free', 'leased', 'absent'), length: fc.integer({ min: 1, max: 60 }) })
     const runs = fc.array(run, { minLength: 1, maxLength: 4, size: 'max' }).map(each => each.flatMap(({ state, length }) => new Array<string>(length).fill(state)))
     fc.assert(fc.property(runs, fc.nat(), (states, start) => {
       let search = startSearch(states.length, start)
       const found: number[] = []
       const rowOf = (index: number): PartRow | undefined =>
-        found.includes(index) || states[index] === 'held' ? part(0, 'x') : states[index] === 'absent' ? undefined : part(states[index] === 'done' ? 2 : 0)
+        found.includes(index) || states[index] === 'leased' ? part(0, 'x') : states[index] === 'absent' ? undefined : part(states[index] === 'done' ? 2 : 0)
       for (let reads = 0; ; reads++) {
         const parts = partsToRead(search)
         expect(parts.length).toBeLessThanOrEqual(SEARCH_PAGE_PARTS)
--- a/packages/anvilarch-daemon/src/jobs/itemAttempts.ts
+++ b/packages/anvilarch-daemon/src/jobs/itemAttempts.ts
@@ -15,7 +15,7 @@
 }
 
 /** How a run failed: its endpoint returned a failure, was lost, or did not return a complete response. */
-export type FailureKind = 'answered' | 'lost' | 'incomplete'
+export type FailureKind = 'responded' | 'lost' | 'incomplete'
 
 /** A run that failed. */
 export interface FailedRun {
@@ -52,7 +52,7 @@
  */
 export function afterFailedRun (history: RunHistory, run: FailedRun, bounds: RunBounds): RunHistory {
   const failedResponses = withFailedResponse(history.failedResponses, run)
-  const isRepeat = run.kind === 'answered' && failedResponses === history.failedResponses && failedResponses.size < bounds.replicas
+  const isRepeat = run.kind === 'responded' && failedResponses === history.failedResponses && failedResponses.size < bounds.replicas
   const isAttempt = run.takenBy.length === 0 || !(isRepeat || run.kind === 'lost')
   return {
     runs: history.runs + 1,
@@ -65,7 +65,7 @@
 
 function withFailedResponse (known: ReadonlySet<string>, { takenBy, kind }: FailedRun): ReadonlySet<string> {
   const last = takenBy.at(-1)
-  return kind !== 'answered' || last === undefined || known.has(last) ? known : new Set([...known, last])
+  return kind !== 'responded' || last === undefined || known.has(last) ? known : new Set([...known, last])
 }
 
 /**
--- a/packages/anvilarch-daemon/src/jobs/itemOutcome.ts
+++ b/packages/anvilarch-daemon/src/jobs/itemOutcome.ts
@@ -6,7 +6,7 @@
 /** What to do with an item. */
 export type ItemVerdict =
   /** Final; written to the output file. */
-  | { verdict: 'answered', statusCode: number, body: Uint8Array }
+  | { verdict: 'completed', statusCode: number, body: Uint8Array }
   /** Final; written to the error file, with the endpoint's response if there was one. */
   | { verdict: 'failed', code: string, message: string, statusCode?: number, body?: Uint8Array }
   /** Run again, if the item has attempts left. */
@@ -43,12 +43,12 @@
  * @returns how the run failed
  */
 export function failureKind ({ statusCode, code }: Extract<ItemVerdict, { verdict: 'run_again' }>): FailureKind {
-  if (statusCode !== undefined) return 'answered'
+  if (statusCode !== undefined) return 'responded'
   return code === UNREACHABLE_CODE ? 'lost' : 'incomplete'
 }
 
 function classifyStatus (statusCode: number, body: Uint8Array): ItemVerdict {
-  if (statusCode >= 200 && statusCode < 300) return { verdict: 'answered', statusCode, body }
+  if (statusCode >= 200 && statusCode < 300) return { verdict: 'completed', statusCode, body }
   const code = `status_${statusCode}`
   if (statusCode === STATUS_TOO_MANY_REQUESTS || statusCode === STATUS_UNAVAILABLE) return { verdict: 'wait', code }
   const message = `The endpoint answered with status ${statusCode}.`
--- a/packages/anvilarch-daemon/src/jobs/partItems.ts
+++ b/packages/anvilarch-daemon/src/jobs/partItems.ts
@@ -117,7 +117,7 @@
   }
 
   const handlers: { [Kind in ItemVerdict['verdict']]: (ended: EndedRun, verdict: Extract<ItemVerdict, { verdict: Kind }>) => void } = {
-    answered: ({ index, requestId }, verdict) => {
+    completed: ({ index, requestId }, verdict) => {
       finish(index, 'output', { statusCode: verdict.statusCode, requestId, body: parseBody(verdict.body) }, null)
     },
     failed: ({ index, requestId }, verdict) => { finishFailed(index, requestId, verdict) },
