--- a/packages/anvilarch-bench/src/soak/switchedOff/switches.ts
+++ b/packages/anvilarch-bench/src/soak/switchedOff/switches.ts
@@ -119,12 +119,12 @@
     mechanism: 'as part_row_condition and job_row_condition, and a holder commits nothing once its own clock says that its lease lapsed',
     replacements: [PART_ROW, JOB_ROW, {
       file: `${DAEMON}/jobs/partCommits.ts`,
-      text: 'heartbeat.holdsLease() && heartbeat.lapses() === knownLapses && !state.doubtful',
-      by: 'knownLapses >= 0'
+      text: 'heartbeat.holdsLease() && heartbeat.lapses() === confirmedLapses && !state.isLeaseUncertain',
+      by: 'confirmedLapses >= 0'
     }, {
       file: `${DAEMON}/jobs/partCommits.ts`,
-      text: 'if (heartbeat.lapses() !== knownLapses && !state.doubtful) dispatch',
-      by: 'if (knownLapses < 0) dispatch'
+      text: 'if (heartbeat.lapses() !== confirmedLapses && !state.isLeaseUncertain) dispatch',
+      by: 'if (confirmedLapses < 0) dispatch'
     }],
     faults: ['pause_gateway'],
     minutes: 2,
