--- a/packages/anvilarch-daemon/src/jobs/acceptJob.ts
+++ b/packages/anvilarch-daemon/src/jobs/acceptJob.ts
@@ -47,8 +47,8 @@
     const hash = contentHash(request.batch, file.value)
     const key = request.key ?? DEFAULT_KEY_PREFIX + hash
     const reading: AcceptReading = { file, key: await readKey(context, request.caller, key), jobs: await readJobs(context, file.value) }
-    const known = knownJob(reading, request, hash)
-    if (known !== undefined) return known
+    const existing = findExistingJob(reading, request, hash)
+    if (existing !== undefined) return existing
     await checkActiveJobs(context, request.caller)
     const job = newJob(context, request, { jobId, key, hash, file: file.value })
     if (await commitJob(context, request, job, reading)) {
@@ -88,7 +88,7 @@
 }
 
 /** A caller's own key always returns its first job. Under a default key, a cancelled or expired job is replaced by a new one. */
-function knownJob (reading: AcceptReading, request: AcceptRequest, hash: string): JobRow | undefined {
+function findExistingJob (reading: AcceptReading, request: AcceptRequest, hash: string): JobRow | undefined {
   const { key } = reading
   if (key?.job === undefined) return undefined
   if (key.value.contentHash !== hash) {
@@ -147,7 +147,7 @@
   }
   const keyRow: JobKeyRow = { jobId: job.id, contentHash: job.contentHash }
   // The file row changes too, so that a concurrent delete of the file fails with a conflict.
-  const jobIds = [...jobs.filter(known => known.state === 'in_progress').map(known => known.id), job.id]
+  const jobIds = [...jobs.filter(existing => existing.state === 'in_progress').map(existing => existing.id), job.id]
   const fileRow: FileRow = { ...file.value, jobIds }
   const jobKey = JOB_KEYS.jobByKey(job.caller, job.key)
   const commit = {
--- a/packages/anvilarch-daemon/src/jobs/itemDispatcher.ts
+++ b/packages/anvilarch-daemon/src/jobs/itemDispatcher.ts
@@ -47,8 +47,8 @@
   let rotation = 0
 
   const capacityOf = (service: string, capacity: Capacity): number => {
-    const known = capacity.services.get(service)
-    if (known !== undefined) return known
+    const remaining = capacity.services.get(service)
+    if (remaining !== undefined) return remaining
     const freeItems = Math.max(runner.freeBatch(service), isUnreportedStartDue(service) ? 1 : 0)
     capacity.services.set(service, freeItems)
     return freeItems
--- a/packages/anvilarch-daemon/src/jobs/jobMetrics.ts
+++ b/packages/anvilarch-daemon/src/jobs/jobMetrics.ts
@@ -10,14 +10,14 @@
   partsEnded: Counter<'end'>
 }
 
-const known = new WeakMap<Metrics, JobMetrics>()
+const metricsCache = new WeakMap<Metrics, JobMetrics>()
 
 /**
  * @param metrics - metrics of the daemon
  * @returns the metrics of its jobs, created by the first call
  */
 export function jobMetrics (metrics: Metrics): JobMetrics {
-  const existing = known.get(metrics)
+  const existing = metricsCache.get(metrics)
   if (existing !== undefined) return existing
   const registers = [metrics.registry]
   const created: JobMetrics = {
@@ -26,6 +26,6 @@
     segments: new Counter({ name: 'anvilarch_job_segment_commits_total', help: 'Commits of result segments, by how the table answered.', labelNames: ['outcome'], registers }),
     partsEnded: new Counter({ name: 'anvilarch_job_parts_ended_total', help: 'Parts that this gateway no longer holds, by reason.', labelNames: ['end'], registers })
   }
-  known.set(metrics, created)
+  metricsCache.set(metrics, created)
   return created
 }
--- a/packages/anvilarch-daemon/src/jobs/jobSearches.ts
+++ b/packages/anvilarch-daemon/src/jobs/jobSearches.ts
@@ -78,8 +78,8 @@
   const settleContext = { table: platform.table, clock, random }
 
   const searchOf = (active: ActiveRow): PartSearch => {
-    const known = searches.get(active.jobId)
-    if (known !== undefined) return known
+    const existing = searches.get(active.jobId)
+    if (existing !== undefined) return existing
     const search = startSearch(active.parts, startPartOf(heartbeat.instance, active.jobId))
     searches.set(active.jobId, search)
     return search
--- a/packages/anvilarch-daemon/src/jobs/partChoice.ts
+++ b/packages/anvilarch-daemon/src/jobs/partChoice.ts
@@ -67,8 +67,8 @@
     const services = servicesOf(job.models)
     if (services.length === 0) return true
     return services.some(service => {
-      const candidates = runner.freeBatch(service) > 0 ? context.settings.gateway.maxBatchInProgress : 1
-      return (waiting.get(service) ?? 0) < candidates
+      const targetItems = runner.freeBatch(service) > 0 ? context.settings.gateway.maxBatchInProgress : 1
+      return (waiting.get(service) ?? 0) < targetItems
     })
   }
 
@@ -81,9 +81,9 @@
     next: (jobs, isDue) => {
       if (!hasCapacity() || context.configuration.current() === undefined) return undefined
       const waiting = waitingByService()
-      const wanted = [...jobs].filter(job => isDue(job) && needsMoreItems(job, waiting))
+      const candidates = [...jobs].filter(job => isDue(job) && needsMoreItems(job, waiting))
       const order = scheduleOrder({
-        jobs: wanted,
+        jobs: candidates,
         wallMs: context.clock.wallMs(),
         leasedPartsOf,
         lastServed: caller => lastServed.get(caller) ?? 0,
@@ -96,8 +96,8 @@
 }
 
 function rankOf (ranks: Map<string, number>, instance: string, caller: string): number {
-  const known = ranks.get(caller)
-  if (known !== undefined) return known
+  const cached = ranks.get(caller)
+  if (cached !== undefined) return cached
   const rank = createHash('sha256').update(instance).update('/').update(caller).digest().readUInt32BE(0)
   ranks.set(caller, rank)
   return rank
--- a/packages/anvilarch-daemon/src/jobs/readJob.ts
+++ b/packages/anvilarch-daemon/src/jobs/readJob.ts
@@ -67,12 +67,12 @@
     },
     counts: async (job, signal) => {
       if (job.counts !== undefined) return job.counts
-      const known = cache.get(job.id)
+      const cached = cache.get(job.id)
       // No part is committed after the job has ended, so counts read since then are final.
-      const isFinal = known !== undefined && known.state !== 'in_progress'
+      const isFinal = cached !== undefined && cached.state !== 'in_progress'
       const maxAgeMs = Math.max(COUNTS_MAX_AGE_MS, job.partItems.length * COUNTS_MAX_AGE_MS_PER_PART)
-      const isFresh = known?.state === job.state && clock.nowMs() - known.readMs < maxAgeMs
-      if (known !== undefined && (isFinal || isFresh)) return known.counts
+      const isFresh = cached?.state === job.state && clock.nowMs() - cached.readMs < maxAgeMs
+      if (cached !== undefined && (isFinal || isFresh)) return cached.counts
       const readMs = clock.nowMs()
       const counts = await countParts(job.id, signal)
       cache.set(job.id, { counts, state: job.state, readMs })
--- a/packages/anvilarch-daemon/src/jobs/segments.ts
+++ b/packages/anvilarch-daemon/src/jobs/segments.ts
@@ -35,16 +35,16 @@
  */
 export function withSegments (row: PartRow, items: readonly FinishedItem[], segments: readonly SegmentRef[]): PartRow {
   const done = itemSetFromText(row.done)
-  const seen = new Set<number>()
+  const addedItems = new Set<number>()
   for (const { index } of items) {
-    invariant(!hasItem(done, index) && !seen.has(index), 'item_has_one_result', () => `item ${index} has a result already`)
+    invariant(!hasItem(done, index) && !addedItems.has(index), 'item_has_one_result', () => `item ${index} has a result already`)
     invariant(index >= 0 && index < row.items, 'item_in_part', () => `item ${index} of a part of ${row.items}`)
-    seen.add(index)
+    addedItems.add(index)
   }
   const failed = items.filter(item => item.kind === 'error').length
   const next: PartRow = {
     ...row,
-    done: itemSetToText(withItems(done, [...seen])),
+    done: itemSetToText(withItems(done, [...addedItems])),
     completed: row.completed + items.length - failed,
     failed: row.failed + failed,
     segments: [...row.segments, ...segments]
--- a/packages/anvilarch-daemon/src/jobs/uploadFile.ts
+++ b/packages/anvilarch-daemon/src/jobs/uploadFile.ts
@@ -54,10 +54,10 @@
 
 /** Marks an error as `not_run`: no row names the file before its commit, so an earlier failure leaves no file behind. */
 function toNotRun (error: unknown): AnvilarchError {
-  const known = toAnvilarchError(error, { code: 'internal', step: STEP })
-  if (known.ran === 'not_run') return known
-  const { peer, retryAfterMs } = known
-  return new AnvilarchError(known.message, { code: 'platform_unavailable', step: STEP, peer, retryAfterMs, ran: 'not_run', cause: known })
+  const converted = toAnvilarchError(error, { code: 'internal', step: STEP })
+  if (converted.ran === 'not_run') return converted
+  const { peer, retryAfterMs } = converted
+  return new AnvilarchError(converted.message, { code: 'platform_unavailable', step: STEP, peer, retryAfterMs, ran: 'not_run', cause: converted })
 }
 
 async function receiveContent (
