--- a/packages/anvilarch-daemon/src/jobs/__fixtures__/fakeRunner.ts
+++ b/packages/anvilarch-daemon/src/jobs/__fixtures__/fakeRunner.ts
@@ -1,34 +1,34 @@
-/** A runner whose endpoints answer from the prompt alone, and fail as the prompt says. */
+/** A request runner whose endpoints respond, or fail, depending on the prompt only. */
 import { AnvilarchError, type Clock, type Random, sleep } from 'anvilarch-utils'
 import type { RequestRunner, WorkRequest, WorkResult } from '../../attempts/types'
 
-/** How the fake endpoints behave. */
+/** Options of `createFakeRunner`. */
 export interface FakeRunnerOptions {
   clock: Clock
   random: Random
   /** Longest run of an item. */
   maxRunMs: number
-  /** Share of runs that are refused because of load. */
-  refuse: number
+  /** Share of runs that are rejected as `overloaded`. */
+  refusedShare: number
   slots: number
 }
 
-/** What became of the runs. */
+/** A request runner that records its runs. */
 export interface FakeRunner extends RequestRunner {
-  /** Runs that began, by custom text of the item. */
+  /** Number of started runs by prompt. */
   started: Map<string, number>
   cancelled: () => number
   running: () => number
-  /** Run time of items whose prompt is `SLOW`. */
+  /** Duration of runs with the prompt `SLOW`. */
   slowMs: number
 }
 
-/** Words in a prompt that make the fake endpoint fail. */
-export const BAD_PROMPTS = { fail: 'FAIL', refuse: 'REJECT', quarantine: 'QUARANTINED' }
+/** Words in a prompt that make the run fail. */
+export const FAILING_PROMPTS = { fail: 'FAIL', refuse: 'REJECT', quarantine: 'QUARANTINED' }
 
 /**
- * @param options - time and behaviour
- * @returns a runner at rest
+ * @param options - clock and behaviour
+ * @returns a runner without runs
  */
 export function createFakeRunner (options: FakeRunnerOptions): FakeRunner {
   const started = new Map<string, number>()
@@ -42,7 +42,7 @@
 
   const execute = async (request: WorkRequest, signal?: AbortSignal): Promise<WorkResult> => {
     const prompt = promptOf(request)
-    if (options.refuse > 0 && options.random.next() < options.refuse) return failed('overloaded', 'not_run')
+    if (options.refusedShare > 0 && options.random.next() < options.refusedShare) return failed('overloaded', 'not_run')
     started.set(prompt, (started.get(prompt) ?? 0) + 1)
     const durationMs = runTimeMs(prompt)
     if (durationMs > 0) await sleep(options.clock, durationMs, signal)
@@ -50,10 +50,10 @@
       cancelled++
       return failed('cancelled', 'ran')
     }
-    if (prompt.includes(BAD_PROMPTS.quarantine)) return failed('quarantined', 'ran')
-    if (prompt.includes(BAD_PROMPTS.fail)) return failed('endpoint_failed', 'ran')
-    if (prompt.includes(BAD_PROMPTS.refuse)) return answered(400, { error: { message: 'bad prompt' } })
-    return answered(200, { choices: [{ message: { role: 'assistant', content: `re: ${prompt}` } }] })
+    if (prompt.includes(FAILING_PROMPTS.quarantine)) return failed('quarantined', 'ran')
+    if (prompt.includes(FAILING_PROMPTS.fail)) return failed('endpoint_failed', 'ran')
+    if (prompt.includes(FAILING_PROMPTS.refuse)) return completed(400, { error: { message: 'bad prompt' } })
+    return completed(200, { choices: [{ message: { role: 'assistant', content: `re: ${prompt}` } }] })
   }
 
   const fake: FakeRunner = {
@@ -80,7 +80,7 @@
   return body.messages[0].content
 }
 
-function answered (status: number, value: unknown): WorkResult {
+function completed (status: number, value: unknown): WorkResult {
   return { outcome: 'completed', status, headers: {}, body: Buffer.from(JSON.stringify(value)), attempts: 1, outputTokens: 1, takenBy: [] }
 }
 
--- a/packages/anvilarch-daemon/src/jobs/__fixtures__/simulatedFleet.ts
+++ b/packages/anvilarch-daemon/src/jobs/__fixtures__/simulatedFleet.ts
@@ -1,4 +1,4 @@
-/** Several gateways in one process, on one in-memory platform, which can be stopped, continued and killed. */
+/** Several gateways in one process, on one in-memory platform. Each can be paused, resumed and killed. */
 import { type Clock, createFakeClock, createLifecycleManager, createRandom, type FakeClock, onViolation } from 'anvilarch-utils'
 import { ROW_KEYS } from 'anvilarch-protocol'
 import type { DaemonContext } from '../../context'
@@ -9,9 +9,9 @@
 import { createFakeRunner, type FakeRunner } from './fakeRunner'
 import { createFaultyPlatform, noFaults, type PlatformFaults, type ProcessGate } from './faultyPlatform'
 import { type CommitListener, createMemoryStore, type MemoryStore } from './memoryStore'
-import { createTestContext, QUIET_DIRECTORY } from './testContext'
+import { createTestContext, STATIC_DIRECTORY } from './testContext'
 
-/** A gateway of the fleet. */
+/** A gateway of the simulated fleet. */
 export interface SimulatedGateway {
   name: string
   context: DaemonContext
@@ -21,13 +21,13 @@
   worker: () => Worker | undefined
 }
 
-/** Stops, continues and kills a process. */
+/** Pauses, resumes and kills a process. */
 export interface Gate extends ProcessGate {
-  stop: () => void
-  proceed: () => void
+  pause: () => void
+  resume: () => void
   kill: () => void
-  state: () => 'running' | 'stopped' | 'dead'
-  /** Runs at once, when the process goes on, or never. */
+  state: () => 'running' | 'paused' | 'dead'
+  /** Runs an action now, when the process resumes, or never if it is dead. */
   run: (action: () => void) => void
 }
 
@@ -37,12 +37,12 @@
   store: MemoryStore
   faults: PlatformFaults
   gateways: SimulatedGateway[]
-  /** What must never happen and did. */
+  /** Violated invariants. */
   violations: string[]
-  /** Results that a gateway started from now on keeps while it can't commit. */
+  /** Bound of the result buffer of gateways that are added later. */
   maxBufferedItems: number
   addGateway: () => SimulatedGateway
-  /** A process that runs nothing yet. */
+  /** Adds a process without a worker. */
   addProcess: () => Pick<SimulatedGateway, 'name' | 'context' | 'gate'>
   running: () => SimulatedGateway[]
 }
@@ -52,48 +52,48 @@
 const SLOTS = 6
 const MAX_BUFFERED_BYTES = 1_000_000
 
-/** Violations of the fleet that was created last: invariants in the program have no other way to say whose they are. */
+/** Violations of the fleet that was created last: the listener of violated invariants is global and does not name a fleet. */
 let current: string[] = []
 onViolation((name, detail) => { current.push(`invariant "${name}": ${detail}`) })
 
 /** @returns a gate of a running process */
 export function createGate (): Gate {
-  let state: 'running' | 'stopped' | 'dead' = 'running'
+  let state: 'running' | 'paused' | 'dead' = 'running'
   let waiting: Array<() => void> = []
   const run = (action: () => void): void => {
     if (state === 'running') action()
-    else if (state === 'stopped') waiting.push(action)
+    else if (state === 'paused') waiting.push(action)
   }
   return {
     run,
     pass: async () => { await new Promise<void>(resolve => { run(resolve) }) },
-    stop: () => { if (state === 'running') state = 'stopped' },
+    pause: () => { if (state === 'running') state = 'paused' },
     kill: () => {
       state = 'dead'
       waiting = []
     },
-    proceed: () => {
-      if (state !== 'stopped') return
+    resume: () => {
+      if (state !== 'paused') return
       state = 'running'
-      const held = waiting
+      const queued = waiting
       waiting = []
-      for (const action of held) action()
+      for (const action of queued) action()
     },
     state: () => state
   }
 }
 
-/** Time goes on while a process is stopped; its timers fire when it is continued. */
+/** Wraps a clock that advances while the process is paused; its timers fire when the process resumes. */
 function gatedClock (clock: Clock, gate: Gate): Clock {
   return { ...clock, after: (delayMs, onFire) => clock.after(delayMs, () => { gate.run(onFire) }) }
 }
 
 /**
- * @param seed - of all random numbers
- * @param refuse - share of runs that the endpoints refuse
+ * @param seed - seed of all random numbers
+ * @param refusedShare - share of runs that the endpoints reject
  * @returns a fleet without gateways
  */
-export function createSimulatedFleet (seed: number, refuse: number): SimulatedFleet {
+export function createSimulatedFleet (seed: number, refusedShare: number): SimulatedFleet {
   const clock = createFakeClock(1_000_000)
   const violations: string[] = []
   current = violations
@@ -114,7 +114,7 @@
 
   const addGateway = (): SimulatedGateway => {
     const { name, context, gate } = addProcess()
-    const runner = createFakeRunner({ clock: context.clock, random: context.random, maxRunMs: MAX_RUN_MS, refuse, slots: SLOTS })
+    const runner = createFakeRunner({ clock: context.clock, random: context.random, maxRunMs: MAX_RUN_MS, refusedShare, slots: SLOTS })
     let worker: Worker | undefined
     const gateway = { name, context, runner, gate, worker: () => worker }
     startProcess(context, runner, fleet.maxBufferedItems).then(running => { worker = running }, error => { violations.push(String(error)) })
@@ -132,10 +132,10 @@
   const describe = () => ({ address: '', operationsAddress: '', configurationVersion: 1, state: 'serving' as const, heldParts: 0 })
   const heartbeat = await startHeartbeat(context, lifecycle, describe)
   const observer = await startLeaseObserver(context, lifecycle, heartbeat)
-  return await startWorker(context, { runner, directory: QUIET_DIRECTORY, heartbeat, observer }, lifecycle, { buffer: { maxItems, maxBytes: MAX_BUFFERED_BYTES } })
+  return await startWorker(context, { runner, directory: STATIC_DIRECTORY, heartbeat, observer }, lifecycle, { buffer: { maxItems, maxBytes: MAX_BUFFERED_BYTES } })
 }
 
-/** Looks at each commit as the table takes it, since what is wrong there may be hidden by a later commit. */
+/** Checks each commit as the table applies it, since a later commit could hide a violation. */
 function checkCommit (violations: string[]): CommitListener {
   return ({ writes }, rows) => {
     for (const { key, value } of writes) {
--- a/packages/anvilarch-daemon/src/jobs/__fixtures__/testGateway.ts
+++ b/packages/anvilarch-daemon/src/jobs/__fixtures__/testGateway.ts
@@ -1,4 +1,4 @@
-/** A gateway's leases and jobs on an in-memory platform and the clock of the machine. */
+/** Leases and jobs of a gateway, on an in-memory platform and the system clock. */
 import { createLifecycleManager, createRandom, createSystemClock, type LifecycleManager } from 'anvilarch-utils'
 import type { DaemonContext } from '../../context'
 import { startHeartbeat } from '../../leases/startHeartbeat'
@@ -8,7 +8,7 @@
 import { createFakeRunner, type FakeRunner, type FakeRunnerOptions } from './fakeRunner'
 import { createFaultyPlatform, noFaults, type PlatformFaults } from './faultyPlatform'
 import { createMemoryStore, type MemoryStore } from './memoryStore'
-import { createTestContext, QUIET_DIRECTORY, type TestContextOptions } from './testContext'
+import { createTestContext, STATIC_DIRECTORY, type TestContextOptions } from './testContext'
 import { startTestServer, type TestServer } from './testServer'
 
 /** A gateway under test. */
@@ -20,7 +20,7 @@
   jobs: JobsHandle
   server: TestServer
   lifecycle: LifecycleManager
-  /** Puts the wall clock forward; timers go on as before. */
+  /** Advances the wall clock without affecting timers. */
   skipTime: (skippedMs: number) => void
   stop: () => Promise<void>
 }
@@ -32,8 +32,8 @@
 }
 
 /**
- * @param options - what differs from a plain gateway
- * @returns the gateway, serving
+ * @param options - differences from the default gateway
+ * @returns the started gateway
  */
 export async function startTestGateway (options: TestGatewayOptions = {}): Promise<TestGateway> {
   const system = createSystemClock()
@@ -46,11 +46,11 @@
   const gateway = { pollIntervalMs: 30, drainTimeoutMs: 1_000, ...options.gateway }
   const context = createTestContext({ name: options.name ?? 'g', incarnation: '1', clock, platform, seed: 7, document: options.document, gateway })
   const lifecycle = createLifecycleManager({ clock })
-  const runner = createFakeRunner({ clock, random, maxRunMs: 2, refuse: 0, slots: 64, ...options.runner })
+  const runner = createFakeRunner({ clock, random, maxRunMs: 2, refusedShare: 0, slots: 64, ...options.runner })
   const describe = () => ({ address: '', operationsAddress: '', configurationVersion: 1, state: 'serving' as const, heldParts: 0 })
   const heartbeat = await startHeartbeat(context, lifecycle, describe)
   const observer = await startLeaseObserver(context, lifecycle, heartbeat)
-  const jobs = await startJobs(context, { runner, directory: QUIET_DIRECTORY, heartbeat, observer }, lifecycle)
+  const jobs = await startJobs(context, { runner, directory: STATIC_DIRECTORY, heartbeat, observer }, lifecycle)
   const server = await startTestServer(jobs.routes)
   const stop = async (): Promise<void> => {
     await server.close()
--- a/packages/anvilarch-daemon/src/jobs/__tests__/openaiBatches.test.ts
+++ b/packages/anvilarch-daemon/src/jobs/__tests__/openaiBatches.test.ts
@@ -1,4 +1,4 @@
-import { BAD_PROMPTS } from '../__fixtures__/fakeRunner'
+import { FAILING_PROMPTS } from '../__fixtures__/fakeRunner'
 import { type BatchClient, createBatchClient, itemLine, itemLines, until } from '../__fixtures__/batchClient'
 import { startTestGateway, type TestGateway, type TestGatewayOptions } from '../__fixtures__/testGateway'
 
@@ -15,7 +15,7 @@
 
   afterEach(async () => { await gateway.stop() })
 
-  it('uploads a file, runs a batch and reads back one result for each item', async () => {
+  it('uploads a file, runs a batch and returns one result for each item', async () => {
     await start()
     const file = await client.upload(itemLines(30))
     expect(file).toMatchObject({ object: 'file', purpose: 'batch', filename: 'items.jsonl' })
@@ -28,10 +28,10 @@
     expect(gateway.store.counts.conflicts).toBe(0)
   })
 
-  // Guards against this: a job that never ends.
-  it('ends a batch whose items can never be done, with a reason for each in the error file', async () => {
+  // Guards against a job that never ends.
+  it('ends a batch with items that always fail, and lists a reason for each in the error file', async () => {
     await start()
-    const prompts = [BAD_PROMPTS.fail, BAD_PROMPTS.refuse, BAD_PROMPTS.quarantine, 'fine']
+    const prompts = [FAILING_PROMPTS.fail, FAILING_PROMPTS.refuse, FAILING_PROMPTS.quarantine, 'fine']
     const file = await client.upload(prompts.map((prompt, index) => itemLine(index, prompt)).join('\n'))
     const batch = await client.untilEnded((await client.submit(file.id)).id)
     expect(batch.request_counts).toEqual({ total: 4, completed: 1, failed: 3 })
@@ -39,12 +39,12 @@
     const codes = Object.fromEntries(errors.map(({ custom_id: id, error }) => [id, error?.code]))
     expect(codes).toEqual({ 'c-0': 'endpoint_failed', 'c-1': 'status_400', 'c-2': 'quarantined' })
     expect(errors.find(({ custom_id: id }) => id === 'c-1')?.response?.status_code).toBe(400)
-    expect(gateway.runner.started.get(BAD_PROMPTS.fail)).toBe(3)
-    expect(gateway.runner.started.get(BAD_PROMPTS.quarantine)).toBe(1)
+    expect(gateway.runner.started.get(FAILING_PROMPTS.fail)).toBe(3)
+    expect(gateway.runner.started.get(FAILING_PROMPTS.quarantine)).toBe(1)
   }, 20_000)
 
-  // Guards against this: a cancelled job that goes on.
-  it('cancels running items within a poll, runs no further ones and keeps the partial results', async () => {
+  // Guards against a cancelled job that continues.
+  it('cancels running items within a poll, starts no more items and keeps the partial results', async () => {
     await start({ runner: { maxRunMs: 0, slots: 8 } })
     gateway.runner.slowMs = HOUR_MS
     const lines = Array.from({ length: 64 }, (_value, index) => itemLine(index, index % 4 === 0 ? 'fast' : 'SLOW'))
@@ -94,7 +94,7 @@
     expect((await createBatchClient(gateway.server.url, 'other').openai.batches.list()).data).toEqual([])
   })
 
-  it('shows nothing of one caller to another', async () => {
+  it('hides files and batches of one caller from another', async () => {
     await start()
     const { openai } = createBatchClient(gateway.server.url, 'other')
     const file = await client.upload(itemLines(2))
@@ -107,7 +107,7 @@
     for (const attempt of attempts) await expect(attempt).rejects.toMatchObject({ status: 404 })
   })
 
-  it('deletes a file that no active batch uses, and lets the sweeper have its chunks', async () => {
+  it('deletes a file that no active batch uses, and leaves its chunks to the sweeper', async () => {
     await start({ runner: { maxRunMs: 0, slots: 8 } })
     gateway.runner.slowMs = HOUR_MS
     const file = await client.upload(itemLine(1, 'SLOW'))
--- a/packages/anvilarch-daemon/src/jobs/answers.ts
+++ b/packages/anvilarch-daemon/src/jobs/apiObjects.ts
@@ -1,11 +1,11 @@
-/** Files and jobs as the OpenAI API shows them. */
+/** Converts files and jobs to the objects of the OpenAI API. */
 import { resultFileId } from './ids'
 import type { FileRow, ItemCounts, JobRow, JobState, ResultKind } from './rows'
 
 const MS_PER_SECOND = 1_000
 
-/** A file as clients see it. */
-export interface FileAnswer {
+/** A file object of the OpenAI API. */
+export interface FileObject {
   id: string
   object: 'file'
   bytes: number
@@ -15,14 +15,14 @@
   status: 'processed'
 }
 
-/** States that clients see. */
+/** Job states in responses. */
 export type ShownState = JobState | 'cancelling'
 
 /**
- * @param row - of the file
- * @returns the file as clients see it
+ * @param row - row of the file
+ * @returns the file object
  */
-export function fileAnswer (row: FileRow): FileAnswer {
+export function toFileObject (row: FileRow): FileObject {
   return {
     id: row.id,
     object: 'file',
@@ -35,12 +35,12 @@
 }
 
 /**
- * @param job - that has ended
- * @param kind - which results
- * @param sizeBytes - of the content
- * @returns the file of results as clients see it
+ * @param job - job that has ended
+ * @param kind - kind of results
+ * @param sizeBytes - size of the content
+ * @returns the file object of the results
  */
-export function resultFileAnswer (job: JobRow, kind: ResultKind, sizeBytes: number): FileAnswer {
+export function toResultFileObject (job: JobRow, kind: ResultKind, sizeBytes: number): FileObject {
   return {
     id: resultFileId(job.id, kind),
     object: 'file',
@@ -54,11 +54,11 @@
 
 /**
  * @param job - row of the job
- * @param counts - finished items
- * @param state - to show
- * @returns the job as clients see it
+ * @param counts - number of finished items
+ * @param state - state to show
+ * @returns the batch object
  */
-export function jobAnswer (job: JobRow, counts: ItemCounts, state: ShownState): Record<string, unknown> {
+export function toBatchObject (job: JobRow, counts: ItemCounts, state: ShownState): Record<string, unknown> {
   const total = job.partItems.reduce((sum, items) => sum + items, 0)
   const endedAt = job.endedAtMs === undefined ? null : toSeconds(job.endedAtMs)
   const isEnded = job.state !== 'in_progress'
@@ -89,11 +89,11 @@
 }
 
 /**
- * @param items - of one page
- * @param hasMore - whether there are further ones
- * @returns a list as clients see it
+ * @param items - objects of one page
+ * @param hasMore - whether there are further pages
+ * @returns the list object
  */
-export function listAnswer (items: Array<Record<string, unknown> | FileAnswer>, hasMore: boolean): Record<string, unknown> {
+export function toListObject (items: Array<Record<string, unknown> | FileObject>, hasMore: boolean): Record<string, unknown> {
   return {
     object: 'list',
     data: items,
--- a/packages/anvilarch-daemon/src/jobs/chunkWriter.ts
+++ b/packages/anvilarch-daemon/src/jobs/chunkWriter.ts
@@ -1,4 +1,4 @@
-/** Checks the lines of an upload and writes them to the object store in chunks, so that memory does not grow with the file. */
+/** Validates the lines of an upload and writes them to the object store in chunks, so that memory does not grow with the file. */
 import { createHash } from 'node:crypto'
 import { OBJECT_NAMES, type ObjectPort } from 'anvilarch-protocol'
 import { AnvilarchError } from 'anvilarch-utils'
@@ -9,15 +9,15 @@
 export interface ChunkWriterOptions {
   objects: ObjectPort
   fileId: string
-  /** Items of one chunk at most. */
+  /** Most items of one chunk. */
   partItems: number
-  /** Bytes of one chunk, unless a single item is larger. */
+  /** Most bytes of one chunk, unless a single item is larger. */
   partBytes: number
   maxItemBytes: number
   maxFileBytes: number
 }
 
-/** What is known of a file whose content was written. */
+/** Properties of the written content. */
 export interface WrittenContent {
   sizeBytes: number
   sha256: string
@@ -28,24 +28,24 @@
 
 /** Writes the content of one file. */
 export interface ChunkWriter {
-  /** Resolves when more may be pushed. Rejects with what is wrong with the content, or with the object store. */
+  /** Resolves when more may be pushed. Rejects when the content is invalid or the object store fails. */
   push: (data: Buffer) => Promise<void>
   finish: () => Promise<WrittenContent>
-  /** Removes what was written. */
+  /** Removes the chunks written so far. */
   discard: () => Promise<void>
 }
 
 const STEP = 'jobs.upload'
-/** Chunks on their way to the object store at the same time. */
+/** Chunks written to the object store concurrently. */
 const MAX_PUTS = 2
-/** More models than this are run all the same, but not listed. */
+/** Models beyond this number are run but not listed in the file row. */
 const MAX_LISTED_MODELS = 16
 
 /**
- * A `custom_id` that stands twice in one chunk is refused. Over the whole file it is not looked for, since that would need
- * memory that grows with the file; each line is an item of its own and has one result, whatever its `custom_id`.
+ * A `custom_id` that occurs twice in one chunk is rejected. Duplicates in different chunks are not detected, since that would
+ * need memory that grows with the file; each line is a separate item with one result, whatever its `custom_id`.
  *
- * @param options - where to write and the bounds
+ * @param options - target and bounds
  * @returns a writer of an empty file
  */
 export function createChunkWriter (options: ChunkWriterOptions): ChunkWriter {
@@ -84,12 +84,12 @@
   const isChunkFull = (line: Buffer): boolean =>
     customIds.size >= options.partItems || (customIds.size > 0 && pendingBytes + line.length > options.partBytes)
 
-  const noteItem = (line: Buffer): void => {
+  const addItem = (line: Buffer): void => {
     const parsed = parseItemLine(line)
-    if (!parsed.ok) throw badLine(lineNumber, parsed.problem)
+    if (!parsed.ok) throw invalidLine(lineNumber, parsed.problem)
     const { customId, url, body } = parsed.item
     const before = customIds.get(customId)
-    if (before !== undefined) throw badLine(lineNumber, `"custom_id" "${customId}" was used on line ${before} already`)
+    if (before !== undefined) throw invalidLine(lineNumber, `"custom_id" "${customId}" was used on line ${before} already`)
     customIds.set(customId, lineNumber)
     urls.add(url)
     if (models.size < MAX_LISTED_MODELS) models.add(String(body.model))
@@ -98,13 +98,13 @@
   const addLine = async (line: Buffer): Promise<void> => {
     lineNumber += 1
     if (line.length > options.maxItemBytes) {
-      throw badLine(lineNumber, `it has more than the ${options.maxItemBytes} bytes that an item may have`)
+      throw invalidLine(lineNumber, `it has more than the ${options.maxItemBytes} bytes that an item may have`)
     }
     const isItem = !isBlankLine(line)
-    // A chunk is closed only before a further item, so that no chunk is without items.
+    // A chunk is closed only when another item follows, so that no chunk is without items.
     if (isItem && isChunkFull(line)) await closeChunk()
-    if (isItem) noteItem(line)
-    else if (pendingBytes > options.partBytes + options.maxItemBytes) throw badLine(lineNumber, 'there are too many blank lines')
+    if (isItem) addItem(line)
+    else if (pendingBytes > options.partBytes + options.maxItemBytes) throw invalidLine(lineNumber, 'there are too many blank lines')
     pending.push(line)
     pendingBytes += line.length
   }
@@ -127,7 +127,7 @@
       if (customIds.size > 0) await closeChunk()
       await Promise.all(puts)
       checkFailure()
-      if (chunkItems.length === 0) throw badContent('The file has no items. Each line must be a JSON object.')
+      if (chunkItems.length === 0) throw invalidContent('The file has no items. Each line must be a JSON object.')
       return { sizeBytes, sha256: hash.digest('hex'), chunkItems, urls: [...urls], models: [...models] }
     },
     discard: async () => {
@@ -137,11 +137,11 @@
   }
 }
 
-function badLine (lineNumber: number, problem: string): AnvilarchError {
-  return badContent(`Line ${lineNumber} of the file can't be used: ${problem}. Nothing was kept; correct the line and upload the file again.`)
+function invalidLine (lineNumber: number, problem: string): AnvilarchError {
+  return invalidContent(`Line ${lineNumber} of the file can't be used: ${problem}. Nothing was kept; correct the line and upload the file again.`)
 }
 
-function badContent (message: string): AnvilarchError {
+function invalidContent (message: string): AnvilarchError {
   return new AnvilarchError(message, { code: 'bad_request', step: STEP, ran: 'not_run' })
 }
 
--- a/packages/anvilarch-daemon/src/jobs/fileRoutes.ts
+++ b/packages/anvilarch-daemon/src/jobs/fileRoutes.ts
@@ -5,8 +5,8 @@
 import { sendJson } from '../callers/http/sendJson'
 import type { CallerContext, Route } from '../callers/types'
 import type { DaemonContext } from '../context'
-import { fileAnswer, listAnswer, resultFileAnswer } from './answers'
-import { type Draw, parseResultFileId } from './ids'
+import { toFileObject, toListObject, toResultFileObject } from './apiObjects'
+import { type RandomSource, parseResultFileId } from './ids'
 import { parsePage, readIndexPage } from './paging'
 import { type JobReader, partRows } from './readJob'
 import { sendFileContent, sendResults } from './resultContent'
@@ -17,13 +17,13 @@
 
 const STEP = 'jobs.file'
 
-/** An uploaded file with the version of its row. */
+/** An uploaded file and the version of its row. */
 interface VersionedFile {
   file: FileRow
   version: number
 }
 
-/** A file of results, by its job. */
+/** A result file, identified by job and kind. */
 interface ResultFile {
   job: JobRow
   version: number
@@ -32,11 +32,11 @@
 
 /**
  * @param context - shared parts of the daemon
- * @param reader - of jobs
- * @param draw - random numbers for ids
+ * @param reader - reader of jobs
+ * @param randomValue - source of random numbers for ids
  * @returns the routes
  */
-export function fileRoutes (context: DaemonContext, reader: JobReader, draw: Draw): Route[] {
+export function fileRoutes (context: DaemonContext, reader: JobReader, randomValue: RandomSource): Route[] {
   const { table } = context.platform
 
   const readFile = async (caller: string, fileId: string): Promise<VersionedFile> => {
@@ -46,7 +46,7 @@
     return { file, version: row.version }
   }
 
-  /** Results show when the job has ended: they do not change any more, and partial ones are there all the same. */
+  /** Result files exist once the job has ended, since they no longer change; results of a cancelled or expired job are partial. */
   const readResultFile = async (caller: string, fileId: string): Promise<ResultFile | undefined> => {
     const named = parseResultFileId(fileId)
     if (named === undefined) return undefined
@@ -71,18 +71,18 @@
   }
 
   const upload = async ({ request, response, caller }: CallerContext): Promise<void> => {
-    sendJson(response, 200, fileAnswer(await uploadFile(context, caller, request, draw)))
+    sendJson(response, 200, toFileObject(await uploadFile(context, caller, request, randomValue)))
   }
 
   const list = async ({ response, caller, query }: CallerContext): Promise<void> => {
     const page = await readIndexPage(table, JOB_KEYS.callerFiles(caller), parsePage(query), ROW_KEYS.file)
-    sendJson(response, 200, listAnswer(page.rows.map(row => fileAnswer(parseRow<FileRow>(row.value))), page.hasMore))
+    sendJson(response, 200, toListObject(page.rows.map(row => toFileObject(parseRow<FileRow>(row.value))), page.hasMore))
   }
 
   const show = async ({ response, caller, params }: CallerContext): Promise<void> => {
     const results = await readResultFile(caller, params.id)
-    if (results === undefined) sendJson(response, 200, fileAnswer((await readFile(caller, params.id)).file))
-    else sendJson(response, 200, resultFileAnswer(results.job, results.kind, await resultSize(results.job, results.kind)))
+    if (results === undefined) sendJson(response, 200, toFileObject((await readFile(caller, params.id)).file))
+    else sendJson(response, 200, toResultFileObject(results.job, results.kind, await resultSize(results.job, results.kind)))
   }
 
   const content = async ({ response, caller, params, signal }: CallerContext): Promise<void> => {
@@ -108,8 +108,8 @@
 }
 
 /**
- * The row goes with a row in the list of uploads, so that the sweeper takes the chunks away. A job that is accepted at the
- * same moment changes the row of the file, and one of the two commits meets a conflict.
+ * Deletes the file row and, in the same commit, writes an upload row, so that the sweeper removes the chunks. A job that is
+ * accepted on the file at the same time changes the file row, and one of the two commits fails with a conflict.
  */
 async function removeFile (context: DaemonContext, { file, version }: VersionedFile): Promise<void> {
   const { clock, platform, random } = context
--- a/packages/anvilarch-daemon/src/jobs/itemAttempts.ts
+++ b/packages/anvilarch-daemon/src/jobs/itemAttempts.ts
@@ -1,78 +1,78 @@
-/** Decides which failed runs of an item use up its attempts. Pure. */
+/** Pure functions that decide which failed runs of an item count as attempts, and when its attempts are exhausted. */
 
-/** How often an item was tried by this holder, and where it failed. */
-export interface ItemTries {
+/** Runs of an item by this holder, and the endpoints where they failed. */
+export interface RunHistory {
   /** Runs that failed. */
   runs: number
   /** Failed runs that count as attempts. */
   attempts: number
-  /** Times that it was put off without a run, since the last run. */
+  /** Number of times that it was deferred without a run, since the last run. */
   deferrals: number
-  /** Keys of the endpoints that took it in runs that failed. */
+  /** Keys of the endpoints that accepted it in failed runs. */
   failedAt: ReadonlySet<string>
-  /** Keys of those among them that answered with a failure. */
-  answeredBy: ReadonlySet<string>
+  /** Keys of the endpoints among them that returned a failure response. */
+  failedResponses: ReadonlySet<string>
 }
 
-/** How a run failed: its endpoint answered with a failure, was lost, or gave no whole answer. */
-export type FailureKind = 'answered' | 'lost' | 'incomplete'
+/** How a run failed: its endpoint returned a failure, was lost, or did not return a complete response. */
+export type FailureKind = 'responded' | 'lost' | 'incomplete'
 
 /** A run that failed. */
 export interface FailedRun {
-  /** Keys of the endpoints whose agents took it, the last one last. */
+  /** Keys of the endpoints whose agents accepted it, the most recent last. */
   takenBy: readonly string[]
   kind: FailureKind
 }
 
-/** What bounds the runs of an item. */
+/** Bounds of the runs of an item. */
 export interface RunBounds {
   maxAttempts: number
-  /** Endpoints that its service is to have. */
+  /** Configured number of endpoints of its service. */
   replicas: number
 }
 
-/** Runs that count as no attempt. With the waits between runs this is some six minutes, in which endpoints come back from a restart. */
-const MAX_REPEATS = 16
+/** Most failed runs that do not count as attempts. With the backoff they span about six minutes, in which endpoints can restart. */
+const MAX_UNCOUNTED_RUNS = 16
 
-/** Shared, since most items never fail. */
-const NOWHERE: ReadonlySet<string> = new Set()
+/** Shared empty set, since most items never fail. */
+const NO_ENDPOINTS: ReadonlySet<string> = new Set()
 
-/** An item that was not tried. */
-export const UNTRIED: ItemTries = { runs: 0, attempts: 0, deferrals: 0, failedAt: NOWHERE, answeredBy: NOWHERE }
+/** History of an item that was not run. */
+export const NO_RUNS: RunHistory = { runs: 0, attempts: 0, deferrals: 0, failedAt: NO_ENDPOINTS, failedResponses: NO_ENDPOINTS }
 
 /**
- * One endpoint that answers with failures says as much of itself as of the item, however often it is asked. So a run that
- * it fails again counts as no attempt while other endpoints of the service have not been heard. The loss of an endpoint
- * says nothing of the items that it ran; one that crashes endpoints is quarantined.
+ * Repeated failures of the same endpoint may be caused by the endpoint as well as by the item. A repeated failure is
+ * therefore not an attempt while other endpoints of the service have not failed the item too. The loss of an endpoint is
+ * not an attempt of the items that it ran, since an item that crashes endpoints is quarantined.
  *
- * @param tries - before the run
- * @param run - that failed
- * @param bounds - of the runs
- * @returns the tries with it
+ * @param history - history before the run
+ * @param run - the failed run
+ * @param bounds - bounds of the runs
+ * @returns the history with the run added
  */
-export function afterFailedRun (tries: ItemTries, run: FailedRun, bounds: RunBounds): ItemTries {
-  const answeredBy = withAnswer(tries.answeredBy, run)
-  const isRepeat = run.kind === 'answered' && answeredBy === tries.answeredBy && answeredBy.size < bounds.replicas
+export function afterFailedRun (history: RunHistory, run: FailedRun, bounds: RunBounds): RunHistory {
+  const failedResponses = withFailedResponse(history.failedResponses, run)
+  const isRepeat = run.kind === 'responded' && failedResponses === history.failedResponses && failedResponses.size < bounds.replicas
   const isAttempt = run.takenBy.length === 0 || !(isRepeat || run.kind === 'lost')
   return {
-    runs: tries.runs + 1,
-    attempts: tries.attempts + (isAttempt ? 1 : 0),
+    runs: history.runs + 1,
+    attempts: history.attempts + (isAttempt ? 1 : 0),
     deferrals: 0,
-    failedAt: new Set([...tries.failedAt, ...run.takenBy]),
-    answeredBy
+    failedAt: new Set([...history.failedAt, ...run.takenBy]),
+    failedResponses
   }
 }
 
-function withAnswer (known: ReadonlySet<string>, { takenBy, kind }: FailedRun): ReadonlySet<string> {
+function withFailedResponse (known: ReadonlySet<string>, { takenBy, kind }: FailedRun): ReadonlySet<string> {
   const last = takenBy.at(-1)
-  return kind !== 'answered' || last === undefined || known.has(last) ? known : new Set([...known, last])
+  return kind !== 'responded' || last === undefined || known.has(last) ? known : new Set([...known, last])
 }
 
 /**
- * @param tries - of an item
- * @param bounds - of its runs
- * @returns whether it is not run again
+ * @param history - history of an item
+ * @param bounds - bounds of its runs
+ * @returns whether the item is not run again
  */
-export function areUsedUp ({ runs, attempts }: ItemTries, { maxAttempts }: RunBounds): boolean {
-  return attempts >= maxAttempts || runs - attempts >= MAX_REPEATS
+export function areAttemptsExhausted ({ runs, attempts }: RunHistory, { maxAttempts }: RunBounds): boolean {
+  return attempts >= maxAttempts || runs - attempts >= MAX_UNCOUNTED_RUNS
 }
--- a/packages/anvilarch-daemon/src/jobs/partItems.ts
+++ b/packages/anvilarch-daemon/src/jobs/partItems.ts
@@ -1,27 +1,27 @@
-/** Runs the items of one part and judges how each run ended. */
+/** Runs the items of one part and decides after each run whether the item is final, retried or postponed. */
 import { AnvilarchError, invariant, toAnvilarchError } from 'anvilarch-utils'
 import type { RequestRunner, WorkResult } from '../attempts/types'
 import type { DaemonContext } from '../context'
 import type { ChunkLines } from './chunkLines'
-import { afterFailedRun, areUsedUp, type FailedRun, type RunBounds } from './itemAttempts'
+import { afterFailedRun, areAttemptsExhausted, type FailedRun, type RunBounds } from './itemAttempts'
 import { type Item, type ItemError, type ItemResponse, type ItemResult, parseItemLine, resultLine } from './itemLine'
-import { failureKind, type ItemVerdict, judgeResult } from './itemOutcome'
+import { failureKind, type ItemVerdict, classifyResult } from './itemOutcome'
 import { createItemQueue } from './itemQueue'
 import { type BatchTarget, batchTargetOf, itemRequest } from './itemRequest'
 import type { JobRow, PartRow } from './rows'
 
-/** What the items of one part need. */
+/** Options of `createPartItems`. */
 export interface PartItemsOptions {
   context: DaemonContext
   runner: RequestRunner
   job: JobRow
   part: number
-  /** As claimed. */
+  /** Part row as committed by the claim. */
   row: PartRow
   lines: ChunkLines
-  /** Called once for each item that is final. */
+  /** Called once for each item, with its final result. */
   onResult: (index: number, result: ItemResult) => void
-  /** Called when a run ended, whatever became of it. */
+  /** Called after each run, whatever its outcome. */
   onRunEnded: () => void
 }
 
@@ -31,7 +31,7 @@
   target: BatchTarget
 }
 
-/** A run of an item that has ended. */
+/** A run that has ended. */
 interface EndedRun {
   index: number
   requestId: string
@@ -43,45 +43,45 @@
 export interface PartItems {
   next: (nowMs: number) => ReadyItem | undefined
   start: (ready: ReadyItem) => void
-  /** Lets other items go first. */
+  /** Defers an item, so that other items are started first. */
   postpone: (ready: ReadyItem, delayMs: number) => void
   waiting: () => number
   running: () => number
-  /** Cancels the items that run; they are not done. */
+  /** Aborts the runs in progress; their items get no result. */
   cancel: () => void
 }
 
-/** Longest run of an item; a longer one is taken for lost and run again. */
+/** Longest run of an item; a run that exceeds it is ended and the item is run again. */
 const ITEM_TIMEOUT_MS = 300_000
 const WAIT_BACKOFF_MS = 200
 const MAX_WAIT_BACKOFF_MS = 10_000
 const RUN_BACKOFF_MS = 1_000
 const MAX_RUN_BACKOFF_MS = 30_000
 const BACKOFF_JITTER = 0.3
-/** A model may be unknown here only because the configuration that names it is still on its way. */
+/** Delay before an item with an unknown model is checked again, since the configuration that adds the model may not have arrived yet. */
 const UNKNOWN_MODEL_DELAY_MS = 8_000
-/** Attempts of an item while no configuration says otherwise. */
+/** Attempts of an item when no configuration is loaded. */
 const DEFAULT_ITEM_ATTEMPTS = 3
-/** Service of an item that names an unknown model. */
+/** Service name used for an item with an unknown model. */
 const NO_SERVICE = ''
-/** Items looked at for one that can be started. */
-const LOOK_AHEAD_ITEMS = 16
+/** Most items examined to find one that can be started. */
+const MAX_SCANNED_ITEMS = 16
 
 /**
- * @param options - the part and where results go
+ * @param options - the part and its callbacks
  * @returns its items, none of them started
  */
 export function createPartItems (options: PartItemsOptions): PartItems {
   const { context, job, part, lines } = options
   const queue = createItemQueue(options.row)
   const running = new Map<number, AbortController>()
-  let peeked: { index: number, item: Item } | undefined
+  let lastParsed: { index: number, item: Item } | undefined
 
   const itemAt = (index: number): Item => {
-    if (peeked?.index === index) return peeked.item
+    if (lastParsed?.index === index) return lastParsed.item
     const parsed = parseItemLine(lines.line(index))
     invariant(parsed.ok, 'accepted_items_parse', () => `item ${index} of part ${part} of job "${job.id}"`)
-    peeked = { index, item: parsed.item }
+    lastParsed = { index, item: parsed.item }
     return parsed.item
   }
 
@@ -98,9 +98,9 @@
     finish(index, 'error', response, { code: verdict.code, message: verdict.message })
   }
 
-  const backOff = (index: number, tries: number, baseMs: number, maxMs: number, leastMs = 0): void => {
+  const backOff = (index: number, tries: number, baseMs: number, maxMs: number, minMs = 0): void => {
     const delayMs = Math.min(baseMs * 2 ** Math.min(tries, 16), maxMs)
-    queue.defer(index, context.clock.nowMs() + Math.max(leastMs, context.random.jitter(delayMs, BACKOFF_JITTER)))
+    queue.defer(index, context.clock.nowMs() + Math.max(minMs, context.random.jitter(delayMs, BACKOFF_JITTER)))
   }
 
   const boundsOf = (service: string): RunBounds => {
@@ -108,41 +108,41 @@
     return { maxAttempts: document?.limits.maxItemAttempts ?? DEFAULT_ITEM_ATTEMPTS, replicas: document?.services[service]?.replicas ?? 0 }
   }
 
-  /** @returns whether the item may be run again */
-  const noteFailedRun = (index: number, service: string, run: FailedRun): boolean => {
+  /** @returns whether the item has attempts left */
+  const recordFailedRun = (index: number, service: string, run: FailedRun): boolean => {
     const bounds = boundsOf(service)
-    const tries = afterFailedRun(queue.tries(index), run, bounds)
-    queue.noteTries(index, tries)
-    return !areUsedUp(tries, bounds)
+    const history = afterFailedRun(queue.history(index), run, bounds)
+    queue.setHistory(index, history)
+    return !areAttemptsExhausted(history, bounds)
   }
 
-  const verdicts: { [Kind in ItemVerdict['verdict']]: (ended: EndedRun, verdict: Extract<ItemVerdict, { verdict: Kind }>) => void } = {
-    answered: ({ index, requestId }, verdict) => {
+  const handlers: { [Kind in ItemVerdict['verdict']]: (ended: EndedRun, verdict: Extract<ItemVerdict, { verdict: Kind }>) => void } = {
+    completed: ({ index, requestId }, verdict) => {
       finish(index, 'output', { statusCode: verdict.statusCode, requestId, body: parseBody(verdict.body) }, null)
     },
     failed: ({ index, requestId }, verdict) => { finishFailed(index, requestId, verdict) },
     run_again: ({ index, requestId, service, takenBy }, verdict) => {
-      const mayRun = noteFailedRun(index, service, { takenBy, kind: failureKind(verdict) })
-      if (mayRun) backOff(index, queue.tries(index).runs - 1, RUN_BACKOFF_MS, MAX_RUN_BACKOFF_MS)
+      const mayRunAgain = recordFailedRun(index, service, { takenBy, kind: failureKind(verdict) })
+      if (mayRunAgain) backOff(index, queue.history(index).runs - 1, RUN_BACKOFF_MS, MAX_RUN_BACKOFF_MS)
       else finishFailed(index, requestId, verdict)
     },
     wait: ({ index }, verdict) => {
-      const tries = queue.tries(index)
-      backOff(index, tries.deferrals, WAIT_BACKOFF_MS, MAX_WAIT_BACKOFF_MS, verdict.retryAfterMs)
-      queue.noteTries(index, { ...tries, deferrals: tries.deferrals + 1 })
+      const history = queue.history(index)
+      backOff(index, history.deferrals, WAIT_BACKOFF_MS, MAX_WAIT_BACKOFF_MS, verdict.retryAfterMs)
+      queue.setHistory(index, { ...history, deferrals: history.deferrals + 1 })
     }
   }
 
-  const judge = (ended: EndedRun, result: WorkResult): void => {
-    const verdict = judgeResult(result)
-    const handle = verdicts[verdict.verdict] as (ended: EndedRun, verdict: ItemVerdict) => void
+  const handleResult = (ended: EndedRun, result: WorkResult): void => {
+    const verdict = classifyResult(result)
+    const handle = handlers[verdict.verdict] as (ended: EndedRun, verdict: ItemVerdict) => void
     handle(ended, verdict)
   }
 
-  const unknownModel = (index: number, model: string): void => {
+  const handleUnknownModel = (index: number, model: string): void => {
     queue.take(index)
     const requestId = requestIdOf(index)
-    if (noteFailedRun(index, NO_SERVICE, { takenBy: [], kind: 'incomplete' })) {
+    if (recordFailedRun(index, NO_SERVICE, { takenBy: [], kind: 'incomplete' })) {
       queue.defer(index, context.clock.nowMs() + UNKNOWN_MODEL_DELAY_MS)
       return
     }
@@ -150,10 +150,10 @@
     finishFailed(index, requestId, { verdict: 'failed', code: 'model_not_found', message })
   }
 
-  /** Unique for each run over all holders: an agent that refused an attempt bars its id. */
+  /** Unique for each run across all holders: an agent rejects further attempts under an id that it has refused once. */
   const requestIdOf = (index: number): string => {
-    const tries = queue.tries(index)
-    return `${job.id}.${part}.${index}.${options.row.epoch}.${tries.runs}.${tries.deferrals}`
+    const history = queue.history(index)
+    return `${job.id}.${part}.${index}.${options.row.epoch}.${history.runs}.${history.deferrals}`
   }
 
   const run = async (ready: ReadyItem, controller: AbortController): Promise<void> => {
@@ -161,11 +161,11 @@
     const remainingMs = job.expiresAtMs - clock.wallMs()
     const deadlineMs = clock.nowMs() + Math.min(ITEM_TIMEOUT_MS, remainingMs)
     const requestId = requestIdOf(ready.index)
-    const avoid = queue.tries(ready.index).failedAt
+    const avoid = queue.history(ready.index).failedAt
     const request = itemRequest(itemAt(ready.index), { requestId, caller: job.caller, target: ready.target, deadlineMs, avoid })
-    const result = await options.runner.run(request, { signal: controller.signal }).catch(asFailed)
+    const result = await options.runner.run(request, { signal: controller.signal }).catch(toFailedResult)
     running.delete(ready.index)
-    if (!controller.signal.aborted) judge({ index: ready.index, requestId, service: ready.target.service, takenBy: result.takenBy }, result)
+    if (!controller.signal.aborted) handleResult({ index: ready.index, requestId, service: ready.target.service, takenBy: result.takenBy }, result)
     options.onRunEnded()
   }
 
@@ -173,13 +173,13 @@
     next: nowMs => {
       const document = context.configuration.current()?.document
       if (document === undefined) return undefined
-      for (let looked = 0; looked < LOOK_AHEAD_ITEMS; looked++) {
+      for (let scanned = 0; scanned < MAX_SCANNED_ITEMS; scanned++) {
         const index = queue.peek(nowMs)
         if (index === undefined) return undefined
         const model = String(itemAt(index).body.model)
         const target = batchTargetOf(document, model)
         if (target !== undefined) return { index, target }
-        unknownModel(index, model)
+        handleUnknownModel(index, model)
       }
       return undefined
     },
@@ -201,12 +201,12 @@
   }
 }
 
-function asFailed (error: unknown): WorkResult {
+function toFailedResult (error: unknown): WorkResult {
   const details = { code: 'internal', step: 'jobs.run_item', ran: 'unknown' } as const
   return { outcome: 'failed', error: error instanceof AnvilarchError ? error : toAnvilarchError(error, details), attempts: 1, takenBy: [] }
 }
 
-/** An answer that is not JSON is kept as text. */
+/** Parses a response body; a body that is not JSON is returned as text. */
 function parseBody (body: Uint8Array | undefined): unknown {
   const text = Buffer.from(body ?? new Uint8Array()).toString('utf8')
   try {
--- a/packages/anvilarch-daemon/src/jobs/startJobs.ts
+++ b/packages/anvilarch-daemon/src/jobs/startJobs.ts
@@ -1,10 +1,10 @@
-/** Starts the jobs slice of a gateway. */
+/** Starts the batch jobs of a gateway. */
 import { randomInt } from 'node:crypto'
 import type { LifecycleManager } from 'anvilarch-utils'
 import type { DaemonContext } from '../context'
 import { batchRoutes } from './batchRoutes'
 import { fileRoutes } from './fileRoutes'
-import type { Draw } from './ids'
+import type { RandomSource } from './ids'
 import { createJobReader } from './readJob'
 import { startWorker } from './startWorker'
 import { startSweeper } from './sweep/startSweeper'
@@ -12,21 +12,21 @@
 
 /** Options of `startJobs`. */
 export interface JobsOptions {
-  /** Random numbers for ids, which must differ over all gateways. */
-  draw: Draw
+  /** Random numbers for ids, which must be unique across all gateways. */
+  randomValue: RandomSource
 }
 
-const DRAW_RESOLUTION = 2 ** 40
+const RANDOM_RESOLUTION = 2 ** 40
 
-/** Ids from the system's random source: those of a seeded one could meet those of another gateway. */
-export const DEFAULT_OPTIONS: JobsOptions = { draw: () => randomInt(DRAW_RESOLUTION) / DRAW_RESOLUTION }
+/** Uses the random source of the system: ids from a seeded source could equal those of another gateway. */
+export const DEFAULT_OPTIONS: JobsOptions = { randomValue: () => randomInt(RANDOM_RESOLUTION) / RANDOM_RESOLUTION }
 
 /**
  * @param context - shared parts of the daemon
  * @param dependencies - runner, directory, heartbeat and observer of the gateway
- * @param lifecycle - drains and stops the slice
- * @param options - source of ids
- * @returns the routes of files and batches, and the handle on running jobs
+ * @param lifecycle - drains and stops the jobs
+ * @param options - source of random numbers for ids
+ * @returns the routes of files and batches, and the handle on the running jobs
  */
 export async function startJobs (
   context: DaemonContext, dependencies: JobsDependencies, lifecycle: LifecycleManager, options: JobsOptions = DEFAULT_OPTIONS
@@ -35,7 +35,7 @@
   await startSweeper(context, lifecycle, dependencies)
   const worker = await startWorker(context, dependencies, lifecycle)
   return {
-    routes: [...fileRoutes(context, reader, options.draw), ...batchRoutes(context, reader, options.draw)],
+    routes: [...fileRoutes(context, reader, options.randomValue), ...batchRoutes(context, reader, options.randomValue)],
     drain: worker.drain,
     activeCount: worker.activeCount,
     heldParts: worker.heldParts
--- a/packages/anvilarch-daemon/src/jobs/startWorker.ts
+++ b/packages/anvilarch-daemon/src/jobs/startWorker.ts
@@ -1,24 +1,24 @@
 /**
- * The task that runs jobs on this gateway: it polls the active jobs, leases parts and ends what is done.
+ * The task that runs jobs on this gateway: polls the active jobs, claims parts, and ends jobs that are done or expired.
  *
- * Cost, counted in a run of 300,000 items through one gateway with parts of 500 items: for each 1,000 items 6.1 commits
- * (2 to lease parts, 4 for segments), 4 objects written and 2 read, 4.4 table reads and 0.2 scans. At 5,900 items a second
- * that is 36 commits, 24 objects written and 27 reads a second for the whole fleet. Items that take long make segments
- * smaller, see `runPart`. Besides, each gateway reads at each poll one page of active jobs, the active rows of the jobs that
- * it holds, and two to four jobs for their end. Memory is bounded by the parts held and the results buffered: it was the
- * same for 20,000, 100,000 and 300,000 items.
+ * Platform calls for each 1,000 items, with 300,000 items on one gateway and parts of 500 items: 6.1 commits (2 to claim
+ * parts, 4 for segments), 4 objects written and 2 read, 4.4 table reads and 0.2 scans. At 5,900 items a second these are
+ * 36 commits, 24 objects written and 27 reads a second for the whole fleet. Slow items make segments smaller, see
+ * `leasedPart`. In addition, each gateway reads in each poll one page of active jobs, the active rows of the jobs of its
+ * leased parts, and two to four jobs to check for their end. Memory is bounded by the leased parts and the buffered
+ * results: it is the same for 20,000, 100,000 and 300,000 items.
  */
 import { ROW_KEYS } from 'anvilarch-protocol'
 import { type LifecycleManager, sleep } from 'anvilarch-utils'
 import type { DaemonContext } from '../context'
 import { afterPage, type ActiveView, EMPTY_VIEW, withoutJob } from './activeView'
-import { createHeldParts } from './heldParts'
+import { createLeasedParts } from './leasedParts'
 import { createJobSearches } from './jobSearches'
 import { jobMetrics } from './jobMetrics'
 import { createPartChoice } from './partChoice'
 import { createResultBuffer, DEFAULT_OPTIONS as DEFAULT_BUFFER, type ResultBufferOptions } from './resultBuffer'
 import type { ActiveRow } from './rows'
-import { startItemPump } from './startItemPump'
+import { createItemDispatcher } from './itemDispatcher'
 import type { JobsDependencies } from './types'
 import { createWakeableSleep } from './wakeableSleep'
 
@@ -31,34 +31,34 @@
 
 /** Options of `startWorker`. */
 export interface WorkerOptions {
-  /** Bounds of the results that wait for their commit. */
+  /** Bounds of the results waiting for their commit. */
   buffer: ResultBufferOptions
 }
 
-/** Bounds for a gateway of the usual size. */
+/** Default bounds. */
 export const DEFAULT_OPTIONS: WorkerOptions = { buffer: DEFAULT_BUFFER }
 
-/** Active jobs read at one poll. */
+/** Most active jobs read in one poll. */
 const VIEW_PAGE_JOBS = 500
-/** Jobs looked at for their end at one poll, besides those of which a part was just finished. */
+/** Jobs checked for their end in one poll, besides those of which a part has just finished. */
 const INSPECTED_PER_POLL = 2
-/** A job is looked at for its end no more often than this by one gateway. */
+/** Shortest interval at which one gateway checks a job for its end. */
 const INSPECT_INTERVAL_MS = 5_000
 const POLL_JITTER = 0.2
-/** How often held parts are looked at for results to commit. */
+/** Interval at which leased parts are checked for results to commit. */
 const TICK_MS = 250
-/** Parts leased in a row before the poll goes on with other things. */
+/** Parts claimed in a row before the loop continues with its other steps. */
 const CLAIMS_PER_ROUND = 4
-/** Time until a job is looked at again whose part was given back. */
-const GIVEN_BACK_DELAY_MS = 10_000
-/** Time that items in progress have when the gateway drains. */
+/** Delay before a job is searched again after one of its parts was released. */
+const RELEASED_DELAY_MS = 10_000
+/** Grace period for items in progress when the gateway is draining. */
 const DRAIN_GRACE_MS = 5_000
 
 /**
  * @param context - shared parts of the daemon
  * @param dependencies - runner, directory, heartbeat and observer
  * @param lifecycle - drains and stops the task
- * @param options - bounds
+ * @param options - bounds of the task
  * @returns the running task
  */
 export async function startWorker (
@@ -68,56 +68,56 @@
   const { runner, heartbeat, observer } = dependencies
   const metrics = jobMetrics(context.metrics)
   const stopping = new AbortController()
-  const rest = createWakeableSleep(clock, stopping.signal)
+  const pollSleep = createWakeableSleep(clock, stopping.signal)
   const inspectedMs = new Map<string, number>()
-  const endsDue = new Set<string>()
+  const endChecksDue = new Set<string>()
   const buffer = createResultBuffer(options.buffer)
   let view: ActiveView = EMPTY_VIEW
   let draining = false
   let loops: Array<Promise<void>> = []
 
-  const held = createHeldParts({
+  const leased = createLeasedParts({
     context,
     runner,
     heartbeat,
     buffer,
-    onProgress: () => { pump.wake() },
+    onProgress: () => { dispatcher.schedule() },
     onEnded: (part, end, row) => {
       const active = view.jobs.get(part.jobId)
       if (end === 'finished' && active !== undefined) {
-        searches.noteDone(active, part.part, row)
-        endsDue.add(part.jobId)
+        searches.recordDone(active, part.part, row)
+        endChecksDue.add(part.jobId)
       }
-      rest.wake()
+      pollSleep.wake()
     },
-    onGivenBack: jobId => { searches.putOff(jobId, GIVEN_BACK_DELAY_MS) }
+    onReleased: jobId => { searches.delay(jobId, RELEASED_DELAY_MS) }
   })
-  const searches = createJobSearches({ context, heartbeat, observer, isHeld: held.has })
-  const pump = startItemPump({ context, runner, buffer, parts: held.all })
-  const choice = createPartChoice({ context, runner, instance: heartbeat.instance, parts: held.load })
+  const searches = createJobSearches({ context, heartbeat, observer, isLeasedHere: leased.has })
+  const dispatcher = createItemDispatcher({ context, runner, buffer, parts: leased.all })
+  const choice = createPartChoice({ context, runner, instance: heartbeat.instance, parts: leased.load })
 
-  const dropJob = (jobId: string): void => {
+  const removeJob = (jobId: string): void => {
     view = withoutJob(view, jobId)
-    searches.forget(jobId)
+    searches.removeJob(jobId)
     inspectedMs.delete(jobId)
-    endsDue.delete(jobId)
-    held.dropJob(jobId)
+    endChecksDue.delete(jobId)
+    leased.cancelJob(jobId)
   }
 
   const readView = async (): Promise<void> => {
     const page = await platform.table.scan(ROW_KEYS.activeJobs, { after: view.after, limit: VIEW_PAGE_JOBS })
     const step = afterPage(view, page)
     view = step.view
-    step.ended.forEach(dropJob)
+    step.ended.forEach(removeJob)
     metrics.active.set(view.jobs.size)
   }
 
-  /** A cancelled job must stop within a poll, also when the view is longer than a page. */
-  const checkHeldJobs = async (): Promise<void> => {
-    const jobIds = held.jobIds()
+  /** Detects cancelled jobs of leased parts within one poll, even if the view is longer than a page. */
+  const checkLeasedJobs = async (): Promise<void> => {
+    const jobIds = leased.jobIds()
     if (jobIds.length === 0) return
     const rows = await platform.table.read(jobIds.map(ROW_KEYS.activeJob))
-    jobIds.filter((_jobId, position) => rows[position] === null).forEach(dropJob)
+    jobIds.filter((_jobId, position) => rows[position] === null).forEach(removeJob)
   }
 
   const claimParts = async (): Promise<void> => {
@@ -131,37 +131,37 @@
 
   const claimFrom = async (active: ActiveRow): Promise<void> => {
     const result = await searches.claim(active)
-    if (result.found === 'nothing') searches.putOff(active.jobId, settings.gateway.pollIntervalMs)
-    if (result.found === 'ended') dropJob(active.jobId)
+    if (result.found === 'nothing') searches.delay(active.jobId, settings.gateway.pollIntervalMs)
+    if (result.found === 'ended') removeJob(active.jobId)
     if (result.found !== 'part') return
-    choice.noteServed(active.caller)
-    held.hold(result.claimed)
+    choice.recordServed(active.caller)
+    leased.add(result.claimed)
   }
 
   const inspect = async (active: ActiveRow): Promise<void> => {
     inspectedMs.set(active.jobId, clock.nowMs())
-    endsDue.delete(active.jobId)
-    if (await searches.inspect(active)) dropJob(active.jobId)
+    endChecksDue.delete(active.jobId)
+    if (await searches.inspect(active)) removeJob(active.jobId)
   }
 
-  /** Finds jobs whose time is up, and jobs whose last holder was lost before it could end them. */
+  /** Ends expired jobs, and jobs whose last holder was lost before it could end them. */
   const inspectJobs = async (): Promise<void> => {
-    const oldestMs = clock.nowMs() - INSPECT_INTERVAL_MS
-    const due = [...view.jobs.values()].filter(job => (inspectedMs.get(job.jobId) ?? Number.NEGATIVE_INFINITY) <= oldestMs)
-    const over = [...view.jobs.values()].filter(job => job.expiresAtMs <= clock.wallMs())
-    const others = due.length <= INSPECTED_PER_POLL ? due : [random.pick(due), random.pick(due)]
-    for (const active of new Set([...over.slice(0, INSPECTED_PER_POLL), ...others])) await inspect(active)
+    const dueBeforeMs = clock.nowMs() - INSPECT_INTERVAL_MS
+    const due = [...view.jobs.values()].filter(job => (inspectedMs.get(job.jobId) ?? Number.NEGATIVE_INFINITY) <= dueBeforeMs)
+    const expired = [...view.jobs.values()].filter(job => job.expiresAtMs <= clock.wallMs())
+    const sampled = due.length <= INSPECTED_PER_POLL ? due : [random.pick(due), random.pick(due)]
+    for (const active of new Set([...expired.slice(0, INSPECTED_PER_POLL), ...sampled])) await inspect(active)
   }
 
-  const inspectEnds = async (): Promise<void> => {
-    for (const jobId of [...endsDue]) {
+  const inspectFinishedParts = async (): Promise<void> => {
+    for (const jobId of [...endChecksDue]) {
       const active = view.jobs.get(jobId)
-      if (active === undefined) endsDue.delete(jobId)
+      if (active === undefined) endChecksDue.delete(jobId)
       else await inspect(active)
     }
   }
 
-  const attempt = async (step: () => Promise<void>): Promise<void> => {
+  const runStep = async (step: () => Promise<void>): Promise<void> => {
     try {
       await step()
     } catch (error) {
@@ -174,13 +174,13 @@
     while (!stopping.signal.aborted) {
       if (clock.nowMs() >= nextPollMs) {
         nextPollMs = clock.nowMs() + random.jitter(settings.gateway.pollIntervalMs, POLL_JITTER)
-        await attempt(readView)
-        await attempt(checkHeldJobs)
-        await attempt(inspectJobs)
+        await runStep(readView)
+        await runStep(checkLeasedJobs)
+        await runStep(inspectJobs)
       }
-      await attempt(inspectEnds)
-      await attempt(draining ? searches.releaseUnsettled : claimParts)
-      await rest.sleep(nextPollMs - clock.nowMs())
+      await runStep(inspectFinishedParts)
+      await runStep(draining ? searches.releaseUnconfirmed : claimParts)
+      await pollSleep.sleep(nextPollMs - clock.nowMs())
     }
   }
 
@@ -188,23 +188,23 @@
     while (!stopping.signal.aborted) {
       await sleep(clock, TICK_MS, stopping.signal)
       metrics.bufferedResults.set(buffer.items())
-      if (held.size() === 0) continue
-      held.tick()
-      if (held.size() >= choice.maxHeldParts / 2) held.giveBackStalled()
-      pump.pump()
+      if (leased.size() === 0) continue
+      leased.tick()
+      if (leased.size() >= choice.maxLeasedParts / 2) leased.releaseStalled()
+      dispatcher.dispatch()
     }
   }
 
   const drain = async (): Promise<void> => {
     draining = true
-    rest.wake()
+    pollSleep.wake()
     const { drainTimeoutMs } = settings.gateway
-    const limitMs = clock.nowMs() + drainTimeoutMs
-    held.giveBackAll(Math.min(DRAIN_GRACE_MS, drainTimeoutMs / 2))
-    while (held.size() + searches.unsettled() > 0 && clock.nowMs() < limitMs) await sleep(clock, TICK_MS)
+    const deadlineMs = clock.nowMs() + drainTimeoutMs
+    leased.releaseAll(Math.min(DRAIN_GRACE_MS, drainTimeoutMs / 2))
+    while (leased.size() + searches.unconfirmedClaims() > 0 && clock.nowMs() < deadlineMs) await sleep(clock, TICK_MS)
   }
 
-  const unsubscribe = dependencies.directory.onChange(pump.wake)
+  const unsubscribe = dependencies.directory.onChange(dispatcher.schedule)
   await lifecycle.start({
     name: 'jobs',
     start: () => { loops = [run(), tick()] },
@@ -216,5 +216,5 @@
     },
     stopTimeoutMs: settings.gateway.drainTimeoutMs + DRAIN_GRACE_MS
   })
-  return { activeCount: () => view.jobs.size, heldParts: held.size, drain }
+  return { activeCount: () => view.jobs.size, heldParts: leased.size, drain }
 }
--- a/packages/anvilarch-daemon/src/jobs/uploadFile.ts
+++ b/packages/anvilarch-daemon/src/jobs/uploadFile.ts
@@ -1,4 +1,4 @@
-/** Takes in a file: its chunks first, its row last, so that a file that can be seen is whole. */
+/** Stores an uploaded file. Its row is written after its chunks, so that a visible file is always complete. */
 import { randomUUID } from 'node:crypto'
 import type { IncomingMessage } from 'node:http'
 import { type Condition, ROW_KEYS } from 'anvilarch-protocol'
@@ -6,7 +6,7 @@
 import { requireConfiguration } from '../callers/requireConfiguration'
 import type { DaemonContext } from '../context'
 import { type ChunkWriter, createChunkWriter } from './chunkWriter'
-import { type Draw, newFileId } from './ids'
+import { type RandomSource, newFileId } from './ids'
 import { readMultipart, type UploadForm } from './readMultipart'
 import { type FileRow, JOB_KEYS, type UploadRow } from './rows'
 import { settleCommit, type SettleContext } from '../platform/settleCommit'
@@ -18,17 +18,17 @@
 
 /**
  * @param context - shared parts of the daemon
- * @param caller - who uploads
- * @param request - with a multipart form
- * @param draw - random numbers for the file's id
+ * @param caller - name of the caller
+ * @param request - upload request with a multipart form
+ * @param randomValue - source of random numbers for the id of the file
  * @returns row of the file
- * @throws AnvilarchError when the file was not taken; then nothing of it is kept
+ * @throws AnvilarchError when the file was not accepted; then nothing of it remains visible
  */
-export async function uploadFile (context: DaemonContext, caller: string, request: IncomingMessage, draw: Draw): Promise<FileRow> {
+export async function uploadFile (context: DaemonContext, caller: string, request: IncomingMessage, randomValue: RandomSource): Promise<FileRow> {
   const { limits } = requireConfiguration(context).document
   const { clock, platform, random, settings } = context
   const settle: SettleContext = { table: platform.table, clock, random }
-  const fileId = newFileId(clock.wallMs(), draw)
+  const fileId = newFileId(clock.wallMs(), randomValue)
   const writer = createChunkWriter({
     objects: platform.objects,
     fileId,
@@ -37,14 +37,14 @@
     maxItemBytes: limits.maxItemBytes,
     maxFileBytes: limits.maxFileBytes
   })
-  const upload = await noteUpload(settle, fileId, { caller, startedAtMs: clock.wallMs() })
+  const upload = await recordUpload(settle, fileId, { caller, startedAtMs: clock.wallMs() })
   const abandon = async (): Promise<void> => { await discard(context, settle, writer, fileId) }
-  const row = await takeContent(request, writer, { fileId, caller, createdAtMs: clock.wallMs() }).catch(async (error: unknown) => {
+  const row = await receiveContent(request, writer, { fileId, caller, createdAtMs: clock.wallMs() }).catch(async (error: unknown) => {
     await abandon()
-    throw asNotRun(error)
+    throw toNotRun(error)
   })
   await commitFile(settle, row, upload).catch(async (error: unknown) => {
-    // A commit that may have taken effect shows a file whose chunks must stay.
+    // A commit of unknown outcome may have made the file visible, so its chunks must stay.
     if (error instanceof AnvilarchError && error.ran === 'not_run') await abandon()
     throw error
   })
@@ -52,15 +52,15 @@
   return row
 }
 
-/** No row names the file before its commit, so that whatever fails earlier leaves no file behind. */
-function asNotRun (error: unknown): AnvilarchError {
-  const known = toAnvilarchError(error, { code: 'internal', step: STEP })
-  if (known.ran === 'not_run') return known
-  const { peer, retryAfterMs } = known
-  return new AnvilarchError(known.message, { code: 'platform_unavailable', step: STEP, peer, retryAfterMs, ran: 'not_run', cause: known })
+/** Marks an error as `not_run`: no row names the file before its commit, so an earlier failure leaves no file behind. */
+function toNotRun (error: unknown): AnvilarchError {
+  const converted = toAnvilarchError(error, { code: 'internal', step: STEP })
+  if (converted.ran === 'not_run') return converted
+  const { peer, retryAfterMs } = converted
+  return new AnvilarchError(converted.message, { code: 'platform_unavailable', step: STEP, peer, retryAfterMs, ran: 'not_run', cause: converted })
 }
 
-async function takeContent (
+async function receiveContent (
   request: IncomingMessage, writer: ChunkWriter, identity: { fileId: string, caller: string, createdAtMs: number }
 ): Promise<FileRow> {
   const form = await readMultipart(request, writer.push)
@@ -78,13 +78,13 @@
 }
 
 /**
- * A gateway that dies in the middle of an upload leaves chunks that no file names. This row tells the sweeper of them, so
- * that it need not list all chunks to find a few.
+ * Records the upload before its first chunk is written. A gateway that crashes during an upload leaves chunks that belong to
+ * no file; with this row the sweeper finds them without listing all chunks.
  */
-async function noteUpload (settle: SettleContext, fileId: string, row: UploadRow): Promise<Condition> {
+async function recordUpload (settle: SettleContext, fileId: string, row: UploadRow): Promise<Condition> {
   const key = JOB_KEYS.upload(fileId)
   const commit = { commitId: randomUUID(), conditions: [{ key, version: 0 }], writes: [{ key, value: JSON.stringify(row) }] }
-  const result = await settleCommit(settle, commit, STEP).catch((error: unknown) => { throw asNotRun(error) })
+  const result = await settleCommit(settle, commit, STEP).catch((error: unknown) => { throw toNotRun(error) })
   if (result.outcome === 'committed') return { key, version: result.versions[key] }
   throw new AnvilarchError('The id of the upload is in use. Send the file again.', {
     code: 'overloaded', step: STEP, ran: 'not_run', retryAfterMs: RETRY_MS
@@ -92,15 +92,15 @@
 }
 
 function checkForm (form: UploadForm): void {
-  if (form.fileName === undefined) throw badForm('The form has no field "file" with a file.')
-  if (form.purpose !== PURPOSE) throw badForm(`The field "purpose" must be "${PURPOSE}", found ${JSON.stringify(form.purpose ?? null)}.`)
+  if (form.fileName === undefined) throw invalidForm('The form has no field "file" with a file.')
+  if (form.purpose !== PURPOSE) throw invalidForm(`The field "purpose" must be "${PURPOSE}", found ${JSON.stringify(form.purpose ?? null)}.`)
 }
 
-function badForm (message: string): AnvilarchError {
+function invalidForm (message: string): AnvilarchError {
   return new AnvilarchError(message, { code: 'bad_request', step: STEP, ran: 'not_run' })
 }
 
-/** The sweeper deletes the row of an upload that takes too long before its chunks; the condition on it notices that. */
+/** Makes the file visible. The condition on the upload row fails if the sweeper has expired the upload and removes its chunks. */
 async function commitFile (settle: SettleContext, row: FileRow, upload: Condition): Promise<void> {
   const key = ROW_KEYS.file(row.id)
   const commit = {
@@ -119,7 +119,7 @@
   })
 }
 
-/** What can't be removed now is found by the sweeper. */
+/** Removes the chunks and the row of a failed upload. Whatever cannot be removed now is left to the sweeper. */
 async function discard (context: DaemonContext, settle: SettleContext, writer: ChunkWriter, fileId: string): Promise<void> {
   try {
     await writer.discard()
