--- a/packages/anvilarch-daemon/src/attempts/__fixtures__/fakeAgent.ts
+++ b/packages/anvilarch-daemon/src/attempts/__fixtures__/fakeAgent.ts
@@ -1,4 +1,4 @@
-/** An agent in this process that keeps the whole output of its attempts, with faults at will. */
+/** In-process agent that retains the output of its attempts, with faults to inject. */
 import { createServer, type Http2Server, type ServerHttp2Session } from 'node:http2'
 import type { AddressInfo } from 'node:net'
 import { create, type MessageInitShape } from '@bufbuild/protobuf'
@@ -9,10 +9,10 @@
 
 type FrameInit = MessageInitShape<typeof AttemptFrameSchema>
 
-/** One attempt as the agent keeps it. */
-interface KeptAttempt {
+/** An attempt at the agent. */
+interface FakeAttempt {
   requestId: string
-  /** Runs alone, to its end or until its first token. */
+  /** Whether it runs alone, to its end or until its first token. */
   isolated: boolean
   chunks: Buffer[]
   head: { status: number, headers: Array<{ name: string, value: string }> }
@@ -20,31 +20,31 @@
   changed: Array<() => void>
 }
 
-/** What the agent does wrong; a test changes it at any moment. */
+/** Faults of the agent; a test may change them at any time. */
 export interface FakeAgentFaults {
   /** Refuses starts for this reason. */
   refuse: string | undefined
-  /** Open streams bring nothing more; new ones work. */
+  /** Open streams send no more frames; new ones work. */
   silenceOpenStreams: boolean
-  /** Starts are taken, and nothing at all is said about them. */
+  /** Starts are received, but neither run nor responded to. */
   muteStarts: boolean
   /** Text in a request that crashes the endpoint. */
   crashOn: string | undefined
-  /** Forgets an attempt and changes its incarnation as soon as it has written this many chunks. */
+  /** Discards all attempts and changes its incarnation once an attempt has written this many chunks. */
   dieAfterChunks: number | undefined
 }
 
 export interface FakeAgent {
   view: AgentView
   faults: FakeAgentFaults
-  /** Requests that ran, in the order in which they began. */
+  /** Ids of requests that ran, in the order of their starts. */
   executions: string[]
   starts: StartAttemptRequest[]
   cancelled: string[]
   barred: Set<string>
   resumes: number
   sessions: Set<ServerHttp2Session>
-  /** Frees held answers. */
+  /** Lets held responses continue. */
   release: () => void
   close: () => Promise<void>
 }
@@ -52,15 +52,15 @@
 export interface FakeAgentOptions {
   name: string
   kind?: 'model' | 'plain'
-  /** Chunks of the answer to a request. */
+  /** Chunks of the response to a request. */
   answer?: (request: StartAttemptRequest) => string[]
   contentType?: string
   status?: number
-  /** Answers stop after their first chunk until `release`. */
+  /** Responses stop after their first chunk until `release`. */
   hold?: boolean
 }
 
-/** The events of a chat completion that says these words. */
+/** @returns the events of a chat completion with these words */
 export function chatEvents (words: string[]): string[] {
   const event = (delta: object, finish: string | null): string =>
     `data: ${JSON.stringify({ id: 'c1', object: 'chat.completion.chunk', created: 1, model: 'large', choices: [{ index: 0, delta, finish_reason: finish }] })}\n\n`
@@ -69,15 +69,15 @@
 
 export async function startFakeAgent (options: FakeAgentOptions): Promise<FakeAgent> {
   const kind = options.kind ?? 'plain'
-  const attempts = new Map<string, KeptAttempt>()
+  const attempts = new Map<string, FakeAttempt>()
   const faults: FakeAgentFaults = { refuse: undefined, silenceOpenStreams: false, muteStarts: false, crashOn: undefined, dieAfterChunks: undefined }
   let openGate: () => void = () => {}
   const gate = new Promise<void>(resolve => { openGate = resolve })
 
-  const wake = (kept: KeptAttempt): void => { kept.changed.splice(0).forEach(each => { each() }) }
-  const change = (kept: KeptAttempt): Promise<void> => new Promise(resolve => { kept.changed.push(resolve) })
+  const wake = (attempt: FakeAttempt): void => { attempt.changed.splice(0).forEach(each => { each() }) }
+  const change = (attempt: FakeAttempt): Promise<void> => new Promise(resolve => { attempt.changed.push(resolve) })
 
-  const execute = async (request: StartAttemptRequest, kept: KeptAttempt): Promise<void> => {
+  const execute = async (request: StartAttemptRequest, attempt: FakeAttempt): Promise<void> => {
     agent.executions.push(request.requestId)
     const text = Buffer.from(request.call?.body ?? []).toString() + (request.call?.path ?? '')
     if (faults.crashOn !== undefined && text.includes(faults.crashOn)) {
@@ -90,17 +90,17 @@
     const chunks = options.answer?.(request) ?? ['{"answer":"yes"}']
     for (const [index, chunk] of chunks.entries()) {
       if (options.hold === true && index > 0) await gate
-      if (kept.final !== undefined) return
-      kept.chunks.push(Buffer.from(chunk))
-      wake(kept)
-      if (faults.dieAfterChunks !== undefined && kept.chunks.length >= faults.dieAfterChunks) {
+      if (attempt.final !== undefined) return
+      attempt.chunks.push(Buffer.from(chunk))
+      wake(attempt)
+      if (faults.dieAfterChunks !== undefined && attempt.chunks.length >= faults.dieAfterChunks) {
         die()
         return
       }
       await new Promise(resolve => { setImmediate(resolve) })
     }
-    kept.final = { outcome: 'completed', ran: 'ran', wasAlone: kept.isolated }
-    wake(kept)
+    attempt.final = { outcome: 'completed', ran: 'ran', wasAlone: attempt.isolated }
+    wake(attempt)
   }
 
   const die = (): void => {
@@ -110,24 +110,24 @@
     agent.sessions.forEach(session => { session.destroy() })
   }
 
-  async function * read (kept: KeptAttempt, offsetBytes: number, signal: AbortSignal): AsyncGenerator<FrameInit> {
+  async function * read (attempt: FakeAttempt, offsetBytes: number, signal: AbortSignal): AsyncGenerator<FrameInit> {
     yield { kind: { case: 'accepted', value: { agentIncarnation: incarnation } } }
-    if (faults.crashOn === undefined) yield { kind: { case: 'head', value: kept.head } }
+    if (faults.crashOn === undefined) yield { kind: { case: 'head', value: attempt.head } }
     let sentBytes = offsetBytes
-    // One listener for the whole stream: one for each wait would add up to a leak.
-    const gone = aborted(signal)
+    // One listener for the whole stream: a listener per wait would leak.
+    const abortedStream = aborted(signal)
     while (!signal.aborted) {
-      if (faults.silenceOpenStreams) await gone
-      const all = Buffer.concat(kept.chunks)
-      if (all.length > sentBytes) {
-        yield { kind: { case: 'output', value: { offsetBytes: BigInt(sentBytes), data: all.subarray(sentBytes) } } }
-        sentBytes = all.length
-      } else if (kept.final !== undefined) {
-        yield { kind: { case: 'final', value: { ...kept.final, totalBytes: BigInt(all.length), outputTokens: kept.chunks.filter(each => each.length > 0).length } } }
+      if (faults.silenceOpenStreams) await abortedStream
+      const output = Buffer.concat(attempt.chunks)
+      if (output.length > sentBytes) {
+        yield { kind: { case: 'output', value: { offsetBytes: BigInt(sentBytes), data: output.subarray(sentBytes) } } }
+        sentBytes = output.length
+      } else if (attempt.final !== undefined) {
+        yield { kind: { case: 'final', value: { ...attempt.final, totalBytes: BigInt(output.length), outputTokens: attempt.chunks.filter(each => each.length > 0).length } } }
         return
       } else {
-        await Promise.race([change(kept), heartbeat(), gone])
-        if (kept.final === undefined && Buffer.concat(kept.chunks).length === sentBytes && !faults.silenceOpenStreams) yield { kind: { case: 'heartbeat', value: {} } }
+        await Promise.race([change(attempt), heartbeat(), abortedStream])
+        if (attempt.final === undefined && Buffer.concat(attempt.chunks).length === sentBytes && !faults.silenceOpenStreams) yield { kind: { case: 'heartbeat', value: {} } }
       }
     }
   }
@@ -146,34 +146,34 @@
     }
     if (faults.muteStarts) { await aborted(signal); return }
     const contentType = options.contentType ?? (request.outputMode === 'stream' ? 'text/event-stream' : 'application/json')
-    const kept: KeptAttempt = { requestId: request.requestId, isolated: request.isolated || request.soloFirstToken, chunks: [], head: { status: options.status ?? 200, headers: [{ name: 'Content-Type', value: contentType }] }, final: undefined, changed: [] }
-    attempts.set(request.attemptId, kept)
-    execute(request, kept).catch(() => {})
-    yield * read(kept, 0, signal)
+    const attempt: FakeAttempt = { requestId: request.requestId, isolated: request.isolated || request.soloFirstToken, chunks: [], head: { status: options.status ?? 200, headers: [{ name: 'Content-Type', value: contentType }] }, final: undefined, changed: [] }
+    attempts.set(request.attemptId, attempt)
+    execute(request, attempt).catch(() => {})
+    yield * read(attempt, 0, signal)
   }
 
   async function * resumeAttempt (request: ResumeAttemptRequest, signal: AbortSignal): AsyncGenerator<FrameInit> {
     agent.resumes++
     if (request.agentIncarnation !== incarnation) { yield refused('wrong_incarnation'); return }
-    const kept = attempts.get(request.attemptId)
-    if (kept === undefined) {
+    const attempt = attempts.get(request.attemptId)
+    if (attempt === undefined) {
       agent.barred.add(request.attemptId)
       yield refused('barred')
       return
     }
     faults.silenceOpenStreams = false
-    yield * read(kept, Number(request.offsetBytes), signal)
+    yield * read(attempt, Number(request.offsetBytes), signal)
   }
 
   const cancelAttempt = (request: CancelAttemptRequest): { outcome: string } => {
     agent.cancelled.push(request.attemptId)
-    const kept = attempts.get(request.attemptId)
-    if (kept === undefined) agent.barred.add(request.attemptId)
+    const attempt = attempts.get(request.attemptId)
+    if (attempt === undefined) agent.barred.add(request.attemptId)
     else {
-      kept.final ??= { outcome: 'cancelled', ran: 'ran', wasAlone: false }
-      wake(kept)
+      attempt.final ??= { outcome: 'cancelled', ran: 'ran', wasAlone: false }
+      wake(attempt)
     }
-    return { outcome: kept === undefined ? 'barred' : 'cancelled' }
+    return { outcome: attempt === undefined ? 'barred' : 'cancelled' }
   }
 
   const sessionDeps = { registry: { start: startAttempt, resume: resumeAttempt }, stopped: new AbortController().signal }
@@ -230,7 +230,7 @@
   await new Promise(resolve => { signal.addEventListener('abort', resolve, { once: true }) })
 }
 
-/** Heartbeats come well within the silence that tests set. */
+/** Resolves after the heartbeat interval, which is well below the stream timeout of the tests. */
 async function heartbeat (): Promise<void> {
   await new Promise(resolve => { setTimeout(resolve, 30).unref() })
 }
--- a/packages/anvilarch-daemon/src/attempts/__fixtures__/memoryTable.ts
+++ b/packages/anvilarch-daemon/src/attempts/__fixtures__/memoryTable.ts
@@ -1,11 +1,11 @@
-/** The table service in memory, with an outage and lost replies at will. */
+/** In-memory table service, with outages and lost replies to inject. */
 import type { CommitResult, Row, TablePort } from 'anvilarch-protocol'
 import { AnvilarchError } from 'anvilarch-utils'
 
 export interface MemoryTable {
   port: TablePort
   rows: Map<string, Row>
-  /** Commits that reached the table, by id and with resends. */
+  /** Ids of the commits that reached the table, including resends. */
   commits: string[]
   faults: { down: boolean, loseReplies: number }
 }
@@ -47,7 +47,7 @@
   }
 
   const apply = (conditions: Array<{ key: string, version: number }>, writes: Array<{ key: string, value: string | null }>): CommitResult => {
-    const failed = conditions.filter(({ key, version: wanted }) => (rows.get(key)?.version ?? 0) !== wanted)
+    const failed = conditions.filter(({ key, version: expected }) => (rows.get(key)?.version ?? 0) !== expected)
     if (failed.length > 0) return { outcome: 'conflict', rows: failed.map(({ key }) => rows.get(key) ?? { key, version: 0, value: null }) }
     const versions: Record<string, number> = {}
     for (const { key, value } of writes) {
--- a/packages/anvilarch-daemon/src/attempts/__fixtures__/simulatedFleet.ts
+++ b/packages/anvilarch-daemon/src/attempts/__fixtures__/simulatedFleet.ts
@@ -1,6 +1,6 @@
 /**
- * One request against a fleet in memory: the real machine, agents that follow the protocol, and a network whose messages
- * a test delivers, drops or repeats one by one.
+ * Simulation of one request: the real state machine, agents that follow the protocol, and a network whose messages a test
+ * delivers, drops or duplicates one by one.
  */
 import type { RefusalReason } from 'anvilarch-protocol'
 import type { Target } from '../../routing/types'
@@ -8,8 +8,8 @@
 import { createRequestState, stepRequest } from '../machine/requestMachine'
 import type { AttemptState, RequestCommand, RequestEnd, RequestEvent, RequestState } from '../machine/types'
 
-export const ANSWER = 'abcdefgh'
-/** How long a simulated agent keeps an ended attempt. */
+export const RESPONSE = 'abcdefgh'
+/** How long a simulated agent retains an ended attempt. */
 const RETENTION_MS = 60_000
 
 interface SimulatedAttempt {
@@ -17,7 +17,7 @@
   outcome: 'completed' | 'cancelled' | 'endpoint_crashed' | undefined
   isolated: boolean
   wasAlone: boolean
-  /** Where the output of this attempt begins in the answer. */
+  /** Offset in the response at which the output of this attempt begins. */
   from: number
   written: number
 }
@@ -25,7 +25,7 @@
 interface SimulatedAgent {
   target: Target
   alive: boolean
-  /** Whether the directory of the gateway shows it. */
+  /** Whether the directory of the gateway lists it. */
   listed: boolean
   refuse: RefusalReason | undefined
   attempts: Map<string, SimulatedAttempt>
@@ -41,7 +41,7 @@
 export interface SimulationOptions {
   agents: number
   idempotent: boolean
-  /** Whether bytes reach the caller as they come, as in a stream. */
+  /** Whether bytes are forwarded to the caller as they arrive, as in a stream. */
   streamed: boolean
 }
 
@@ -49,11 +49,11 @@
   state: RequestState
   readonly agents: SimulatedAgent[]
   network: Message[] = []
-  /** Starts that ran, by attempt id. The truth that the machine's claims are held against. */
+  /** Ids of attempts that ran, to compare with the results that the machine reports. */
   readonly executions: string[] = []
-  /** Starts that were sent after the fingerprint was quarantined. */
+  /** Number of starts that were sent after the fingerprint was quarantined. */
   startsInQuarantine = 0
-  /** Resumptions since the last new part of the answer. */
+  /** Resumptions since the last new output. */
   resumes = 0
   end: RequestEnd | undefined
   received = ''
@@ -95,7 +95,7 @@
       case 'head': this.resumes = 0; return
       case 'wait_for_target': this.waiting = true; return
       case 'note': this.notes.push(command.note); return
-      case 'output': return this.take(command.data)
+      case 'output': return this.onOutput(command.data)
       case 'quarantine': this.quarantined = true; return
       case 'end':
         this.end = command.end
@@ -109,7 +109,7 @@
     else this.apply({ kind: 'chosen', target: { ...agent.target }, attemptId: `t${this.starts++}` })
   }
 
-  private take (data: Uint8Array): void {
+  private onOutput (data: Uint8Array): void {
     if (this.state.attempt !== undefined) this.ledger.output(this.state.attempt, data.length)
     this.received += Buffer.from(data).toString()
     this.resumes = 0
@@ -152,7 +152,7 @@
   }
 
   private handleStart (agent: SimulatedAgent, attempt: AttemptState, stream: number, from: number): void {
-    // No transport repeats a message this late.
+    // No transport duplicates a message this late.
     if (agent.forgotten.has(attempt.attemptId)) return
     const reason = this.refusalOf(agent, attempt)
     if (reason !== undefined) {
@@ -165,11 +165,11 @@
       agent.attempts.set(attempt.attemptId, { endedMs: undefined, outcome: undefined, isolated: attempt.isolated, wasAlone: attempt.isolated || attempt.soloFirstToken, from, written: 0 })
     }
     this.reply({ kind: 'accepted', stream, incarnation: agent.target.incarnation })
-    this.report(agent, attempt.attemptId, stream, 0)
+    this.sendOutput(agent, attempt.attemptId, stream, 0)
   }
 
   private refusalOf (agent: SimulatedAgent, attempt: AttemptState): RefusalReason | undefined {
-    // A start that was repeated on the way finds what the first one began.
+    // A duplicated start finds the attempt of the first one.
     if (agent.attempts.has(attempt.attemptId)) return undefined
     if (agent.barred.has(attempt.attemptId)) return 'barred'
     if (attempt.target.incarnation !== agent.target.incarnation) return 'wrong_incarnation'
@@ -183,7 +183,7 @@
       this.refuse(agent, stream, 'barred')
     } else {
       this.reply({ kind: 'accepted', stream, incarnation: agent.target.incarnation })
-      this.report(agent, attempt.attemptId, stream, attempt.receivedBytes)
+      this.sendOutput(agent, attempt.attemptId, stream, attempt.receivedBytes)
     }
   }
 
@@ -197,46 +197,46 @@
     this.reply({ kind: 'refused', stream, reason, incarnation: agent.target.incarnation, retryAfterMs: 0 })
   }
 
-  /** Sends what an attempt has written since an offset, to a stream. */
-  private report (agent: SimulatedAgent, attemptId: string, stream: number, offsetBytes: number): void {
-    const kept = agent.attempts.get(attemptId)
-    if (kept === undefined) return
-    const whole = ANSWER.slice(kept.from, kept.from + kept.written)
-    if (kept.written > 0 || kept.outcome === 'completed') this.reply({ kind: 'head', stream, status: 200, headers: {} })
-    if (whole.length > offsetBytes) this.reply({ kind: 'output', stream, offsetBytes, data: Buffer.from(whole.slice(offsetBytes)) })
-    if (kept.outcome === undefined) return
+  /** Sends the output of an attempt from an offset on to a stream. */
+  private sendOutput (agent: SimulatedAgent, attemptId: string, stream: number, offsetBytes: number): void {
+    const attempt = agent.attempts.get(attemptId)
+    if (attempt === undefined) return
+    const output = RESPONSE.slice(attempt.from, attempt.from + attempt.written)
+    if (attempt.written > 0 || attempt.outcome === 'completed') this.reply({ kind: 'head', stream, status: 200, headers: {} })
+    if (output.length > offsetBytes) this.reply({ kind: 'output', stream, offsetBytes, data: Buffer.from(output.slice(offsetBytes)) })
+    if (attempt.outcome === undefined) return
     this.reply({
       kind: 'final',
       stream,
-      final: { outcome: kept.outcome, totalBytes: whole.length, ran: 'ran', detail: '', retryAfterMs: 0, outputTokens: kept.written, wasAlone: kept.wasAlone }
+      final: { outcome: attempt.outcome, totalBytes: output.length, ran: 'ran', detail: '', retryAfterMs: 0, outputTokens: attempt.written, wasAlone: attempt.wasAlone }
     })
   }
 
-  /** The endpoint writes some more of an attempt. */
+  /** Makes the endpoint write more output of its attempts. */
   produce (agentIndex: number, bytes: number): void {
     const agent = this.agents[agentIndex % this.agents.length]
-    for (const [attemptId, kept] of agent.attempts) {
-      if (kept.outcome !== undefined) continue
-      const before = kept.written
-      kept.written = Math.min(ANSWER.length - kept.from, kept.written + bytes)
-      if (kept.from + kept.written === ANSWER.length) this.finish(kept, 'completed')
+    for (const [attemptId, attempt] of agent.attempts) {
+      if (attempt.outcome !== undefined) continue
+      const before = attempt.written
+      attempt.written = Math.min(RESPONSE.length - attempt.from, attempt.written + bytes)
+      if (attempt.from + attempt.written === RESPONSE.length) this.finish(attempt, 'completed')
       const stream = this.state.attempt?.attemptId === attemptId ? this.state.attempt.stream : 0
-      this.report(agent, attemptId, stream, before)
+      this.sendOutput(agent, attemptId, stream, before)
     }
   }
 
-  private finish (kept: SimulatedAttempt, outcome: 'completed' | 'cancelled' | 'endpoint_crashed'): void {
-    if (kept.outcome !== undefined) return
-    kept.outcome = outcome
-    kept.endedMs = this.nowMs
+  private finish (attempt: SimulatedAttempt, outcome: 'completed' | 'cancelled' | 'endpoint_crashed'): void {
+    if (attempt.outcome !== undefined) return
+    attempt.outcome = outcome
+    attempt.endedMs = this.nowMs
   }
 
   crash (agentIndex: number): void {
     const agent = this.agents[agentIndex % this.agents.length]
-    for (const [attemptId, kept] of agent.attempts) {
-      if (kept.outcome !== undefined) continue
-      this.finish(kept, 'endpoint_crashed')
-      if (this.state.attempt?.attemptId === attemptId) this.report(agent, attemptId, this.state.attempt.stream, kept.written)
+    for (const [attemptId, attempt] of agent.attempts) {
+      if (attempt.outcome !== undefined) continue
+      this.finish(attempt, 'endpoint_crashed')
+      if (this.state.attempt?.attemptId === attemptId) this.sendOutput(agent, attemptId, this.state.attempt.stream, attempt.written)
     }
   }
 
@@ -255,12 +255,12 @@
     agent.alive = true
   }
 
-  /** Lets time pass; agents forget what they need not keep any longer. */
+  /** Advances the time; agents discard attempts whose retention is over. */
   wait (durationMs: number): void {
     this.nowMs += durationMs
     for (const { attempts, forgotten } of this.agents) {
-      for (const [attemptId, kept] of attempts) {
-        if (kept.endedMs === undefined || this.nowMs - kept.endedMs < RETENTION_MS) continue
+      for (const [attemptId, attempt] of attempts) {
+        if (attempt.endedMs === undefined || this.nowMs - attempt.endedMs < RETENTION_MS) continue
         attempts.delete(attemptId)
         forgotten.add(attemptId)
       }
--- a/packages/anvilarch-daemon/src/attempts/__fixtures__/testContext.ts
+++ b/packages/anvilarch-daemon/src/attempts/__fixtures__/testContext.ts
@@ -1,4 +1,4 @@
-/** A daemon context over in-memory parts, for tests of a gateway. */
+/** Daemon context of in-memory parts, for tests of a gateway. */
 import { type ConfigurationDocument, DEFAULT_AGENT_SETTINGS, DEFAULT_BATCH_POLICY, DEFAULT_CALLER_LIMITS, DEFAULT_GATEWAY_SETTINGS, DEFAULT_LIMITS, type GatewaySettings } from 'anvilarch-configuration'
 import type { PlatformPorts } from 'anvilarch-protocol'
 import { type Clock, createRandom, createSystemClock, SILENT_LOGGER } from 'anvilarch-utils'
@@ -70,27 +70,27 @@
   return { current: () => current, version: () => current?.version ?? 0, offer: () => 'not_newer', onChange: () => () => {} }
 }
 
-/** More listeners than any test has. */
-const MAX_TOLD = 1_000
+/** More listener calls than any test needs. */
+const MAX_LISTENER_CALLS = 1_000
 
 export interface FakeDirectory extends AgentDirectory {
   views: AgentView[]
   notes: string[]
-  /** Adds an agent, as membership does when it hears of one. */
+  /** Adds an agent, as membership does when it discovers one. */
   add: (view: AgentView) => void
-  /** Tells listeners that the test changed a view. */
-  touch: () => void
+  /** Notifies listeners after the test has changed a view. */
+  notifyListeners: () => void
 }
 
-/** A directory whose agents the test sets by hand; it writes down what it is told. */
+/** A directory whose agents are set by the test; it records the notes that it receives. */
 export function createFakeDirectory (views: AgentView[]): FakeDirectory {
   const notes: string[] = []
   const listeners = new Set<() => void>()
-  // As in the real directory, a listener that is added meanwhile is told as well.
-  const touch = (): void => {
-    let told = 0
+  // As in the real directory, a listener that is added meanwhile is called as well.
+  const notifyListeners = (): void => {
+    let calls = 0
     for (const listener of listeners) {
-      if (told++ > MAX_TOLD) throw new Error('listeners are added without end')
+      if (calls++ > MAX_LISTENER_CALLS) throw new Error('listeners are added without limit')
       listener()
     }
   }
@@ -103,9 +103,9 @@
     notes,
     add: view => {
       views.push(view)
-      touch()
+      notifyListeners()
     },
-    touch,
+    notifyListeners,
     list: () => views,
     get: name => views.find(view => view.name === name),
     noteLoad: () => {},
--- a/packages/anvilarch-daemon/src/attempts/__fixtures__/testGateway.ts
+++ b/packages/anvilarch-daemon/src/attempts/__fixtures__/testGateway.ts
@@ -1,4 +1,4 @@
-/** A gateway in this process, in front of fake agents. */
+/** In-process gateway in front of fake agents. */
 import { createLifecycleManager, type LifecycleManager } from 'anvilarch-utils'
 import { startCallersServer } from '../../callers'
 import type { FrontOptions } from '../../callers/frontParts'
--- a/packages/anvilarch-daemon/src/attempts/__tests__/failingEndpoint.test.ts
+++ b/packages/anvilarch-daemon/src/attempts/__tests__/failingEndpoint.test.ts
@@ -20,21 +20,21 @@
   return failures
 }
 
-describe('an endpoint that answers with failures', () => {
+describe('an endpoint that returns server errors', () => {
   const failing = { status: 500, answer: () => ['data: {"error":{}}\n\n'] }
 
-  // Guards against this: callers go on being sent to an engine that fails while others are well.
-  it('is asked less than its share while others answer', async () => {
+  // Guards against routing requests to an engine that fails while others are healthy.
+  it('receives less than its share while others succeed', async () => {
     gateway = await startTestGateway({ agents: [continuingModel('a1', failing), continuingModel('a2'), continuingModel('a3')] })
     expect(await countFailures()).toBeLessThan(CALLS / 3)
   })
 
-  it('is asked all the same when it is the only one', async () => {
+  it('still receives requests when it is the only one', async () => {
     gateway = await startTestGateway({ agents: [continuingModel('a1', failing)] })
     expect(await countFailures()).toBe(CALLS)
   })
 
-  it('is asked like the others when all of them answer so', async () => {
+  it('receives the same share as the others when all of them fail', async () => {
     gateway = await startTestGateway({ agents: ['a1', 'a2', 'a3'].map(name => continuingModel(name, failing)) })
     expect(await countFailures()).toBe(CALLS)
     expect(gateway.agents.map(agent => agent.executions.length)).toEqual([CALLS / 3, CALLS / 3, CALLS / 3])
--- a/packages/anvilarch-daemon/src/attempts/__tests__/gatewayFailures.test.ts
+++ b/packages/anvilarch-daemon/src/attempts/__tests__/gatewayFailures.test.ts
@@ -3,7 +3,7 @@
 
 let gateway: TestGateway
 
-// The server library of the fake agent reports each stream that its peer cuts; here that is what is tested.
+// The server library of the fake agent logs each stream that its peer resets, which these tests cause on purpose.
 beforeAll(() => { jest.spyOn(console, 'error').mockImplementation(() => {}) })
 
 const start = async (options: TestGatewayOptions): Promise<void> => { gateway = await startTestGateway(options) }
@@ -21,28 +21,28 @@
 const reserve = async (): Promise<Response> => await fetch(`${gateway.url}/services/names/names/a.example/reservations`, { method: 'POST', body: '{}' })
 const errorOf = async (response: Response): Promise<{ code: string, ran: string, retry_after_ms?: number }> => ((await response.json()) as { error: never }).error
 const executions = (): number[] => gateway.agents.map(agent => agent.executions.length)
-const condition = async (holds: () => boolean): Promise<void> => {
-  for (let tries = 0; !holds(); tries++) {
-    if (tries > 1_000) throw new Error(`never held: ${holds.toString()}`)
+const waitUntil = async (isMet: () => boolean): Promise<void> => {
+  for (let tries = 0; !isMet(); tries++) {
+    if (tries > 1_000) throw new Error(`condition not met: ${isMet.toString()}`)
     await new Promise(resolve => { setTimeout(resolve, 5) })
   }
 }
 
-describe('silence', () => {
-  it('resumes a stream whose connection went silent, over a new connection and from its offset', async () => {
-    // Guards against this: a streamed answer stops in the middle for good.
+describe('stream timeouts', () => {
+  it('resumes a stream whose connection became unresponsive, over a new connection and from its offset', async () => {
+    // Guards against a streamed response that stops in the middle for good.
     await start({ agents: [continuingModel('a1', { hold: true })] })
-    const answer = chat()
-    await condition(() => gateway.agents[0].executions.length === 1)
+    const response = chat()
+    await waitUntil(() => gateway.agents[0].executions.length === 1)
     gateway.agents[0].faults.silenceOpenStreams = true
     gateway.agents[0].release()
-    expect(await answer).toMatchObject({ status: 200, text: WORDS.join('') })
+    expect(await response).toMatchObject({ status: 200, text: WORDS.join('') })
     expect(gateway.agents[0]).toMatchObject({ resumes: 1, executions: [expect.any(String)] })
     expect(gateway.agents[0].sessions.size).toBe(2)
   })
 
-  it('runs a call elsewhere when the agent proves that it never saw its start', async () => {
-    // Guards against this: a call that may not be repeated is sent into a silent connection.
+  it('runs a call elsewhere when the agent proves that it never received the start', async () => {
+    // Guards against a non-idempotent call that fails because its start was sent over an unresponsive connection.
     await start({ agents: [{ name: 'a1' }, { name: 'a2' }] })
     gateway.agents[0].faults.muteStarts = true
     const response = await reserve()
@@ -51,7 +51,7 @@
     expect(gateway.agents[0].barred.size).toBe(1)
   })
 
-  it('notices a silent start soon enough for a short deadline', async () => {
+  it('detects an unanswered start soon enough for a short deadline', async () => {
     await start({ agents: [{ name: 'a1' }, { name: 'a2' }], gateway: { silenceMs: 5_000 } })
     gateway.agents[0].faults.muteStarts = true
     const response = await fetch(`${gateway.url}/services/names/names/a.example`, { headers: { 'x-deadline-ms': '800' } })
@@ -60,8 +60,8 @@
   })
 })
 
-describe('refusal', () => {
-  it('goes elsewhere when an agent drains, also with a call that may not be repeated', async () => {
+describe('refusals', () => {
+  it('retries elsewhere when an agent is draining, also a non-idempotent call', async () => {
     await start({ agents: [{ name: 'a1' }, { name: 'a2' }] })
     gateway.agents[0].faults.refuse = 'draining'
     expect((await reserve()).status).toBe(200)
@@ -71,7 +71,7 @@
     expect(gateway.agents[0].starts).toHaveLength(1)
   })
 
-  it('is told at once as not run when all agents refuse, with the time to come back', async () => {
+  it('are reported at once as not_run with a Retry-After when all agents refuse', async () => {
     await start({ agents: [{ name: 'a1' }, { name: 'a2' }] })
     gateway.agents.forEach(agent => { agent.faults.refuse = 'overloaded' })
     const response = await lookup()
@@ -82,19 +82,19 @@
 })
 
 describe('a lost agent', () => {
-  it('continues a stream at another endpoint, whole and with one role', async () => {
-    // Guards against this: a streamed answer breaks off.
+  it('continues a stream at another endpoint, complete and with one role', async () => {
+    // Guards against a streamed response that breaks off.
     await start({ agents: [continuingModel('a1'), continuingModel('a2')] })
     gateway.agents[0].faults.dieAfterChunks = 3
-    const answer = await chat()
-    expect(answer).toMatchObject({ status: 200, text: WORDS.join('') })
-    expect(answer.events.filter(each => each.includes('"role"'))).toHaveLength(1)
-    expect(answer.events.at(-1)).toBe('[DONE]')
+    const response = await chat()
+    expect(response).toMatchObject({ status: 200, text: WORDS.join('') })
+    expect(response.events.filter(each => each.includes('"role"'))).toHaveLength(1)
+    expect(response.events.at(-1)).toBe('[DONE]')
     expect(executions()).toEqual([1, 1])
   })
 
-  it('tells a caller of a call that may not be repeated that its outcome is unknown', async () => {
-    // Guards against this: a reservation is made twice.
+  it('reports an unknown outcome to the caller of a non-idempotent call', async () => {
+    // Guards against a reservation that is made twice.
     await start({ agents: [{ name: 'a1', answer: () => ['{"half":', '1}'] }, { name: 'a2' }] })
     gateway.agents[0].faults.dieAfterChunks = 1
     const response = await reserve()
@@ -103,7 +103,7 @@
     expect(executions()).toEqual([1, 0])
   })
 
-  it('ends a stream that nobody can continue with an error event and without its end mark', async () => {
+  it('ends a stream that no other endpoint can continue with an error event and without its end marker', async () => {
     await start({ agents: [continuingModel('a1')] })
     gateway.agents[0].faults.dieAfterChunks = 3
     const { events } = await chat()
@@ -111,7 +111,7 @@
     expect(JSON.parse(events.at(-1) as string)).toMatchObject({ error: { ran: 'ran' } })
   })
 
-  it('takes another agent when the first refuses connections', async () => {
+  it('uses another agent when the first refuses connections', async () => {
     await start({ agents: [{ name: 'a1' }, { name: 'a2' }] })
     await gateway.agents[0].close()
     expect((await reserve()).status).toBe(200)
@@ -120,8 +120,8 @@
 })
 
 describe('a request that crashes endpoints', () => {
-  it('is run once more alone, then quarantined, and is not sent again', async () => {
-    // Guards against this: one endpoint after the other crashes.
+  it('runs once more alone, is then quarantined and is not sent again', async () => {
+    // Guards against a request that crashes one endpoint after another.
     await start({ agents: [continuingModel('a1'), continuingModel('a2'), continuingModel('a3')] })
     gateway.agents.forEach(agent => { agent.faults.crashOn = 'poison' })
     const first = await chat('poison')
@@ -131,12 +131,12 @@
     expect(gateway.quarantine.list()).toHaveLength(1)
   })
 
-  it.each([['beside others when it had produced tokens', true, false], ['alone until its first token when it had produced none', false, true]])('runs a request that shared the endpoint %s, and does not condemn it', async (_how, hasTokens, soloFirstToken) => {
+  it.each([['beside others when it had produced tokens', true, false], ['alone until its first token when it had produced none', false, true]])('runs a request that shared the endpoint %s, and does not quarantine it', async (_how, hasTokens, soloFirstToken) => {
     const first = hasTokens ? continuedChat : (request: StartAttemptRequest): string[] => ['', ...continuedChat(request)]
     await start({ agents: [continuingModel('a1', { hold: true, answer: first }), continuingModel('a2')] })
     const [spare] = gateway.directory.views.splice(1, 1)
     const neighbour = chat('harmless')
-    await condition(() => gateway.agents[0].executions.length === 1)
+    await waitUntil(() => gateway.agents[0].executions.length === 1)
     gateway.agents[0].faults.crashOn = 'poison'
     const poison = gateway.runner.run({
       requestId: 'p',
@@ -160,24 +160,24 @@
 
 describe('waiting for an endpoint', () => {
   it('waits for the only endpoint to restart when the request had begun', async () => {
-    // Guards against this: answers in progress are lost with the one endpoint.
+    // Guards against responses in progress that are lost when the only endpoint crashes.
     await start({ agents: [continuingModel('a1', { hold: true })] })
     const [agent] = gateway.agents
-    const answer = chat()
-    await condition(() => agent.executions.length === 1)
+    const response = chat()
+    await waitUntil(() => agent.executions.length === 1)
     agent.faults.crashOn = 'poison'
     const poison = chat('poison')
-    await condition(() => gateway.directory.notes.length === 2)
-    gateway.directory.touch()
+    await waitUntil(() => gateway.directory.notes.length === 2)
+    gateway.directory.notifyListeners()
     agent.faults.crashOn = undefined
     agent.release()
     agent.view.endpoints[0].health = 'ready'
-    gateway.directory.touch()
-    expect(await answer).toMatchObject({ status: 200, text: WORDS.join('') })
+    gateway.directory.notifyListeners()
+    expect(await response).toMatchObject({ status: 200, text: WORDS.join('') })
     expect(await poison).toMatchObject({ status: 200, text: WORDS.join('') })
   })
 
-  it('refuses at once what had not begun', async () => {
+  it('refuses a request at once when no agent had accepted it', async () => {
     await start({ agents: [] })
     const response = await lookup()
     expect([response.status, response.headers.get('retry-after')]).toEqual([503, '1'])
@@ -185,21 +185,21 @@
   })
 })
 
-describe('giving up', () => {
-  it('answers at the deadline and cancels at the agent', async () => {
+describe('cancellation', () => {
+  it('responds at the deadline and cancels at the agent', async () => {
     await start({ agents: [continuingModel('a1', { hold: true })] })
     const response = await fetch(`${gateway.url}/v1/completions`, { method: 'POST', headers: { 'x-deadline-ms': '150' }, body: JSON.stringify({ model: 'writer', prompt: 'x' }) })
     expect([response.status, response.headers.get('retry-after')]).toEqual([504, '1'])
-    await condition(() => gateway.agents[0].cancelled.length === 1)
+    await waitUntil(() => gateway.agents[0].cancelled.length === 1)
   })
 
-  it('cancels at the agent when the caller goes away', async () => {
+  it('cancels at the agent when the caller disconnects', async () => {
     await start({ agents: [continuingModel('a1', { hold: true })] })
     const controller = new AbortController()
     const response = await fetch(`${gateway.url}/v1/chat/completions`, { method: 'POST', signal: controller.signal, body: JSON.stringify({ model: 'writer', stream: true, messages: [{ role: 'user', content: 'x' }] }) })
     expect(response.status).toBe(200)
     controller.abort()
-    await condition(() => gateway.agents[0].cancelled.length === 1)
+    await waitUntil(() => gateway.agents[0].cancelled.length === 1)
     expect(gateway.runner.inProgress().online).toBe(0)
   })
 })
--- a/packages/anvilarch-daemon/src/attempts/__tests__/ownPause.test.ts
+++ b/packages/anvilarch-daemon/src/attempts/__tests__/ownPause.test.ts
@@ -5,39 +5,40 @@
 import { type AttemptReader, createAttemptReader } from '../attemptReader'
 import type { RequestEvent } from '../machine/types'
 
-// Guards against this: a streamed answer ends early or is refused with 503 beside load, though its agent had the whole answer and said so.
+// Guards against a streamed response that ends early or is refused with 503 under load, although its agent had sent all of it: the
+// gateway took a pause of its own process for a stream timeout.
 
 const WORDS = ['one ', 'two ', 'three ', 'four ', 'five']
 
-/** So long that the agent, which stands still with the gateway in this process, has time to speak once both run again. */
-const SILENCE_MS = 500
+/** Long enough for the agent, which is paused together with the gateway in this process, to send a frame after the pause. */
+const STREAM_TIMEOUT_MS = 500
 const PAUSES = 2
 
 const wholeChat = (_request: StartAttemptRequest): string[] => chatEvents(WORDS)
 
-function keepBusy (durationMs: number): void {
+function blockEventLoop (durationMs: number): void {
   const untilMs = performance.now() + durationMs
   while (performance.now() < untilMs);
 }
 
 const delay = async (delayMs: number): Promise<void> => { await new Promise(resolve => { setTimeout(resolve, delayMs) }) }
 
-describe('a gateway whose own process stands still', () => {
+describe('a gateway during process pauses', () => {
   let gateway: TestGateway
 
   afterEach(async () => { await gateway.stop() })
 
-  it.each([300, 750, 2_000])('passes a whole answer on after pauses of %d ms, and asks for nothing twice', async pauseMs => {
-    gateway = await startTestGateway({ agents: [{ name: 'a1', kind: 'model', answer: wholeChat, hold: true }], gateway: { silenceMs: SILENCE_MS } })
+  it.each([300, 750, 2_000])('forwards a complete response after pauses of %d ms, without a resumption or second start', async pauseMs => {
+    gateway = await startTestGateway({ agents: [{ name: 'a1', kind: 'model', answer: wholeChat, hold: true }], gateway: { silenceMs: STREAM_TIMEOUT_MS } })
     const [agent] = gateway.agents
-    const answer = fetch(`${gateway.url}/v1/chat/completions`, { method: 'POST', body: JSON.stringify({ model: 'writer', stream: true, messages: [{ role: 'user', content: 'x' }] }) })
+    const pendingResponse = fetch(`${gateway.url}/v1/chat/completions`, { method: 'POST', body: JSON.stringify({ model: 'writer', stream: true, messages: [{ role: 'user', content: 'x' }] }) })
     await delay(50)
     for (let pause = 0; pause < PAUSES; pause++) {
-      keepBusy(pauseMs)
+      blockEventLoop(pauseMs)
       await delay(100)
     }
     agent.release()
-    const response = await answer
+    const response = await pendingResponse
     const text = await response.text()
     expect(response.status).toBe(200)
     expect(text).toContain('five')
@@ -49,9 +50,9 @@
 
 describe('the reader of a stream', () => {
   const HEARTBEAT = { kind: { case: 'heartbeat', value: {} } } as AttemptFrame
-  const TIMING = { delayMs: 0, firstFrameMs: 1_000 }
+  const TIMING = { delayMs: 0, firstFrameTimeoutMs: 1_000 }
 
-  /** Frames that the test lets through one by one, as a socket does that is read. */
+  /** Delivers frames one by one, like a socket. */
   function createSocket (): { arrive: (frame: AttemptFrame) => void, frames: () => AsyncIterable<AttemptFrame> } {
     const waiting: AttemptFrame[] = []
     let wake: () => void = () => {}
@@ -80,7 +81,7 @@
     return { clock, events, reader, socket }
   }
 
-  it('reads what came while it stood still before it calls the stream silent', async () => {
+  it('reads frames that arrived during a process pause before the stream times out', async () => {
     const { clock, events, socket } = read()
     socket.arrive(HEARTBEAT)
     await clock.advanceAsync(10)
@@ -91,7 +92,7 @@
     expect(events).toEqual([])
   })
 
-  it('calls a stream silent at its bound, and after a pause soon', async () => {
+  it('reports a timeout at the configured bound, or shortly after a process pause', async () => {
     const { clock, events, socket } = read()
     socket.arrive(HEARTBEAT)
     await clock.advanceAsync(1_499)
--- a/packages/anvilarch-daemon/src/attempts/__tests__/requestHistories.test.ts
+++ b/packages/anvilarch-daemon/src/attempts/__tests__/requestHistories.test.ts
@@ -1,18 +1,18 @@
 import fc from 'fast-check'
-import { ANSWER, SimulatedFleet } from '../__fixtures__/simulatedFleet'
+import { RESPONSE, SimulatedFleet } from '../__fixtures__/simulatedFleet'
 import { MAX_ATTEMPTS, MAX_RESUMES_NON_IDEMPOTENT } from '../machine/limits'
 
 const SEED = 4711
 const RUNS = 4_000
 
-/** One thing that happens; `at` picks what it happens to. */
+/** Actions of a history; `at` selects the message, agent or amount. */
 const ACTIONS: Record<string, (fleet: SimulatedFleet, at: number) => void> = {
   deliver: (fleet, at) => { fleet.deliver(at) },
   deliverFirst: fleet => { fleet.deliver(0) },
   drop: (fleet, at) => { fleet.network.splice(at % fleet.network.length, 1) },
   duplicate: (fleet, at) => { fleet.deliver(at, true) },
   produce: (fleet, at) => { fleet.produce(at, 3) },
-  produceAll: (fleet, at) => { fleet.produce(at, ANSWER.length) },
+  produceAll: (fleet, at) => { fleet.produce(at, RESPONSE.length) },
   crash: (fleet, at) => { fleet.crash(at) },
   kill: (fleet, at) => { fleet.kill(at) },
   restart: (fleet, at) => { fleet.restart(at) },
@@ -21,23 +21,23 @@
   cut: fleet => { fleet.apply({ kind: 'stream_ended', stream: fleet.state.attempt?.stream ?? 0, neverSent: false, message: 'cut' }) },
   wait: (fleet, at) => { fleet.wait(at * 15_000) },
   quarantine: (fleet, at) => { fleet.quarantined ||= at === 0 },
-  // These end a history, so that they are made rare.
+  // These end a history, so they are made rare.
   callerGone: (fleet, at) => { if (at === 0) fleet.apply({ kind: 'caller_gone' }) },
   deadline: (fleet, at) => { if (at === 0) fleet.apply({ kind: 'deadline' }) }
 }
 const NEEDS_MESSAGES = new Set(['deliver', 'deliverFirst', 'drop', 'duplicate'])
 
-/** What the caller was told, held against what ran. */
+/** Checks the result that the caller received against the attempts that ran. */
 function checkEnd (fleet: SimulatedFleet, streamed: boolean): void {
   const { end, executions } = fleet
   if (end === undefined) return
   if (end.outcome === 'completed') {
-    if (fleet.received !== ANSWER) throw new Error(`completed with ${JSON.stringify(fleet.received)}`)
+    if (fleet.received !== RESPONSE) throw new Error(`completed with ${JSON.stringify(fleet.received)}`)
   } else {
-    if (end.ran === 'not_run' && executions.length > 0) throw new Error(`told not_run, but ran as ${executions.join()}`)
-    if (end.ran === 'ran' && executions.length === 0) throw new Error('told ran, but did not run')
+    if (end.ran === 'not_run' && executions.length > 0) throw new Error(`reported not_run, but ran as ${executions.join()}`)
+    if (end.ran === 'ran' && executions.length === 0) throw new Error('reported ran, but did not run')
   }
-  if (streamed && !ANSWER.startsWith(fleet.received)) throw new Error(`the caller got ${JSON.stringify(fleet.received)}`)
+  if (streamed && !RESPONSE.startsWith(fleet.received)) throw new Error(`the caller received ${JSON.stringify(fleet.received)}`)
 }
 
 class Action implements fc.Command<object, SimulatedFleet> {
@@ -46,7 +46,7 @@
   run (_model: object, fleet: SimulatedFleet): void {
     if (NEEDS_MESSAGES.has(this.name) && fleet.network.length === 0) return
     ACTIONS[this.name](fleet, this.at)
-    if (fleet.resumes > MAX_RESUMES_NON_IDEMPOTENT) throw new Error(`${fleet.resumes} resumptions without anything new`)
+    if (fleet.resumes > MAX_RESUMES_NON_IDEMPOTENT) throw new Error(`${fleet.resumes} resumptions without new output`)
     checkEnd(fleet, true)
   }
 
@@ -61,7 +61,7 @@
     const fleet = new SimulatedFleet({ agents, ...options })
     fc.modelRun(() => ({ model: {}, real: fleet }), commands)
     fleet.apply({ kind: 'deadline' })
-    // Whatever was still under way arrives after the caller has been told.
+    // Messages still in transit arrive after the caller has received its result.
     for (let left = 500; left > 0 && fleet.network.length > 0; left--) fleet.deliver(0)
     checkEnd(fleet, options.streamed)
     if (fleet.end === undefined) throw new Error('the request never ended')
@@ -72,25 +72,25 @@
 }
 
 describe('stepRequest over random histories', () => {
-  it('tells the truth about calls that may not be repeated, and runs them at most once', () => {
+  it('reports outcomes of non-idempotent calls correctly and runs them at most once', () => {
     checkHistories({ idempotent: false, streamed: false })
   })
 
-  it('tells the truth about idempotent requests, whose answer is whole', () => {
+  it('reports outcomes of idempotent requests correctly and completes them only with a complete response', () => {
     checkHistories({ idempotent: true, streamed: false })
   })
 
-  it('gives streams that are continued elsewhere without gap or repetition', () => {
+  it('continues streams at other endpoints without gap or repetition', () => {
     checkHistories({ idempotent: true, streamed: true })
   })
 })
 
-describe('a gateway that was paused', () => {
-  it('does not take a forgotten attempt for one that never ran', () => {
-    // Guards against this: a caller is told that its call did not run, though it did.
+describe('a gateway after a process pause', () => {
+  it('does not report a discarded attempt as one that never ran', () => {
+    // Guards against a caller that receives not_run for a call that ran: its agent has discarded the attempt after the retention.
     const fleet = new SimulatedFleet({ agents: 2, idempotent: false, streamed: false })
     fleet.deliver(0)
-    fleet.produce(0, ANSWER.length)
+    fleet.produce(0, RESPONSE.length)
     fleet.network = []
     fleet.wait(61_000)
     fleet.apply({ kind: 'silence', stream: 1 })
@@ -100,9 +100,9 @@
   })
 })
 
-describe('an agent that is replaced again and again', () => {
-  it('does not make one request use up the retry budget of all', () => {
-    // Guards against this: after one host was replaced in a loop, no other request is retried.
+describe('an agent that is replaced repeatedly', () => {
+  it('does not make one request exhaust the retry budget of all', () => {
+    // Guards against one request at a host that is replaced in a loop, after which no other request can be retried.
     const fleet = new SimulatedFleet({ agents: 1, idempotent: true, streamed: false })
     for (let rounds = 0; rounds < 50 && fleet.end === undefined; rounds++) {
       fleet.deliver(0)
@@ -114,9 +114,9 @@
   })
 })
 
-describe('a request that finds no endpoint', () => {
-  it('waits when an agent had taken it to its queue', () => {
-    // Guards against this: requests that only waited are refused when an engine restarts, though they have time left.
+describe('a request without an endpoint to run at', () => {
+  it('waits when an agent had accepted it into its queue', () => {
+    // Guards against queued requests that are refused when an engine restarts, although they have time left.
     const fleet = new SimulatedFleet({ agents: 1, idempotent: false, streamed: false })
     const final = { outcome: 'endpoint_failed', totalBytes: 0, ran: 'not_run', detail: 'the endpoint went down', retryAfterMs: 0, outputTokens: 0, wasAlone: false } as const
     fleet.apply({ kind: 'accepted', stream: 1, incarnation: '1' })
@@ -128,7 +128,7 @@
     expect(fleet.starts).toBe(2)
   })
 
-  it('is refused at once when it had not begun', () => {
+  it('is refused at once when no agent had accepted it', () => {
     const fleet = new SimulatedFleet({ agents: 0, idempotent: true, streamed: false })
     expect(fleet.end).toMatchObject({ outcome: 'failed', ran: 'not_run', failure: { code: 'unavailable', retryAfterMs: expect.any(Number) } })
   })
--- a/packages/anvilarch-daemon/src/attempts/__tests__/retryBudget.test.ts
+++ b/packages/anvilarch-daemon/src/attempts/__tests__/retryBudget.test.ts
@@ -10,7 +10,7 @@
     return taken
   }
 
-  it('lets retries be a share of requests once what was saved up is spent', () => {
+  it('limits retries to a share of requests once the accumulated retries are used', () => {
     const budget = createRetryBudget({ percent: 10, floorPerSecond: 0, capacity: 20 })
     expect(take(budget, 1_000, 0)).toBe(20)
     for (let each = 0; each < 100; each++) budget.noteRequest(1_000)
@@ -18,14 +18,14 @@
     expect(budget.allows(1_000)).toBe(false)
   })
 
-  it('grows by its floor without any request, and never above its capacity', () => {
+  it('grows at its floor rate without any request, and never above its capacity', () => {
     const budget = createRetryBudget({ percent: 10, floorPerSecond: 5, capacity: 20 })
     take(budget, 20, 0)
     expect(take(budget, 1_000, 2_000)).toBe(10)
     expect(take(budget, 1_000, 3_600_000)).toBe(20)
   })
 
-  it('lets what must go ahead take from an empty budget', () => {
+  it('allows taking from an empty budget', () => {
     const budget = createRetryBudget({ percent: 10, floorPerSecond: 0, capacity: 1 })
     budget.take(0)
     budget.take(0)
--- a/packages/anvilarch-daemon/src/attempts/attemptCalls.ts
+++ b/packages/anvilarch-daemon/src/attempts/attemptCalls.ts
@@ -1,33 +1,33 @@
-/** Calls the agents on behalf of one request. */
+/** Sends the calls of one request to agents. */
 import type { AttemptFrame } from 'anvilarch-protocol'
 import type { AgentClient } from '../peers/types'
 import type { AttemptReader, StreamTiming } from './attemptReader'
 import type { AttemptState } from './machine/types'
-import { startMessage } from './messages'
+import { createStartMessage } from './messages'
 import type { Continuation } from './output/types'
 import type { RunnerParts } from './runnerParts'
 import type { WorkRequest } from './types'
 
-/** How long a cancel is tried; the deadline of the attempt ends it in any case. */
+/** Timeout of a cancellation. The attempt ends at its deadline in any case. */
 const CANCEL_TIMEOUT_MS = 2_000
 
-/** Share of the remaining time in which an agent must say whether it has an attempt, and its lower bound. */
-const FIRST_FRAME_SHARE = 0.25
-const MIN_FIRST_FRAME_MS = 50
+/** Timeout of the first frame, by which an agent confirms that it has an attempt: share of the remaining time, and lower bound. */
+const FIRST_FRAME_TIMEOUT_SHARE = 0.25
+const MIN_FIRST_FRAME_TIMEOUT_MS = 50
 
-/** The calls of one request. */
+/** Calls of one request. */
 export interface AttemptCalls {
   start: (attempt: AttemptState, continuation: Continuation | undefined) => void
   resume: (attempt: AttemptState, newConnection: boolean, delayMs: number) => void
-  /** Not waited for: whether it arrives changes nothing for the caller. */
+  /** Does not wait for the response, since it changes nothing for the caller. */
   cancel: (attempt: AttemptState, reason: string) => void
 }
 
 /**
  * @param parts - shared parts of the gateway
- * @param request - whose attempts they are
+ * @param request - the request whose attempts are called
  * @param reader - reads the streams that the calls open
- * @returns its calls
+ * @returns the calls of the request
  */
 export function createAttemptCalls (parts: RunnerParts, request: WorkRequest, reader: AttemptReader): AttemptCalls {
   const { clients, context } = parts
@@ -36,12 +36,12 @@
 
   const remainingMs = (): number => request.deadlineMs - context.clock.nowMs()
 
-  /** A short deadline leaves no time for the full bound of silence, and then for another endpoint. */
-  const timing = (delayMs: number): StreamTiming => ({ delayMs, firstFrameMs: Math.max(MIN_FIRST_FRAME_MS, remainingMs() * FIRST_FRAME_SHARE) })
+  /** With a short deadline, waiting for the full stream timeout would leave no time for another endpoint. */
+  const timing = (delayMs: number): StreamTiming => ({ delayMs, firstFrameTimeoutMs: Math.max(MIN_FIRST_FRAME_TIMEOUT_MS, remainingMs() * FIRST_FRAME_TIMEOUT_SHARE) })
 
   return {
     start: (attempt, continuation) => {
-      const message = startMessage(request, attempt, {
+      const message = createStartMessage(request, attempt, {
         remainingMs: Math.max(1, Math.floor(remainingMs())),
         configurationVersion: context.configuration.version(),
         continuation
--- a/packages/anvilarch-daemon/src/attempts/attemptLedger.ts
+++ b/packages/anvilarch-daemon/src/attempts/attemptLedger.ts
@@ -1,52 +1,52 @@
 /**
- * Keeps account of a request's attempts apart from the machine that decides on them, so that a fault of the machine is
- * noticed before a caller is told something untrue.
+ * Records the attempts of a request independently of the state machine, so that a fault of the machine is detected before a
+ * caller receives an untrue result.
  */
 import { invariant, type Ran } from 'anvilarch-utils'
 import type { AttemptState, RequestEvent } from './machine/types'
 
-/** Account of one request. */
+/** Record of the attempts of one request; checks its invariants. */
 export interface AttemptLedger {
   sent: (attempt: AttemptState, idempotent: boolean) => void
-  /** An event of the present attempt, before the machine has seen it. */
+  /** Records an event of the current attempt, before the machine handles it. */
   event: (event: RequestEvent, attempt: AttemptState) => void
-  /** Bytes go to the caller. */
+  /** Records bytes that are forwarded to the caller. */
   output: (attempt: AttemptState, sizeBytes: number) => void
   ended: (ran: Ran) => void
 }
 
-/** What is known of one attempt. */
-interface Account {
-  /** Proved not to have run. */
+/** Record of one attempt. */
+interface LedgerEntry {
+  /** Whether the attempt is proved not to have run. */
   refuted: boolean
   passedBytes: number
 }
 
 /**
- * @param requestId - named in violations
- * @returns an empty account
+ * @param requestId - named in messages about violations
+ * @returns an empty ledger
  */
 export function createAttemptLedger (requestId: string): AttemptLedger {
-  const accounts = new Map<string, Account>()
+  const entries = new Map<string, LedgerEntry>()
 
-  const openAttempts = (): string[] => [...accounts].filter(([, account]) => !account.refuted).map(([id]) => id)
+  const openAttempts = (): string[] => [...entries].filter(([, account]) => !account.refuted).map(([id]) => id)
 
   return {
     sent: (attempt, idempotent) => {
       invariant(idempotent || openAttempts().length === 0, 'non_idempotent_sent_once',
         () => `request ${requestId} may have run as ${openAttempts().join()} and would be sent again`)
-      accounts.set(attempt.attemptId, { refuted: false, passedBytes: 0 })
+      entries.set(attempt.attemptId, { refuted: false, passedBytes: 0 })
     },
     event: (event, attempt) => {
-      const account = accounts.get(attempt.attemptId)
-      if (account !== undefined && refutes(event, attempt)) account.refuted = true
+      const account = entries.get(attempt.attemptId)
+      if (account !== undefined && provesNotRun(event, attempt)) account.refuted = true
     },
     output: (attempt, sizeBytes) => {
-      const account = accounts.get(attempt.attemptId)
+      const account = entries.get(attempt.attemptId)
       if (account === undefined) return
       account.passedBytes += sizeBytes
       invariant(account.passedBytes === attempt.receivedBytes, 'answer_contiguous',
-        () => `request ${requestId} passed ${account.passedBytes} bytes on of ${attempt.receivedBytes} read`)
+        () => `request ${requestId} forwarded ${account.passedBytes} bytes of ${attempt.receivedBytes} received`)
     },
     ended: ran => {
       invariant(ran !== 'not_run' || openAttempts().length === 0, 'not_run_is_proved',
@@ -55,8 +55,8 @@
   }
 }
 
-/** A start that was refused or never left, an attempt that was barred unseen, and one that its agent says never began. */
-function refutes (event: RequestEvent, attempt: AttemptState): boolean {
+/** True for a start that was refused or never sent, an attempt barred before it was accepted, and one whose agent reports that it did not run. */
+function provesNotRun (event: RequestEvent, attempt: AttemptState): boolean {
   const unseen = !attempt.headSeen && attempt.receivedBytes === 0
   switch (event.kind) {
     case 'refused': return unseen && !attempt.accepted && (!attempt.resuming || event.reason === 'barred')
--- a/packages/anvilarch-daemon/src/attempts/attemptReader.ts
+++ b/packages/anvilarch-daemon/src/attempts/attemptReader.ts
@@ -1,4 +1,4 @@
-/** Reads the stream of one attempt after the other, and notices silence. */
+/** Reads the streams of a request's attempts, one at a time, and detects timeouts. */
 import type { AttemptFrame } from 'anvilarch-protocol'
 import { type Clock, createSilenceWatch, type SilenceWatch, type Timer } from 'anvilarch-utils'
 import { wasNeverSent } from '../peers/connectErrors'
@@ -7,41 +7,41 @@
 /** Options of `createAttemptReader`. */
 export interface AttemptReaderOptions {
   clock: Clock
-  /** Time without frame or heartbeat after which a stream counts as silent. */
+  /** Time without frame or heartbeat after which a stream has timed out. */
   silenceMs: number
-  /** Takes a frame; resolves when the caller takes more. */
+  /** Handles a frame; resolves when the caller accepts more output. */
   onFrame: (frame: AttemptFrame, stream: number) => Promise<void> | undefined
-  /** Takes silence and the end of a stream. */
+  /** Handles the timeout or the end of a stream. */
   onEvent: (event: RequestEvent) => void
-  /** Told when this process stood still when it should have listened to a stream. */
-  onOwnPause?: (lateMs: number) => void
+  /** Called when this process was paused while it should have read a stream. */
+  onProcessPause?: (lateMs: number) => void
 }
 
-/** When a stream is opened, and how soon it must speak. */
+/** When a stream is opened, and the timeout of its first frame. */
 export interface StreamTiming {
   delayMs: number
-  /** An agent answers at once whether it has an attempt, so that silence before its first frame is noticed sooner. */
-  firstFrameMs: number
+  /** Shorter than the timeout of later frames, since an agent reports at once whether it has an attempt. */
+  firstFrameTimeoutMs: number
 }
 
-/** Owns the stream that is read at present. */
+/** Owns the current stream. */
 export interface AttemptReader {
-  /** Leaves the former stream and reads a new one. */
+  /** Closes the previous stream and reads a new one. */
   open: (stream: number, call: (signal: AbortSignal) => AsyncIterable<AttemptFrame>, timing: StreamTiming) => void
-  leave: () => void
+  close: () => void
 }
 
-/** The stream that is read at present. */
+/** The current stream. */
 interface OpenStream {
   stream: number
   abort: AbortController
-  /** Watches for silence from the moment of the call on. */
-  silence: SilenceWatch | undefined
-  /** The caller does not take more. A stream that this side leaves unread is not silent. */
-  stalled: boolean
-  /** Its last frame has come; it ends by itself. */
+  /** Detects timeouts from the time of the call on. */
+  silenceWatch: SilenceWatch | undefined
+  /** The caller accepts no more output. A stream that is not read for that reason does not time out. */
+  backpressured: boolean
+  /** The last frame was received; the agent ends the stream. */
   finished: boolean
-  /** Opens the call later, or ends a finished stream that does not end by itself. */
+  /** Starts a delayed call, or aborts a finished stream that its agent does not end. */
   timer: Timer | undefined
 }
 
@@ -49,49 +49,49 @@
 const LAST_FRAMES = new Set<AttemptFrame['kind']['case']>(['final', 'refused'])
 
 /**
- * @param options - clock, bound of silence and listeners
+ * @param options - clock, timeout and listeners
  * @returns a reader without a stream
  */
 export function createAttemptReader (options: AttemptReaderOptions): AttemptReader {
   const { clock, silenceMs } = options
   let current: OpenStream | undefined
 
-  /** A finished stream is read to its end, since an abort would reset it and cost both sides more than its end does. */
+  /** A finished stream is read to its end, since an abort would reset it, which costs both sides more. */
   const leave = (): void => {
     const open = current
     current = undefined
     if (open === undefined) return
-    open.silence?.cancel()
+    open.silenceWatch?.cancel()
     open.timer?.cancel()
     if (open.finished) open.timer = clock.after(silenceMs, () => { open.abort.abort() })
     else open.abort.abort()
   }
 
-  const watch = (open: OpenStream, firstFrameMs: number): SilenceWatch => createSilenceWatch({
+  const createWatch = (open: OpenStream, firstFrameTimeoutMs: number): SilenceWatch => createSilenceWatch({
     clock,
-    boundMs: Math.min(firstFrameMs, silenceMs),
-    isHeldBack: () => open.stalled,
+    boundMs: Math.min(firstFrameTimeoutMs, silenceMs),
+    isHeldBack: () => open.backpressured,
     onSilence: () => { options.onEvent({ kind: 'silence', stream: open.stream }) },
-    onOwnPause: options.onOwnPause
+    onOwnPause: options.onProcessPause
   })
 
-  const take = async (open: OpenStream, frame: AttemptFrame): Promise<void> => {
-    open.silence?.heard()
-    open.silence?.setBoundMs(silenceMs)
+  const handleFrame = async (open: OpenStream, frame: AttemptFrame): Promise<void> => {
+    open.silenceWatch?.heard()
+    open.silenceWatch?.setBoundMs(silenceMs)
     open.finished = LAST_FRAMES.has(frame.kind.case)
     const pending = options.onFrame(frame, open.stream)
     if (pending === undefined) return
-    open.stalled = true
+    open.backpressured = true
     await pending
-    open.stalled = false
-    open.silence?.heard()
+    open.backpressured = false
+    open.silenceWatch?.heard()
   }
 
   const read = async (open: OpenStream, frames: AsyncIterable<AttemptFrame>): Promise<void> => {
     const { stream } = open
     try {
       for await (const frame of frames) {
-        if (current === open) await take(open, frame)
+        if (current === open) await handleFrame(open, frame)
         if (current !== open && !open.finished) return
       }
       options.onEvent({ kind: 'stream_ended', stream, neverSent: false, message: 'the stream ended without a final frame' })
@@ -99,31 +99,31 @@
       const message = error instanceof Error ? error.message : String(error)
       options.onEvent({ kind: 'stream_ended', stream, neverSent: wasNeverSent(error), message })
     } finally {
-      open.silence?.cancel()
+      open.silenceWatch?.cancel()
       open.timer?.cancel()
     }
   }
 
   return {
-    open: (stream, call, { delayMs, firstFrameMs }) => {
+    open: (stream, call, { delayMs, firstFrameTimeoutMs }) => {
       leave()
       const open: OpenStream = {
         stream,
         abort: new AbortController(),
-        silence: undefined,
-        stalled: false,
+        silenceWatch: undefined,
+        backpressured: false,
         finished: false,
         timer: undefined
       }
       current = open
       const start = (): void => {
         if (current !== open) return
-        open.silence = watch(open, firstFrameMs)
+        open.silenceWatch = createWatch(open, firstFrameTimeoutMs)
         read(open, call(open.abort.signal)).catch(() => {})
       }
       if (delayMs > 0) open.timer = clock.after(delayMs, start)
       else start()
     },
-    leave
+    close: leave
   }
 }
--- a/packages/anvilarch-daemon/src/attempts/frameEvents.ts
+++ b/packages/anvilarch-daemon/src/attempts/frameEvents.ts
@@ -1,4 +1,4 @@
-/** Turns the frames of an attempt into events of the request machine. */
+/** Converts the frames of an attempt to events of the request state machine. */
 import { ATTEMPT_OUTCOMES, type AttemptFrame, type AttemptOutcome, type Final, type HttpHeader, type RefusalReason } from 'anvilarch-protocol'
 import type { Ran } from 'anvilarch-utils'
 import { REFUSALS } from './machine/refusals'
@@ -6,9 +6,9 @@
 import type { Headers } from './types'
 
 /**
- * @param frame - a frame as it was received
+ * @param frame - received frame
  * @param stream - number of the stream that carried it
- * @returns the event, or undefined for a frame that this gateway does not know
+ * @returns the event, or undefined for an unknown kind of frame
  */
 export function toRequestEvent (frame: AttemptFrame, stream: number): RequestEvent | undefined {
   const { kind } = frame
@@ -49,7 +49,7 @@
   }
 }
 
-/** A newer agent may know reasons that this gateway does not; each refusal bars the attempt all the same. */
+/** A newer agent may send reasons that are unknown to this gateway; any refusal bars the attempt. */
 function knownReason (reason: string): RefusalReason {
   return reason in REFUSALS ? reason as RefusalReason : 'overloaded'
 }
--- a/packages/anvilarch-daemon/src/attempts/intents/commitGroup.ts
+++ b/packages/anvilarch-daemon/src/attempts/intents/commitGroup.ts
@@ -1,34 +1,34 @@
-/** Drives the group commit: sends its commits to the table, and settles what was left open. */
+/** Drives the group commit state machine: sends its commits to the table and reports the outcome of each write. */
 import type { CommitResult, TablePort } from 'anvilarch-protocol'
 import type { Clock } from 'anvilarch-utils'
-import { createGroupState, type Entry, type Flight, type GroupCommand, type GroupEvent, type GroupOptions, type Settled, stepGroup } from './groupCommit'
+import { createGroupState, type Entry, type GroupedCommit, type GroupCommand, type GroupEvent, type GroupOptions, type EntryOutcome, stepGroup } from './groupCommit'
 
 /** Writes rows in groups. */
 export interface CommitGroup {
-  /** @returns what became of the write */
-  write: (entry: Omit<Entry, 'id'>) => Promise<Settled>
-  /** Told of commits that were given up while they may have taken effect. */
-  onOrphan: (listener: (flight: Flight) => void) => void
+  /** @returns the outcome of the write */
+  write: (entry: Omit<Entry, 'id'>) => Promise<EntryOutcome>
+  /** Called for each commit that was given up although it may have taken effect. */
+  onOrphan: (listener: (commit: GroupedCommit) => void) => void
 }
 
 /** Options of `createCommitGroup`. */
 export interface CommitGroupOptions extends GroupOptions {
   clock: Clock
   table: TablePort
-  /** Entries that may wait; more are refused as unsettled without being written. */
+  /** Maximum number of waiting entries; further ones are reported as unsettled without being written. */
   maxWaiting: number
 }
 
 /**
- * @param options - table, clock and bounds
- * @returns a group with nothing to write
+ * @param options - table, clock and limits
+ * @returns a group without pending writes
  */
 export function createCommitGroup (options: CommitGroupOptions): CommitGroup {
   const { clock, table } = options
-  const settlers = new Map<number, (settled: Settled) => void>()
-  const orphanListeners = new Set<(flight: Flight) => void>()
+  const resolvers = new Map<number, (settled: EntryOutcome) => void>()
+  const orphanListeners = new Set<(commit: GroupedCommit) => void>()
   let state = createGroupState()
-  let ids = 0
+  let nextId = 0
 
   const apply = (event: GroupEvent): void => {
     const step = stepGroup(state, event, clock.nowMs(), options)
@@ -39,32 +39,32 @@
   const execute = (command: GroupCommand): void => {
     switch (command.kind) {
       case 'send':
-        if (command.delayMs > 0) clock.after(command.delayMs, () => { send(command.flight) })
-        else send(command.flight)
+        if (command.delayMs > 0) clock.after(command.delayMs, () => { send(command.commit) })
+        else send(command.commit)
         return
       case 'wake':
         clock.after(command.delayMs, () => { apply({ kind: 'wake' }) })
         return
       case 'settle':
-        settlers.get(command.entry.id)?.(command.settled)
-        settlers.delete(command.entry.id)
+        resolvers.get(command.entry.id)?.(command.settled)
+        resolvers.delete(command.entry.id)
         return
       case 'orphan':
-        orphanListeners.forEach(listener => { listener(command.flight) })
+        orphanListeners.forEach(listener => { listener(command.commit) })
     }
   }
 
-  const send = ({ commitId, entries }: Flight): void => {
-    let open = true
+  const send = ({ commitId, entries }: GroupedCommit): void => {
+    let isPending = true
     const fail = (): void => {
       timer.cancel()
-      if (open) apply({ kind: 'failed', commitId })
-      open = false
+      if (isPending) apply({ kind: 'failed', commitId })
+      isPending = false
     }
     const timer = clock.after(options.tryTimeoutMs, fail)
     const onReply = (result: CommitResult): void => {
       timer.cancel()
-      open = false
+      isPending = false
       apply({ kind: 'replied', commitId, result })
     }
     table.commit(toCommit(commitId, entries)).then(onReply, fail)
@@ -76,8 +76,8 @@
         resolve({ outcome: 'unsettled' })
         return
       }
-      const id = ids++
-      settlers.set(id, resolve)
+      const id = nextId++
+      resolvers.set(id, resolve)
       apply({ kind: 'add', entry: { ...entry, id } })
     }),
     onOrphan: listener => { orphanListeners.add(listener) }
@@ -86,7 +86,7 @@
 
 /**
  * @param commitId - id of the commit
- * @param entries - its writes
+ * @param entries - writes of the commit
  * @returns the transaction
  */
 export function toCommit (commitId: string, entries: readonly Entry[]) {
--- a/packages/anvilarch-daemon/src/attempts/intents/groupCommit.ts
+++ b/packages/anvilarch-daemon/src/attempts/intents/groupCommit.ts
@@ -1,8 +1,8 @@
 /**
- * Joins the writes of many calls into few commits, pure: event in, next state and commands out.
+ * Pure state machine that batches the writes of many calls into few commits.
  *
- * The table takes several hundred writes a second from all gateways together, so that one commit for each call would let a
- * few busy routes use it up. One commit is under way at a time; what arrives meanwhile goes into the next one.
+ * The table accepts several hundred writes per second from all gateways together, so with one commit per call a few busy routes
+ * would exhaust it. One commit is in progress at a time; entries that arrive meanwhile go into the next one.
  */
 import type { CommitResult, Row } from 'anvilarch-protocol'
 
@@ -10,20 +10,20 @@
 export interface Entry {
   id: number
   key: string
-  /** Version that the row must have; 0 for an absent row. */
+  /** Required version of the row; 0 for a missing row. */
   version: number
   value: string | null
 }
 
-/** What became of an entry. */
-export type Settled =
+/** Outcome of an entry. */
+export type EntryOutcome =
   | { outcome: 'committed', version: number }
   | { outcome: 'conflict', row: Row | undefined }
-  /** The table did not answer; the write may have taken effect, or may still. */
+  /** The table did not respond; the write may have taken effect, or may still do so. */
   | { outcome: 'unsettled' }
 
-/** A commit under way. */
-export interface Flight {
+/** A commit in progress. */
+export interface GroupedCommit {
   commitId: string
   entries: readonly Entry[]
   tries: number
@@ -32,98 +32,98 @@
 /** State of the group. */
 export interface GroupState {
   waiting: readonly Entry[]
-  flight: Flight | undefined
-  /** The next commit goes out no sooner. */
+  inProgress: GroupedCommit | undefined
+  /** Earliest start of the next commit. */
   notBeforeMs: number
-  /** The table did not answer; until then nothing is tried, and every write is settled at once. */
-  closedUntilMs: number
-  commits: number
+  /** Until when every write is reported as unsettled at once, because the table did not respond. */
+  failFastUntilMs: number
+  commitCount: number
 }
 
-/** Something that happened. */
+/** Event of the group. */
 export type GroupEvent =
   | { kind: 'add', entry: Entry }
   | { kind: 'wake' }
   | { kind: 'replied', commitId: string, result: CommitResult }
   | { kind: 'failed', commitId: string }
 
-/** Something to do. */
+/** Command to the driver. */
 export type GroupCommand =
-  | { kind: 'send', flight: Flight, delayMs: number }
+  | { kind: 'send', commit: GroupedCommit, delayMs: number }
   | { kind: 'wake', delayMs: number }
-  | { kind: 'settle', entry: Entry, settled: Settled }
-  | { kind: 'orphan', flight: Flight }
+  | { kind: 'settle', entry: Entry, settled: EntryOutcome }
+  | { kind: 'orphan', commit: GroupedCommit }
 
 /** Options of the group. */
 export interface GroupOptions {
-  /** Makes commit ids that no other process makes. */
+  /** Prefix that makes commit ids unique to this process. */
   idPrefix: string
-  /** Time between the starts of two commits. */
+  /** Minimum time between the starts of two commits. */
   intervalMs: number
   maxEntries: number
-  /** Times that a commit is sent before its entries are given up. */
+  /** Number of times that a commit is sent before its entries are given up. */
   maxTries: number
-  /** Wait before a commit is sent again under its id. */
+  /** Delay before a commit is sent again under the same id. */
   retryDelayMs: number
-  /** Wait for the reply to one sending; a reply that comes later still counts. */
+  /** Timeout of one send; a later reply to the same commit still counts. */
   tryTimeoutMs: number
-  /** How long writes are settled at once after the table did not answer. */
-  closedMs: number
+  /** How long writes are reported as unsettled at once after the table did not respond. */
+  failFastMs: number
 }
 
-/** Used where nothing else is said: 40 commits a second at most, and no call waits longer than 1.7 s for a table that is down. */
-export const DEFAULT_OPTIONS: Omit<GroupOptions, 'idPrefix'> = { intervalMs: 25, maxEntries: 100, maxTries: 3, retryDelayMs: 100, tryTimeoutMs: 500, closedMs: 1_000 }
+/** Defaults: at most 40 commits per second, and no call waits longer than 1.7 s for an unavailable table. */
+export const DEFAULT_OPTIONS: Omit<GroupOptions, 'idPrefix'> = { intervalMs: 25, maxEntries: 100, maxTries: 3, retryDelayMs: 100, tryTimeoutMs: 500, failFastMs: 1_000 }
 
-/** What a step gives. */
+/** Result of a step. */
 export interface GroupStep {
   state: GroupState
   commands: GroupCommand[]
 }
 
-/** @returns a group with nothing to write */
+/** @returns the state of a group without entries */
 export function createGroupState (): GroupState {
-  return { waiting: [], flight: undefined, notBeforeMs: 0, closedUntilMs: 0, commits: 0 }
+  return { waiting: [], inProgress: undefined, notBeforeMs: 0, failFastUntilMs: 0, commitCount: 0 }
 }
 
 /**
  * @param state - the group
- * @param event - what happened
- * @param nowMs - present time
- * @param options - bounds
- * @returns the next state, and what to do
+ * @param event - the event to handle
+ * @param nowMs - current time
+ * @param options - limits
+ * @returns the next state and the commands to execute
  */
 export function stepGroup (state: GroupState, event: GroupEvent, nowMs: number, options: GroupOptions): GroupStep {
   switch (event.kind) {
     case 'add':
-      if (nowMs < state.closedUntilMs) return { state, commands: [{ kind: 'settle', entry: event.entry, settled: { outcome: 'unsettled' } }] }
+      if (nowMs < state.failFastUntilMs) return { state, commands: [{ kind: 'settle', entry: event.entry, settled: { outcome: 'unsettled' } }] }
       return startNext({ ...state, waiting: [...state.waiting, event.entry] }, nowMs, options)
     case 'wake':
       return startNext(state, nowMs, options)
     case 'replied':
-      return state.flight?.commitId === event.commitId ? onReply(state, state.flight, event.result, nowMs, options) : { state, commands: [] }
+      return state.inProgress?.commitId === event.commitId ? onReply(state, state.inProgress, event.result, nowMs, options) : { state, commands: [] }
     case 'failed':
-      return state.flight?.commitId === event.commitId ? onFailure(state, state.flight, nowMs, options) : { state, commands: [] }
+      return state.inProgress?.commitId === event.commitId ? onFailure(state, state.inProgress, nowMs, options) : { state, commands: [] }
   }
 }
 
 function startNext (state: GroupState, nowMs: number, options: GroupOptions): GroupStep {
-  if (state.flight !== undefined || state.waiting.length === 0) return { state, commands: [] }
+  if (state.inProgress !== undefined || state.waiting.length === 0) return { state, commands: [] }
   if (nowMs < state.notBeforeMs) return { state, commands: [{ kind: 'wake', delayMs: state.notBeforeMs - nowMs }] }
   const entries = firstOfEachKey(state.waiting, options.maxEntries)
-  const flight: Flight = { commitId: `${options.idPrefix}-${state.commits}`, entries, tries: 1 }
+  const commit: GroupedCommit = { commitId: `${options.idPrefix}-${state.commitCount}`, entries, tries: 1 }
   return {
     state: {
       ...state,
       waiting: state.waiting.filter(entry => !entries.includes(entry)),
-      flight,
+      inProgress: commit,
       notBeforeMs: nowMs + options.intervalMs,
-      commits: state.commits + 1
+      commitCount: state.commitCount + 1
     },
-    commands: [{ kind: 'send', flight, delayMs: 0 }]
+    commands: [{ kind: 'send', commit, delayMs: 0 }]
   }
 }
 
-/** Two calls under one key can't be in the same transaction: the second must find the row of the first. */
+/** Two calls with the same key can't share a transaction: the second must find the row of the first. */
 function firstOfEachKey (waiting: readonly Entry[], maxEntries: number): Entry[] {
   const chosen = new Map<string, Entry>()
   for (const entry of waiting) {
@@ -133,40 +133,40 @@
   return [...chosen.values()]
 }
 
-function onReply (state: GroupState, flight: Flight, result: CommitResult, nowMs: number, options: GroupOptions): GroupStep {
+function onReply (state: GroupState, commit: GroupedCommit, result: CommitResult, nowMs: number, options: GroupOptions): GroupStep {
   if (result.outcome === 'committed') {
-    const settled = flight.entries.map((entry): GroupCommand =>
+    const settled = commit.entries.map((entry): GroupCommand =>
       ({ kind: 'settle', entry, settled: { outcome: 'committed', version: result.versions[entry.key] ?? 0 } }))
-    return withCommands(startNext({ ...state, flight: undefined }, nowMs, options), settled)
+    return withCommands(startNext({ ...state, inProgress: undefined }, nowMs, options), settled)
   }
-  const found = new Map(result.rows.map(row => [row.key, row]))
-  const isAtFault = (entry: Entry): boolean => found.has(entry.key) && found.get(entry.key)?.version !== entry.version
-  const conflicts = flight.entries.filter(isAtFault)
-  const innocent = flight.entries.filter(entry => !isAtFault(entry))
-  // A conflict that names no row at fault would be tried for ever.
-  if (conflicts.length === 0) return giveUp(state, flight, nowMs, options)
-  const settled = conflicts.map((entry): GroupCommand => ({ kind: 'settle', entry, settled: { outcome: 'conflict', row: rowOf(found.get(entry.key)) } }))
-  return withCommands(startNext({ ...state, flight: undefined, waiting: [...innocent, ...state.waiting] }, nowMs, options), settled)
+  const currentRows = new Map(result.rows.map(row => [row.key, row]))
+  const isConflicting = (entry: Entry): boolean => currentRows.has(entry.key) && currentRows.get(entry.key)?.version !== entry.version
+  const conflicts = commit.entries.filter(isConflicting)
+  const unaffected = commit.entries.filter(entry => !isConflicting(entry))
+  // A conflict without a conflicting row would be retried forever.
+  if (conflicts.length === 0) return giveUp(state, commit, nowMs, options)
+  const settled = conflicts.map((entry): GroupCommand => ({ kind: 'settle', entry, settled: { outcome: 'conflict', row: rowOf(currentRows.get(entry.key)) } }))
+  return withCommands(startNext({ ...state, inProgress: undefined, waiting: [...unaffected, ...state.waiting] }, nowMs, options), settled)
 }
 
-function rowOf (found: Row | { key: string, version: 0, value: null } | undefined): Row | undefined {
-  return found === undefined || found.value === null ? undefined : found
+function rowOf (row: Row | { key: string, version: 0, value: null } | undefined): Row | undefined {
+  return row === undefined || row.value === null ? undefined : row
 }
 
-/** A reply that was lost leaves open whether the write took effect; the same id gives the first outcome again. */
-function onFailure (state: GroupState, flight: Flight, nowMs: number, options: GroupOptions): GroupStep {
-  if (flight.tries < options.maxTries) {
-    const again = { ...flight, tries: flight.tries + 1 }
-    return { state: { ...state, flight: again }, commands: [{ kind: 'send', flight: again, delayMs: options.retryDelayMs }] }
+/** After a lost reply it is unknown whether the write took effect; sending the same id again returns the first outcome. */
+function onFailure (state: GroupState, commit: GroupedCommit, nowMs: number, options: GroupOptions): GroupStep {
+  if (commit.tries < options.maxTries) {
+    const again = { ...commit, tries: commit.tries + 1 }
+    return { state: { ...state, inProgress: again }, commands: [{ kind: 'send', commit: again, delayMs: options.retryDelayMs }] }
   }
-  return giveUp(state, flight, nowMs, options)
+  return giveUp(state, commit, nowMs, options)
 }
 
-function giveUp (state: GroupState, flight: Flight, nowMs: number, options: GroupOptions): GroupStep {
-  // What waits behind a table that does not answer is refused at once, too, instead of each in its turn.
-  const settled = [...flight.entries, ...state.waiting].map((entry): GroupCommand => ({ kind: 'settle', entry, settled: { outcome: 'unsettled' } }))
-  const next: GroupState = { ...state, flight: undefined, waiting: [], closedUntilMs: nowMs + options.closedMs }
-  return { state: next, commands: [{ kind: 'orphan', flight }, ...settled] }
+function giveUp (state: GroupState, commit: GroupedCommit, nowMs: number, options: GroupOptions): GroupStep {
+  // Entries that wait for an unresponsive table are reported as unsettled at once too, instead of one commit after another.
+  const settled = [...commit.entries, ...state.waiting].map((entry): GroupCommand => ({ kind: 'settle', entry, settled: { outcome: 'unsettled' } }))
+  const next: GroupState = { ...state, inProgress: undefined, waiting: [], failFastUntilMs: nowMs + options.failFastMs }
+  return { state: next, commands: [{ kind: 'orphan', commit }, ...settled] }
 }
 
 function withCommands (step: GroupStep, first: GroupCommand[]): GroupStep {
--- a/packages/anvilarch-daemon/src/attempts/intents/intentDecision.ts
+++ b/packages/anvilarch-daemon/src/attempts/intents/intentDecision.ts
@@ -1,28 +1,28 @@
-/** Answers a call whose key is taken, from the row that took it. Pure. */
+/** Decides the result of a call whose key is already in use, from the row of that key. Pure. */
 import { AnvilarchError } from 'anvilarch-utils'
 import type { IntentRow, KeyedCall, KeyedResult } from './types'
 
-/** A call is over this long after its deadline, with whatever its gateway does last. */
+/** Time after the deadline of a call within which its gateway has finished all work on it. */
 const SETTLE_MARGIN_MS = 5_000
 
-/** The longest time that a caller is told to wait before it asks again. */
+/** Maximum Retry-After value for a call in progress. */
 const MAX_RETRY_AFTER_MS = 5_000
 
 /**
- * @param row - as it was found
- * @param call - the call that found it
- * @param seenForMs - how long ago this gateway saw this intent for the first time, on its own clock
- * @returns what the call comes to; it is never run
+ * @param row - existing row
+ * @param call - the call with the same key
+ * @param sinceFirstReadMs - time since this gateway first read this intent, on its own clock
+ * @returns the result of the call, which is never run
  */
-export function decideFromRow (row: IntentRow, call: KeyedCall, seenForMs: number): KeyedResult {
+export function decideFromRow (row: IntentRow, call: KeyedCall, sinceFirstReadMs: number): KeyedResult {
   if (row.callHash !== call.callHash) {
     return refuse(`Idempotency-Key "${call.key}" was used for another call (request ${row.requestId})`, { code: 'conflict', step: 'intents.compare' })
   }
   if (row.end !== undefined) return replay(row, call)
-  const leftMs = row.timeoutMs + SETTLE_MARGIN_MS - seenForMs
-  if (leftMs > 0) {
+  const remainingMs = row.timeoutMs + SETTLE_MARGIN_MS - sinceFirstReadMs
+  if (remainingMs > 0) {
     return refuse(`the call under Idempotency-Key "${call.key}" is in progress (request ${row.requestId})`, {
-      code: 'conflict', step: 'intents.wait', peer: row.gateway, ran: 'unknown', retryAfterMs: Math.min(leftMs, MAX_RETRY_AFTER_MS)
+      code: 'conflict', step: 'intents.wait', peer: row.gateway, ran: 'unknown', retryAfterMs: Math.min(remainingMs, MAX_RETRY_AFTER_MS)
     })
   }
   return refuse(`what became of the call under Idempotency-Key "${call.key}" can't be learned: gateway "${row.gateway}" never recorded its end`, {
--- a/packages/anvilarch-daemon/src/attempts/intents/intentKeeper.ts
+++ b/packages/anvilarch-daemon/src/attempts/intents/intentKeeper.ts
@@ -1,43 +1,43 @@
-/** Runs calls at most once under the key of their caller, however often and through whichever gateway they are sent. */
+/** Runs calls at most once per key of their caller, however often and through whichever gateway they are sent. */
 import { LRUCache } from 'lru-cache'
 import { ROW_KEYS, type Row } from 'anvilarch-protocol'
 import { AnvilarchError, sleep } from 'anvilarch-utils'
 import type { DaemonContext } from '../../context'
 import type { WorkResult } from '../types'
 import { createCommitGroup } from './commitGroup'
-import { DEFAULT_OPTIONS, type Settled } from './groupCommit'
+import { DEFAULT_OPTIONS, type EntryOutcome } from './groupCommit'
 import { decideFromRow } from './intentDecision'
 import { parseIntentRow, recordedEnd } from './intentRows'
-import { createOrphans, DEFAULT_OPTIONS as DEFAULT_ORPHANS } from './orphans'
+import { createOrphanSettler, DEFAULT_OPTIONS as DEFAULT_ORPHANS } from './orphans'
 import type { IntentKeeper, IntentRow, KeyedCall, KeyedResult } from './types'
 
-/** When to come back while the table does not answer. */
+/** Retry-After value while the table does not respond. */
 const TABLE_RETRY_AFTER_MS = 2_000
 
-/** Intents of others whose first sight is remembered. */
-const MAX_SEEN = 10_000
+/** Maximum number of intents of other gateways whose first read is recorded. */
+const MAX_REMEMBERED_INTENTS = 10_000
 
-/** Ends that may wait to be recorded, and how long apart a record is tried again, and how often. */
+/** Interval and maximum number of tries to record the end of a call, and maximum number of waiting writes. */
 const RECORD_RETRY_MS = 1_000
 const MAX_RECORD_TRIES = 600
-const MAX_WAITING = 10_000
+const MAX_WAITING_WRITES = 10_000
 
-/** A caller that is told `not_run` may send again at once; so its key is freed first, if that takes no longer than this. */
-const FREE_KEY_WAIT_MS = 500
+/** Maximum wait for a key to be freed before `not_run` is reported, since the caller may then send the call again at once. */
+const MAX_FREE_KEY_WAIT_MS = 500
 
 /**
- * @param context - table, time and names
- * @returns a keeper without intents
+ * @param context - table, clock and names
+ * @returns a runner without calls in progress
  */
 export function createIntentKeeper (context: Pick<DaemonContext, 'clock' | 'logger' | 'platform' | 'incarnation' | 'settings'>): IntentKeeper {
   const { clock, logger, incarnation } = context
   const { table } = context.platform
-  const group = createCommitGroup({ ...DEFAULT_OPTIONS, clock, table, idPrefix: `intents-${incarnation}`, maxWaiting: MAX_WAITING })
-  const orphans = createOrphans({ ...DEFAULT_ORPHANS, clock, table })
-  const seenMs = new LRUCache<string, number>({ max: MAX_SEEN })
+  const group = createCommitGroup({ ...DEFAULT_OPTIONS, clock, table, idPrefix: `intents-${incarnation}`, maxWaiting: MAX_WAITING_WRITES })
+  const orphans = createOrphanSettler({ ...DEFAULT_ORPHANS, clock, table })
+  const firstReadMsById = new LRUCache<string, number>({ max: MAX_REMEMBERED_INTENTS })
   const recording = new Set<Promise<void>>()
   let intents = 0
-  group.onOrphan(flight => { orphans.add(flight) })
+  group.onOrphan(commit => { orphans.add(commit) })
 
   const record = async (key: string, version: number, row: IntentRow, result: WorkResult): Promise<void> => {
     const end = recordedEnd(result)
@@ -54,24 +54,24 @@
     const result = await execute()
     const recorded = record(key, version, row, result).finally(() => { recording.delete(recorded) })
     recording.add(recorded)
-    if (recordedEnd(result) === undefined) await Promise.race([recorded, sleep(clock, FREE_KEY_WAIT_MS)])
+    if (recordedEnd(result) === undefined) await Promise.race([recorded, sleep(clock, MAX_FREE_KEY_WAIT_MS)])
     return { kind: 'ran', result }
   }
 
-  const answerFrom = (row: Row, call: KeyedCall): KeyedResult => {
+  const resultFromRow = (row: Row, call: KeyedCall): KeyedResult => {
     const intent = parseIntentRow(row.value)
-    if (intent === undefined) return unreadable(call)
+    if (intent === undefined) return refuseUnreadable(call)
     const nowMs = clock.nowMs()
-    const firstMs = seenMs.get(intent.intentId) ?? nowMs
-    seenMs.set(intent.intentId, firstMs)
-    return decideFromRow(intent, call, nowMs - firstMs)
+    const firstReadMs = firstReadMsById.get(intent.intentId) ?? nowMs
+    firstReadMsById.set(intent.intentId, firstReadMs)
+    return decideFromRow(intent, call, nowMs - firstReadMs)
   }
 
-  const follow = async (settled: Settled, key: string, row: IntentRow, call: KeyedCall, execute: () => Promise<WorkResult>): Promise<KeyedResult> => {
+  const onIntentWritten = async (settled: EntryOutcome, key: string, row: IntentRow, call: KeyedCall, execute: () => Promise<WorkResult>): Promise<KeyedResult> => {
     switch (settled.outcome) {
       case 'committed': return await runNew(key, settled.version, row, execute)
-      case 'conflict': return settled.row === undefined ? tableDown() : answerFrom(settled.row, call)
-      case 'unsettled': return tableDown()
+      case 'conflict': return settled.row === undefined ? refuseUnavailable() : resultFromRow(settled.row, call)
+      case 'unsettled': return refuseUnavailable()
     }
   }
 
@@ -87,7 +87,7 @@
         writtenAtMs: clock.wallMs()
       }
       const settled = await group.write({ key, version: 0, value: JSON.stringify(row) })
-      return await follow(settled, key, row, call, execute)
+      return await onIntentWritten(settled, key, row, call, execute)
     },
     idle: async () => {
       await Promise.all(recording)
@@ -96,14 +96,14 @@
   }
 }
 
-function tableDown (): KeyedResult {
+function refuseUnavailable (): KeyedResult {
   const error = new AnvilarchError('the table service does not answer, so that the Idempotency-Key could not be recorded; the call was not sent', {
     code: 'platform_unavailable', step: 'intents.record', peer: 'table', retryAfterMs: TABLE_RETRY_AFTER_MS
   })
   return { kind: 'refused', error }
 }
 
-function unreadable (call: KeyedCall): KeyedResult {
+function refuseUnreadable (call: KeyedCall): KeyedResult {
   const error = new AnvilarchError(`the record of Idempotency-Key "${call.key}" can't be read by this gateway`, {
     code: 'outcome_unknown', step: 'intents.read', ran: 'unknown'
   })
--- a/packages/anvilarch-daemon/src/attempts/intents/intentRows.ts
+++ b/packages/anvilarch-daemon/src/attempts/intents/intentRows.ts
@@ -1,15 +1,15 @@
-/** Reads and writes the value of an intent row. */
+/** Reads and writes the values of intent rows. */
 import type { Headers, WorkResult } from '../types'
 import type { IntentRow, RecordedEnd } from './types'
 
-/** The largest body that a row keeps. */
+/** Maximum size of a response body stored in a row. */
 export const MAX_RECORDED_BODY_BYTES = 16 * 1024
 
-/** Headers that a replayed answer has again. */
-const KEPT_HEADERS = ['content-type', 'location', 'etag']
+/** Headers that are stored and replayed. */
+const RECORDED_HEADERS = ['content-type', 'location', 'etag']
 
 /**
- * @param value - of a row
+ * @param value - value of a row
  * @returns the intent, or undefined for text that this version can't read
  */
 export function parseIntentRow (value: string): IntentRow | undefined {
@@ -23,7 +23,7 @@
 
 /**
  * @param result - how the call ended
- * @returns what is recorded, or undefined when it did not run and its key is free again
+ * @returns the end to record, or undefined when the call did not run and its key is to be freed
  */
 export function recordedEnd (result: WorkResult): RecordedEnd | undefined {
   if (result.outcome === 'failed') {
@@ -32,9 +32,9 @@
   }
   const { status, body } = result
   if (body.length > MAX_RECORDED_BODY_BYTES) return { kind: 'answer_too_large', status, sizeBytes: body.length }
-  return { kind: 'answer', status, headers: keptHeaders(result.headers), bodyBase64: Buffer.from(body).toString('base64') }
+  return { kind: 'answer', status, headers: recordedHeaders(result.headers), bodyBase64: Buffer.from(body).toString('base64') }
 }
 
-function keptHeaders (headers: Headers): Headers {
-  return Object.fromEntries(KEPT_HEADERS.filter(name => name in headers).map(name => [name, headers[name]]))
+function recordedHeaders (headers: Headers): Headers {
+  return Object.fromEntries(RECORDED_HEADERS.filter(name => name in headers).map(name => [name, headers[name]]))
 }
--- a/packages/anvilarch-daemon/src/attempts/intents/orphans.ts
+++ b/packages/anvilarch-daemon/src/attempts/intents/orphans.ts
@@ -1,45 +1,45 @@
 /**
- * Settles commits that were given up while they may have taken effect.
+ * Settles commits that were given up although they may have taken effect.
  *
- * Their callers were told that nothing ran, which is true. Without this the rows would stand there, and who sends such a
- * call again would be told that it is in progress, and later that its outcome is unknown.
+ * Their callers received `not_run`, which is true. If the rows remained, a caller that sends such a call again would receive
+ * the error that it is in progress, and later that its outcome is unknown.
  */
 import type { TablePort } from 'anvilarch-protocol'
 import { type Clock, sleep } from 'anvilarch-utils'
 import { toCommit } from './commitGroup'
-import type { Entry, Flight } from './groupCommit'
+import type { Entry, GroupedCommit } from './groupCommit'
 
-/** Settles orphaned commits one after the other. */
-export interface Orphans {
-  add: (flight: Flight) => void
-  /** Resolves when none is left. */
+/** Settles orphaned commits one after another. */
+export interface OrphanSettler {
+  add: (commit: GroupedCommit) => void
+  /** Resolves when no orphan is left. */
   idle: () => Promise<void>
   stop: () => void
 }
 
 /** Options of `createOrphans`. */
-export interface OrphansOptions {
+export interface OrphanSettlerOptions {
   clock: Clock
   table: TablePort
-  /** Orphans kept; the oldest is dropped when there are more. */
+  /** Maximum number of waiting orphans; the oldest is discarded when there are more. */
   maxOrphans: number
   retryDelayMs: number
 }
 
-/** Used where nothing else is said. */
+/** Defaults. */
 export const DEFAULT_OPTIONS = { maxOrphans: 1_000, retryDelayMs: 1_000 } as const
 
 /**
- * @param options - table, clock and bounds
- * @returns a settler with nothing to do
+ * @param options - table, clock and limits
+ * @returns a settler without orphans
  */
-export function createOrphans (options: OrphansOptions): Orphans {
+export function createOrphanSettler (options: OrphanSettlerOptions): OrphanSettler {
   const { clock, table, retryDelayMs } = options
-  const queue: Flight[] = []
+  const queue: GroupedCommit[] = []
   const stopping = new AbortController()
-  let working: Promise<void> | undefined
+  let settling: Promise<void> | undefined
 
-  const work = async (): Promise<void> => {
+  const settleAll = async (): Promise<void> => {
     while (queue.length > 0 && !stopping.signal.aborted) {
       try {
         await settle(table, queue[0])
@@ -48,25 +48,25 @@
         await sleep(clock, retryDelayMs, stopping.signal)
       }
     }
-    working = undefined
+    settling = undefined
   }
 
   return {
-    add: flight => {
-      queue.push(flight)
+    add: commit => {
+      queue.push(commit)
       if (queue.length > options.maxOrphans) queue.splice(1, 1)
-      working ??= work()
+      settling ??= settleAll()
     },
-    idle: async () => { await working },
+    idle: async () => { await settling },
     stop: () => { stopping.abort() }
   }
 }
 
-/** Learns the outcome by the commit's id, then takes back the intents that it wrote; an end that it wrote stays. */
-async function settle (table: TablePort, { commitId, entries }: Flight): Promise<void> {
+/** Determines the outcome by sending the commit id again, then removes the intents that the commit wrote; recorded ends stay. */
+async function settle (table: TablePort, { commitId, entries }: GroupedCommit): Promise<void> {
   const result = await table.commit(toCommit(commitId, entries))
   if (result.outcome === 'conflict') return
   const intents = entries.filter(entry => entry.version === 0)
-  const undo = intents.map((entry): Entry => ({ ...entry, version: result.versions[entry.key] ?? 0, value: null }))
-  await Promise.all(undo.map(async entry => { await table.commit(toCommit(`${commitId}-undo-${entry.id}`, [entry])) }))
+  const removals = intents.map((entry): Entry => ({ ...entry, version: result.versions[entry.key] ?? 0, value: null }))
+  await Promise.all(removals.map(async entry => { await table.commit(toCommit(`${commitId}-undo-${entry.id}`, [entry])) }))
 }
--- a/packages/anvilarch-daemon/src/attempts/intents/types.ts
+++ b/packages/anvilarch-daemon/src/attempts/intents/types.ts
@@ -1,4 +1,4 @@
-/** Calls that run at most once under a key that their caller chose. */
+/** Calls that run at most once per key chosen by their caller. */
 import type { AnvilarchError, ErrorCode, Ran } from 'anvilarch-utils'
 import type { Headers, WorkResult } from '../types'
 
@@ -9,7 +9,7 @@
   requestId: string
   /** Hash of method, path and body; the same key with another hash is a conflict. */
   callHash: string
-  /** Time that the call may take, from now. */
+  /** Time allowed for the call, from now. */
   timeoutMs: number
 }
 
@@ -24,31 +24,31 @@
   callHash: string
   requestId: string
   gateway: string
-  /** Identity of this very intent, which differs between two calls under the same key. */
+  /** Id of this intent, which differs between two calls with the same key. */
   intentId: string
   timeoutMs: number
-  /** Wall time; it decides nothing but when the row is swept. */
+  /** Wall-clock time, used only to expire the row. */
   writtenAtMs: number
   /** Absent while the call may still be running. */
   end?: RecordedEnd
 }
 
-/** What a keyed call comes to. */
+/** Result of a keyed call. */
 export type KeyedResult =
   | { kind: 'ran', result: WorkResult }
   | { kind: 'replayed', status: number, headers: Headers, body: Uint8Array }
   | { kind: 'refused', error: AnvilarchError }
 
-/** Keeps the intents of one gateway. */
+/** Runs the keyed calls of one gateway. */
 export interface IntentKeeper {
   /**
-   * Records the intent, runs the call, and records its end; or answers from what is recorded.
+   * Records the intent, runs the call and records its end, or replays a recorded end.
    *
    * @param call - the call and its key
-   * @param execute - runs it; called at most once
-   * @returns what it came to; never rejects
+   * @param execute - runs the call; invoked at most once
+   * @returns the result; never rejects
    */
   run: (call: KeyedCall, execute: () => Promise<WorkResult>) => Promise<KeyedResult>
-  /** Resolves when nothing is left to record. */
+  /** Resolves when no write is pending. */
   idle: () => Promise<void>
 }
--- a/packages/anvilarch-daemon/src/attempts/machine/__tests__/crashes.test.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/__tests__/crashes.test.ts
@@ -4,7 +4,7 @@
 
 const target = (agent: string): Target => ({ key: `${agent}/e1`, agent, address: '', endpoint: 'e1', incarnation: '1', failureDomain: 'hall-a', region: 'west' })
 
-/** A request that runs at one endpoint after another, each of which crashes. */
+/** A request that runs at several endpoints in turn, each of which crashes. */
 class CrashHistory {
   state: RequestState = createRequestState({ requestId: 'r', fingerprint: 'f', idempotent: true })
   private starts = 0
@@ -33,9 +33,9 @@
   }
 }
 
-describe('a request that waited at endpoints that went down', () => {
-  // Guards against this: streams beside a crashing request end as `unavailable`, "the endpoint went down", though other endpoints stand.
-  it('is sent to the next one, also when the budget of retries is used up', () => {
+describe('a request queued at endpoints that went down', () => {
+  // Guards against streams that end as `unavailable` after crashes caused by another request, although other endpoints are ready.
+  it('is sent to the next one, also when the retry budget is exhausted', () => {
     const history = new CrashHistory(false)
     history.begin()
     history.crash({ outputTokens: 3 })
@@ -48,8 +48,8 @@
   })
 })
 
-describe('a request in progress at a crash', () => {
-  it('is computed alone once it had no token, and is quarantined when the endpoint crashes then', () => {
+describe('a request in progress during a crash', () => {
+  it('is computed alone if it had no token, and is quarantined when the endpoint crashes again', () => {
     const history = new CrashHistory()
     expect(history.begin()).toMatchObject({ isolated: false, soloFirstToken: false })
     history.crash({})
@@ -57,14 +57,14 @@
     expect(history.crash({ wasAlone: true })).toContainEqual({ kind: 'quarantine' })
   })
 
-  it('is run like any other when it had tokens', () => {
+  it('runs like any other if it had tokens', () => {
     const history = new CrashHistory()
     history.begin()
     history.crash({ outputTokens: 3 })
     expect(history.begin()).toMatchObject({ isolated: false, soloFirstToken: false })
   })
 
-  it('is run with nothing beside it when it had tokens at two crashes whose cause is not known', () => {
+  it('runs isolated if it had tokens at two crashes of unknown cause', () => {
     const history = new CrashHistory()
     history.begin()
     history.crash({ outputTokens: 3 })
@@ -74,7 +74,7 @@
     expect(history.crash({ outputTokens: 3, wasAlone: true })).toContainEqual({ kind: 'quarantine' })
   })
 
-  it('is not counted among those crashes where another attempt was computed alone', () => {
+  it('does not count crashes during which another attempt was computed alone', () => {
     const history = new CrashHistory()
     for (let crashes = 0; crashes < 3; crashes++) {
       history.begin()
@@ -83,7 +83,7 @@
     expect(history.begin()).toMatchObject({ isolated: false, soloFirstToken: false })
   })
 
-  it('is never quarantined for a crash after the first token that it was computed alone for', () => {
+  it('is never quarantined for a crash after its first token, until which it was computed alone', () => {
     const history = new CrashHistory()
     history.begin()
     history.crash({})
--- a/packages/anvilarch-daemon/src/attempts/machine/__tests__/resumptions.test.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/__tests__/resumptions.test.ts
@@ -18,9 +18,9 @@
   return { apply, stream: () => state.streams }
 }
 
-describe('a stream that goes silent again after it was resumed', () => {
-  // Guards against this: an answer ends as `the agent went silent` after two silences, though its agent answered the resumption, keeps the output and the deadline is far away.
-  it('is resumed again when its agent has shown meanwhile that the attempt still runs', () => {
+describe('a stream that times out again after it was resumed', () => {
+  // Guards against a response that fails after two timeouts long before its deadline, although its agent accepted the resumption and retains the output.
+  it('is resumed again when its agent has shown in between that the attempt still runs', () => {
     const { apply, stream } = createRunning()
     for (let silences = 0; silences < 4; silences++) {
       expect(apply({ kind: 'silence', stream: stream() })).toMatchObject([{ kind: 'leave' }, { kind: 'resume', newConnection: true }])
@@ -29,18 +29,18 @@
     }
   })
 
-  it('is given up when the resumption brought no sign of life', () => {
+  it('is cancelled when the resumption brought neither output nor heartbeat', () => {
     const { apply, stream } = createRunning()
     apply({ kind: 'silence', stream: stream() })
     apply({ kind: 'accepted', stream: stream(), incarnation: '1' })
     expect(apply({ kind: 'silence', stream: stream() })).toContainEqual(expect.objectContaining({ kind: 'cancel' }))
   })
 
-  it('takes no heartbeat of a stream that was left for a sign of life', () => {
+  it('ignores heartbeats of a closed stream', () => {
     const { apply, stream } = createRunning()
-    const left = stream()
-    apply({ kind: 'silence', stream: left })
-    apply({ kind: 'heartbeat', stream: left })
+    const closed = stream()
+    apply({ kind: 'silence', stream: closed })
+    apply({ kind: 'heartbeat', stream: closed })
     expect(apply({ kind: 'silence', stream: stream() })).toContainEqual(expect.objectContaining({ kind: 'cancel' }))
   })
 })
--- a/packages/anvilarch-daemon/src/attempts/machine/__tests__/waitingForTarget.test.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/__tests__/waitingForTarget.test.ts
@@ -20,7 +20,7 @@
   }
 }
 
-/** The endpoint that the request runs at crashes, after it has produced tokens. */
+/** Crashes the endpoint that the request runs at, after it has produced tokens. */
 function crash (request: ReturnType<typeof createRequest>, nowMs: number): RequestCommand[] {
   const stream = request.state().streams
   request.at(nowMs, { kind: 'accepted', stream, incarnation: '1' })
@@ -29,7 +29,7 @@
 
 const waitsUntil = (commands: RequestCommand[]): number | undefined => commands.find(command => command.kind === 'wait_for_target')?.untilMs
 
-describe('a request whose gateway stood still past its deadline', () => {
+describe('a request whose gateway process was paused past its deadline', () => {
   it('is not sent', () => {
     const request = createRequest()
     request.at(0, { kind: 'begin', suspect: false })
@@ -38,9 +38,10 @@
   })
 })
 
-describe('a request that had begun and finds no endpoint', () => {
-  // Guards against this: harmless calls beside a request that crashes endpoints end as `endpoint_failed` soon after a crash, long before their deadline, though an endpoint is ready again soon.
-  it('waits anew after each crash', () => {
+describe('an accepted request without an endpoint to run at', () => {
+  // Guards against harmless calls that end as `endpoint_failed` long before their deadline: another request crashes endpoints one after another,
+  // and a common limit of all waits runs out just before an endpoint is ready again.
+  it('starts a new wait after each crash', () => {
     const request = createRequest()
     request.at(0, { kind: 'begin', suspect: false })
     request.at(0, { kind: 'chosen', target: target('a1'), attemptId: '1' })
@@ -55,7 +56,7 @@
     expect(request.state().phase).toBe('choosing')
   })
 
-  it('may go back to an endpoint that it was sent to before, when none is left', () => {
+  it('may return to an endpoint that it was sent to before, when no other is left', () => {
     const request = createRequest()
     request.at(0, { kind: 'begin', suspect: false })
     request.at(0, { kind: 'chosen', target: target('a1'), attemptId: '1' })
@@ -63,7 +64,7 @@
     expect(request.at(1_000, { kind: 'no_target' })).toEqual([{ kind: 'choose', exclude: [] }])
   })
 
-  it('never waits beyond half of the time that it has left', () => {
+  it('never waits beyond half of its remaining time', () => {
     const request = createRequest()
     request.at(0, { kind: 'begin', suspect: false })
     request.at(0, { kind: 'chosen', target: target('a1'), attemptId: '1' })
--- a/packages/anvilarch-daemon/src/attempts/machine/ending.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/ending.ts
@@ -1,11 +1,11 @@
-/** Ends a request, with what is proved about whether it ran. */
+/** Ends a request, and reports whether it ran as far as that is proved. */
 import { invariant, type Ran } from 'anvilarch-utils'
 import { DEFAULT_RETRY_AFTER_MS } from './limits'
 import type { AttemptState, Failure, RequestCommand, RequestState, Step } from './types'
 
 /**
  * @param state - the request
- * @returns what is proved of all its attempts, the present one included
+ * @returns whether any of its attempts ran, including the current one
  */
 export function ranSoFar (state: RequestState): Ran {
   return state.attempt === undefined ? state.ran : combineRan(state.ran, ranOfAttempt(state.attempt))
@@ -13,16 +13,16 @@
 
 /**
  * @param attempt - an attempt in progress
- * @returns whether it ran, as its frames show
+ * @returns whether it ran, as its frames prove
  */
 export function ranOfAttempt (attempt: AttemptState): Ran {
   return attempt.headSeen || attempt.receivedBytes > 0 ? 'ran' : 'unknown'
 }
 
 /**
- * @param a - what is proved of some attempts
- * @param b - what is proved of others
- * @returns what is proved of all of them together
+ * @param a - whether some attempts ran
+ * @param b - whether other attempts ran
+ * @returns whether any of them ran
  */
 export function combineRan (a: Ran, b: Ran): Ran {
   if (a === 'ran' || b === 'ran') return 'ran'
@@ -34,27 +34,27 @@
  *
  * @param state - the request
  * @param ran - whether it ran
- * @param failure - what to tell the caller
- * @param commands - commands that go before the end
+ * @param failure - failure to report to the caller
+ * @param commands - commands to execute before the end
  * @returns the last step
  */
 export function endFailed (state: RequestState, ran: Ran, failure: Failure, commands: RequestCommand[] = []): Step {
   invariant(ran !== 'not_run' || state.attempt === undefined, 'not_run_is_proved',
     () => `request ${state.facts.requestId} would be reported not_run while attempt ${state.attempt?.attemptId} is open`)
-  const told = withTimeToComeBack(state, ran, failure)
+  const reported = withRetryAfterIfRepeatable(state, ran, failure)
   return {
-    state: { ...state, phase: 'ended', attempt: undefined, ran, failure: told },
-    commands: [...commands, { kind: 'end', end: { outcome: 'failed', ran, failure: told } }]
+    state: { ...state, phase: 'ended', attempt: undefined, ran, failure: reported },
+    commands: [...commands, { kind: 'end', end: { outcome: 'failed', ran, failure: reported } }]
   }
 }
 
-/** Failures after which the same request may well succeed a little later. */
-const PASSING: ReadonlySet<Failure['code']> = new Set(['deadline_exceeded', 'endpoint_failed', 'incomplete', 'overloaded', 'unavailable'])
+/** Codes of failures after which the same request is likely to succeed shortly afterwards. */
+const TRANSIENT_CODES: ReadonlySet<Failure['code']> = new Set(['deadline_exceeded', 'endpoint_failed', 'incomplete', 'overloaded', 'unavailable'])
 
-/** A time to come back is an invitation to send the request again, so a call that may have run must not get one. */
-function withTimeToComeBack (state: RequestState, ran: Ran, failure: Failure): Failure {
-  const mayRunAgain = state.facts.idempotent || ran === 'not_run'
-  if (failure.retryAfterMs !== undefined || !mayRunAgain || !PASSING.has(failure.code)) return failure
+/** Retry-After invites the caller to send the request again, so a non-idempotent call that may have run must not get one. */
+function withRetryAfterIfRepeatable (state: RequestState, ran: Ran, failure: Failure): Failure {
+  const mayBeRepeated = state.facts.idempotent || ran === 'not_run'
+  if (failure.retryAfterMs !== undefined || !mayBeRepeated || !TRANSIENT_CODES.has(failure.code)) return failure
   return { ...failure, retryAfterMs: DEFAULT_RETRY_AFTER_MS }
 }
 
@@ -63,7 +63,7 @@
  *
  * @param state - the request
  * @param outputTokens - tokens that its last attempt produced
- * @param commands - commands that go before the end
+ * @param commands - commands to execute before the end
  * @returns the last step
  */
 export function endCompleted (state: RequestState, outputTokens: number, commands: RequestCommand[]): Step {
--- a/packages/anvilarch-daemon/src/attempts/machine/finals.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/finals.ts
@@ -1,9 +1,9 @@
-/** What follows when an agent reports that an attempt ended without its whole answer. */
+/** Handles final frames that report the end of an attempt without a complete response. */
 import type { AttemptOutcome } from 'anvilarch-protocol'
 import type { ErrorCode, Ran } from 'anvilarch-utils'
 import { combineRan, endFailed, ranOfAttempt } from './ending'
-import { CRASHES_BESIDE_OTHERS, MAX_CRASHES, MAX_FREE_RETRIES } from './limits'
-import { afterAttempt, againUnrefused, type AttemptFailure, quarantinedFailure } from './nextAttempt'
+import { MAX_SHARED_CRASHES, MAX_CRASHES, MAX_UNBUDGETED_RETRIES } from './limits'
+import { retryOrEnd, retryDespiteBudget, type AttemptFailure, quarantinedFailure } from './nextAttempt'
 import type { AttemptState, Failure, FinalReport, RequestCommand, RequestState, Step, StepInput } from './types'
 
 interface FinalRule {
@@ -12,8 +12,8 @@
   mayReturn?: AttemptFailure['mayReturn']
 }
 
-/** Rules by outcome, for those that are not handled by themselves. */
-const FINALS: Record<Exclude<AttemptOutcome, 'completed' | 'endpoint_crashed'>, FinalRule> = {
+/** Rules by outcome, for the outcomes without a handler of their own. */
+const FINAL_RULES: Record<Exclude<AttemptOutcome, 'completed' | 'endpoint_crashed'>, FinalRule> = {
   cancelled: { code: 'cancelled', final: true },
   endpoint_failed: { code: 'endpoint_failed' },
   deadline: { code: 'deadline_exceeded', final: true },
@@ -21,38 +21,38 @@
   lost: { code: 'unavailable', mayReturn: 'when_none_left' }
 }
 
-/** The attempt ended at its agent, which is still there. */
+/** Handles an attempt that ended at a reachable agent. */
 export function onFailedFinal (state: RequestState, attempt: AttemptState, final: FinalReport, input: StepInput): Step {
-  const rule = FINALS[final.outcome as keyof typeof FINALS]
+  const rule = FINAL_RULES[final.outcome as keyof typeof FINAL_RULES]
   const ran = ranOfFinal(attempt, final)
-  if (final.outcome === 'endpoint_failed' && ran === 'not_run') return onNeverReached(state, attempt, final, input)
+  if (final.outcome === 'endpoint_failed' && ran === 'not_run') return onNotReached(state, attempt, final, input)
   const failed: AttemptFailure = {
     ...describeFinal(attempt, final),
     code: rule.code,
     ran,
-    free: ran === 'not_run' || final.outcome === 'preempted',
+    unbudgeted: ran === 'not_run' || final.outcome === 'preempted',
     final: rule.final,
     mayReturn: rule.mayReturn
   }
-  return afterAttempt(state, failed, input, [{ kind: 'leave', target: attempt.target }])
+  return retryOrEnd(state, failed, input, [{ kind: 'leave', target: attempt.target }])
 }
 
 /**
- * The endpoint was down before the attempt got there. It does nothing for this attempt, or for others, until it is back. The
- * attempt has cost no endpoint anything, so that the budget of retries never refuses the next one: crashes use that budget
- * up, and what waited at a crashed endpoint would be lost though others are ready.
+ * Handles an attempt whose endpoint went down before the attempt reached it. The endpoint serves no attempt until it is ready
+ * again. The attempt cost no endpoint anything, so the retry budget never refuses the next one: crashes use that budget up,
+ * and requests that were queued at a crashed endpoint would fail although other endpoints are ready.
  */
-function onNeverReached (state: RequestState, attempt: AttemptState, final: FinalReport, input: StepInput): Step {
+function onNotReached (state: RequestState, attempt: AttemptState, final: FinalReport, input: StepInput): Step {
   const { target } = attempt
   const failed: AttemptFailure = {
     ...describeFinal(attempt, final),
     code: 'unavailable',
     ran: 'not_run',
-    free: true,
+    unbudgeted: true,
     mayReturn: 'when_none_left'
   }
   const commands: RequestCommand[] = [{ kind: 'leave', target }, { kind: 'note', target, note: 'endpoint_down' }]
-  return state.freeRetries < MAX_FREE_RETRIES ? afterAttempt(state, failed, input, commands) : againUnrefused(state, failed, input, commands)
+  return state.unbudgetedRetries < MAX_UNBUDGETED_RETRIES ? retryOrEnd(state, failed, input, commands) : retryDespiteBudget(state, failed, input, commands)
 }
 
 function describeFinal (attempt: AttemptState, final: FinalReport): Omit<Failure, 'code'> {
@@ -66,10 +66,10 @@
 }
 
 /**
- * The endpoint died. What still waited in the agent's queue is run elsewhere as if nothing had happened. What ran without
- * having produced a token is most likely to hold the culprit, since an engine crashes when it first computes a request; it
- * is run again so that no other prompt is computed until its first token. The rest is run beside others once more, and is a suspect
- * after a second crash whose cause is not known; it is then run with nothing beside it, since its first token proves nothing.
+ * Handles a crash of the endpoint. A request that was still queued at the agent runs elsewhere as usual. A request that ran
+ * without producing a token is the most likely cause, since an engine crashes when it first computes a request: it runs again
+ * with no other prompt computed until its first token. Any other request runs beside others once more. After a second crash
+ * of unknown cause it is a suspect and runs isolated, since its first token proves nothing.
  */
 export function onCrash (state: RequestState, attempt: AttemptState, final: FinalReport, input: StepInput): Step {
   const { target } = attempt
@@ -92,12 +92,12 @@
     return endFailed({ ...state, attempt: undefined, crashes }, ran, quarantinedFailure(target.key), [...commands, { kind: 'quarantine' }])
   }
   const hadNoToken = final.outputTokens === 0
-  const isolateNext = attempt.isolated || (!hadNoToken && crashes >= CRASHES_BESIDE_OTHERS)
-  if (hadNoToken || isolateNext) commands.push({ kind: 'suspect' })
-  return againUnrefused({ ...state, crashes, isolateNext, soloNext: hadNoToken }, failed, input, commands)
+  const isolatedNext = attempt.isolated || (!hadNoToken && crashes >= MAX_SHARED_CRASHES)
+  if (hadNoToken || isolatedNext) commands.push({ kind: 'suspect' })
+  return retryDespiteBudget({ ...state, crashes, isolatedNext, soloFirstTokenNext: hadNoToken }, failed, input, commands)
 }
 
-/** An answer that was seen outweighs a report that nothing ran. */
+/** Output that was received outweighs a report that the attempt did not run. */
 function ranOfFinal (attempt: AttemptState, final: FinalReport): Ran {
   return ranOfAttempt(attempt) === 'ran' ? 'ran' : final.ran
 }
--- a/packages/anvilarch-daemon/src/attempts/machine/frames.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/frames.ts
@@ -1,8 +1,8 @@
-/** What each frame of an attempt leads to. */
+/** Handles each kind of frame of an attempt. */
 import { invariant, type Ran } from 'anvilarch-utils'
 import { endCompleted, ranOfAttempt } from './ending'
 import { onCrash, onFailedFinal } from './finals'
-import { afterAttempt, type AttemptFailure } from './nextAttempt'
+import { retryOrEnd, type AttemptFailure } from './nextAttempt'
 import { REFUSALS } from './refusals'
 import { BAR_PROOF_WINDOW_MS } from './limits'
 import { resumeOrGiveUp } from './streams'
@@ -10,21 +10,22 @@
 
 type EventOf<Kind extends RequestEvent['kind']> = Extract<RequestEvent, { kind: Kind }>
 
-/** The agent took the attempt, or still has it. */
+/** Handles the acceptance of an attempt, or the confirmation that the agent still has it. */
 export function onAccepted (state: RequestState, attempt: AttemptState): Step {
   return { state: { ...state, attempt: { ...attempt, accepted: true } }, commands: [] }
 }
 
 /**
- * The connection works and the attempt still runs. A later silence is then another one: counted together with those before, it would
- * end an attempt in the middle of a long prompt, whose output its agent keeps and tells on each new connection.
+ * Handles a heartbeat: the connection works and the attempt still runs, so the count of resumptions starts over. Otherwise
+ * unrelated timeouts would add up and end an attempt in the middle of a long prompt, although its agent retains the output and
+ * sends it over each new connection.
  */
 export function onHeartbeat (state: RequestState, attempt: AttemptState): Step {
   if (attempt.resumes === 0) return { state, commands: [] }
   return { state: { ...state, attempt: { ...attempt, resumes: 0 } }, commands: [] }
 }
 
-/** The agent will not run the attempt, or does not know it. */
+/** Handles a refusal: the agent will not run the attempt, or has no record of it. */
 export function onRefused (state: RequestState, attempt: AttemptState, event: EventOf<'refused'>, input: StepInput): Step {
   const rule = REFUSALS[event.reason]
   const ran = ranAfterRefusal(attempt, event, input)
@@ -36,22 +37,22 @@
     peer: attempt.target.key,
     retryAfterMs: event.retryAfterMs > 0 ? event.retryAfterMs : undefined,
     ran,
-    free: ran === 'not_run',
+    unbudgeted: ran === 'not_run',
     final: rule.final === true && !attempt.resuming,
     mayReturn: rule.mayReturn
   }
-  const soloNext = state.soloNext || rule.solo === true
-  return afterAttempt({ ...state, soloNext }, failed, input, refusalCommands(attempt, event))
+  const soloFirstTokenNext = state.soloFirstTokenNext || rule.soloFirstToken === true
+  return retryOrEnd({ ...state, soloFirstTokenNext }, failed, input, refusalCommands(attempt, event))
 }
 
 /**
- * A refused start never runs. A resumption that is refused as `barred` proves the same, but only while the agent can't
- * have run and forgotten the attempt; any other refused resumption leaves open what became of it.
+ * A refused start never runs. A resumption refused as `barred` proves the same, but only within the time for which the agent
+ * retains ended attempts; any other refused resumption leaves the outcome of the attempt unknown.
  */
 function ranAfterRefusal (attempt: AttemptState, event: EventOf<'refused'>, input: StepInput): Ran {
   if (!attempt.resuming && !attempt.accepted) return 'not_run'
-  const soon = input.nowMs - attempt.sentMs < BAR_PROOF_WINDOW_MS
-  if (event.reason === 'barred' && !attempt.accepted && soon) return 'not_run'
+  const isWithinProofWindow = input.nowMs - attempt.sentMs < BAR_PROOF_WINDOW_MS
+  if (event.reason === 'barred' && !attempt.accepted && isWithinProofWindow) return 'not_run'
   return ranOfAttempt(attempt)
 }
 
@@ -60,14 +61,14 @@
   const commands: RequestCommand[] = [{ kind: 'leave', target }]
   const { note } = REFUSALS[event.reason]
   if (note !== undefined) commands.push({ kind: 'note', target, note })
-  if (REFUSALS[event.reason].solo === true) commands.push({ kind: 'suspect' })
+  if (REFUSALS[event.reason].soloFirstToken === true) commands.push({ kind: 'suspect' })
   if (event.incarnation !== '' && event.incarnation !== target.incarnation) {
     commands.push({ kind: 'note_incarnation', target, incarnation: event.incarnation })
   }
   return commands
 }
 
-/** Status and headers. A resumption brings them again. */
+/** Handles status and headers. They are sent again after a resumption, and are then ignored. */
 export function onHead (state: RequestState, attempt: AttemptState, event: EventOf<'head'>): Step {
   if (attempt.headSeen) return { state, commands: [] }
   return {
@@ -76,7 +77,7 @@
   }
 }
 
-/** Bytes of the answer. What was read before is cut off; a gap is read again from the agent, which keeps the whole. */
+/** Handles response bytes. Bytes received before are skipped; after a gap the attempt is resumed, since its agent retains all output. */
 export function onOutput (state: RequestState, attempt: AttemptState, event: EventOf<'output'>, input: StepInput): Step {
   const expected = attempt.receivedBytes
   const end = event.offsetBytes + event.data.length
@@ -91,7 +92,7 @@
   }
 }
 
-/** The attempt is over at its agent. */
+/** Handles the final frame of an attempt. */
 export function onFinal (state: RequestState, attempt: AttemptState, event: EventOf<'final'>, input: StepInput): Step {
   const { final } = event
   if (final.outcome === 'endpoint_crashed') return onCrash(state, attempt, final, input)
@@ -99,7 +100,7 @@
   return onCompleted(state, attempt, event, input)
 }
 
-/** The answer is whole only when every byte that the endpoint wrote was read, and the caller's protocol lacks nothing of it. */
+/** A response is complete only when every byte written by the endpoint was received and nothing required by the caller's protocol is missing. */
 function onCompleted (state: RequestState, attempt: AttemptState, event: EventOf<'final'>, input: StepInput): Step {
   const { final } = event
   const { target } = attempt
@@ -109,11 +110,11 @@
   }
   if (attempt.receivedBytes > final.totalBytes) {
     const message = `${attempt.receivedBytes} bytes were received of an answer of ${final.totalBytes}`
-    return afterAttempt(state, { ...badAnswer(attempt, 'excess', message), final: true }, input, [{ kind: 'leave', target }])
+    return retryOrEnd(state, { ...invalidResponseFailure(attempt, 'excess', message), final: true }, input, [{ kind: 'leave', target }])
   }
   if (input.missing !== undefined) {
     const message = `the endpoint ended the answer without ${input.missing}`
-    return afterAttempt(state, badAnswer(attempt, 'cut_short', message), input, [{ kind: 'leave', target }])
+    return retryOrEnd(state, invalidResponseFailure(attempt, 'cut_short', message), input, [{ kind: 'leave', target }])
   }
   invariant(attempt.receivedBytes === final.totalBytes, 'answer_whole',
     () => `request ${state.facts.requestId} would complete with ${attempt.receivedBytes} of ${final.totalBytes} bytes`)
@@ -122,6 +123,6 @@
   return endCompleted(state, final.outputTokens, commands)
 }
 
-function badAnswer (attempt: AttemptState, reason: string, message: string): AttemptFailure {
+function invalidResponseFailure (attempt: AttemptState, reason: string, message: string): AttemptFailure {
   return { reason, code: 'endpoint_failed', message, step: 'attempts.read', peer: attempt.target.key, ran: 'ran' }
 }
--- a/packages/anvilarch-daemon/src/attempts/machine/refusals.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/refusals.ts
@@ -1,22 +1,22 @@
-/** What each refusal means for the request and for the view of the agent. */
+/** Defines the consequences of each refusal for the request and for the gateway's view of the agent. */
 import type { RefusalReason } from 'anvilarch-protocol'
 import type { ErrorCode } from 'anvilarch-utils'
 import type { TargetNote } from './types'
 
 /** Consequences of a refusal. */
 export interface RefusalRule {
-  /** Told to the caller when no other endpoint is asked. */
+  /** Reported to the caller when no other endpoint is tried. */
   code: ErrorCode
-  /** No other endpoint would answer differently. */
+  /** Every endpoint would refuse the request. */
   final?: boolean
-  /** The same endpoint may be asked again: at once, or when no other is left. */
+  /** The same endpoint may be tried again: at once, or when no other is left. */
   mayReturn?: 'at_once' | 'when_none_left'
-  /** The next attempt runs so that no other prompt is computed until its first token. */
-  solo?: boolean
+  /** No other prompt is computed beside the next attempt until its first token. */
+  soloFirstToken?: boolean
   note?: TargetNote
 }
 
-/** Rules by reason. */
+/** Rules by refusal reason. */
 export const REFUSALS: Record<RefusalReason, RefusalRule> = {
   draining: { code: 'unavailable', note: 'draining', mayReturn: 'when_none_left' },
   overloaded: { code: 'overloaded' },
@@ -29,6 +29,6 @@
   model_not_loaded: { code: 'unavailable', mayReturn: 'when_none_left' },
   quarantined: { code: 'quarantined', final: true },
   isolated_busy: { code: 'overloaded', mayReturn: 'when_none_left' },
-  suspect: { code: 'unavailable', mayReturn: 'at_once', solo: true },
+  suspect: { code: 'unavailable', mayReturn: 'at_once', soloFirstToken: true },
   too_large: { code: 'too_large', final: true }
 }
--- a/packages/anvilarch-daemon/src/attempts/machine/requestMachine.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/requestMachine.ts
@@ -1,14 +1,14 @@
-/** The life of one request as a pure state machine: an event in, the next state and commands out. */
+/** Pure state machine of one request: maps its state and an event to the next state and commands. */
 import { endFailed, ranSoFar } from './ending'
-import { chooseAgain, quarantinedFailure } from './nextAttempt'
+import { chooseEndpoint, quarantinedFailure } from './nextAttempt'
 import { DEFAULT_RETRY_AFTER_MS, MAX_TARGET_WAIT_MS, TARGET_WAIT_SHARE } from './limits'
 import { onAccepted, onFinal, onHead, onHeartbeat, onOutput, onRefused } from './frames'
 import { onOutputInvalid, onSilence, onStreamEnded } from './streams'
 import type { AttemptState, Failure, RequestEvent, RequestFacts, RequestState, Step, StepInput } from './types'
 
 /**
- * @param facts - what does not change
- * @returns a request of which nothing was sent
+ * @param facts - constant properties of the request
+ * @returns the state of a request before its first attempt
  */
 export function createRequestState (facts: RequestFacts): RequestState {
   return {
@@ -18,13 +18,13 @@
     attempts: 0,
     streams: 0,
     tried: [],
-    barred: [],
-    taken: false,
+    excluded: [],
+    wasAccepted: false,
     ran: 'not_run',
-    freeRetries: 0,
+    unbudgetedRetries: 0,
     crashes: 0,
-    isolateNext: false,
-    soloNext: false,
+    isolatedNext: false,
+    soloFirstTokenNext: false,
     failure: undefined,
     waitUntilMs: undefined
   }
@@ -36,7 +36,7 @@
   begin: onBegin,
   chosen: onChosen,
   no_target: onNoTarget,
-  targets_changed: state => state.phase === 'choosing' ? chooseAgain(state) : { state, commands: [] },
+  targets_changed: state => state.phase === 'choosing' ? chooseEndpoint(state) : { state, commands: [] },
   wait_over: state => state.phase === 'choosing' ? endWithoutTarget(state) : { state, commands: [] },
   accepted: withAttempt(onAccepted),
   refused: withAttempt(onRefused),
@@ -47,17 +47,17 @@
   silence: withAttempt(onSilence),
   stream_ended: withAttempt(onStreamEnded),
   output_invalid: withAttempt(onOutputInvalid),
-  deadline: state => giveUp(state, deadlinePassed(state)),
-  caller_gone: state => giveUp(state, {
+  deadline: state => cancelAndEnd(state, deadlinePassed(state)),
+  caller_gone: state => cancelAndEnd(state, {
     reason: 'caller_gone', code: 'cancelled', message: 'the caller went away', step: 'attempts.caller', peer: peerOf(state)
   })
 }
 
 /**
  * @param state - the request
- * @param event - what happened
- * @param input - facts of the moment
- * @returns the next state, and what to do
+ * @param event - the event to handle
+ * @param input - current conditions
+ * @returns the next state and the commands to execute
  */
 export function stepRequest (state: RequestState, event: RequestEvent, input: StepInput): Step {
   if (state.phase === 'ended') return { state, commands: [] }
@@ -66,8 +66,8 @@
 }
 
 /**
- * Drops events of streams that were left. Without this a late frame of a silent connection would be read twice, once
- * there and once from the stream that resumed the attempt.
+ * Discards events of closed streams. Otherwise a late frame of an unresponsive connection would be processed twice: once there
+ * and once from the stream that resumed the attempt.
  */
 function withAttempt<Event extends { stream: number }> (
   handle: (state: RequestState, attempt: AttemptState, event: Event, input: StepInput) => Step
@@ -81,18 +81,18 @@
 
 function onBegin (state: RequestState, event: { suspect: boolean }, input: StepInput): Step {
   if (input.quarantined) return endFailed(state, 'not_run', quarantinedFailure(''))
-  return chooseAgain({ ...state, soloNext: event.suspect })
+  return chooseEndpoint({ ...state, soloFirstTokenNext: event.suspect })
 }
 
 function onChosen (state: RequestState, event: Extract<RequestEvent, { kind: 'chosen' }>, input: StepInput): Step {
   if (state.phase !== 'choosing') return { state, commands: [] }
-  // After a pause of this process the timer of the deadline may run last. An endpoint would run what nobody waits for.
-  if (input.nowMs >= input.deadlineMs) return giveUp(state, deadlinePassed(state))
+  // After a process pause the deadline timer may run after this event, and an endpoint would run a request that has already expired.
+  if (input.nowMs >= input.deadlineMs) return cancelAndEnd(state, deadlinePassed(state))
   const attempt: AttemptState = {
     attemptId: event.attemptId,
     target: event.target,
-    isolated: state.isolateNext,
-    soloFirstToken: state.soloNext && !state.isolateNext,
+    isolated: state.isolatedNext,
+    soloFirstToken: state.soloFirstTokenNext && !state.isolatedNext,
     sentMs: input.nowMs,
     stream: state.streams + 1,
     resuming: false,
@@ -108,17 +108,17 @@
 }
 
 /**
- * A request that no agent had taken is refused at once. One that had begun would lose what it had done, or its place in a
- * queue, so it waits a while for an endpoint to come back, also for one that it was sent to before. Each wait has its own
- * bound: where endpoints crash one after another, a bound for all waits together ends requests long before their deadline,
- * at the moment at which no endpoint happens to be ready.
+ * A request that no agent had accepted is refused at once. An accepted one would lose its progress, or its place in a queue,
+ * so it waits for an endpoint to become ready, including those that it was sent to before. Each wait has its own limit: where
+ * endpoints crash one after another, a common limit would end requests long before their deadline, just when no endpoint
+ * happens to be ready.
  */
 function onNoTarget (state: RequestState, _event: { kind: 'no_target' }, input: StepInput): Step {
   if (state.phase !== 'choosing') return { state, commands: [] }
-  if (!state.taken && state.ran === 'not_run') return endWithoutTarget(state)
+  if (!state.wasAccepted && state.ran === 'not_run') return endWithoutTarget(state)
   if (state.waitUntilMs === undefined) {
     const durationMs = Math.min(MAX_TARGET_WAIT_MS, (input.deadlineMs - input.nowMs) * TARGET_WAIT_SHARE)
-    return chooseAgain({ ...state, waitUntilMs: input.nowMs + durationMs })
+    return chooseEndpoint({ ...state, waitUntilMs: input.nowMs + durationMs })
   }
   if (input.nowMs >= state.waitUntilMs) return endWithoutTarget(state)
   return { state, commands: [{ kind: 'wait_for_target', untilMs: state.waitUntilMs }] }
@@ -131,8 +131,8 @@
   return endFailed(state, state.ran, { ...failure, retryAfterMs: failure.retryAfterMs ?? DEFAULT_RETRY_AFTER_MS })
 }
 
-/** Ends at once; the agent is told, but its answer is not waited for. */
-function giveUp (state: RequestState, failure: Failure): Step {
+/** Ends the request at once; the attempt is cancelled at its agent without waiting for the response. */
+function cancelAndEnd (state: RequestState, failure: Failure): Step {
   const { attempt } = state
   const ran = ranSoFar(state)
   if (attempt === undefined) return endFailed(state, ran, failure)
--- a/packages/anvilarch-daemon/src/attempts/machine/streams.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/streams.ts
@@ -1,7 +1,7 @@
-/** What follows when the stream that carries an attempt fails, while the attempt itself may still run. */
+/** Handles failures of the stream that carries an attempt, while the attempt itself may still run. */
 import { ranOfAttempt } from './ending'
 import { MAX_RESUMES_IDEMPOTENT, MAX_RESUMES_NON_IDEMPOTENT, RESUME_DELAY_MS } from './limits'
-import { afterAttempt, type AttemptFailure } from './nextAttempt'
+import { retryOrEnd, type AttemptFailure } from './nextAttempt'
 import type { AttemptState, RequestEvent, RequestState, Step, StepInput } from './types'
 
 type EventOf<Kind extends RequestEvent['kind']> = Extract<RequestEvent, { kind: Kind }>
@@ -9,62 +9,62 @@
 interface StreamFailure {
   reason: 'silence' | 'connection_lost' | 'gap'
   message: string
-  /** The old connection may never report its end, so it is not used again. */
+  /** Whether to open a new connection, since the old one may never report its end. */
   newConnection: boolean
 }
 
 /**
- * Neither frame nor heartbeat came for too long. Something between the two ends may have lost track of the connection:
- * the agent goes on, this side hears nothing, and only a new connection can tell.
+ * Handles a timeout without frame or heartbeat. A network device may have dropped the connection without notice to either end:
+ * the attempt goes on but nothing arrives, and only a new connection can show that.
  */
 export function onSilence (state: RequestState, attempt: AttemptState, _event: EventOf<'silence'>, input: StepInput): Step {
   return resumeOrGiveUp(state, attempt, input, { reason: 'silence', message: 'the agent went silent', newConnection: true })
 }
 
-/** The connection broke. A start that never left this gateway is proved not to have run. */
+/** Handles a broken connection. A start that never left this gateway is proved not to have run. */
 export function onStreamEnded (state: RequestState, attempt: AttemptState, event: EventOf<'stream_ended'>, input: StepInput): Step {
   if (event.neverSent && !attempt.resuming) {
     const failed = failureOf(attempt, { reason: 'connection_lost', message: event.message, newConnection: false })
-    return afterAttempt(state, { ...failed, ran: 'not_run', free: true }, input, giveUpCommands(attempt, failed.reason))
+    return retryOrEnd(state, { ...failed, ran: 'not_run', unbudgeted: true }, input, closeCommands(attempt, failed.reason))
   }
   return resumeOrGiveUp(state, attempt, input, { reason: 'connection_lost', message: event.message, newConnection: false })
 }
 
-/** The stream broke its protocol, so it is read again. */
+/** Handles a protocol violation of the stream by resuming it. */
 export function onOutputInvalid (state: RequestState, attempt: AttemptState, event: EventOf<'output_invalid'>, input: StepInput): Step {
   return resumeOrGiveUp(state, attempt, input, { reason: 'gap', message: event.message, newConnection: false })
 }
 
 /**
- * Reads the attempt again from where it broke off, or gives up on its agent after a bounded number of tries.
+ * Resumes the attempt at the offset received so far, or gives up on its agent after a limited number of resumptions.
  *
  * @param state - the request
- * @param attempt - its present attempt
- * @param input - facts of the moment
- * @param failure - what happened to the stream
+ * @param attempt - its current attempt
+ * @param input - current conditions
+ * @param failure - how the stream failed
  * @returns the step
  */
 export function resumeOrGiveUp (state: RequestState, attempt: AttemptState, input: StepInput, failure: StreamFailure): Step {
-  const bound = state.facts.idempotent ? MAX_RESUMES_IDEMPOTENT : MAX_RESUMES_NON_IDEMPOTENT
-  if (attempt.resumes >= bound) {
+  const maxResumes = state.facts.idempotent ? MAX_RESUMES_IDEMPOTENT : MAX_RESUMES_NON_IDEMPOTENT
+  if (attempt.resumes >= maxResumes) {
     const failed = failureOf(attempt, failure)
-    return afterAttempt(state, { ...failed, ran: ranOfAttempt(attempt) }, input, [
-      ...giveUpCommands(attempt, failure.reason),
+    return retryOrEnd(state, { ...failed, ran: ranOfAttempt(attempt) }, input, [
+      ...closeCommands(attempt, failure.reason),
       { kind: 'cancel', attempt, reason: 'given up by the gateway' }
     ])
   }
   const resumed: AttemptState = { ...attempt, resuming: true, resumes: attempt.resumes + 1, stream: state.streams + 1 }
-  const again = attempt.resumes > 0 && failure.reason !== 'silence'
+  const isRepeated = attempt.resumes > 0 && failure.reason !== 'silence'
   return {
     state: { ...state, attempt: resumed, streams: resumed.stream },
     commands: [
       { kind: 'leave', target: attempt.target },
-      { kind: 'resume', attempt: resumed, newConnection: failure.newConnection, delayMs: again ? RESUME_DELAY_MS : 0 }
+      { kind: 'resume', attempt: resumed, newConnection: failure.newConnection, delayMs: isRepeated ? RESUME_DELAY_MS : 0 }
     ]
   }
 }
 
-function giveUpCommands (attempt: AttemptState, reason: string): Step['commands'] {
+function closeCommands (attempt: AttemptState, reason: string): Step['commands'] {
   const commands: Step['commands'] = [{ kind: 'leave', target: attempt.target }]
   if (reason !== 'gap') commands.push({ kind: 'note', target: attempt.target, note: 'unreachable' })
   return commands
@@ -77,7 +77,7 @@
     message: failure.message,
     step: attempt.resuming ? 'attempts.resume' : 'attempts.start',
     peer: attempt.target.key,
-    // Nothing tells when an agent that breaks its protocol is well again.
+    // Nothing reports when an agent that violated the protocol works again.
     mayReturn: failure.reason === 'gap' ? undefined : 'when_none_left'
   }
 }
--- a/packages/anvilarch-daemon/src/attempts/machine/types.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/types.ts
@@ -1,10 +1,10 @@
-/** State, events and commands of the life of one request. The machine is pure: sockets and timers belong to its driver. */
+/** State, events and commands of the state machine of one request. The machine is pure: its driver owns sockets and timers. */
 import type { AttemptOutcome, RefusalReason } from 'anvilarch-protocol'
 import type { ErrorCode, Ran } from 'anvilarch-utils'
 import type { Target } from '../../routing/types'
 import type { Headers } from '../types'
 
-/** What does not change during the life of a request. */
+/** Constant properties of a request. */
 export interface RequestFacts {
   requestId: string
   fingerprint: string
@@ -15,25 +15,25 @@
 export interface AttemptState {
   attemptId: string
   target: Target
-  /** Runs with nothing beside it. */
+  /** No other attempt runs at the endpoint at the same time. */
   isolated: boolean
   /** No other prompt is computed beside it until its first token. */
   soloFirstToken: boolean
   sentMs: number
-  /** Number of the stream whose events count; events of streams that were left are late and dropped. */
+  /** Number of the current stream; late events of closed streams are discarded. */
   stream: number
-  /** Whether that stream resumes the attempt, or started it. */
+  /** Whether the current stream resumes the attempt; otherwise it started the attempt. */
   resuming: boolean
   accepted: boolean
   headSeen: boolean
   receivedBytes: number
-  /** Resumptions since the last frame that brought something new, or that showed that the attempt still runs. */
+  /** Resumptions since the last frame with new output or proof that the attempt still runs. */
   resumes: number
 }
 
-/** Why the last attempt did not end the request. */
+/** Why an attempt failed. */
 export interface Failure {
-  /** Short stable name, used as a metric label. */
+  /** Short, stable name, used as a metric label. */
   reason: string
   code: ErrorCode
   message: string
@@ -49,42 +49,42 @@
   attempt: AttemptState | undefined
   /** Starts sent so far. */
   attempts: number
-  /** Number given to the last opened stream. */
+  /** Number of the last opened stream. */
   streams: number
-  /** Keys of endpoints that were asked. */
+  /** Keys of endpoints that were tried. */
   tried: readonly string[]
-  /** Those among them that are not asked again, even when no other is left. */
-  barred: readonly string[]
-  /** Whether an agent had taken one of its attempts, be it only to its queue. */
-  taken: boolean
-  /** What is proved of all attempts before the present one. */
+  /** Keys of tried endpoints that are not tried again, even when no other is left. */
+  excluded: readonly string[]
+  /** Whether an agent accepted one of its attempts, even if only into its queue. */
+  wasAccepted: boolean
+  /** Whether any attempt before the current one ran. */
   ran: Ran
-  /** Goes elsewhere that took nothing from the retry budget. */
-  freeRetries: number
+  /** Retries that took nothing from the retry budget. */
+  unbudgetedRetries: number
   crashes: number
-  /** The next attempt runs with nothing beside it. */
-  isolateNext: boolean
-  /** The next attempt runs so that no other prompt is computed until its first token. */
-  soloNext: boolean
+  /** The next attempt runs isolated. */
+  isolatedNext: boolean
+  /** No other prompt is computed beside the next attempt until its first token. */
+  soloFirstTokenNext: boolean
   failure: Failure | undefined
-  /** Until when a request that had begun waits for an endpoint; undefined while it does not wait. */
+  /** Until when an accepted request waits for an endpoint; undefined while it does not wait. */
   waitUntilMs: number | undefined
 }
 
-/** Facts that hold at the moment of an event. */
+/** Conditions at the time of an event. */
 export interface StepInput {
   nowMs: number
   deadlineMs: number
-  /** Whether the retry budget has something left. */
+  /** Whether the retry budget allows another retry. */
   retryAllowed: boolean
-  /** Whether what the caller has got can be continued by another endpoint. */
+  /** Whether another endpoint can continue the response that the caller has received so far. */
   continuable: boolean
-  /** What the answer lacks to be whole where its endpoint has ended it; undefined when it is whole. */
+  /** What is missing from a response that its endpoint has ended; undefined when it is complete. */
   missing: string | undefined
   quarantined: boolean
 }
 
-/** Something that happened. Events of a stream carry its number. */
+/** Event of a request. Events of a stream carry its number. */
 export type RequestEvent =
   | { kind: 'begin', suspect: boolean }
   | { kind: 'chosen', target: Target, attemptId: string }
@@ -103,7 +103,7 @@
   | { kind: 'deadline' }
   | { kind: 'caller_gone' }
 
-/** What the final frame of an attempt says. */
+/** Content of the final frame of an attempt. */
 export interface FinalReport {
   outcome: AttemptOutcome
   totalBytes: number
@@ -116,12 +116,12 @@
   causeKnown?: boolean
 }
 
-/** How a request ended, as far as the machine knows. The driver adds status, headers and body. */
+/** How a request ended. The driver adds status, headers and body. */
 export type RequestEnd =
   | { outcome: 'completed', outputTokens: number }
   | { outcome: 'failed', ran: Ran, failure: Failure }
 
-/** Something for the driver to do. */
+/** Command to the driver. */
 export type RequestCommand =
   | { kind: 'choose', exclude: readonly string[] }
   | { kind: 'wait_for_target', untilMs: number }
@@ -139,10 +139,10 @@
   | { kind: 'quarantine' }
   | { kind: 'end', end: RequestEnd }
 
-/** What an attempt showed about the agent or endpoint. */
+/** State of an agent or endpoint, as shown by an attempt. */
 export type TargetNote = 'draining' | 'unreachable' | 'endpoint_down'
 
-/** What a step gives. */
+/** Result of a step. */
 export interface Step {
   state: RequestState
   commands: RequestCommand[]
--- a/packages/anvilarch-daemon/src/attempts/messages.ts
+++ b/packages/anvilarch-daemon/src/attempts/messages.ts
@@ -1,10 +1,10 @@
-/** Builds the messages that start an attempt. */
+/** Builds the messages that start attempts. */
 import type { AttemptState } from './machine/types'
 import type { Continuation } from './output/types'
 import type { EndpointCall, WorkRequest } from './types'
 
-/** Facts that go with a start. */
-export interface StartFacts {
+/** Values of a start message that vary between the attempts of a request. */
+export interface StartContext {
   remainingMs: number
   configurationVersion: number
   continuation: Continuation | undefined
@@ -13,10 +13,10 @@
 /**
  * @param request - the request
  * @param attempt - the attempt that starts
- * @param facts - remaining time, configuration version and what the caller has already
+ * @param context - remaining time, configuration version and output that the caller has received
  * @returns the fields of a `StartAttemptRequest`
  */
-export function startMessage (request: WorkRequest, attempt: AttemptState, facts: StartFacts) {
+export function createStartMessage (request: WorkRequest, attempt: AttemptState, context: StartContext) {
   return {
     requestId: request.requestId,
     attemptId: attempt.attemptId,
@@ -25,28 +25,28 @@
     service: request.service,
     endpoint: attempt.target.endpoint,
     caller: request.caller,
-    remainingMs: facts.remainingMs,
+    remainingMs: context.remainingMs,
     idempotent: request.idempotent,
-    configurationVersion: BigInt(facts.configurationVersion),
+    configurationVersion: BigInt(context.configurationVersion),
     agentIncarnation: attempt.target.incarnation,
-    call: callMessage(request.call, facts.continuation),
+    call: createCall(request.call, context.continuation),
     outputMode: request.outputMode,
     isolated: attempt.isolated,
     soloFirstToken: attempt.soloFirstToken
   }
 }
 
-function callMessage (call: EndpointCall, continuation: Continuation | undefined) {
+function createCall (call: EndpointCall, continuation: Continuation | undefined) {
   return {
     method: call.method,
     path: call.path,
     headers: Object.entries(call.headers).map(([name, value]) => ({ name, value })),
-    body: continuation === undefined ? call.body : continuedBody(call.body, continuation)
+    body: continuation === undefined ? call.body : withContinuation(call.body, continuation)
   }
 }
 
-/** The endpoint is told what the caller has, so that it goes on after it instead of starting again. */
-function continuedBody (body: Uint8Array, continuation: Continuation): Uint8Array {
+/** Adds the output that the caller has received, so that the endpoint continues after it instead of starting over. */
+function withContinuation (body: Uint8Array, continuation: Continuation): Uint8Array {
   const parsed = JSON.parse(Buffer.from(body).toString('utf8')) as Record<string, unknown>
   return Buffer.from(JSON.stringify({ ...parsed, continuation }))
 }
--- a/packages/anvilarch-daemon/src/attempts/output/__tests__/streamCollector.test.ts
+++ b/packages/anvilarch-daemon/src/attempts/output/__tests__/streamCollector.test.ts
@@ -13,8 +13,8 @@
 const WHOLE = eventsFrom(0)
 
 describe('createStreamCollector', () => {
-  // Guards against this: an event that the caller has already comes again from the endpoint that goes on.
-  it.each(WHOLE.map((_, index) => index + 1))('brings each event once when the first run is lost after %d events', async lostAfter => {
+  // Guards against events that the caller receives twice, because the continuing endpoint sends them again.
+  it.each(WHOLE.map((_, index) => index + 1))('forwards each event once when the first attempt is lost after %d events', async lostAfter => {
     let passed = ''
     const collector = createStreamCollector({
       onHead: () => {},
--- a/packages/anvilarch-daemon/src/attempts/output/collectors.ts
+++ b/packages/anvilarch-daemon/src/attempts/output/collectors.ts
@@ -1,4 +1,4 @@
-/** Chooses the collector of a request by its output mode. */
+/** Creates the output collector for the output mode of a request. */
 import type { OutputMode, WorkSink } from '../types'
 import { createRawCollector } from './rawCollector'
 import { createStreamCollector } from './streamCollector'
@@ -12,8 +12,8 @@
 }
 
 /**
- * @param mode - how the answer comes back
- * @param sink - takes the answer as it comes; without one it is held until it is whole
+ * @param mode - form of the response
+ * @param sink - receives the response as it arrives; without a sink it is buffered until complete
  * @returns an empty collector
  */
 export function createCollector (mode: OutputMode, sink: WorkSink | undefined): OutputCollector {
--- a/packages/anvilarch-daemon/src/attempts/output/rawCollector.ts
+++ b/packages/anvilarch-daemon/src/attempts/output/rawCollector.ts
@@ -1,27 +1,27 @@
-/** Passes an answer on as it is. A short one is held until it is whole, so that another endpoint may start again. */
+/** Forwards a response unchanged. A short response is buffered until complete, so that another endpoint may start over. */
 import type { Headers, WorkSink } from '../types'
 import type { OutputCollector } from './types'
 
-/** Answers up to this size are held until they are whole. */
-export const HELD_BYTES = 64 * 1024
+/** Responses up to this size are buffered until complete. */
+export const MAX_BUFFERED_BYTES = 64 * 1024
 
 /**
- * @param sink - takes the answer
+ * @param sink - receives the response
  * @returns an empty collector
  */
 export function createRawCollector (sink: WorkSink): OutputCollector {
   let status = 0
   let headers: Headers = {}
-  let held: Uint8Array[] = []
-  let heldBytes = 0
-  let released = false
+  let buffered: Uint8Array[] = []
+  let bufferedBytes = 0
+  let forwarding = false
 
-  const release = async (): Promise<void> => {
-    if (!released) sink.onHead(status, headers)
-    released = true
-    const data = Buffer.concat(held)
-    held = []
-    heldBytes = 0
+  const flush = async (): Promise<void> => {
+    if (!forwarding) sink.onHead(status, headers)
+    forwarding = true
+    const data = Buffer.concat(buffered)
+    buffered = []
+    bufferedBytes = 0
     if (data.length > 0) await sink.onOutput(data)
   }
 
@@ -32,19 +32,19 @@
       return undefined
     },
     output: data => {
-      held.push(data)
-      heldBytes += data.length
-      return released || heldBytes > HELD_BYTES ? release() : undefined
+      buffered.push(data)
+      bufferedBytes += data.length
+      return forwarding || bufferedBytes > MAX_BUFFERED_BYTES ? flush() : undefined
     },
-    continuable: () => !released,
+    continuable: () => !forwarding,
     missing: () => undefined,
     restart: () => {
-      held = []
-      heldBytes = 0
+      buffered = []
+      bufferedBytes = 0
       return undefined
     },
     finish: async () => {
-      await release()
+      await flush()
       return { status, headers, body: new Uint8Array(0) }
     }
   }
--- a/packages/anvilarch-daemon/src/attempts/output/streamCollector.ts
+++ b/packages/anvilarch-daemon/src/attempts/output/streamCollector.ts
@@ -1,6 +1,6 @@
 /**
- * Passes a stream of server-sent events on, in whole events only. So the caller never holds half an event when another
- * endpoint goes on with the stream.
+ * Forwards a stream of server-sent events in complete events only, so that the caller never has a partial event when another
+ * endpoint continues the stream.
  */
 import { createParser } from 'eventsource-parser'
 import type { Headers, WorkSink } from '../types'
@@ -11,7 +11,7 @@
 const DONE = '[DONE]'
 
 /**
- * @param sink - takes the events
+ * @param sink - receives the events
  * @returns an empty collector
  */
 export function createStreamCollector (sink: WorkSink): OutputCollector {
@@ -22,15 +22,15 @@
   let continuing = false
   let events: string[] = []
   let decoder = new TextDecoder()
-  let answerIsEvents = true
+  let isEventStream = true
   let ended = false
 
-  const parser = createParser({ onEvent: event => { pass(event.data, event.event) } })
+  const parser = createParser({ onEvent: event => { forwardEvent(event.data, event.event) } })
 
-  const pass = (data: string, name: string | undefined): void => {
+  const forwardEvent = (data: string, name: string | undefined): void => {
     const chunk = parseChunk(data)
     if (data === DONE) {
-      // A client stops reading here, so the mark goes out only when nothing of the answer is left to come.
+      // Clients stop reading at this marker, so it is forwarded only once the response is complete.
       if (ended || !transcript.finished()) return
       ended = true
     }
@@ -52,23 +52,23 @@
   return {
     head: (newStatus, newHeaders) => {
       const isEvents = isStream(newStatus, newHeaders)
-      if (delivered) return newStatus === status && isEvents ? undefined : refusalToGoOn(newStatus, newHeaders)
+      if (delivered) return newStatus === status && isEvents ? undefined : continuationProblem(newStatus, newHeaders)
       status = newStatus
       headers = newHeaders
-      answerIsEvents = isEvents
+      isEventStream = isEvents
       return undefined
     },
     output: data => {
-      if (!answerIsEvents) return deliver(data)
+      if (!isEventStream) return deliver(data)
       parser.feed(decoder.decode(data, { stream: true }))
       if (events.length === 0) return undefined
       const text = events.join('')
       events = []
       return deliver(Buffer.from(text))
     },
-    continuable: () => !delivered || (answerIsEvents && transcript.continuable()),
+    continuable: () => !delivered || (isEventStream && transcript.continuable()),
     missing: () => {
-      if (!answerIsEvents || ended) return undefined
+      if (!isEventStream || ended) return undefined
       return transcript.finished() ? 'its end mark' : 'the reason for its end'
     },
     restart: () => {
@@ -85,7 +85,7 @@
   }
 }
 
-/** @returns the parsed event, or undefined for one that is not JSON, such as the end mark */
+/** @returns the parsed event, or undefined for one that is not JSON, such as the end marker */
 function parseChunk (data: string): CompletionChunk | undefined {
   if (data === DONE) return undefined
   try {
@@ -95,16 +95,16 @@
   }
 }
 
-/** The answer that tells an error is whole without an end mark, whatever its type. */
+/** An error response is not a stream, whatever its content type: it is complete without an end marker. */
 function isStream (status: number, headers: Headers): boolean {
   return status >= 200 && status < 300 && (headers['content-type'] ?? '').startsWith('text/event-stream')
 }
 
-function refusalToGoOn (status: number, headers: Headers): string {
+function continuationProblem (status: number, headers: Headers): string {
   return `the endpoint answered ${status} with content type "${headers['content-type'] ?? ''}" when asked to go on with a stream`
 }
 
-/** The endpoint that goes on announces its role again. */
+/** True for the role event that an endpoint sends again when it continues a stream. */
 function isRepeatedRole (chunk: CompletionChunk): boolean {
   const choice = chunk.choices?.[0]
   if (choice === undefined) return false
--- a/packages/anvilarch-daemon/src/attempts/output/transcript.ts
+++ b/packages/anvilarch-daemon/src/attempts/output/transcript.ts
@@ -1,4 +1,4 @@
-/** What a caller has received of a completion, read from its streamed events. */
+/** Accumulates the part of a completion that a caller has received, from its streamed events. */
 import type { Continuation } from './types'
 
 /** One choice of an event. */
@@ -18,40 +18,40 @@
   error?: unknown
 }
 
-/** Accumulates the text of a stream. */
+/** Transcript of a completion stream. */
 export interface Transcript {
   add: (chunk: CompletionChunk) => void
-  /** False once the stream carried something that text alone can't continue. */
+  /** False once the stream contained anything that can't be continued from its text alone. */
   continuable: () => boolean
   continuation: () => Continuation
-  /** Whether something was chosen to say, and all of it told why it ended. */
+  /** Whether the stream has at least one choice and all of its choices have a finish reason. */
   finished: () => boolean
-  /** Whether an event only ends or counts again what had been ended or counted, as that of a further run may. */
+  /** Whether an event only repeats a finish reason or usage, as a continuing endpoint may send it. */
   repeatsEnd: (chunk: CompletionChunk) => boolean
-  /** Identity of the stream, which its events keep when another endpoint goes on with it. */
+  /** Identity of the stream, which all of its events carry when another endpoint continues it. */
   identity: () => Pick<CompletionChunk, 'id' | 'created'>
 }
 
-/** Fields of a delta that text alone continues. */
+/** Fields of a delta that can be continued from text alone. */
 const TEXT_FIELDS = new Set(['role', 'content', 'refusal'])
 
 /** @returns an empty transcript */
 export function createTranscript (): Transcript {
   let tokens = 0
   let text = ''
-  let plain = true
-  let counted = false
-  const finished = new Map<number, boolean>()
-  let first: CompletionChunk | undefined
+  let textOnly = true
+  let usageSeen = false
+  const finishedChoices = new Map<number, boolean>()
+  let firstChunk: CompletionChunk | undefined
 
-  const isFinished = (choice: ChunkChoice): boolean => finished.get(choice.index ?? 0) === true
+  const isFinished = (choice: ChunkChoice): boolean => finishedChoices.get(choice.index ?? 0) === true
 
   const addChoice = (choice: ChunkChoice): void => {
     const index = choice.index ?? 0
-    if (index !== 0) plain = false
-    finished.set(index, isFinished(choice) || typeof choice.finish_reason === 'string')
+    if (index !== 0) textOnly = false
+    finishedChoices.set(index, isFinished(choice) || typeof choice.finish_reason === 'string')
     const delta = choice.delta ?? {}
-    if (Object.keys(delta).some(field => !TEXT_FIELDS.has(field) && delta[field] != null)) plain = false
+    if (Object.keys(delta).some(field => !TEXT_FIELDS.has(field) && delta[field] != null)) textOnly = false
     const piece = choice.text ?? delta['content']
     if (typeof piece !== 'string' || piece === '') return
     tokens++
@@ -60,15 +60,15 @@
 
   return {
     add: chunk => {
-      first ??= chunk
-      counted ||= chunk.usage != null && chunk.choices?.[0] === undefined
-      if (chunk.error !== undefined) plain = false
+      firstChunk ??= chunk
+      usageSeen ||= chunk.usage != null && chunk.choices?.[0] === undefined
+      if (chunk.error !== undefined) textOnly = false
       chunk.choices?.forEach(addChoice)
     },
-    continuable: () => plain,
+    continuable: () => textOnly,
     continuation: () => ({ tokens, text }),
-    finished: () => finished.size > 0 && [...finished.values()].every(Boolean),
-    repeatsEnd: ({ choices, usage }) => choices?.[0] === undefined ? counted && usage != null : choices.every(isFinished),
-    identity: () => ({ id: first?.id, created: first?.created })
+    finished: () => finishedChoices.size > 0 && [...finishedChoices.values()].every(Boolean),
+    repeatsEnd: ({ choices, usage }) => choices?.[0] === undefined ? usageSeen && usage != null : choices.every(isFinished),
+    identity: () => ({ id: firstChunk?.id, created: firstChunk?.created })
   }
 }
--- a/packages/anvilarch-daemon/src/attempts/output/types.ts
+++ b/packages/anvilarch-daemon/src/attempts/output/types.ts
@@ -1,31 +1,31 @@
-/** Collects the answer of a request over all of its attempts, and passes it on as its output mode asks. */
+/** Collects the response of a request over all of its attempts and forwards it according to the output mode. */
 import type { Headers } from '../types'
 
-/** Text that the caller has already, for another endpoint to go on from. */
+/** Text that the caller has received, from which another endpoint continues. */
 export interface Continuation {
   tokens: number
   text: string
 }
 
-/** The answer as a whole. `body` is empty when it went to a sink. */
-export interface CollectedAnswer {
+/** A complete response. `body` is empty when the response was forwarded to a sink. */
+export interface CollectedResponse {
   status: number
   headers: Headers
   body: Uint8Array
 }
 
-/** Takes the answer of one attempt after the other. */
+/** Receives the output of a request's attempts in turn. */
 export interface OutputCollector {
-  /** @returns why the attempt can't go on from what the caller has, or undefined */
+  /** @returns why the attempt can't continue the response that the caller has received, or undefined */
   head: (status: number, headers: Headers) => string | undefined
-  /** Resolves when more may come. */
+  /** Resolves when more output is accepted. */
   output: (data: Uint8Array) => Promise<void> | undefined
-  /** Whether another endpoint may start again, or go on from what the caller has. */
+  /** Whether another endpoint may start over, or continue what the caller has received. */
   continuable: () => boolean
-  /** @returns what the answer lacks to be whole where its endpoint has ended it, or undefined */
+  /** @returns what is missing from a response that its endpoint has ended, or undefined */
   missing: () => string | undefined
-  /** Drops what the former attempt left unfinished. @returns what the next one goes on from, if the caller has anything */
+  /** Discards incomplete output of the previous attempt. @returns what the next one continues, if the caller has received anything */
   restart: () => Continuation | undefined
-  /** Passes on what was held back. */
-  finish: () => Promise<CollectedAnswer>
+  /** Forwards buffered output. */
+  finish: () => Promise<CollectedResponse>
 }
--- a/packages/anvilarch-daemon/src/attempts/output/wholeCollector.ts
+++ b/packages/anvilarch-daemon/src/attempts/output/wholeCollector.ts
@@ -1,4 +1,4 @@
-/** Holds the answer until it is whole. Nothing has reached the caller before, so any attempt may start again. */
+/** Buffers the response until it is complete. Nothing reaches the caller before, so any attempt may start over. */
 import type { Headers } from '../types'
 import type { OutputCollector } from './types'
 
--- a/packages/anvilarch-daemon/src/attempts/recorder.ts
+++ b/packages/anvilarch-daemon/src/attempts/recorder.ts
@@ -1,4 +1,4 @@
-/** Writes the life of a request into the time line and the metrics. */
+/** Records the events of a request in the timeline and the metrics. */
 import type { DaemonContext } from '../context'
 import type { RequestCommand, RequestEvent, RequestState } from './machine/types'
 import type { WorkRequest, WorkResult } from './types'
@@ -8,8 +8,8 @@
   received: () => void
   event: (event: RequestEvent, state: RequestState) => void
   command: (command: RequestCommand) => void
-  /** This process stood still when it should have listened to the agent. */
-  ownPause: (lateMs: number) => void
+  /** Records that this process was paused while it should have read from the agent. */
+  processPause: (lateMs: number) => void
   ended: (result: WorkResult) => void
 }
 
@@ -18,7 +18,7 @@
 const MS_PER_SECOND = 1_000
 
 /**
- * @param context - time, time line and metrics
+ * @param context - clock, timeline and metrics
  * @param request - the request
  * @returns its recorder
  */
@@ -26,15 +26,15 @@
   const { clock, timeline, metrics } = context
   const { requestId, workClass, service } = request
   const receivedMs = clock.nowMs()
-  let firstOutput = true
+  let awaitingFirstOutput = true
 
   const record = (event: string, detail: Detail = {}, attemptId?: string): void => {
     timeline.record(event, { requestId, attemptId, detail })
   }
 
-  const noteFirstOutput = (): void => {
-    if (!firstOutput) return
-    firstOutput = false
+  const recordFirstOutput = (): void => {
+    if (!awaitingFirstOutput) return
+    awaitingFirstOutput = false
     metrics.firstTokenSeconds.observe({ class: workClass, service }, (clock.nowMs() - receivedMs) / MS_PER_SECOND)
   }
 
@@ -47,7 +47,7 @@
       metrics.resumptions.inc({ class: workClass })
       record('attempts.resumed', { endpoint: attempt.target.key, offsetBytes: attempt.receivedBytes, newConnection }, attempt.attemptId)
     },
-    output: noteFirstOutput,
+    output: recordFirstOutput,
     take_retry: ({ reason }) => {
       metrics.retries.inc({ class: workClass, reason })
       record('attempts.retried', { reason })
@@ -65,7 +65,7 @@
       const handler = onCommand[command.kind] as ((command: RequestCommand) => void) | undefined
       handler?.(command)
     },
-    ownPause: lateMs => {
+    processPause: lateMs => {
       metrics.ownPauses.inc()
       record('attempts.own_pause', { lateMs: Math.round(lateMs) })
     },
--- a/packages/anvilarch-daemon/src/attempts/requestRunner.ts
+++ b/packages/anvilarch-daemon/src/attempts/requestRunner.ts
@@ -14,19 +14,19 @@
 /** Base of the counter in attempt ids. */
 const ID_RADIX = 36
 
-/** What a runner needs from other slices. */
+/** Dependencies of `createRequestRunner`. */
 export interface RequestRunnerDependencies {
   directory: AgentDirectory
   clients: AgentClients
   quarantine: Quarantine
-  /** Shared with whoever hears of suspects from agents; one of its own when absent. */
+  /** Shared with the component that receives suspects from agents; created when absent. */
   suspects?: Suspects
 }
 
 /**
- * @param context - settings, time, metrics and configuration
+ * @param context - settings, clock, metrics and configuration
  * @param dependencies - agents, connections to them and quarantined requests
- * @returns a runner with nothing in progress
+ * @returns a runner without requests in progress
  */
 export function createRequestRunner (context: DaemonContext, dependencies: RequestRunnerDependencies): RequestRunner {
   const inProgress: Record<WorkClass, number> = { lookup: 0, online: 0, batch: 0 }
--- a/packages/anvilarch-daemon/src/attempts/requestTask.ts
+++ b/packages/anvilarch-daemon/src/attempts/requestTask.ts
@@ -1,4 +1,4 @@
-/** Drives the machine of one request: opens its streams, passes its answer on, and does what the machine commands. */
+/** Drives the state machine of one request: opens its streams, forwards its response and executes the commands of the machine. */
 import type { AttemptFrame } from 'anvilarch-protocol'
 import { AnvilarchError, invariant, toAnvilarchError } from 'anvilarch-utils'
 import type { Target } from '../routing/types'
@@ -15,12 +15,12 @@
 
 type CommandHandlers = { [Kind in RequestCommand['kind']]: (command: Extract<RequestCommand, { kind: Kind }>) => void }
 
-const LEAST_SERVER_ERROR = 500
+const MIN_SERVER_ERROR_STATUS = 500
 const STATUS_UNAVAILABLE = 503
 
-const NOTHING_TO_AVOID: ReadonlySet<string> = new Set()
+const NO_ENDPOINTS: ReadonlySet<string> = new Set()
 
-/** The request as the outside sees it. */
+/** One request to run. */
 export interface RequestTask {
   run: (signal: AbortSignal | undefined) => Promise<WorkResult>
 }
@@ -28,8 +28,8 @@
 /**
  * @param parts - shared parts of the gateway
  * @param request - what to run
- * @param sink - takes the answer as it comes; without one it is collected
- * @returns a task that has not begun
+ * @param sink - receives the response as it arrives; without a sink the response is collected
+ * @returns a task that has not started
  */
 export function createRequestTask (parts: RunnerParts, request: WorkRequest, sink: WorkSink | undefined): RequestTask {
   const { context, router } = parts
@@ -42,11 +42,11 @@
   let state: RequestState = createRequestState(request)
   let dispatching = false
   let backpressure: Promise<void> | undefined
-  let unanswered: Target | undefined
+  let unansweredTarget: Target | undefined
   let stopWaiting: (() => void) | undefined
   let settle: (result: WorkResult) => void = () => {}
 
-  const facts = (): StepInput => {
+  const stepInput = (): StepInput => {
     const nowMs = clock.nowMs()
     return {
       nowMs,
@@ -58,7 +58,7 @@
     }
   }
 
-  /** Handles events in the order in which they came; a command may lead to the next event. */
+  /** Handles events in the order of their arrival; a command may dispatch the next event. */
   const dispatch = (event: RequestEvent): void => {
     queue.push(event)
     if (dispatching) return
@@ -66,7 +66,7 @@
     try {
       for (let next = queue.shift(); next !== undefined; next = queue.shift()) handle(next)
     } catch (error) {
-      abandon(error)
+      endWithInternalError(error)
     } finally {
       dispatching = false
     }
@@ -76,11 +76,11 @@
     recorder.event(event, state)
     const before = state.attempt
     if (before !== undefined && 'stream' in event && event.stream === before.stream) ledger.event(event, before)
-    if (before !== undefined && isOwnFailure(event, before)) router.noteOutcome(before.target, true)
-    const step = stepRequest(state, event, facts())
+    if (before !== undefined && isEndpointFault(event, before)) router.noteOutcome(before.target, true)
+    const step = stepRequest(state, event, stepInput())
     state = step.state
     if (before !== undefined && before.attemptId !== state.attempt?.attemptId) router.noteEnded(before.target, request.workClass)
-    if (state.attempt?.accepted === true) noteTaken(state.attempt.target.key)
+    if (state.attempt?.accepted === true) recordAccepted(state.attempt.target.key)
     for (const command of step.commands) {
       recorder.command(command)
       const handler = handlers[command.kind] as (command: RequestCommand) => void
@@ -88,13 +88,13 @@
     }
   }
 
-  const noteTaken = (key: string): void => {
+  const recordAccepted = (key: string): void => {
     if (takenBy.at(-1) !== key) takenBy.push(key)
   }
 
-  /** A fault of this program must not leave the caller without an answer. */
-  const abandon = (error: unknown): void => {
-    reader.leave()
+  /** Ensures that an internal error does not leave the caller without a response. */
+  const endWithInternalError = (error: unknown): void => {
+    reader.close()
     context.logger.error('a request was abandoned', { requestId: request.requestId, error: String(error) })
     state = { ...state, phase: 'ended', attempt: undefined }
     settle({
@@ -105,8 +105,8 @@
     })
   }
 
-  const takeFrame = (frame: AttemptFrame, stream: number): Promise<void> | undefined => {
-    answered()
+  const handleFrame = (frame: AttemptFrame, stream: number): Promise<void> | undefined => {
+    recordResponse()
     const target = state.attempt?.target
     if (frame.load !== undefined && target !== undefined) router.noteLoad(target, frame.load)
     const event = toRequestEvent(frame, stream)
@@ -119,28 +119,28 @@
   const reader: AttemptReader = createAttemptReader({
     clock,
     silenceMs: context.settings.gateway.silenceMs,
-    onFrame: takeFrame,
+    onFrame: handleFrame,
     onEvent: dispatch,
-    onOwnPause: recorder.ownPause
+    onProcessPause: recorder.processPause
   })
 
-  const calls = createAttemptCalls(parts, request, reader)
+  const attemptCalls = createAttemptCalls(parts, request, reader)
 
   const choose = (exclude: readonly string[]): void => {
     const catchingUp = parts.directory.catchUp?.()
     if (catchingUp === undefined) chooseNow(exclude)
-    else catchingUp.then(() => { dispatch({ kind: 'targets_changed' }) }).catch(abandon)
+    else catchingUp.then(() => { dispatch({ kind: 'targets_changed' }) }).catch(endWithInternalError)
   }
 
   const chooseNow = (exclude: readonly string[]): void => {
     const { service, workClass, affinityKey } = request
-    const target = router.choose({ service, workClass, affinityKey, exclude: new Set(exclude), avoid: request.avoid ?? NOTHING_TO_AVOID })
+    const target = router.choose({ service, workClass, affinityKey, exclude: new Set(exclude), avoid: request.avoid ?? NO_ENDPOINTS })
     dispatch(target === undefined ? { kind: 'no_target' } : { kind: 'chosen', target, attemptId: parts.nextAttemptId() })
   }
 
   /**
-   * Listens until a target is found, however often none is. A listener that was added anew by each change would be told of
-   * the very change that added it, over and over, and the process would stand still.
+   * Keeps one listener until a target is found. If each change added a new listener, the new one would be called for the same
+   * change again, in an endless loop that blocks the process.
    */
   const waitForTarget = (untilMs: number): void => {
     if (stopWaiting !== undefined) return
@@ -158,55 +158,55 @@
     ledger.sent(attempt, request.idempotent)
     stopWaiting?.()
     router.noteSent(attempt.target, request.workClass)
-    unanswered = attempt.target
-    calls.start(attempt, collector.restart())
+    unansweredTarget = attempt.target
+    attemptCalls.start(attempt, collector.restart())
   }
 
-  const takeHead = (status: number, headers: Headers): void => {
-    if (state.attempt !== undefined) router.noteOutcome(state.attempt.target, isEndpointFailure(status))
+  const handleHead = (status: number, headers: Headers): void => {
+    if (state.attempt !== undefined) router.noteOutcome(state.attempt.target, isFailureStatus(status))
     const problem = collector.head(status, headers)
     if (problem === undefined || state.attempt === undefined) return
     const final = { outcome: 'endpoint_failed', totalBytes: 0, ran: 'ran', detail: problem, retryAfterMs: 0, outputTokens: 0, wasAlone: false } as const
     dispatch({ kind: 'final', stream: state.attempt.stream, final })
   }
 
-  const answered = (): void => {
-    if (unanswered !== undefined) router.noteAnswered(unanswered, request.workClass)
-    unanswered = undefined
+  const recordResponse = (): void => {
+    if (unansweredTarget !== undefined) router.noteResponded(unansweredTarget, request.workClass)
+    unansweredTarget = undefined
   }
 
   const end = (ended: RequestEnd): void => {
-    reader.leave()
+    reader.close()
     stopWaiting?.()
-    answered()
+    recordResponse()
     ledger.ended(ended.outcome === 'failed' ? ended.ran : 'ran')
     if (ended.outcome === 'failed') settle({ outcome: 'failed', error: toError(ended), attempts: state.attempts, takenBy })
-    else finish(ended.outputTokens).catch(abandon)
+    else finish(ended.outputTokens).catch(endWithInternalError)
   }
 
   const finish = async (outputTokens: number): Promise<void> => {
     await backpressure
-    const answer = await collector.finish()
-    settle({ outcome: 'completed', ...answer, attempts: state.attempts, outputTokens, takenBy })
+    const response = await collector.finish()
+    settle({ outcome: 'completed', ...response, attempts: state.attempts, outputTokens, takenBy })
   }
 
   const handlers: CommandHandlers = {
     choose: ({ exclude }) => { choose(exclude) },
     wait_for_target: ({ untilMs }) => { waitForTarget(untilMs) },
     start: ({ attempt }) => { start(attempt) },
-    resume: ({ attempt, newConnection, delayMs }) => { calls.resume(attempt, newConnection, delayMs) },
+    resume: ({ attempt, newConnection, delayMs }) => { attemptCalls.resume(attempt, newConnection, delayMs) },
     leave: () => {
-      reader.leave()
-      answered()
+      reader.close()
+      recordResponse()
     },
-    cancel: ({ attempt, reason }) => { calls.cancel(attempt, reason) },
-    head: ({ status, headers }) => { takeHead(status, headers) },
+    cancel: ({ attempt, reason }) => { attemptCalls.cancel(attempt, reason) },
+    head: ({ status, headers }) => { handleHead(status, headers) },
     output: ({ data }) => {
       if (state.attempt !== undefined) ledger.output(state.attempt, data.length)
       backpressure = collector.output(data)
     },
     take_retry: () => { parts.budget.take(clock.nowMs()) },
-    note: ({ target, note }) => { noteTarget(parts, target, note) },
+    note: ({ target, note }) => { recordNote(parts, target, note) },
     note_incarnation: ({ target, incarnation }) => {
       parts.directory.noteIncarnation(target.agent, incarnation)
       router.invalidate()
@@ -220,33 +220,33 @@
   return {
     run: async signal => {
       const result = new Promise<WorkResult>(resolve => { settle = resolve })
-      const onGone = (): void => { dispatch({ kind: 'caller_gone' }) }
+      const onCallerGone = (): void => { dispatch({ kind: 'caller_gone' }) }
       const deadline = clock.after(request.deadlineMs - clock.nowMs(), () => { dispatch({ kind: 'deadline' }) })
-      signal?.addEventListener('abort', onGone, { once: true })
+      signal?.addEventListener('abort', onCallerGone, { once: true })
       recorder.received()
-      if (signal?.aborted === true) onGone()
+      if (signal?.aborted === true) onCallerGone()
       else if (clock.nowMs() >= request.deadlineMs) dispatch({ kind: 'deadline' })
       else dispatch({ kind: 'begin', suspect: parts.suspects.has(request.fingerprint) })
       const ended = await result
       deadline.cancel()
-      signal?.removeEventListener('abort', onGone)
+      signal?.removeEventListener('abort', onCallerGone)
       recorder.ended(ended)
       return ended
     }
   }
 }
 
-/** An endpoint that was down before the attempt got there has failed nothing. */
-function isOwnFailure (event: RequestEvent, attempt: AttemptState): boolean {
+/** An endpoint that went down before the attempt reached it is not at fault. */
+function isEndpointFault (event: RequestEvent, attempt: AttemptState): boolean {
   return event.kind === 'final' && event.stream === attempt.stream && event.final.outcome === 'endpoint_failed' && event.final.ran !== 'not_run'
 }
 
-/** An endpoint that has no room says nothing of whether it is well. */
-function isEndpointFailure (status: number): boolean {
-  return status >= LEAST_SERVER_ERROR && status !== STATUS_UNAVAILABLE
+/** An endpoint without capacity (503) does not count as failing. */
+function isFailureStatus (status: number): boolean {
+  return status >= MIN_SERVER_ERROR_STATUS && status !== STATUS_UNAVAILABLE
 }
 
-function noteTarget (parts: RunnerParts, target: Target, note: TargetNote): void {
+function recordNote (parts: RunnerParts, target: Target, note: TargetNote): void {
   const { directory, router } = parts
   if (note === 'draining') directory.noteDraining(target.agent)
   else if (note === 'unreachable') directory.noteUnreachable(target.agent)
--- a/packages/anvilarch-daemon/src/attempts/retryBudget.ts
+++ b/packages/anvilarch-daemon/src/attempts/retryBudget.ts
@@ -1,27 +1,27 @@
 /**
- * Bounds retries to a share of requests. Without it a fleet at its limit is pushed over it by the retries of the
- * requests it refuses: each one comes back as several.
+ * Limits retries to a share of requests. Otherwise retries overload a fleet at its limit: each refused request returns as
+ * several.
  */
 
-/** A token bucket that requests fill and retries empty. */
+/** Token bucket filled by requests and emptied by retries. */
 export interface RetryBudget {
   noteRequest: (nowMs: number) => void
   allows: (nowMs: number) => boolean
-  /** Takes one retry; one that must go ahead may take it from an empty budget. */
+  /** Takes one retry; a retry that is not subject to the budget may take it from an empty one. */
   take: (nowMs: number) => void
 }
 
 /** Options of `createRetryBudget`. */
 export interface RetryBudgetOptions {
-  /** Retries that each request adds, in percent. */
+  /** Retries added by each request, in percent. */
   percent: number
-  /** Retries added each second, so that a gateway with little traffic may retry at all. */
+  /** Retries added per second, so that a gateway with little traffic can retry at all. */
   floorPerSecond: number
-  /** Retries that may be saved up, enough for what one lost host had in progress. */
+  /** Maximum number of accumulated retries, enough for the requests in progress at one lost host. */
   capacity: number
 }
 
-/** Used for what the settings of a gateway do not name. */
+/** Values for options that gateway settings do not include. */
 export const DEFAULT_OPTIONS = { floorPerSecond: 5, capacity: 200 } as const
 
 /**
--- a/packages/anvilarch-daemon/src/attempts/runnerParts.ts
+++ b/packages/anvilarch-daemon/src/attempts/runnerParts.ts
@@ -1,4 +1,4 @@
-/** What every request task of a gateway shares. */
+/** Parts shared by the request tasks of a gateway. */
 import type { DaemonContext } from '../context'
 import type { AgentDirectory } from '../membership/types'
 import type { AgentClients } from '../peers/types'
@@ -16,6 +16,6 @@
   router: Router
   budget: RetryBudget
   suspects: Suspects
-  /** @returns an attempt id that no gateway ever used */
+  /** @returns an attempt id that no gateway has used before */
   nextAttemptId: () => string
 }
--- a/packages/anvilarch-daemon/src/attempts/suspects.ts
+++ b/packages/anvilarch-daemon/src/attempts/suspects.ts
@@ -1,21 +1,21 @@
 /**
- * Remembers which requests shared an endpoint with a crash. Their callers send them again, and a call that may not be
- * repeated is never run again by this gateway itself: without this memory each resend would run beside others and could
- * crash one endpoint after another without ever being caught alone.
+ * Records requests that were in progress at an endpoint when it crashed. Callers send them again, and the gateway itself never
+ * retries a non-idempotent call: without this record each resend would run beside others and could crash one endpoint after
+ * another without ever being identified by running alone.
  */
 import { LRUCache } from 'lru-cache'
 
-/** Fingerprints that run with nothing beside them until they have proved harmless. */
+/** Fingerprints of requests that run without other prompts computed beside them, until they have proved harmless. */
 export interface Suspects {
   has: (fingerprint: string) => boolean
   add: (fingerprint: string) => void
   clear: (fingerprint: string) => void
 }
 
-/** Suspects kept at a time; the oldest are forgotten. */
+/** Maximum number of suspects; the oldest are evicted. */
 const MAX_SUSPECTS = 4_096
 
-/** @returns an empty memory */
+/** @returns an empty set of suspects */
 export function createSuspects (): Suspects {
   const fingerprints = new LRUCache<string, true>({ max: MAX_SUSPECTS })
   return {
--- a/packages/anvilarch-daemon/src/attempts/types.ts
+++ b/packages/anvilarch-daemon/src/attempts/types.ts
@@ -1,11 +1,11 @@
-/** What the rest of a gateway asks of the attempts slice: run one request to its end, whatever fails on the way. */
+/** Interface of the attempts slice, which runs a request to its end despite failures of agents, endpoints and connections. */
 import type { AnvilarchError } from 'anvilarch-utils'
 import type { WorkClass } from 'anvilarch-protocol'
 
 /** Headers by lower-case name. */
 export type Headers = Record<string, string>
 
-/** A request as it goes to an endpoint. */
+/** A request as sent to an endpoint. */
 export interface EndpointCall {
   method: string
   path: string
@@ -13,10 +13,10 @@
   body: Uint8Array
 }
 
-/** How the answer comes back: streamed events, one JSON body, or the endpoint's answer as it is. */
+/** Form of the response: streamed events, one JSON body, or the unchanged response of the endpoint. */
 export type OutputMode = 'stream' | 'whole' | 'raw'
 
-/** One request to be run to its end. */
+/** A request to run to its end. */
 export interface WorkRequest {
   requestId: string
   caller: string
@@ -25,24 +25,24 @@
   call: EndpointCall
   outputMode: OutputMode
   idempotent: boolean
-  /** On the monotonic scale of the gateway's clock. */
+  /** Monotonic time of the gateway's clock. */
   deadlineMs: number
   /** Hash of service and body. */
   fingerprint: string
   /** Prompt prefix hash for cache affinity; empty when there is none. */
   affinityKey: string
-  /** Keys of endpoints that run it only when no other may. */
+  /** Keys of endpoints that are used only when no other is allowed. */
   avoid?: ReadonlySet<string>
 }
 
-/** Takes the answer as it comes. Only for output mode `stream` and `raw`. */
+/** Receives the response as it arrives. Only for the output modes `stream` and `raw`. */
 export interface WorkSink {
   onHead: (status: number, headers: Headers) => void
-  /** Resolves when more may be sent, so that a slow caller slows only its own stream. */
+  /** Resolves when more output is accepted, so that a slow caller slows only its own stream. */
   onOutput: (data: Uint8Array) => Promise<void> | void
 }
 
-/** How a request ended. `failed` says in its error whether the request ran; `takenBy` has the keys of endpoints whose agents took it, the last one last. */
+/** How a request ended. The error of `failed` states whether the request ran; `takenBy` lists the keys of endpoints whose agents accepted it, the last one last. */
 export type WorkResult =
   | { outcome: 'completed', status: number, headers: Headers, body: Uint8Array, attempts: number, outputTokens: number, takenBy: readonly string[] }
   | { outcome: 'failed', error: AnvilarchError, attempts: number, takenBy: readonly string[] }
@@ -50,13 +50,13 @@
 /** Runs requests through agents: routing, attempts, retries, resumption. */
 export interface RequestRunner {
   /**
-   * @param request - what to run
-   * @param options - a sink to take the answer as it comes, and a signal of the caller going away
+   * @param request - the request to run
+   * @param options - a sink that receives the response as it arrives, and a signal that aborts when the caller disconnects
    * @returns how it ended; never rejects
    */
   run: (request: WorkRequest, options?: { sink?: WorkSink, signal?: AbortSignal }) => Promise<WorkResult>
   /** Requests in progress, by class. */
   inProgress: () => Record<WorkClass, number>
-  /** How many more batch requests the fleet would start now for a service, as its replies say. */
+  /** Number of further batch requests that the fleet would start now for a service, according to the reported loads. */
   freeBatch: (service: string) => number
 }
--- a/packages/anvilarch-daemon/src/quarantine/__tests__/startQuarantine.test.ts
+++ b/packages/anvilarch-daemon/src/quarantine/__tests__/startQuarantine.test.ts
@@ -3,7 +3,7 @@
 import type { DaemonContext } from '../../context'
 import { createFakePlatform, type FakePlatform } from '../../platform/__fixtures__/fakePlatform'
 import { createTimeline } from '../../timeline/createTimeline'
-import { afterAdded, EMPTY_STATE, MAX_ENTRIES } from '../quarantineState'
+import { withFingerprint, EMPTY_STATE, MAX_ENTRIES } from '../quarantineState'
 import { startQuarantine } from '../startQuarantine'
 import type { QuarantineLog } from '../types'
 
@@ -17,8 +17,8 @@
 }
 
 describe('startQuarantine', () => {
-  // Guards against this: a request that crashes endpoints goes on crashing them.
-  it('keeps a fingerprint found during an outage of the table and tells the other gateways after it', async () => {
+  // Guards against a crashing request that keeps crashing endpoints, because an outage of the table kept its fingerprint from other gateways.
+  it('keeps a fingerprint added during an outage of the table and shares it with other gateways afterwards', async () => {
     const clock = createFakeClock()
     const platform = createFakePlatform()
     const [first, second] = [await startGateway('g1', clock, platform), await startGateway('g2', clock, platform)]
@@ -33,7 +33,7 @@
     expect(platform.committed).toHaveLength(1)
   })
 
-  it('writes the row at once when the table takes it, and again after a lost reply', async () => {
+  it('writes the row at once when the table is available, and again after a lost reply', async () => {
     const clock = createFakeClock()
     const platform = createFakePlatform()
     const quarantine = await startGateway('g1', clock, platform)
@@ -48,7 +48,7 @@
     expect(platform.rows.size).toBe(1)
   })
 
-  it('forgets a fingerprint after a day, in the table too', async () => {
+  it('removes a fingerprint after one day, from the table too', async () => {
     const clock = createFakeClock()
     const platform = createFakePlatform()
     const quarantine = await startGateway('g1', clock, platform)
@@ -60,7 +60,7 @@
     expect(platform.rows.size).toBe(0)
   })
 
-  it('says what was added since the last call', async () => {
+  it('lists the fingerprints added since the last call', async () => {
     const quarantine = await startGateway('g1', createFakeClock(), createFakePlatform())
     quarantine.add('a', 'why')
     const { fingerprints, sequence } = quarantine.addedSince(0)
@@ -70,11 +70,11 @@
   })
 })
 
-describe('afterAdded', () => {
-  it('drops the oldest fingerprint when there are too many', () => {
+describe('withFingerprint', () => {
+  it('evicts the oldest fingerprint when there are too many', () => {
     const row = { reason: 'why', addedBy: 'g', addedAtMs: 0 }
     const entries = new Map(Array.from({ length: MAX_ENTRIES }, (_unused, index) => [`f${index}`, { row, sequence: index + 1, stored: true }]))
-    const state = afterAdded({ ...EMPTY_STATE, entries, lastSequence: MAX_ENTRIES }, 'new', row, false)
+    const state = withFingerprint({ ...EMPTY_STATE, entries, lastSequence: MAX_ENTRIES }, 'new', row, false)
     expect(state.entries.size).toBe(MAX_ENTRIES)
     expect([state.entries.has('f0'), state.entries.has('new')]).toEqual([false, true])
   })
