--- a/packages/anvilarch-daemon/src/quarantine/quarantineState.ts
+++ b/packages/anvilarch-daemon/src/quarantine/quarantineState.ts
@@ -1,12 +1,12 @@
-/** The quarantined fingerprints and which of them the table does not have yet. Pure. */
-import type { SuspectRow } from './types'
+/** Pure state of the quarantine: its fingerprints, and which of them are stored in the table. */
+import type { QuarantineRow } from './types'
 
-/** One fingerprint. */
+/** A quarantined fingerprint. */
 export interface QuarantineEntry {
-  row: SuspectRow
-  /** Order in which this gateway learned of it. */
+  row: QuarantineRow
+  /** Position in the order in which this gateway added its fingerprints. */
   sequence: number
-  /** Whether the table is known to have the row. */
+  /** Whether the row is confirmed to be in the table. */
   stored: boolean
 }
 
@@ -16,48 +16,52 @@
   lastSequence: number
 }
 
-/** Fingerprints kept at most; the oldest goes first, so that a flood of crashing requests can't fill the memory. */
+/** Fingerprints beyond this number evict the oldest, so that a flood of crashing requests can't exhaust memory. */
 export const MAX_ENTRIES = 10_000
 
 /** State without any fingerprint. */
 export const EMPTY_STATE: QuarantineState = { entries: new Map(), lastSequence: 0 }
 
 /**
- * @param state - before
- * @param fingerprint - that crashed endpoints
+ * Adds a fingerprint. An existing row is replaced only by the stored one.
+ *
+ * @param state - current state
+ * @param fingerprint - fingerprint of a request that crashed endpoints
  * @param row - its row
- * @param stored - whether the row came from the table
- * @returns state with the fingerprint; the first row seen stays
+ * @param stored - whether the row is in the table
+ * @returns the next state
  */
-export function afterAdded (state: QuarantineState, fingerprint: string, row: SuspectRow, stored: boolean): QuarantineState {
-  const known = state.entries.get(fingerprint)
-  if (known !== undefined && (known.stored || !stored)) return state
+export function withFingerprint (state: QuarantineState, fingerprint: string, row: QuarantineRow, stored: boolean): QuarantineState {
+  const existing = state.entries.get(fingerprint)
+  if (existing !== undefined && (existing.stored || !stored)) return state
   const entries = new Map(state.entries)
-  const lastSequence = known === undefined ? state.lastSequence + 1 : state.lastSequence
-  entries.set(fingerprint, { row, stored, sequence: known?.sequence ?? lastSequence })
+  const lastSequence = existing === undefined ? state.lastSequence + 1 : state.lastSequence
+  entries.set(fingerprint, { row, stored, sequence: existing?.sequence ?? lastSequence })
   if (entries.size > MAX_ENTRIES) entries.delete(entries.keys().next().value as string)
   return { entries, lastSequence }
 }
 
 /**
- * @param state - before
- * @param nowWallMs - wall time now
- * @param expiryMs - how long a fingerprint stays
- * @returns state without expired fingerprints, and those that the table still has
+ * Removes expired fingerprints.
+ *
+ * @param state - current state
+ * @param nowWallMs - current wall time
+ * @param expiryMs - how long a fingerprint stays quarantined
+ * @returns the next state, and the expired fingerprints whose rows are still in the table
  */
-export function afterExpiry (state: QuarantineState, nowWallMs: number, expiryMs: number): { state: QuarantineState, expired: string[] } {
+export function withoutExpired (state: QuarantineState, nowWallMs: number, expiryMs: number): { state: QuarantineState, expired: string[] } {
   const isExpired = ([, entry]: [string, QuarantineEntry]): boolean => nowWallMs - entry.row.addedAtMs >= expiryMs
   const all = [...state.entries]
-  const gone = all.filter(isExpired)
-  if (gone.length === 0) return { state, expired: [] }
+  const expiredEntries = all.filter(isExpired)
+  if (expiredEntries.length === 0) return { state, expired: [] }
   const entries = new Map(all.filter(pair => !isExpired(pair)))
-  return { state: { ...state, entries }, expired: gone.filter(([, entry]) => entry.stored).map(([fingerprint]) => fingerprint) }
+  return { state: { ...state, entries }, expired: expiredEntries.filter(([, entry]) => entry.stored).map(([fingerprint]) => fingerprint) }
 }
 
 /**
- * @param state - of the quarantine
- * @returns fingerprints whose rows are not known to be in the table
+ * @param state - current state
+ * @returns fingerprints whose rows are not confirmed to be in the table
  */
-export function unstored (state: QuarantineState): Array<[string, SuspectRow]> {
+export function unstoredRows (state: QuarantineState): Array<[string, QuarantineRow]> {
   return [...state.entries].filter(([, entry]) => !entry.stored).map(([fingerprint, entry]) => [fingerprint, entry.row])
 }
--- a/packages/anvilarch-daemon/src/quarantine/startQuarantine.ts
+++ b/packages/anvilarch-daemon/src/quarantine/startQuarantine.ts
@@ -1,10 +1,10 @@
-/** Keeps the quarantine of this gateway in step with the rows of the table. */
+/** Synchronizes the quarantine of this gateway with the rows of the table. */
 import { randomUUID } from 'node:crypto'
 import { ROW_KEYS, type Row } from 'anvilarch-protocol'
 import { type LifecycleManager, sleep } from 'anvilarch-utils'
 import type { DaemonContext } from '../context'
-import { afterAdded, afterExpiry, EMPTY_STATE, unstored } from './quarantineState'
-import type { QuarantineLog, SuspectRow } from './types'
+import { withFingerprint, withoutExpired, EMPTY_STATE, unstoredRows } from './quarantineState'
+import type { QuarantineLog, QuarantineRow } from './types'
 
 /** Options of `startQuarantine`. */
 export interface QuarantineOptions {
@@ -12,21 +12,23 @@
   expiryMs: number
 }
 
-/** A day: whatever crashed is mended or forgotten by then. */
+/** One day: by then the fault behind a crash is fixed, or the request is no longer sent. */
 export const DEFAULT_OPTIONS: QuarantineOptions = { expiryMs: 24 * 3600 * 1000 }
 
-/** Rows of one page of the scan. */
-const SCAN_LIMIT = 500
-/** Rows of one commit. */
-const COMMIT_ROWS = 100
-/** Share by which the time between scans varies, so that gateways do not read in step. */
+/** Rows per page of a scan. */
+const SCAN_PAGE_ROWS = 500
+/** Maximum number of rows written by one commit. */
+const MAX_COMMIT_ROWS = 100
+/** Jitter of the poll interval as a share, so that gateways do not scan at the same time. */
 const SCAN_JITTER = 0.2
 
 /**
+ * Starts polling the table for quarantined fingerprints.
+ *
  * @param context - shared parts of the daemon
- * @param lifecycle - stops the scans
- * @param options - time of expiry
- * @returns the quarantine; its first scan may still be under way
+ * @param lifecycle - stops the polling
+ * @param options - expiry
+ * @returns the quarantine; its first scan may still be in progress
  */
 export async function startQuarantine (
   context: DaemonContext, lifecycle: LifecycleManager, options: QuarantineOptions = DEFAULT_OPTIONS
@@ -37,34 +39,34 @@
   let state = EMPTY_STATE
   let loop: Promise<void> | undefined
 
-  const storeNew = async (): Promise<void> => {
-    const rows = unstored(state).slice(0, COMMIT_ROWS)
+  const writeUnstored = async (): Promise<void> => {
+    const rows = unstoredRows(state).slice(0, MAX_COMMIT_ROWS)
     if (rows.length === 0) return
-    // Every writer of a row says the same, so the last one may win; a condition would only cost another round.
+    // All gateways write equivalent rows, so the last write may win; a condition would only cost a retry.
     const writes = rows.map(([fingerprint, row]) => ({ key: ROW_KEYS.suspect(fingerprint), value: JSON.stringify(row) }))
     await platform.table.commit({ commitId: randomUUID(), conditions: [], writes }, stopping.signal)
-    for (const [fingerprint, row] of rows) state = afterAdded(state, fingerprint, row, true)
+    for (const [fingerprint, row] of rows) state = withFingerprint(state, fingerprint, row, true)
   }
 
-  const readAll = async (): Promise<void> => {
+  const readAllRows = async (): Promise<void> => {
     let after: string | undefined
     do {
-      const page = await platform.table.scan(ROW_KEYS.suspects, { after, limit: SCAN_LIMIT }, stopping.signal)
-      for (const row of page.rows) takeRow(row)
+      const page = await platform.table.scan(ROW_KEYS.suspects, { after, limit: SCAN_PAGE_ROWS }, stopping.signal)
+      for (const row of page.rows) addRow(row)
       after = page.next
     } while (after !== undefined)
   }
 
-  const takeRow = (row: Row): void => {
+  const addRow = (row: Row): void => {
     const fingerprint = row.key.slice(ROW_KEYS.suspects.length)
-    const value = JSON.parse(row.value) as SuspectRow
+    const value = JSON.parse(row.value) as QuarantineRow
     if (!state.entries.has(fingerprint)) timeline.record('quarantine.learned', { detail: { fingerprint, addedBy: value.addedBy } })
-    state = afterAdded(state, fingerprint, value, true)
+    state = withFingerprint(state, fingerprint, value, true)
   }
 
-  /** The wall clock serves here, since a row outlives every process; a wrong one only moves the end of a quarantine. */
-  const dropExpired = async (): Promise<void> => {
-    const result = afterExpiry(state, clock.wallMs(), options.expiryMs)
+  /** Uses the wall clock, since a row outlives every process; clock skew only shifts the end of a quarantine. */
+  const removeExpired = async (): Promise<void> => {
+    const result = withoutExpired(state, clock.wallMs(), options.expiryMs)
     state = result.state
     if (result.expired.length === 0) return
     const writes = result.expired.map(fingerprint => ({ key: ROW_KEYS.suspect(fingerprint), value: null }))
@@ -73,9 +75,9 @@
 
   const poll = async (): Promise<void> => {
     try {
-      await storeNew()
-      await readAll()
-      await dropExpired()
+      await writeUnstored()
+      await readAllRows()
+      await removeExpired()
     } catch (error) {
       if (!stopping.signal.aborted) logger.debug('quarantine rows were not read or written', { error: String(error) })
     }
@@ -103,8 +105,8 @@
     has: fingerprint => state.entries.has(fingerprint),
     add: (fingerprint, reason) => {
       if (state.entries.has(fingerprint)) return
-      const row: SuspectRow = { reason, addedBy: settings.name, addedAtMs: clock.wallMs() }
-      state = afterAdded(state, fingerprint, row, false)
+      const row: QuarantineRow = { reason, addedBy: settings.name, addedAtMs: clock.wallMs() }
+      state = withFingerprint(state, fingerprint, row, false)
       timeline.record('quarantine.added', { detail: { fingerprint, reason } })
       logger.warn('a request that crashes endpoints is quarantined', { fingerprint, reason })
       wake.abort()
--- a/packages/anvilarch-daemon/src/quarantine/types.ts
+++ b/packages/anvilarch-daemon/src/quarantine/types.ts
@@ -1,27 +1,27 @@
-/** Requests that crash endpoints. */
+/** Quarantine of requests that crash endpoints. */
 
-/** Fingerprints that no endpoint may run again. */
+/** Fingerprints of requests that no endpoint may run again. */
 export interface Quarantine {
   has: (fingerprint: string) => boolean
-  /** Records a fingerprint for every gateway; local effect at once, the row as soon as the table takes it. */
+  /** Quarantines a fingerprint: on this gateway at once, on all others once its row is committed to the table. */
   add: (fingerprint: string, reason: string) => void
   list: () => string[]
 }
 
-/** A quarantine that can say what is new, so that peers are sent each fingerprint once. */
+/** Quarantine with a sequence of its additions, so that each peer is sent each fingerprint once. */
 export interface QuarantineLog extends Quarantine {
   /**
-   * @param sequence - of the last call for the same peer, 0 at first
-   * @returns fingerprints added since then, and the sequence to pass next time
+   * @param sequence - as returned by the previous call for the same peer; 0 for the first call
+   * @returns fingerprints added since that call, and the sequence for the next one
    */
   addedSince: (sequence: number) => { fingerprints: string[], sequence: number }
 }
 
 /** Value of a row `suspect/<fingerprint>`. */
-export interface SuspectRow {
+export interface QuarantineRow {
   reason: string
-  /** Name of the gateway that found it. */
+  /** Name of the gateway that quarantined it. */
   addedBy: string
-  /** Wall time, since the row outlives every process. */
+  /** Wall-clock time, since the row outlives every process. */
   addedAtMs: number
 }
--- a/packages/anvilarch-daemon/src/routing/__tests__/routing.test.ts
+++ b/packages/anvilarch-daemon/src/routing/__tests__/routing.test.ts
@@ -49,15 +49,15 @@
 describe('candidatesByService', () => {
   const of = (...agents: AgentView[]): string[] => (candidatesByService(agents, TEST_DOCUMENT).get('writer') ?? []).map(each => each.agent)
 
-  it('leaves out agents that drain or do not answer, and endpoints that are not ready', () => {
+  it('omits agents that are draining or unreachable, and endpoints that are not ready', () => {
     expect(of(agent('a'), agent('b', { state: 'draining' }), agent('c', { state: 'unreachable' }), agent('d', {}, { health: 'crashed' }))).toEqual(['a'])
   })
 
-  it('leaves out endpoints of another service, or whose model is still loading', () => {
+  it('omits endpoints of another service, or whose model is still loading', () => {
     expect(of(agent('a'), agent('b', {}, { service: 'names' }), agent('c', {}, { models: [{ model: 'large', version: '1', state: 'loading' }] }))).toEqual(['a'])
   })
 
-  it('serves on with the former version until the one of the document is loaded somewhere', () => {
+  it('keeps serving with the previous version until the one of the document is loaded somewhere', () => {
     const former = { models: [{ model: 'large', version: '0', state: 'ready' }] }
     expect(of(agent('a', {}, former))).toEqual(['a'])
     expect(of(agent('a', {}, former), agent('b'))).toEqual(['b'])
@@ -68,19 +68,19 @@
   const three = ['a', 'b', 'c'].map(name => target(name))
   const policies: RoutingPolicy[] = ['affinity', 'round_robin', 'random', 'least_reported_load']
 
-  it.each(policies)('never takes an excluded endpoint, and says when none is left: %s', policy => {
+  it.each(policies)('never chooses an excluded endpoint, and returns undefined when none is left: %s', policy => {
     const exclude = new Set(['a/e', 'c/e'])
     expect(chooseTarget(policy, input(three, {}, { exclude, affinityKey: 'p' }))?.agent).toBe('b')
     expect(chooseTarget(policy, input(three, {}, { exclude: new Set(three.map(each => each.key)) }))).toBeUndefined()
   })
 
-  it.each(policies)('takes an endpoint to avoid only when no other is left: %s', policy => {
+  it.each(policies)('chooses an endpoint to avoid only when no other is left: %s', policy => {
     const avoid = new Set(['a/e', 'c/e'])
     expect(chooseTarget(policy, input(three, { b: 9 }, { avoid, affinityKey: 'p' }))?.agent).toBe('b')
     expect(chooseTarget(policy, input(three, {}, { avoid, exclude: new Set(['b/e', 'c/e']) }))?.agent).toBe('a')
   })
 
-  it('sends the same prefix to the same endpoint, also after another one has left', () => {
+  it('sends the same prefix to the same endpoint, also after another one was removed', () => {
     const chosen = (targets: Target[], key: string): string | undefined => chooseTarget('affinity', input(targets, {}, { affinityKey: key }))?.agent
     const keys = Array.from({ length: 200 }, (_, each) => `prefix-${each}`)
     const before = keys.map(key => chosen(three, key))
@@ -89,13 +89,13 @@
     expect(stayed).toEqual([])
   })
 
-  it('takes the next endpoint in hash order once the first has more than its share', () => {
+  it('chooses the next endpoint in hash order once the first has more than its share', () => {
     const first = chooseTarget('affinity', input(three, {}, { affinityKey: 'hot' }))?.agent as string
     const second = chooseTarget('affinity', input(three, { [first]: 9 }, { affinityKey: 'hot' }))?.agent
     expect(second).not.toBe(first)
   })
 
-  it('stays with the endpoint of a prefix while little runs there', () => {
+  it('stays with the endpoint of a prefix while few requests run there', () => {
     const first = chooseTarget('affinity', input(three, {}, { affinityKey: 'hot' }))?.agent as string
     expect(chooseTarget('affinity', input(three, { [first]: 3 }, { affinityKey: 'hot' }))?.agent).toBe(first)
   })
@@ -106,13 +106,13 @@
     expect(Math.max(...Object.values(loads))).toBeLessThanOrEqual(126)
   })
 
-  it('prefers its own failure domain when loads are alike, and the lighter endpoint when they are not', () => {
+  it('prefers its own failure domain when loads are similar, and the less loaded endpoint otherwise', () => {
     const pair = [target('near'), target('far', { failureDomain: 'hall-b' })]
     expect(chooseTarget('affinity', input(pair, { near: 3, far: 2 }))?.agent).toBe('near')
     expect(chooseTarget('affinity', input(pair, { near: 6, far: 2 }))?.agent).toBe('far')
   })
 
-  it('stays in its own region while there is room, and leaves it when there is none', () => {
+  it('stays in its own region while there is capacity, and uses another one when there is none', () => {
     const pair = [target('near'), target('far', { region: 'east' })]
     expect(chooseTarget('affinity', input(pair, { near: 9 }))?.agent).toBe('near')
     expect(chooseTarget('affinity', input(pair, { near: 10 }))?.agent).toBe('far')
@@ -120,19 +120,19 @@
 })
 
 describe('createLoadTable', () => {
-  it('adds what was sent and not answered yet to the last report', () => {
+  it('adds requests that were sent and have no response yet to the last report', () => {
     const table = createLoadTable()
     table.noteReport('a', load(3, 5))
     table.noteSent('a', 'online')
     table.noteSent('a', 'lookup')
     expect(table.estimate('a', 'online')).toEqual({ requests: 5, free: 3 })
     expect(table.estimate('a', 'batch')).toEqual({ requests: 0, free: 4 })
-    table.noteAnswered('a', 'online')
+    table.noteResponded('a', 'online')
     table.noteReport('a', load(4, 4))
     expect(table.estimate('a', 'online')).toEqual({ requests: 5, free: 3 })
   })
 
-  it('forgets endpoints that are gone, but not while something of this gateway runs there', () => {
+  it('removes endpoints that are no longer listed, but not while requests of this gateway are in progress there', () => {
     const table = createLoadTable()
     table.noteReport('a', load(3))
     table.noteSent('b', 'batch')
@@ -142,7 +142,7 @@
 })
 
 describe('createRouter', () => {
-  it('sees at once what the directory was told, and counts free batch slots over a service', () => {
+  it('applies changes of the directory at once, and sums the free batch slots of a service', () => {
     const directory = createFakeDirectory([agent('a', {}, { load: load(0) }), agent('b', {}, { load: load(0) })])
     const router = createRouter(createTestContext(), directory)
     const choose = (): string[] => Array.from({ length: 20 }, () => router.choose({ service: 'writer', workClass: 'online', affinityKey: '', exclude: new Set(), avoid: new Set() })?.agent ?? '')
@@ -154,12 +154,12 @@
     expect(router.freeBatch('writer')).toBe(4)
   })
 
-  // Guards against this: an engine that was started again gets no work, since its predecessor failed.
-  it('does not hold the failures of an endpoint against the process that follows it', () => {
+  // Guards against a restarted engine that receives no requests, because its previous process failed.
+  it('does not count the failures of an endpoint against its restarted process', () => {
     const directory = createFakeDirectory([agent('a'), agent('b')])
     const router = createRouter(createTestContext(), directory)
     const choose = (): string[] => Array.from({ length: 20 }, () => router.choose({ service: 'writer', workClass: 'online', affinityKey: '', exclude: new Set(), avoid: new Set() })?.agent ?? '')
-    for (let answer = 0; answer < 3; answer++) {
+    for (let outcome = 0; outcome < 3; outcome++) {
       router.noteOutcome(target('a'), true)
       router.noteOutcome(target('b'), false)
     }
--- a/packages/anvilarch-daemon/src/routing/candidates.ts
+++ b/packages/anvilarch-daemon/src/routing/candidates.ts
@@ -1,33 +1,33 @@
-/** Which endpoints may run the work of a service, as the directory and the configuration say. */
+/** Selects the endpoints that may run the requests of each service, from the agent directory and the configuration. */
 import type { ConfigurationDocument, ModelService } from 'anvilarch-configuration'
 import type { EndpointState } from 'anvilarch-protocol'
 import type { AgentView } from '../membership/types'
 import type { Target } from './types'
 
-/** The endpoints of each service, by service name. */
+/** Endpoints by service name. */
 export type Candidates = ReadonlyMap<string, readonly Target[]>
 
-interface Suited {
+interface Candidate {
   target: Target
-  /** Whether it runs the version that the document names. */
+  /** Whether it runs the version that the configuration document names. */
   current: boolean
 }
 
 /**
- * @param agents - the agents known to this gateway
- * @param document - the configuration in force
- * @returns the endpoints that may be given new work
+ * @param agents - agents known to this gateway
+ * @param document - active configuration document
+ * @returns endpoints that accept new requests
  */
 export function candidatesByService (agents: readonly AgentView[], document: ConfigurationDocument | undefined): Candidates {
-  const suited = new Map<string, Suited[]>()
+  const byService = new Map<string, Candidate[]>()
   for (const agent of agents) {
     if (agent.state !== 'serving') continue
-    for (const endpoint of agent.endpoints) addEndpoint(suited, agent, endpoint, document)
+    for (const endpoint of agent.endpoints) addEndpoint(byService, agent, endpoint, document)
   }
-  return new Map([...suited].map(([service, entries]) => [service, preferCurrent(entries)]))
+  return new Map([...byService].map(([service, entries]) => [service, preferCurrent(entries)]))
 }
 
-function addEndpoint (suited: Map<string, Suited[]>, agent: AgentView, endpoint: EndpointState, document: ConfigurationDocument | undefined): void {
+function addEndpoint (suited: Map<string, Candidate[]>, agent: AgentView, endpoint: EndpointState, document: ConfigurationDocument | undefined): void {
   if (endpoint.health !== 'ready' || endpoint.service === '') return
   const spec = document?.services[endpoint.service]
   if (spec === undefined || spec.kind !== endpoint.kind) return
@@ -43,8 +43,8 @@
     (version === undefined || loaded.version === version))
 }
 
-/** While a new version is being loaded, endpoints of the former one serve on; nothing is refused meanwhile. */
-function preferCurrent (entries: readonly Suited[]): Target[] {
+/** Endpoints of the previous version keep serving until one has loaded the new version, so that no request is refused meanwhile. */
+function preferCurrent (entries: readonly Candidate[]): Target[] {
   const current = entries.filter(entry => entry.current)
   return (current.length > 0 ? current : entries).map(entry => entry.target)
 }
--- a/packages/anvilarch-daemon/src/routing/loadTable.ts
+++ b/packages/anvilarch-daemon/src/routing/loadTable.ts
@@ -1,36 +1,36 @@
-/** Load of each endpoint: what its last reply carried, and what this gateway has sent since. */
+/** Load of each endpoint: the last report received from it, and what this gateway has sent since. */
 import type { EndpointLoad, WorkClass } from 'anvilarch-protocol'
 import type { LoadEstimate } from './types'
 
-/** Counts by endpoint key. */
+/** Load counts by endpoint key. */
 export interface LoadTable {
   estimate: (key: string, workClass: WorkClass) => LoadEstimate
   noteReport: (key: string, load: EndpointLoad) => void
   noteSent: (key: string, workClass: WorkClass) => void
-  noteAnswered: (key: string, workClass: WorkClass) => void
+  noteResponded: (key: string, workClass: WorkClass) => void
   noteEnded: (key: string, workClass: WorkClass) => void
-  /** Forgets endpoints that are gone and have nothing of this gateway under way. */
+  /** Removes endpoints that are not listed and have no requests of this gateway in progress. */
   retain: (keys: ReadonlySet<string>) => void
 }
 
-/** Batch work is counted apart from the urgent classes, since each has its own slots at the agent. */
-type Lane = 'urgent' | 'batch'
+/** Batch requests are counted apart from the urgent classes, since each has its own slots at the agent. */
+type SlotClass = 'urgent' | 'batch'
 
 interface Counts {
-  /** Sent and not answered, so not in any report yet. */
-  pending: Record<Lane, number>
-  /** Sent and not ended. */
-  inProgress: Record<Lane, number>
+  /** Sent without a response so far, so not in any report yet. */
+  pending: Record<SlotClass, number>
+  /** Sent and not ended yet. */
+  inProgress: Record<SlotClass, number>
   report: EndpointLoad | undefined
 }
 
-const LANES: Record<WorkClass, Lane> = { lookup: 'urgent', online: 'urgent', batch: 'batch' }
+const SLOT_CLASSES: Record<WorkClass, SlotClass> = { lookup: 'urgent', online: 'urgent', batch: 'batch' }
 
 /** @returns an empty table */
 export function createLoadTable (): LoadTable {
   const table = new Map<string, Counts>()
 
-  const countsOf = (key: string): Counts => {
+  const getOrCreateCounts = (key: string): Counts => {
     let counts = table.get(key)
     if (counts === undefined) {
       counts = { pending: { urgent: 0, batch: 0 }, inProgress: { urgent: 0, batch: 0 }, report: undefined }
@@ -43,21 +43,21 @@
     estimate: (key, workClass) => {
       const counts = table.get(key)
       if (counts === undefined) return { requests: 0, free: undefined }
-      const lane = LANES[workClass]
+      const slotClass = SLOT_CLASSES[workClass]
       const { report } = counts
-      if (report === undefined) return { requests: counts.inProgress[lane], free: undefined }
-      const running = lane === 'batch' ? report.runningBatch : report.runningOnline + report.queued
-      const free = lane === 'batch' ? report.freeBatch : report.freeOnline
-      return { requests: running + counts.pending[lane], free: free - counts.pending[lane] }
+      if (report === undefined) return { requests: counts.inProgress[slotClass], free: undefined }
+      const running = slotClass === 'batch' ? report.runningBatch : report.runningOnline + report.queued
+      const free = slotClass === 'batch' ? report.freeBatch : report.freeOnline
+      return { requests: running + counts.pending[slotClass], free: free - counts.pending[slotClass] }
     },
-    noteReport: (key, load) => { countsOf(key).report = load },
+    noteReport: (key, load) => { getOrCreateCounts(key).report = load },
     noteSent: (key, workClass) => {
-      const counts = countsOf(key)
-      counts.pending[LANES[workClass]]++
-      counts.inProgress[LANES[workClass]]++
+      const counts = getOrCreateCounts(key)
+      counts.pending[SLOT_CLASSES[workClass]]++
+      counts.inProgress[SLOT_CLASSES[workClass]]++
     },
-    noteAnswered: (key, workClass) => { countsOf(key).pending[LANES[workClass]]-- },
-    noteEnded: (key, workClass) => { countsOf(key).inProgress[LANES[workClass]]-- },
+    noteResponded: (key, workClass) => { getOrCreateCounts(key).pending[SLOT_CLASSES[workClass]]-- },
+    noteEnded: (key, workClass) => { getOrCreateCounts(key).inProgress[SLOT_CLASSES[workClass]]-- },
     retain: keys => {
       for (const [key, counts] of table) {
         const busy = counts.inProgress.urgent + counts.inProgress.batch > 0
--- a/packages/anvilarch-daemon/src/routing/outliers.ts
+++ b/packages/anvilarch-daemon/src/routing/outliers.ts
@@ -1,22 +1,22 @@
 /**
- * Which endpoints fail far more of their requests than the others of their service.
+ * Detects endpoints that fail far more of their requests than the other endpoints of their service.
  *
- * Load alone favours such an endpoint: requests that fail at once leave it idle.
+ * Load-based routing alone favours such an endpoint: requests that fail at once leave it idle.
  */
 
-/** Outliers by endpoint key. */
+/** Ejects outliers, by endpoint key. */
 export interface OutlierTable {
-  /** An endpoint has answered a request, with a failure of its own or not. */
+  /** Records the outcome of a request at an endpoint. */
   noteOutcome: (key: string, isFailure: boolean, nowMs: number) => void
   /**
    * Ejects the endpoints that have become outliers.
    *
    * @param keys - all endpoints of a service
-   * @param nowMs - the time
-   * @returns those that are to be asked only when no other may be
+   * @param nowMs - current time
+   * @returns ejected endpoints, to be used only when no other is allowed
    */
   ejected: (keys: readonly string[], nowMs: number) => ReadonlySet<string>
-  /** Forgets all endpoints but these. */
+  /** Removes all endpoints except these. */
   retain: (keys: ReadonlySet<string>) => void
 }
 
@@ -25,35 +25,35 @@
   outcomes: boolean[]
   ejectedAtMs: number
   ejectedUntilMs: number
-  /** Ejections since the endpoint last proved itself. */
+  /** Ejections since the endpoint last passed its probation. */
   ejections: number
 }
 
-/** Outcomes of an endpoint that are looked at. */
-const WINDOW = 10
-/** Fewer failures say nothing. */
-const LEAST_FAILURES = 3
-const LEAST_FAILURE_SHARE = 0.3
-/** Requests that fail wherever they run are no fault of an endpoint, so it is held against the others. */
-const TIMES_THE_OTHERS = 3
-const LEAST_OTHERS = 3
+/** Number of latest outcomes of an endpoint that are considered. */
+const WINDOW_OUTCOMES = 10
+/** Fewer failures are not significant. */
+const MIN_FAILURES = 3
+const MIN_FAILURE_SHARE = 0.3
+/** Minimum ratio to the failure share of the other endpoints, since requests that fail wherever they run are no fault of an endpoint. */
+const MIN_RATIO_TO_OTHERS = 3
+const MIN_OUTCOMES_OF_OTHERS = 3
 const EJECTION_MS = 2000
 const MAX_EJECTION_MS = 30_000
-/** Answers without a failure after which an endpoint that was ejected counts as well again. */
-const PROBATION = 5
-/** More endpoints are never ejected, since the others have to bear the load. */
+/** Consecutive outcomes without a failure after which an ejected endpoint counts as healthy again. */
+const PROBATION_OUTCOMES = 5
+/** Maximum share of a service's endpoints that are ejected, since the others must carry the load. */
 const MAX_EJECTED_SHARE = 0.5
 
 const NONE: ReadonlySet<string> = new Set()
 
 /**
- * @param onEjected - told of each endpoint, and for how long it is ejected
- * @returns a table that ejects nobody
+ * @param onEjected - called with each ejected endpoint and the duration of its ejection
+ * @returns a table without outcomes
  */
 export function createOutlierTable (onEjected: (key: string, durationMs: number) => void): OutlierTable {
   const records = new Map<string, OutcomeRecord>()
 
-  const recordOf = (key: string): OutcomeRecord => {
+  const getOrCreateRecord = (key: string): OutcomeRecord => {
     let record = records.get(key)
     if (record === undefined) {
       record = { outcomes: [], ejectedAtMs: Number.NEGATIVE_INFINITY, ejectedUntilMs: Number.NEGATIVE_INFINITY, ejections: 0 }
@@ -63,7 +63,7 @@
   }
 
   const eject = (key: string, nowMs: number): void => {
-    const record = recordOf(key)
+    const record = getOrCreateRecord(key)
     const durationMs = Math.min(EJECTION_MS * 2 ** record.ejections, MAX_EJECTION_MS)
     record.ejectedAtMs = nowMs
     record.ejectedUntilMs = nowMs + durationMs
@@ -72,47 +72,47 @@
     onEjected(key, durationMs)
   }
 
-  /** What an endpoint does now says more than what another one did when it was ejected. */
-  const takeBackOldest = (ejected: Set<string>, nowMs: number): void => {
-    const [oldest] = [...ejected].sort((left, right) => recordOf(left).ejectedAtMs - recordOf(right).ejectedAtMs)
-    recordOf(oldest).ejectedUntilMs = nowMs
+  /** Makes room for a newly failing endpoint, since its failures are more recent than those of the oldest ejection. */
+  const readmitOldest = (ejected: Set<string>, nowMs: number): void => {
+    const [oldest] = [...ejected].sort((left, right) => getOrCreateRecord(left).ejectedAtMs - getOrCreateRecord(right).ejectedAtMs)
+    getOrCreateRecord(oldest).ejectedUntilMs = nowMs
     ejected.delete(oldest)
   }
 
   const isOutlier = (key: string, keys: readonly string[]): boolean => {
     const record = records.get(key)
     if (record === undefined) return false
-    const own = failuresOf(record.outcomes)
-    if (record.ejections > 0 && own > 0) return true
-    if (own < LEAST_FAILURES) return false
+    const failures = failuresOf(record.outcomes)
+    if (record.ejections > 0 && failures > 0) return true
+    if (failures < MIN_FAILURES) return false
     const others = keys.filter(other => other !== key).flatMap(other => records.get(other)?.outcomes ?? [])
-    const share = own / record.outcomes.length
-    if (others.length < LEAST_OTHERS) return false
+    const share = failures / record.outcomes.length
+    if (others.length < MIN_OUTCOMES_OF_OTHERS) return false
     const othersShare = failuresOf(others) / others.length
-    return share >= LEAST_FAILURE_SHARE && share > othersShare * TIMES_THE_OTHERS
+    return share >= MIN_FAILURE_SHARE && share > othersShare * MIN_RATIO_TO_OTHERS
   }
 
   return {
     noteOutcome: (key, isFailure, nowMs) => {
-      const record = recordOf(key)
-      // What was sent before the ejection proves nothing more.
+      const record = getOrCreateRecord(key)
+      // Outcomes of requests sent before the ejection are no new evidence.
       if (nowMs < record.ejectedUntilMs) return
       record.outcomes.push(isFailure)
-      if (record.outcomes.length > WINDOW) record.outcomes.shift()
-      if (record.ejections > 0 && record.outcomes.length >= PROBATION && failuresOf(record.outcomes) === 0) record.ejections = 0
+      if (record.outcomes.length > WINDOW_OUTCOMES) record.outcomes.shift()
+      if (record.ejections > 0 && record.outcomes.length >= PROBATION_OUTCOMES && failuresOf(record.outcomes) === 0) record.ejections = 0
     },
     ejected: (keys, nowMs) => {
       if (records.size === 0) return NONE
-      const most = Math.floor(keys.length * MAX_EJECTED_SHARE)
-      if (most === 0) return NONE
-      const out = new Set(keys.filter(key => nowMs < (records.get(key)?.ejectedUntilMs ?? nowMs)))
+      const maxEjected = Math.floor(keys.length * MAX_EJECTED_SHARE)
+      if (maxEjected === 0) return NONE
+      const ejected = new Set(keys.filter(key => nowMs < (records.get(key)?.ejectedUntilMs ?? nowMs)))
       for (const key of keys) {
-        if (out.has(key) || !isOutlier(key, keys)) continue
-        if (out.size >= most) takeBackOldest(out, nowMs)
+        if (ejected.has(key) || !isOutlier(key, keys)) continue
+        if (ejected.size >= maxEjected) readmitOldest(ejected, nowMs)
         eject(key, nowMs)
-        out.add(key)
+        ejected.add(key)
       }
-      return out
+      return ejected
     },
     retain: keys => {
       for (const key of records.keys()) if (!keys.has(key)) records.delete(key)
--- a/packages/anvilarch-daemon/src/routing/router.ts
+++ b/packages/anvilarch-daemon/src/routing/router.ts
@@ -1,4 +1,4 @@
-/** Keeps the endpoints of each service at hand and applies the policy of the settings. */
+/** Indexes the endpoints of each service and applies the configured routing policy. */
 import type { DaemonContext } from '../context'
 import type { AgentDirectory } from '../membership/types'
 import { type Candidates, candidatesByService } from './candidates'
@@ -7,13 +7,13 @@
 import { chooseTarget } from './policies'
 import type { Router, RoutingInput, Target } from './types'
 
-/** The index of endpoints is built anew at least this often. */
+/** The index of endpoints is rebuilt when it is older than this. */
 const MAX_INDEX_AGE_MS = 1_000
 
 /**
  * @param context - settings, configuration, time and random numbers
- * @param directory - the agents known to this gateway
- * @returns a router with nothing under way
+ * @param directory - agents known to this gateway
+ * @returns a router without requests in progress
  */
 export function createRouter (context: DaemonContext, directory: AgentDirectory): Router {
   const loads = createLoadTable()
@@ -44,7 +44,7 @@
       }
     }
     loads.retain(known)
-    // What a process has failed is not held against the one that follows it.
+    // Endpoints that are not ready are removed, so that failures of one process do not count against its restart.
     outliers.retain(ready)
   }
 
@@ -77,7 +77,7 @@
   return {
     choose,
     noteSent: (target, workClass) => { loads.noteSent(target.key, workClass) },
-    noteAnswered: (target, workClass) => { loads.noteAnswered(target.key, workClass) },
+    noteResponded: (target, workClass) => { loads.noteResponded(target.key, workClass) },
     noteEnded: (target, workClass) => { loads.noteEnded(target.key, workClass) },
     noteOutcome: (target, isFailure) => { outliers.noteOutcome(target.key, isFailure, context.clock.nowMs()) },
     noteLoad: (target, load) => {
--- a/packages/anvilarch-daemon/src/routing/types.ts
+++ b/packages/anvilarch-daemon/src/routing/types.ts
@@ -1,32 +1,32 @@
-/** Choice of the agent and endpoint that run the next attempt of a request. */
+/** Selection of the agent and endpoint that run the next attempt of a request. */
 import type { EndpointLoad, WorkClass } from 'anvilarch-protocol'
 
 /** Names of the routing policies. */
 export type RoutingPolicy = 'affinity' | 'round_robin' | 'random' | 'least_reported_load'
 
-/** An endpoint that may run work of a service. */
+/** An endpoint that may run requests of a service. */
 export interface Target {
   /** `agent/endpoint`, unique in the fleet. */
   key: string
   agent: string
-  /** IP number and port of the agent. */
+  /** IP address and port of the agent. */
   address: string
   endpoint: string
-  /** The incarnation of the agent that this gateway knows. */
+  /** Incarnation of the agent, as last recorded by this gateway. */
   incarnation: string
   failureDomain: string
   region: string
 }
 
-/** What a policy knows of an endpoint's load. */
+/** Estimated load of an endpoint. */
 export interface LoadEstimate {
-  /** Requests running, queued and under way there. */
+  /** Requests running, queued or on their way there. */
   requests: number
-  /** More requests that it would start at once; undefined before the first report. */
+  /** Further requests that it would start at once; undefined before the first report. */
   free: number | undefined
 }
 
-/** What is being routed. */
+/** A request to be routed. */
 export interface RoutingInput {
   service: string
   workClass: WorkClass
@@ -34,36 +34,36 @@
   affinityKey: string
   /** Keys of endpoints that must not be chosen. */
   exclude: ReadonlySet<string>
-  /** Keys of endpoints that are chosen only when no other may be. */
+  /** Keys of endpoints that are chosen only when no other is allowed. */
   avoid: ReadonlySet<string>
 }
 
-/** Everything that a policy decides on. */
+/** Input of a routing policy. */
 export interface PolicyInput extends RoutingInput {
   targets: readonly Target[]
   loadOf: (target: Target) => LoadEstimate
   ownFailureDomain: string
   ownRegion: string
-  /** Counts the choices made so far. */
+  /** Number of choices made so far. */
   turn: number
   /** A number in [0, 1). */
   random: () => number
 }
 
-/** Chooses endpoints and keeps count of what this gateway has under way there. */
+/** Chooses endpoints and counts the requests that this gateway has in progress there. */
 export interface Router {
   choose: (input: RoutingInput) => Target | undefined
-  /** A start was sent to an endpoint and is not answered yet. */
+  /** Records that a start was sent to an endpoint and awaits its response. */
   noteSent: (target: Target, workClass: WorkClass) => void
-  /** The start was answered, or will not be. */
-  noteAnswered: (target: Target, workClass: WorkClass) => void
-  /** The attempt is over for this gateway. */
+  /** Records that the start has been responded to, or is no longer waited for. */
+  noteResponded: (target: Target, workClass: WorkClass) => void
+  /** Records that this gateway is done with the attempt. */
   noteEnded: (target: Target, workClass: WorkClass) => void
-  /** An endpoint has answered an attempt, with a failure of its own or not. */
+  /** Records the outcome of an attempt at an endpoint. */
   noteOutcome: (target: Target, isFailure: boolean) => void
   noteLoad: (target: Target, load: EndpointLoad) => void
-  /** The view of the agents changed by something this gateway learned. */
+  /** Rebuilds the index of endpoints before the next choice. */
   invalidate: () => void
-  /** How many more batch requests of a service would start now. */
+  /** Number of further batch requests of a service that would start now. */
   freeBatch: (service: string) => number
 }
