--- a/packages/anvilarch-daemon/src/attempts/__tests__/intentHistories.test.ts
+++ b/packages/anvilarch-daemon/src/attempts/__tests__/intentHistories.test.ts
@@ -2,8 +2,8 @@
 import fc from 'fast-check'
 import { createMemoryTable, type MemoryTable } from '../__fixtures__/memoryTable'
 import { createTestContext } from '../__fixtures__/testContext'
-import { createIntentKeeper } from '../intents/intentKeeper'
-import type { IntentKeeper, KeyedResult } from '../intents/types'
+import { createKeyedCallRunner } from '../intents/keyedCallRunner'
+import type { KeyedCallRunner, KeyedResult } from '../intents/types'
 import type { WorkResult } from '../types'
 
 const SEED = 99
@@ -12,7 +12,7 @@
 
 /** A gateway; once it is killed, none of its actions reaches the table or a caller. */
 interface Gateway {
-  keeper: IntentKeeper
+  runner: KeyedCallRunner
   alive: boolean
 }
 
@@ -39,14 +39,14 @@
   }
 
   addGateway (): void {
-    const gateway: Gateway = { alive: true, keeper: undefined as never }
+    const gateway: Gateway = { alive: true, runner: undefined as never }
     const { port } = this.table
     const commit: typeof port.commit = async request => {
       if (!gateway.alive) return await new Promise(() => {})
       return await port.commit(request)
     }
     const context = createTestContext({ clock: this.clock, incarnation: `g${this.starts++}`, platform: { table: { ...port, commit } } })
-    gateway.keeper = createIntentKeeper({ ...context, logger: SILENT_LOGGER })
+    gateway.runner = createKeyedCallRunner({ ...context, logger: SILENT_LOGGER })
     this.gateways.push(gateway)
   }
 
@@ -60,7 +60,7 @@
       call.executed = true
       return await new Promise(resolve => { this.running.push({ call, end: resolve }) })
     }
-    gateway.keeper.run({ caller: 'c', key: call.key, requestId: `r${this.calls.length}`, callHash: call.body, timeoutMs: TIMEOUT_MS }, execute)
+    gateway.runner.run({ caller: 'c', key: call.key, requestId: `r${this.calls.length}`, callHash: call.body, timeoutMs: TIMEOUT_MS }, execute)
       .then(result => { if (gateway.alive) call.result = result }, () => {})
   }
 
@@ -74,8 +74,8 @@
   }
 }
 
-const completed = (call: Call): WorkResult => ({ outcome: 'completed', status: 200, headers: {}, body: Buffer.from(`${call.key} ${call.body}`), attempts: 1, outputTokens: 0, takenBy: [] })
-const failed = (ran: Ran) => (): WorkResult => ({ outcome: 'failed', attempts: 1, takenBy: [], error: new AnvilarchError('x', { code: 'unavailable', step: 's', ran }) })
+const completed = (call: Call): WorkResult => ({ outcome: 'completed', status: 200, headers: {}, body: Buffer.from(`${call.key} ${call.body}`), attempts: 1, outputTokens: 0, acceptedBy: [] })
+const failed = (ran: Ran) => (): WorkResult => ({ outcome: 'failed', attempts: 1, acceptedBy: [], error: new AnvilarchError('x', { code: 'unavailable', step: 's', ran }) })
 
 const ACTIONS: Record<string, (world: Simulation, at: number) => Promise<void> | void> = {
   call: (world, at) => { world.call(at) },
@@ -127,7 +127,7 @@
 const weights: Record<string, number> = { call: 6, callTwice: 3, pass: 8, answer: 4 }
 const anyAction = fc.oneof(...Object.keys(ACTIONS).map(name => ({ weight: weights[name] ?? 1, arbitrary: fc.nat({ max: 9 }).map(at => new Action(name, at)) })))
 
-describe('createIntentKeeper over random histories', () => {
+describe('createKeyedCallRunner over random histories', () => {
   it('runs a call at most once per key and reports its outcome correctly', async () => {
     await fc.assert(fc.asyncProperty(fc.commands([anyAction], { maxCommands: 40, size: 'max' }), async commands => {
       const world = new Simulation()
@@ -145,7 +145,7 @@
   })
 })
 
-describe('createIntentKeeper', () => {
+describe('createKeyedCallRunner', () => {
   const run = async (world: Simulation, at: number): Promise<Call> => {
     world.call(at)
     await world.clock.advanceAsync(2_000)
@@ -202,8 +202,8 @@
   it('writes many intents in few commits', async () => {
     const world = new Simulation()
     const context = createTestContext({ clock: world.clock, platform: { table: world.table.port } })
-    const keeper = createIntentKeeper(context)
-    const ended = Promise.all(Array.from({ length: 100 }, async (_, each) => await keeper.run({ caller: 'c', key: `many-${each}`, requestId: 'r', callHash: 'h', timeoutMs: TIMEOUT_MS }, async () => completed(world.calls[0] ?? { key: '', body: '' } as Call))))
+    const runner = createKeyedCallRunner(context)
+    const ended = Promise.all(Array.from({ length: 100 }, async (_, each) => await runner.run({ caller: 'c', key: `many-${each}`, requestId: 'r', callHash: 'h', timeoutMs: TIMEOUT_MS }, async () => completed(world.calls[0] ?? { key: '', body: '' } as Call))))
     await world.clock.advanceAsync(1_000)
     expect((await ended).every(each => each.kind === 'ran')).toBe(true)
     expect(world.table.commits.length).toBeLessThanOrEqual(5)
--- a/packages/anvilarch-daemon/src/attempts/intents/intentKeeper.ts
+++ b/packages/anvilarch-daemon/src/attempts/intents/keyedCallRunner.ts
@@ -9,7 +9,7 @@
 import { decideFromRow } from './intentDecision'
 import { parseIntentRow, recordedEnd } from './intentRows'
 import { createOrphanSettler, DEFAULT_OPTIONS as DEFAULT_ORPHANS } from './orphans'
-import type { IntentKeeper, IntentRow, KeyedCall, KeyedResult } from './types'
+import type { KeyedCallRunner, IntentRow, KeyedCall, KeyedResult } from './types'
 
 /** Retry-After value while the table does not respond. */
 const TABLE_RETRY_AFTER_MS = 2_000
@@ -29,7 +29,7 @@
  * @param context - table, clock and names
  * @returns a runner without calls in progress
  */
-export function createIntentKeeper (context: Pick<DaemonContext, 'clock' | 'logger' | 'platform' | 'incarnation' | 'settings'>): IntentKeeper {
+export function createKeyedCallRunner (context: Pick<DaemonContext, 'clock' | 'logger' | 'platform' | 'incarnation' | 'settings'>): KeyedCallRunner {
   const { clock, logger, incarnation } = context
   const { table } = context.platform
   const group = createCommitGroup({ ...DEFAULT_OPTIONS, clock, table, idPrefix: `intents-${incarnation}`, maxWaiting: MAX_WAITING_WRITES })
--- a/packages/anvilarch-daemon/src/attempts/intents/types.ts
+++ b/packages/anvilarch-daemon/src/attempts/intents/types.ts
@@ -40,7 +40,7 @@
   | { kind: 'refused', error: AnvilarchError }
 
 /** Runs the keyed calls of one gateway. */
-export interface IntentKeeper {
+export interface KeyedCallRunner {
   /**
    * Records the intent, runs the call and records its end, or replays a recorded end.
    *
--- a/packages/anvilarch-daemon/src/attempts/requestTask.ts
+++ b/packages/anvilarch-daemon/src/attempts/requestTask.ts
@@ -38,7 +38,7 @@
   const recorder = createRecorder(context, request)
   const ledger = createAttemptLedger(request.requestId)
   const queue: RequestEvent[] = []
-  const takenBy: string[] = []
+  const acceptedBy: string[] = []
   let state: RequestState = createRequestState(request)
   let dispatching = false
   let backpressure: Promise<void> | undefined
@@ -89,7 +89,7 @@
   }
 
   const recordAccepted = (key: string): void => {
-    if (takenBy.at(-1) !== key) takenBy.push(key)
+    if (acceptedBy.at(-1) !== key) acceptedBy.push(key)
   }
 
   /** Ensures that an internal error does not leave the caller without a response. */
@@ -101,7 +101,7 @@
       outcome: 'failed',
       error: toAnvilarchError(error, { code: 'internal', step: 'attempts.run', ran: 'unknown' }),
       attempts: state.attempts,
-      takenBy
+      acceptedBy
     })
   }
 
@@ -180,14 +180,14 @@
     stopWaiting?.()
     recordResponse()
     ledger.ended(ended.outcome === 'failed' ? ended.ran : 'ran')
-    if (ended.outcome === 'failed') settle({ outcome: 'failed', error: toError(ended), attempts: state.attempts, takenBy })
+    if (ended.outcome === 'failed') settle({ outcome: 'failed', error: toError(ended), attempts: state.attempts, acceptedBy })
     else finish(ended.outputTokens).catch(endWithInternalError)
   }
 
   const finish = async (outputTokens: number): Promise<void> => {
     await backpressure
     const response = await collector.finish()
-    settle({ outcome: 'completed', ...response, attempts: state.attempts, outputTokens, takenBy })
+    settle({ outcome: 'completed', ...response, attempts: state.attempts, outputTokens, acceptedBy })
   }
 
   const handlers: CommandHandlers = {
--- a/packages/anvilarch-daemon/src/callers/callersServer.ts
+++ b/packages/anvilarch-daemon/src/callers/callersServer.ts
@@ -2,7 +2,7 @@
 import { createServer, type Server } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { cutAnswer, type LifecycleManager, sleep } from 'anvilarch-utils'
-import { createIntentKeeper } from '../attempts/intents/intentKeeper'
+import { createKeyedCallRunner } from '../attempts/intents/keyedCallRunner'
 import { startIntentSweep } from '../attempts/intents/intentSweep'
 import type { RequestRunner } from '../attempts/types'
 import type { DaemonContext } from '../context'
@@ -55,7 +55,7 @@
   const options = { ...DEFAULT_OPTIONS, ...dependencies.options }
   const { drainTimeoutMs, maxConcurrentRequests } = context.settings.gateway
   const limiter = createCallerLimiter({ clock: context.clock, maxConcurrentRequests })
-  const intents = createIntentKeeper(context)
+  const intents = createKeyedCallRunner(context)
   const front: FrontParts = { context, runner: dependencies.runner, intents, options }
   let draining: Promise<void> | undefined
   let ids = 0
--- a/packages/anvilarch-daemon/src/callers/frontParts.ts
+++ b/packages/anvilarch-daemon/src/callers/frontParts.ts
@@ -1,5 +1,5 @@
 /** What the routes of the front share. */
-import type { IntentKeeper } from '../attempts/intents/types'
+import type { KeyedCallRunner } from '../attempts/intents/types'
 import type { RequestRunner } from '../attempts/types'
 import type { DaemonContext } from '../context'
 
@@ -19,6 +19,6 @@
   context: DaemonContext
   runner: RequestRunner
   /** Keeps calls with an `Idempotency-Key` from running twice. */
-  intents: IntentKeeper
+  intents: KeyedCallRunner
   options: FrontOptions
 }
--- a/packages/anvilarch-daemon/src/jobs/__fixtures__/fakeRunner.ts
+++ b/packages/anvilarch-daemon/src/jobs/__fixtures__/fakeRunner.ts
@@ -81,9 +81,9 @@
 }
 
 function answered (status: number, value: unknown): WorkResult {
-  return { outcome: 'completed', status, headers: {}, body: Buffer.from(JSON.stringify(value)), attempts: 1, outputTokens: 1, takenBy: [] }
+  return { outcome: 'completed', status, headers: {}, body: Buffer.from(JSON.stringify(value)), attempts: 1, outputTokens: 1, acceptedBy: [] }
 }
 
 function failed (code: 'overloaded' | 'cancelled' | 'quarantined' | 'endpoint_failed', ran: 'not_run' | 'ran'): WorkResult {
-  return { outcome: 'failed', error: new AnvilarchError(`it is ${code}`, { code, step: 'fake.run', ran }), attempts: 1, takenBy: [] }
+  return { outcome: 'failed', error: new AnvilarchError(`it is ${code}`, { code, step: 'fake.run', ran }), attempts: 1, acceptedBy: [] }
 }
--- a/packages/anvilarch-daemon/src/jobs/__tests__/itemAttempts.test.ts
+++ b/packages/anvilarch-daemon/src/jobs/__tests__/itemAttempts.test.ts
@@ -93,12 +93,12 @@
 }
 
 function answered (status: number, takenBy: string[]): WorkResult {
-  return { outcome: 'completed', status, headers: {}, body: Buffer.from('{}'), attempts: 1, outputTokens: 0, takenBy }
+  return { outcome: 'completed', status, headers: {}, body: Buffer.from('{}'), attempts: 1, outputTokens: 0, acceptedBy: takenBy }
 }
 
 function lost (target: string): WorkResult {
   const error = new AnvilarchError('the endpoint went down', { code: 'unavailable', step: 'test', ran: 'unknown' })
-  return { outcome: 'failed', error, attempts: 1, takenBy: [target] }
+  return { outcome: 'failed', error, attempts: 1, acceptedBy: [target] }
 }
 
 const behaviour = fc.constantFrom<Behaviour>('works', 'away', 'lost')
--- a/packages/anvilarch-daemon/src/jobs/itemAttempts.ts
+++ b/packages/anvilarch-daemon/src/jobs/itemAttempts.ts
@@ -20,7 +20,7 @@
 /** A run that failed. */
 export interface FailedRun {
   /** Keys of the endpoints whose agents took it, the last one last. */
-  takenBy: readonly string[]
+  acceptedBy: readonly string[]
   kind: FailureKind
 }
 
@@ -53,17 +53,17 @@
 export function afterFailedRun (tries: ItemTries, run: FailedRun, bounds: RunBounds): ItemTries {
   const answeredBy = withAnswer(tries.answeredBy, run)
   const isRepeat = run.kind === 'answered' && answeredBy === tries.answeredBy && answeredBy.size < bounds.replicas
-  const isAttempt = run.takenBy.length === 0 || !(isRepeat || run.kind === 'lost')
+  const isAttempt = run.acceptedBy.length === 0 || !(isRepeat || run.kind === 'lost')
   return {
     runs: tries.runs + 1,
     attempts: tries.attempts + (isAttempt ? 1 : 0),
     deferrals: 0,
-    failedAt: new Set([...tries.failedAt, ...run.takenBy]),
+    failedAt: new Set([...tries.failedAt, ...run.acceptedBy]),
     answeredBy
   }
 }
 
-function withAnswer (known: ReadonlySet<string>, { takenBy, kind }: FailedRun): ReadonlySet<string> {
+function withAnswer (known: ReadonlySet<string>, { acceptedBy: takenBy, kind }: FailedRun): ReadonlySet<string> {
   const last = takenBy.at(-1)
   return kind !== 'answered' || last === undefined || known.has(last) ? known : new Set([...known, last])
 }
--- a/packages/anvilarch-daemon/src/jobs/partItems.ts
+++ b/packages/anvilarch-daemon/src/jobs/partItems.ts
@@ -122,7 +122,7 @@
     },
     failed: ({ index, requestId }, verdict) => { finishFailed(index, requestId, verdict) },
     run_again: ({ index, requestId, service, takenBy }, verdict) => {
-      const mayRun = noteFailedRun(index, service, { takenBy, kind: failureKind(verdict) })
+      const mayRun = noteFailedRun(index, service, { acceptedBy: takenBy, kind: failureKind(verdict) })
       if (mayRun) backOff(index, queue.tries(index).runs - 1, RUN_BACKOFF_MS, MAX_RUN_BACKOFF_MS)
       else finishFailed(index, requestId, verdict)
     },
@@ -142,7 +142,7 @@
   const unknownModel = (index: number, model: string): void => {
     queue.take(index)
     const requestId = requestIdOf(index)
-    if (noteFailedRun(index, NO_SERVICE, { takenBy: [], kind: 'incomplete' })) {
+    if (noteFailedRun(index, NO_SERVICE, { acceptedBy: [], kind: 'incomplete' })) {
       queue.defer(index, context.clock.nowMs() + UNKNOWN_MODEL_DELAY_MS)
       return
     }
@@ -165,7 +165,7 @@
     const request = itemRequest(itemAt(ready.index), { requestId, caller: job.caller, target: ready.target, deadlineMs, avoid })
     const result = await options.runner.run(request, { signal: controller.signal }).catch(asFailed)
     running.delete(ready.index)
-    if (!controller.signal.aborted) judge({ index: ready.index, requestId, service: ready.target.service, takenBy: result.takenBy }, result)
+    if (!controller.signal.aborted) judge({ index: ready.index, requestId, service: ready.target.service, takenBy: result.acceptedBy }, result)
     options.onRunEnded()
   }
 
@@ -203,7 +203,7 @@
 
 function asFailed (error: unknown): WorkResult {
   const details = { code: 'internal', step: 'jobs.run_item', ran: 'unknown' } as const
-  return { outcome: 'failed', error: error instanceof AnvilarchError ? error : toAnvilarchError(error, details), attempts: 1, takenBy: [] }
+  return { outcome: 'failed', error: error instanceof AnvilarchError ? error : toAnvilarchError(error, details), attempts: 1, acceptedBy: [] }
 }
 
 /** An answer that is not JSON is kept as text. */
