--- a/packages/anvilarch-daemon/src/attempts/__fixtures__/fakeAgent.ts
+++ b/packages/anvilarch-daemon/src/attempts/__fixtures__/fakeAgent.ts
@@ -25,9 +25,9 @@
   /** Refuses starts for this reason. */
   refuse: string | undefined
   /** Open streams send no more frames; new ones work. */
-  silenceOpenStreams: boolean
+  stallOpenStreams: boolean
   /** Starts are received, but neither run nor responded to. */
-  muteStarts: boolean
+  ignoreStarts: boolean
   /** Text in a request that crashes the endpoint. */
   crashOn: string | undefined
   /** Discards all attempts and changes its incarnation once an attempt has written this many chunks. */
@@ -70,7 +70,7 @@
 export async function startFakeAgent (options: FakeAgentOptions): Promise<FakeAgent> {
   const kind = options.kind ?? 'plain'
   const attempts = new Map<string, FakeAttempt>()
-  const faults: FakeAgentFaults = { refuse: undefined, silenceOpenStreams: false, muteStarts: false, crashOn: undefined, dieAfterChunks: undefined }
+  const faults: FakeAgentFaults = { refuse: undefined, stallOpenStreams: false, ignoreStarts: false, crashOn: undefined, dieAfterChunks: undefined }
   let openGate: () => void = () => {}
   const gate = new Promise<void>(resolve => { openGate = resolve })
 
@@ -117,7 +117,7 @@
     // One listener for the whole stream: a listener per wait would leak.
     const abortedStream = aborted(signal)
     while (!signal.aborted) {
-      if (faults.silenceOpenStreams) await abortedStream
+      if (faults.stallOpenStreams) await abortedStream
       const output = Buffer.concat(attempt.chunks)
       if (output.length > sentBytes) {
         yield { kind: { case: 'output', value: { offsetBytes: BigInt(sentBytes), data: output.subarray(sentBytes) } } }
@@ -127,7 +127,7 @@
         return
       } else {
         await Promise.race([change(attempt), heartbeat(), abortedStream])
-        if (attempt.final === undefined && Buffer.concat(attempt.chunks).length === sentBytes && !faults.silenceOpenStreams) yield { kind: { case: 'heartbeat', value: {} } }
+        if (attempt.final === undefined && Buffer.concat(attempt.chunks).length === sentBytes && !faults.stallOpenStreams) yield { kind: { case: 'heartbeat', value: {} } }
       }
     }
   }
@@ -144,7 +144,7 @@
       yield refused(faults.refuse)
       return
     }
-    if (faults.muteStarts) { await aborted(signal); return }
+    if (faults.ignoreStarts) { await aborted(signal); return }
     const contentType = options.contentType ?? (request.outputMode === 'stream' ? 'text/event-stream' : 'application/json')
     const attempt: FakeAttempt = { requestId: request.requestId, isolated: request.isolated || request.soloFirstToken, chunks: [], head: { status: options.status ?? 200, headers: [{ name: 'Content-Type', value: contentType }] }, final: undefined, changed: [] }
     attempts.set(request.attemptId, attempt)
@@ -161,7 +161,7 @@
       yield refused('barred')
       return
     }
-    faults.silenceOpenStreams = false
+    faults.stallOpenStreams = false
     yield * read(attempt, Number(request.offsetBytes), signal)
   }
 
@@ -230,7 +230,7 @@
   await new Promise(resolve => { signal.addEventListener('abort', resolve, { once: true }) })
 }
 
-/** Resolves after the heartbeat interval, which is well below the stream timeout of the tests. */
+/** Resolves after the heartbeat interval, which is well below the inactivity timeout of the tests. */
 async function heartbeat (): Promise<void> {
   await new Promise(resolve => { setTimeout(resolve, 30).unref() })
 }
--- a/packages/anvilarch-daemon/src/attempts/__fixtures__/simulatedFleet.ts
+++ b/packages/anvilarch-daemon/src/attempts/__fixtures__/simulatedFleet.ts
@@ -31,7 +31,7 @@
   attempts: Map<string, SimulatedAttempt>
   barred: Set<string>
   /** Ended attempts whose retention is over. */
-  forgotten: Set<string>
+  discarded: Set<string>
 }
 
 type Message =
@@ -72,7 +72,7 @@
       refuse: undefined,
       attempts: new Map(),
       barred: new Set(),
-      forgotten: new Set()
+      discarded: new Set()
     }))
     this.state = createRequestState({ requestId: 'r', fingerprint: 'f', idempotent: options.idempotent })
     this.apply({ kind: 'begin', suspect: false })
@@ -153,7 +153,7 @@
 
   private handleStart (agent: SimulatedAgent, attempt: AttemptState, stream: number, from: number): void {
     // No transport duplicates a message this late.
-    if (agent.forgotten.has(attempt.attemptId)) return
+    if (agent.discarded.has(attempt.attemptId)) return
     const reason = this.refusalOf(agent, attempt)
     if (reason !== undefined) {
       agent.barred.add(attempt.attemptId)
@@ -258,11 +258,11 @@
   /** Advances the time; agents discard attempts whose retention is over. */
   wait (durationMs: number): void {
     this.nowMs += durationMs
-    for (const { attempts, forgotten } of this.agents) {
+    for (const { attempts, discarded } of this.agents) {
       for (const [attemptId, attempt] of attempts) {
         if (attempt.endedMs === undefined || this.nowMs - attempt.endedMs < RETENTION_MS) continue
         attempts.delete(attemptId)
-        forgotten.add(attemptId)
+        discarded.add(attemptId)
       }
     }
   }
--- a/packages/anvilarch-daemon/src/attempts/__tests__/endOfStream.test.ts
+++ b/packages/anvilarch-daemon/src/attempts/__tests__/endOfStream.test.ts
@@ -10,11 +10,11 @@
 afterEach(async () => { await gateway.stop() })
 
 /** Prevents a slow response on a busy host from timing out, which would send the request to the next agent. */
-const LONG_SILENCE_TIMEOUT = { silenceMs: 5_000 }
+const LONG_INACTIVITY_TIMEOUT = { silenceMs: 5_000 }
 
 /** Reads a stream whose first endpoint is lost after this many events. */
 async function readAfterLoss (agents: FakeAgentOptions[], lostAfter: number): Promise<string> {
-  gateway = await startTestGateway({ agents, gateway: LONG_SILENCE_TIMEOUT })
+  gateway = await startTestGateway({ agents, gateway: LONG_INACTIVITY_TIMEOUT })
   gateway.agents[0].faults.dieAfterChunks = lostAfter
   const body = JSON.stringify({ model: 'writer', stream: true, messages: [{ role: 'user', content: 'hello' }] })
   return await (await fetch(`${gateway.url}/v1/chat/completions`, { method: 'POST', body })).text()
--- a/packages/anvilarch-daemon/src/attempts/__tests__/gatewayFailures.test.ts
+++ b/packages/anvilarch-daemon/src/attempts/__tests__/gatewayFailures.test.ts
@@ -28,13 +28,13 @@
   }
 }
 
-describe('stream timeouts', () => {
+describe('inactivity timeouts', () => {
   it('resumes a stream whose connection became unresponsive, over a new connection and from its offset', async () => {
     // Guards against a streamed response that stops in the middle for good.
     await start({ agents: [continuingModel('a1', { hold: true })] })
     const response = chat()
     await waitUntil(() => gateway.agents[0].executions.length === 1)
-    gateway.agents[0].faults.silenceOpenStreams = true
+    gateway.agents[0].faults.stallOpenStreams = true
     gateway.agents[0].release()
     expect(await response).toMatchObject({ status: 200, text: WORDS.join('') })
     expect(gateway.agents[0]).toMatchObject({ resumes: 1, executions: [expect.any(String)] })
@@ -44,7 +44,7 @@
   it('runs a call elsewhere when the agent proves that it never received the start', async () => {
     // Guards against a non-idempotent call that fails because its start was sent over an unresponsive connection.
     await start({ agents: [{ name: 'a1' }, { name: 'a2' }] })
-    gateway.agents[0].faults.muteStarts = true
+    gateway.agents[0].faults.ignoreStarts = true
     const response = await reserve()
     expect(response.status).toBe(200)
     expect(executions()).toEqual([0, 1])
@@ -53,7 +53,7 @@
 
   it('detects an unanswered start soon enough for a short deadline', async () => {
     await start({ agents: [{ name: 'a1' }, { name: 'a2' }], gateway: { silenceMs: 5_000 } })
-    gateway.agents[0].faults.muteStarts = true
+    gateway.agents[0].faults.ignoreStarts = true
     const response = await fetch(`${gateway.url}/services/names/names/a.example`, { headers: { 'x-deadline-ms': '800' } })
     expect(response.status).toBe(200)
     expect(executions()).toEqual([0, 1])
--- a/packages/anvilarch-daemon/src/attempts/__tests__/ownPause.test.ts
+++ b/packages/anvilarch-daemon/src/attempts/__tests__/ownPause.test.ts
@@ -6,12 +6,12 @@
 import type { RequestEvent } from '../machine/types'
 
 // Guards against a streamed response that ends early or is refused with 503 under load, although its agent had sent all of it: the
-// gateway took a pause of its own process for a stream timeout.
+// gateway took a pause of its own process for inactivity of the stream.
 
 const WORDS = ['one ', 'two ', 'three ', 'four ', 'five']
 
 /** Long enough for the agent, which is paused together with the gateway in this process, to send a frame after the pause. */
-const STREAM_TIMEOUT_MS = 500
+const INACTIVITY_TIMEOUT_MS = 500
 const PAUSES = 2
 
 const wholeChat = (_request: StartAttemptRequest): string[] => chatEvents(WORDS)
@@ -29,7 +29,7 @@
   afterEach(async () => { await gateway.stop() })
 
   it.each([300, 750, 2_000])('forwards a complete response after pauses of %d ms, without a resumption or second start', async pauseMs => {
-    gateway = await startTestGateway({ agents: [{ name: 'a1', kind: 'model', answer: wholeChat, hold: true }], gateway: { silenceMs: STREAM_TIMEOUT_MS } })
+    gateway = await startTestGateway({ agents: [{ name: 'a1', kind: 'model', answer: wholeChat, hold: true }], gateway: { silenceMs: INACTIVITY_TIMEOUT_MS } })
     const [agent] = gateway.agents
     const pendingResponse = fetch(`${gateway.url}/v1/chat/completions`, { method: 'POST', body: JSON.stringify({ model: 'writer', stream: true, messages: [{ role: 'user', content: 'x' }] }) })
     await delay(50)
@@ -76,7 +76,7 @@
     const clock = createFakeClock()
     const events: RequestEvent[] = []
     const socket = createSocket()
-    const reader = createAttemptReader({ clock, silenceMs: 1_500, onFrame: () => undefined, onEvent: event => { events.push(event) } })
+    const reader = createAttemptReader({ clock, inactivityTimeoutMs: 1_500, onFrame: () => undefined, onEvent: event => { events.push(event) } })
     reader.open(1, socket.frames, TIMING)
     return { clock, events, reader, socket }
   }
--- a/packages/anvilarch-daemon/src/attempts/__tests__/requestHistories.test.ts
+++ b/packages/anvilarch-daemon/src/attempts/__tests__/requestHistories.test.ts
@@ -62,7 +62,7 @@
     fc.modelRun(() => ({ model: {}, real: fleet }), commands)
     fleet.apply({ kind: 'deadline' })
     // Messages still in transit arrive after the caller has received its result.
-    for (let left = 500; left > 0 && fleet.network.length > 0; left--) fleet.deliver(0)
+    for (let deliveries = 500; deliveries > 0 && fleet.network.length > 0; deliveries--) fleet.deliver(0)
     checkEnd(fleet, options.streamed)
     if (fleet.end === undefined) throw new Error('the request never ended')
     if (fleet.starts > MAX_ATTEMPTS) throw new Error(`${fleet.starts} starts`)
--- a/packages/anvilarch-daemon/src/attempts/attemptCalls.ts
+++ b/packages/anvilarch-daemon/src/attempts/attemptCalls.ts
@@ -36,7 +36,7 @@
 
   const remainingMs = (): number => request.deadlineMs - context.clock.nowMs()
 
-  /** With a short deadline, waiting for the full stream timeout would leave no time for another endpoint. */
+  /** With a short deadline, waiting for the full inactivity timeout would leave no time for another endpoint. */
   const timing = (delayMs: number): StreamTiming => ({ delayMs, firstFrameTimeoutMs: Math.max(MIN_FIRST_FRAME_TIMEOUT_MS, remainingMs() * FIRST_FRAME_TIMEOUT_SHARE) })
 
   return {
--- a/packages/anvilarch-daemon/src/attempts/attemptLedger.ts
+++ b/packages/anvilarch-daemon/src/attempts/attemptLedger.ts
@@ -55,7 +55,7 @@
   }
 }
 
-/** True for a start that was refused or never sent, an attempt barred before it was accepted, and one whose agent reports that it did not run. */
+/** True for a start that was refused or never sent, an attempt barred before any output, and one that its agent reports as not run. */
 function provesNotRun (event: RequestEvent, attempt: AttemptState): boolean {
   const unseen = !attempt.headSeen && attempt.receivedBytes === 0
   switch (event.kind) {
--- a/packages/anvilarch-daemon/src/attempts/attemptReader.ts
+++ b/packages/anvilarch-daemon/src/attempts/attemptReader.ts
@@ -1,4 +1,4 @@
-/** Reads the streams of a request's attempts, one at a time, and detects timeouts. */
+/** Reads the streams of a request's attempts, one at a time, and detects inactivity timeouts. */
 import type { AttemptFrame } from 'anvilarch-protocol'
 import { type Clock, createSilenceWatch, type SilenceWatch, type Timer } from 'anvilarch-utils'
 import { wasNeverSent } from '../peers/connectErrors'
@@ -7,11 +7,11 @@
 /** Options of `createAttemptReader`. */
 export interface AttemptReaderOptions {
   clock: Clock
-  /** Time without frame or heartbeat after which a stream has timed out. */
-  silenceMs: number
+  /** Time without frame or heartbeat after which a stream times out. */
+  inactivityTimeoutMs: number
   /** Handles a frame; resolves when the caller accepts more output. */
   onFrame: (frame: AttemptFrame, stream: number) => Promise<void> | undefined
-  /** Handles the timeout or the end of a stream. */
+  /** Handles the inactivity timeout or the end of a stream. */
   onEvent: (event: RequestEvent) => void
   /** Called when this process was paused while it should have read a stream. */
   onProcessPause?: (lateMs: number) => void
@@ -35,8 +35,8 @@
 interface OpenStream {
   stream: number
   abort: AbortController
-  /** Detects timeouts from the time of the call on. */
-  silenceWatch: SilenceWatch | undefined
+  /** Detects inactivity from the time of the call on. */
+  inactivityWatch: SilenceWatch | undefined
   /** The caller accepts no more output. A stream that is not read for that reason does not time out. */
   backpressured: boolean
   /** The last frame was received; the agent ends the stream. */
@@ -53,38 +53,38 @@
  * @returns a reader without a stream
  */
 export function createAttemptReader (options: AttemptReaderOptions): AttemptReader {
-  const { clock, silenceMs } = options
+  const { clock, inactivityTimeoutMs } = options
   let current: OpenStream | undefined
 
   /** A finished stream is read to its end, since an abort would reset it, which costs both sides more. */
-  const leave = (): void => {
+  const close = (): void => {
     const open = current
     current = undefined
     if (open === undefined) return
-    open.silenceWatch?.cancel()
+    open.inactivityWatch?.cancel()
     open.timer?.cancel()
-    if (open.finished) open.timer = clock.after(silenceMs, () => { open.abort.abort() })
+    if (open.finished) open.timer = clock.after(inactivityTimeoutMs, () => { open.abort.abort() })
     else open.abort.abort()
   }
 
   const createWatch = (open: OpenStream, firstFrameTimeoutMs: number): SilenceWatch => createSilenceWatch({
     clock,
-    boundMs: Math.min(firstFrameTimeoutMs, silenceMs),
+    boundMs: Math.min(firstFrameTimeoutMs, inactivityTimeoutMs),
     isHeldBack: () => open.backpressured,
     onSilence: () => { options.onEvent({ kind: 'silence', stream: open.stream }) },
     onOwnPause: options.onProcessPause
   })
 
   const handleFrame = async (open: OpenStream, frame: AttemptFrame): Promise<void> => {
-    open.silenceWatch?.heard()
-    open.silenceWatch?.setBoundMs(silenceMs)
+    open.inactivityWatch?.heard()
+    open.inactivityWatch?.setBoundMs(inactivityTimeoutMs)
     open.finished = LAST_FRAMES.has(frame.kind.case)
     const pending = options.onFrame(frame, open.stream)
     if (pending === undefined) return
     open.backpressured = true
     await pending
     open.backpressured = false
-    open.silenceWatch?.heard()
+    open.inactivityWatch?.heard()
   }
 
   const read = async (open: OpenStream, frames: AsyncIterable<AttemptFrame>): Promise<void> => {
@@ -99,18 +99,18 @@
       const message = error instanceof Error ? error.message : String(error)
       options.onEvent({ kind: 'stream_ended', stream, neverSent: wasNeverSent(error), message })
     } finally {
-      open.silenceWatch?.cancel()
+      open.inactivityWatch?.cancel()
       open.timer?.cancel()
     }
   }
 
   return {
     open: (stream, call, { delayMs, firstFrameTimeoutMs }) => {
-      leave()
+      close()
       const open: OpenStream = {
         stream,
         abort: new AbortController(),
-        silenceWatch: undefined,
+        inactivityWatch: undefined,
         backpressured: false,
         finished: false,
         timer: undefined
@@ -118,12 +118,12 @@
       current = open
       const start = (): void => {
         if (current !== open) return
-        open.silenceWatch = createWatch(open, firstFrameTimeoutMs)
+        open.inactivityWatch = createWatch(open, firstFrameTimeoutMs)
         read(open, call(open.abort.signal)).catch(() => {})
       }
       if (delayMs > 0) open.timer = clock.after(delayMs, start)
       else start()
     },
-    close: leave
+    close
   }
 }
--- a/packages/anvilarch-daemon/src/attempts/intents/keyedCallRunner.ts
+++ b/packages/anvilarch-daemon/src/attempts/intents/keyedCallRunner.ts
@@ -35,8 +35,8 @@
   const group = createCommitGroup({ ...DEFAULT_OPTIONS, clock, table, idPrefix: `intents-${incarnation}`, maxWaiting: MAX_WAITING_WRITES })
   const orphans = createOrphanSettler({ ...DEFAULT_ORPHANS, clock, table })
   const firstReadMsById = new LRUCache<string, number>({ max: MAX_REMEMBERED_INTENTS })
-  const recording = new Set<Promise<void>>()
-  let intents = 0
+  const pendingRecords = new Set<Promise<void>>()
+  let intentCount = 0
   group.onOrphan(commit => { orphans.add(commit) })
 
   const record = async (key: string, version: number, row: IntentRow, result: WorkResult): Promise<void> => {
@@ -52,8 +52,8 @@
 
   const runNew = async (key: string, version: number, row: IntentRow, execute: () => Promise<WorkResult>): Promise<KeyedResult> => {
     const result = await execute()
-    const recorded = record(key, version, row, result).finally(() => { recording.delete(recorded) })
-    recording.add(recorded)
+    const recorded = record(key, version, row, result).finally(() => { pendingRecords.delete(recorded) })
+    pendingRecords.add(recorded)
     if (recordedEnd(result) === undefined) await Promise.race([recorded, sleep(clock, MAX_FREE_KEY_WAIT_MS)])
     return { kind: 'ran', result }
   }
@@ -82,7 +82,7 @@
         callHash: call.callHash,
         requestId: call.requestId,
         gateway: context.settings.name,
-        intentId: `${incarnation}-${intents++}`,
+        intentId: `${incarnation}-${intentCount++}`,
         timeoutMs: call.timeoutMs,
         writtenAtMs: clock.wallMs()
       }
@@ -90,7 +90,7 @@
       return await onIntentWritten(settled, key, row, call, execute)
     },
     idle: async () => {
-      await Promise.all(recording)
+      await Promise.all(pendingRecords)
       await orphans.idle()
     }
   }
--- a/packages/anvilarch-daemon/src/attempts/machine/__tests__/resumptions.test.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/__tests__/resumptions.test.ts
@@ -19,10 +19,11 @@
 }
 
 describe('a stream that times out again after it was resumed', () => {
-  // Guards against a response that fails after two timeouts long before its deadline, although its agent accepted the resumption and retains the output.
+  // Guards against a response that fails after two inactivity timeouts long before its deadline, although its agent accepted the
+  // resumption and retains the output.
   it('is resumed again when its agent has shown in between that the attempt still runs', () => {
     const { apply, stream } = createRunning()
-    for (let silences = 0; silences < 4; silences++) {
+    for (let timeouts = 0; timeouts < 4; timeouts++) {
       expect(apply({ kind: 'silence', stream: stream() })).toMatchObject([{ kind: 'leave' }, { kind: 'resume', newConnection: true }])
       apply({ kind: 'accepted', stream: stream(), incarnation: '1' })
       apply({ kind: 'heartbeat', stream: stream() })
--- a/packages/anvilarch-daemon/src/attempts/machine/__tests__/waitingForTarget.test.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/__tests__/waitingForTarget.test.ts
@@ -39,8 +39,8 @@
 })
 
 describe('an accepted request without an endpoint to run at', () => {
-  // Guards against harmless calls that end as `endpoint_failed` long before their deadline: another request crashes endpoints one after another,
-  // and a common limit of all waits runs out just before an endpoint is ready again.
+  // Guards against harmless calls that end as `endpoint_failed` long before their deadline: another request crashes endpoints one
+  // after another, and a common limit of all waits runs out just before an endpoint is ready again.
   it('starts a new wait after each crash', () => {
     const request = createRequest()
     request.at(0, { kind: 'begin', suspect: false })
--- a/packages/anvilarch-daemon/src/attempts/machine/frames.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/frames.ts
@@ -100,7 +100,7 @@
   return onCompleted(state, attempt, event, input)
 }
 
-/** A response is complete only when every byte written by the endpoint was received and nothing required by the caller's protocol is missing. */
+/** A response is complete when every byte of the endpoint was received and nothing required by the caller's protocol is missing. */
 function onCompleted (state: RequestState, attempt: AttemptState, event: EventOf<'final'>, input: StepInput): Step {
   const { final } = event
   const { target } = attempt
--- a/packages/anvilarch-daemon/src/attempts/machine/requestMachine.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/requestMachine.ts
@@ -3,7 +3,7 @@
 import { chooseEndpoint, quarantinedFailure } from './nextAttempt'
 import { DEFAULT_RETRY_AFTER_MS, MAX_TARGET_WAIT_MS, TARGET_WAIT_SHARE } from './limits'
 import { onAccepted, onFinal, onHead, onHeartbeat, onOutput, onRefused } from './frames'
-import { onOutputInvalid, onSilence, onStreamEnded } from './streams'
+import { onOutputInvalid, onInactivityTimeout, onStreamEnded } from './streams'
 import type { AttemptState, Failure, RequestEvent, RequestFacts, RequestState, Step, StepInput } from './types'
 
 /**
@@ -44,7 +44,7 @@
   output: withAttempt(onOutput),
   heartbeat: withAttempt(onHeartbeat),
   final: withAttempt(onFinal),
-  silence: withAttempt(onSilence),
+  silence: withAttempt(onInactivityTimeout),
   stream_ended: withAttempt(onStreamEnded),
   output_invalid: withAttempt(onOutputInvalid),
   deadline: state => cancelAndEnd(state, deadlinePassed(state)),
--- a/packages/anvilarch-daemon/src/attempts/machine/streams.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/streams.ts
@@ -14,10 +14,10 @@
 }
 
 /**
- * Handles a timeout without frame or heartbeat. A network device may have dropped the connection without notice to either end:
- * the attempt goes on but nothing arrives, and only a new connection can show that.
+ * Handles an inactivity timeout: no frame or heartbeat arrived. A network device may have dropped the connection without notice
+ * to either end: the attempt continues but nothing arrives, and only a new connection can show that.
  */
-export function onSilence (state: RequestState, attempt: AttemptState, _event: EventOf<'silence'>, input: StepInput): Step {
+export function onInactivityTimeout (state: RequestState, attempt: AttemptState, _event: EventOf<'silence'>, input: StepInput): Step {
   return resumeOrGiveUp(state, attempt, input, { reason: 'silence', message: 'the agent went silent', newConnection: true })
 }
 
--- a/packages/anvilarch-daemon/src/attempts/requestTask.ts
+++ b/packages/anvilarch-daemon/src/attempts/requestTask.ts
@@ -118,7 +118,7 @@
 
   const reader: AttemptReader = createAttemptReader({
     clock,
-    silenceMs: context.settings.gateway.silenceMs,
+    inactivityTimeoutMs: context.settings.gateway.silenceMs,
     onFrame: handleFrame,
     onEvent: dispatch,
     onProcessPause: recorder.processPause
--- a/packages/anvilarch-daemon/src/attempts/types.ts
+++ b/packages/anvilarch-daemon/src/attempts/types.ts
@@ -42,7 +42,10 @@
   onOutput: (data: Uint8Array) => Promise<void> | void
 }
 
-/** How a request ended. The error of `failed` states whether the request ran; `acceptedBy` lists the keys of endpoints whose agents accepted it, the last one last. */
+/**
+ * How a request ended. The error of `failed` states whether the request ran; `acceptedBy` lists the keys of endpoints whose
+ * agents accepted it, the last one last.
+ */
 export type WorkResult =
   | { outcome: 'completed', status: number, headers: Headers, body: Uint8Array, attempts: number, outputTokens: number, acceptedBy: readonly string[] }
   | { outcome: 'failed', error: AnvilarchError, attempts: number, acceptedBy: readonly string[] }
--- a/packages/anvilarch-daemon/src/quarantine/__tests__/startQuarantine.test.ts
+++ b/packages/anvilarch-daemon/src/quarantine/__tests__/startQuarantine.test.ts
@@ -17,7 +17,7 @@
 }
 
 describe('startQuarantine', () => {
-  // Guards against a crashing request that keeps crashing endpoints, because an outage of the table kept its fingerprint from other gateways.
+  // Guards against a request that keeps crashing endpoints, because an outage of the table kept its fingerprint from other gateways.
   it('keeps a fingerprint added during an outage of the table and shares it with other gateways afterwards', async () => {
     const clock = createFakeClock()
     const platform = createFakePlatform()
--- a/packages/anvilarch-daemon/src/routing/outliers.ts
+++ b/packages/anvilarch-daemon/src/routing/outliers.ts
@@ -44,7 +44,7 @@
 /** Maximum share of a service's endpoints that are ejected, since the others must carry the load. */
 const MAX_EJECTED_SHARE = 0.5
 
-const NONE: ReadonlySet<string> = new Set()
+const NO_ENDPOINTS: ReadonlySet<string> = new Set()
 
 /**
  * @param onEjected - called with each ejected endpoint and the duration of its ejection
@@ -102,9 +102,9 @@
       if (record.ejections > 0 && record.outcomes.length >= PROBATION_OUTCOMES && failuresOf(record.outcomes) === 0) record.ejections = 0
     },
     ejected: (keys, nowMs) => {
-      if (records.size === 0) return NONE
+      if (records.size === 0) return NO_ENDPOINTS
       const maxEjected = Math.floor(keys.length * MAX_EJECTED_SHARE)
-      if (maxEjected === 0) return NONE
+      if (maxEjected === 0) return NO_ENDPOINTS
       const ejected = new Set(keys.filter(key => nowMs < (records.get(key)?.ejectedUntilMs ?? nowMs)))
       for (const key of keys) {
         if (ejected.has(key) || !isOutlier(key, keys)) continue
--- a/packages/anvilarch-daemon/src/routing/policies.ts
+++ b/packages/anvilarch-daemon/src/routing/policies.ts
@@ -45,8 +45,8 @@
 function preferOwnRegion (targets: readonly Target[], input: PolicyInput): readonly Target[] {
   const own = targets.filter(target => target.region === input.ownRegion)
   if (own.length === 0 || own.length === targets.length) return targets
-  const hasRoom = own.some(target => (input.loadOf(target).free ?? 1) > 0)
-  return hasRoom ? own : targets
+  const hasCapacity = own.some(target => (input.loadOf(target).free ?? 1) > 0)
+  return hasCapacity ? own : targets
 }
 
 function chooseByAffinity (pool: readonly Target[], input: PolicyInput): Target {
