--- a/packages/anvilarch-daemon/src/attempts/intents/orphans.ts
+++ b/packages/anvilarch-daemon/src/attempts/intents/orphans.ts
@@ -17,7 +17,7 @@
   stop: () => void
 }
 
-/** Options of `createOrphans`. */
+/** Options of `createOrphanSettler`. */
 export interface OrphanSettlerOptions {
   clock: Clock
   table: TablePort
