--- a/packages/anvilarch-daemon/src/jobs/itemAttempts.ts
+++ b/packages/anvilarch-daemon/src/jobs/itemAttempts.ts
@@ -20,7 +20,7 @@
 /** A run that failed. */
 export interface FailedRun {
   /** Keys of the endpoints whose agents accepted it, the most recent last. */
-  takenBy: readonly string[]
+  acceptedBy: readonly string[]
   kind: FailureKind
 }
 
@@ -53,17 +53,17 @@
 export function afterFailedRun (history: RunHistory, run: FailedRun, bounds: RunBounds): RunHistory {
   const failedResponses = withFailedResponse(history.failedResponses, run)
   const isRepeat = run.kind === 'responded' && failedResponses === history.failedResponses && failedResponses.size < bounds.replicas
-  const isAttempt = run.takenBy.length === 0 || !(isRepeat || run.kind === 'lost')
+  const isAttempt = run.acceptedBy.length === 0 || !(isRepeat || run.kind === 'lost')
   return {
     runs: history.runs + 1,
     attempts: history.attempts + (isAttempt ? 1 : 0),
     deferrals: 0,
-    failedAt: new Set([...history.failedAt, ...run.takenBy]),
+    failedAt: new Set([...history.failedAt, ...run.acceptedBy]),
     failedResponses
   }
 }
 
-function withFailedResponse (known: ReadonlySet<string>, { takenBy, kind }: FailedRun): ReadonlySet<string> {
+function withFailedResponse (known: ReadonlySet<string>, { acceptedBy: takenBy, kind }: FailedRun): ReadonlySet<string> {
   const last = takenBy.at(-1)
   return kind !== 'responded' || last === undefined || known.has(last) ? known : new Set([...known, last])
 }
--- a/packages/anvilarch-daemon/src/jobs/partItems.ts
+++ b/packages/anvilarch-daemon/src/jobs/partItems.ts
@@ -122,7 +122,7 @@
     },
     failed: ({ index, requestId }, verdict) => { finishFailed(index, requestId, verdict) },
     run_again: ({ index, requestId, service, takenBy }, verdict) => {
-      const mayRunAgain = recordFailedRun(index, service, { takenBy, kind: failureKind(verdict) })
+      const mayRunAgain = recordFailedRun(index, service, { acceptedBy: takenBy, kind: failureKind(verdict) })
       if (mayRunAgain) backOff(index, queue.history(index).runs - 1, RUN_BACKOFF_MS, MAX_RUN_BACKOFF_MS)
       else finishFailed(index, requestId, verdict)
     },
@@ -142,7 +142,7 @@
   const handleUnknownModel = (index: number, model: string): void => {
     queue.take(index)
     const requestId = requestIdOf(index)
-    if (recordFailedRun(index, NO_SERVICE, { takenBy: [], kind: 'incomplete' })) {
+    if (recordFailedRun(index, NO_SERVICE, { acceptedBy: [], kind: 'incomplete' })) {
       queue.defer(index, context.clock.nowMs() + UNKNOWN_MODEL_DELAY_MS)
       return
     }
@@ -165,7 +165,7 @@
     const request = itemRequest(itemAt(ready.index), { requestId, caller: job.caller, target: ready.target, deadlineMs, avoid })
     const result = await options.runner.run(request, { signal: controller.signal }).catch(toFailedResult)
     running.delete(ready.index)
-    if (!controller.signal.aborted) handleResult({ index: ready.index, requestId, service: ready.target.service, takenBy: result.takenBy }, result)
+    if (!controller.signal.aborted) handleResult({ index: ready.index, requestId, service: ready.target.service, takenBy: result.acceptedBy }, result)
     options.onRunEnded()
   }
 
@@ -203,7 +203,7 @@
 
 function toFailedResult (error: unknown): WorkResult {
   const details = { code: 'internal', step: 'jobs.run_item', ran: 'unknown' } as const
-  return { outcome: 'failed', error: error instanceof AnvilarchError ? error : toAnvilarchError(error, details), attempts: 1, takenBy: [] }
+  return { outcome: 'failed', error: error instanceof AnvilarchError ? error : toAnvilarchError(error, details), attempts: 1, acceptedBy: [] }
 }
 
 /** Parses a response body; a body that is not JSON is returned as text. */
