--- a/packages/anvilarch-configuration/src/__tests__/validateSettings.test.ts
+++ b/packages/anvilarch-configuration/src/__tests__/validateSettings.test.ts
@@ -33,18 +33,18 @@
   ['an agent without endpoints', { ...AGENT, agent: {} }, 'agent.endpoints', 'at least one endpoint'],
   ['a plain endpoint without a service', withEndpoint({ name: 'p', kind: 'plain', url: 'http://a' }), 'agent.endpoints[1].service', 'the service that a plain endpoint belongs to'],
   ['a model endpoint with a service', withEndpoint({ name: 'm', kind: 'model', service: 's', url: 'http://a' }), 'agent.endpoints[1].service', 'by an order'],
-  ['two endpoints of one name', withEndpoint(MODEL_ENDPOINT), 'agent.endpoints[1].name', 'a name of its own'],
-  ['a port above the highest', { ...AGENT, listen: { peers: '127.0.0.1:70000', operations: '127.0.0.1:0' } }, 'listen.peers', 'a port up to 65535'],
-  ['a host name in place of an IP number', { ...AGENT, listen: { peers: 'localhost:1', operations: '127.0.0.1:0' } }, 'listen.peers', 'an IP number and a port'],
-  ['two listeners on one port', { ...AGENT, listen: { peers: '127.0.0.1:81', operations: '127.0.0.1:81' } }, 'listen.operations', 'an address of its own'],
+  ['two endpoints with the same name', withEndpoint(MODEL_ENDPOINT), 'agent.endpoints[1].name', 'a name of its own'],
+  ['a port above the maximum', { ...AGENT, listen: { peers: '127.0.0.1:70000', operations: '127.0.0.1:0' } }, 'listen.peers', 'a port up to 65535'],
+  ['a host name instead of an IP address', { ...AGENT, listen: { peers: 'localhost:1', operations: '127.0.0.1:0' } }, 'listen.peers', 'an IP number and a port'],
+  ['two listeners on the same address', { ...AGENT, listen: { peers: '127.0.0.1:81', operations: '127.0.0.1:81' } }, 'listen.operations', 'an address of its own'],
   ['a URL of another scheme', { ...AGENT, platform: { ...GATEWAY.platform, tableUrl: 'ftp://a' } }, 'platform.tableUrl', 'an http:// or https:// URL'],
-  ['a lease shorter than the poll', { ...GATEWAY, gateway: { leaseMs: 100 } }, 'gateway.leaseMs', 'more than pollIntervalMs, which is 2000'],
+  ['a lease shorter than the poll interval', { ...GATEWAY, gateway: { leaseMs: 100 } }, 'gateway.leaseMs', 'more than pollIntervalMs, which is 2000'],
   ['an unknown role', { ...GATEWAY, role: 'gate' }, 'role', 'one of "gateway", "agent"'],
   ['an unknown log level', { ...GATEWAY, log: { level: 'inf' } }, 'log.level', 'one of "trace", "debug", "info", "warn", "error"']
 ]
 
 describe('validateSettings', () => {
-  it('fills in every default', () => {
+  it('fills in all defaults', () => {
     const settings = validateSettings(JSON.stringify(GATEWAY), 'gateway.jsonc').unwrap()
     expect(settings.gateway).toEqual(DEFAULT_GATEWAY_SETTINGS)
     expect(settings.agent).toEqual(DEFAULT_AGENT_SETTINGS)
@@ -52,7 +52,7 @@
     expect(settings.platform).toMatchObject({ adapter: 'http', timeoutMs: 3000 })
   })
 
-  it('gives endpoints their defaults', () => {
+  it('fills in the defaults of endpoints', () => {
     const settings = validateSettings(JSON.stringify(AGENT), 'agent.jsonc').unwrap()
     expect(settings.agent.endpoints).toEqual([{ ...MODEL_ENDPOINT, checksFencing: true, slots: 32 }])
   })
@@ -68,7 +68,7 @@
 })
 
 describe('formatIssues', () => {
-  it('names file, line, column, field, what was found, what is expected and close names', () => {
+  it('contains file, line, column, field, found and expected value and similar names', () => {
     const text = JSON.stringify({ ...GATEWAY, gateway: { silenceMS: 5 } }, null, 2)
     const result = validateSettings(text, 'gateway.jsonc')
     expect(result.ok ? '' : formatIssues(result.val)).toMatch(
--- a/packages/anvilarch-configuration/src/canonicalJson.ts
+++ b/packages/anvilarch-configuration/src/canonicalJson.ts
@@ -1,10 +1,10 @@
-/** One text for one document, whatever the order of its keys, so that equal documents have equal hashes. */
+/** Canonical JSON of documents, so that equal documents have equal hashes whatever the order of their keys. */
 import { createHash } from 'node:crypto'
 import type { ConfigurationDocument } from './types'
 
 /**
  * @param document - a validated document
- * @returns JSON without white space, with the keys of each object sorted
+ * @returns JSON without whitespace, with the keys of each object sorted
  */
 export function canonicalJson (document: ConfigurationDocument): string {
   return JSON.stringify(document, (_key, value: unknown) => isPlainObject(value) ? sortKeys(value) : value)
@@ -12,7 +12,7 @@
 
 /**
  * @param document - a validated document
- * @returns SHA-256 of its canonical JSON, in hex
+ * @returns SHA-256 of its canonical JSON, as hex digits
  */
 export function hashDocument (document: ConfigurationDocument): string {
   return createHash('sha256').update(canonicalJson(document)).digest('hex')
--- a/packages/anvilarch-configuration/src/defaults.ts
+++ b/packages/anvilarch-configuration/src/defaults.ts
@@ -1,18 +1,18 @@
-/** Values of the fields that a document or the settings leave out. */
+/** Default values of optional fields of documents and settings. */
 import type { AgentSettings, BatchPolicy, CallerLimits, ConfigurationDocument, DaemonSettings, EndpointSettings, GatewaySettings, ModelService } from './types'
 
 const KIBIBYTE = 1024
 const MEBIBYTE = 1024 * KIBIBYTE
 const GIBIBYTE = 1024 * MEBIBYTE
 
-/** Batch policy of a model service that names none. */
+/** Default batch policy of a model service. */
 export const DEFAULT_BATCH_POLICY: BatchPolicy = {
   firstTokenTargetMs: 1200,
   interTokenTargetMs: 26,
   slackSharePercent: 90
 }
 
-/** Fields that a model service may leave out. */
+/** Optional fields of a model service. */
 export const DEFAULT_MODEL_SERVICE: Pick<ModelService, 'adapters' | 'classes' | 'failureDomains' | 'timeoutMs'> = {
   adapters: [],
   classes: ['online', 'batch'],
@@ -20,10 +20,10 @@
   timeoutMs: 60_000
 }
 
-/** Time limit of a plain route that names none. */
+/** Default timeout of a plain route. */
 export const DEFAULT_ROUTE_TIMEOUT_MS = 10_000
 
-/** Limits of a caller when the document has no `defaultCaller`. */
+/** Limits of a caller if the document has no `defaultCaller`. */
 export const DEFAULT_CALLER_LIMITS: CallerLimits = {
   requestsPerSecond: 100,
   burst: 200,
@@ -31,7 +31,7 @@
   maxActiveJobs: 100
 }
 
-/** Limits that hold for the whole system. */
+/** System-wide limits. */
 export const DEFAULT_LIMITS: ConfigurationDocument['limits'] = {
   maxBodyBytes: 4 * MEBIBYTE,
   maxFileBytes: 2 * GIBIBYTE,
@@ -41,13 +41,13 @@
   resultRetentionHours: 168
 }
 
-/** Fields that an endpoint may leave out. */
+/** Optional fields of an endpoint. */
 export const DEFAULT_ENDPOINT_SETTINGS: Pick<EndpointSettings, 'checksFencing' | 'slots'> = {
   checksFencing: true,
   slots: 32
 }
 
-/** Tunables of an agent. */
+/** Default settings of an agent. */
 export const DEFAULT_AGENT_SETTINGS: AgentSettings = {
   endpoints: [],
   heartbeatMs: 500,
@@ -60,7 +60,7 @@
   drainTimeoutMs: 600_000
 }
 
-/** Tunables of a gateway. */
+/** Default settings of a gateway. */
 export const DEFAULT_GATEWAY_SETTINGS: GatewaySettings = {
   exchangeIntervalMs: 1000,
   silenceMs: 1500,
@@ -75,11 +75,11 @@
   routingPolicy: 'affinity'
 }
 
-/** Fields of the platform section that may be left out. */
+/** Optional fields of the platform section. */
 export const DEFAULT_PLATFORM_SETTINGS: Pick<DaemonSettings['platform'], 'adapter' | 'timeoutMs'> = {
   adapter: 'http',
   timeoutMs: 3000
 }
 
-/** Level of the logs when the settings name none. */
+/** Default log settings. */
 export const DEFAULT_LOG_SETTINGS: DaemonSettings['log'] = { level: 'info' }
--- a/packages/anvilarch-configuration/src/documentChecks.ts
+++ b/packages/anvilarch-configuration/src/documentChecks.ts
@@ -1,11 +1,11 @@
-/** Checks of the document that look at more than one field. */
+/** Checks of the document that involve more than one field. */
 import { describeValue, type FieldPath, type FieldProblem, oneOfNames } from './problems'
 import { suggestNames } from './suggestions'
 import type { ConfigurationDocument, ModelService, PlainService } from './types'
 
 /**
- * @param document - a document of the right shape
- * @returns what is wrong with it
+ * @param document - a document that matches the schema
+ * @returns its problems
  */
 export function checkDocument (document: ConfigurationDocument): FieldProblem[] {
   return [
@@ -16,7 +16,7 @@
   ]
 }
 
-/** A failure domain in two regions would make "spread over regions" mean nothing. */
+/** A failure domain in two regions would make spreading over regions meaningless. */
 function checkFailureDomains (document: ConfigurationDocument): FieldProblem[] {
   const regionOf = new Map<string, string>()
   return Object.entries(document.regions).flatMap(([region, { failureDomains }]) =>
@@ -46,8 +46,8 @@
 function checkModelService (document: ConfigurationDocument, path: FieldPath, service: ModelService): FieldProblem[] {
   const problems = [
     ...checkNames(service.failureDomains, allFailureDomains(document), [...path, 'failureDomains'], 'regions'),
-    ...checkRepeated(service.adapters, [...path, 'adapters']),
-    ...checkRepeated(service.classes, [...path, 'classes'])
+    ...checkDuplicates(service.adapters, [...path, 'adapters']),
+    ...checkDuplicates(service.classes, [...path, 'classes'])
   ]
   const modelNames = Object.keys(document.models)
   if (!modelNames.includes(service.model)) return [...checkName(service.model, modelNames, [...path, 'model'], 'models'), ...problems]
@@ -77,7 +77,7 @@
   })
 }
 
-/** Two accounts with one key could not be told apart. */
+/** Two accounts with the same key could not be distinguished. */
 function checkCallerKeys (document: ConfigurationDocument): FieldProblem[] {
   const callerOf = new Map<string, string>()
   return Object.entries(document.callers).flatMap(([caller, { keySha256 }]) => {
@@ -108,7 +108,7 @@
   return [{ path, found: describeValue(name), expected: oneOfNames(known, where), didYouMean: suggestNames(name, known) }]
 }
 
-function checkRepeated (names: string[], path: FieldPath): FieldProblem[] {
+function checkDuplicates (names: string[], path: FieldPath): FieldProblem[] {
   return names.flatMap((name, index) => {
     if (names.indexOf(name) === index) return []
     return [{ path: [...path, index], found: `${describeValue(name)} a second time`, expected: 'each entry once' }]
--- a/packages/anvilarch-configuration/src/documentSchema.ts
+++ b/packages/anvilarch-configuration/src/documentSchema.ts
@@ -1,11 +1,11 @@
-/** Shape of the configuration document. `types.ts` states the same shape for readers; the compiler holds the two together. */
+/** Schema of the configuration document. The compiler checks that it matches the types in `types.ts`. */
 import { z } from 'zod'
 import { DEFAULT_BATCH_POLICY, DEFAULT_CALLER_LIMITS, DEFAULT_LIMITS, DEFAULT_MODEL_SERVICE, DEFAULT_ROUTE_TIMEOUT_MS } from './defaults'
 import { flag, listOf, name, namedMap, numberBetween, oneOf, strictShape, wholeNumber } from './fieldSchemas'
-import type { Holds, SameKeys } from './schemaTypes'
+import type { AssertTrue, SameKeys } from './schemaTypes'
 import type { BatchPolicy, CallerLimits, ConfigurationDocument, ModelService, ModelSpec, PlainRoute, PlainService } from './types'
 
-/** Methods that a plain route may have. */
+/** HTTP methods that a plain route may have. */
 export const PLAIN_METHODS = ['GET', 'HEAD', 'POST', 'PUT', 'PATCH', 'DELETE'] as const
 
 const MAX_PERCENT = 100
@@ -39,7 +39,7 @@
 const routeSchema = strictShape({
   method: oneOf(PLAIN_METHODS),
   path: z.string({ error: ROUTE_PATH_EXPECTED }).min(1, { error: ROUTE_PATH_EXPECTED }).regex(ROUTE_PATH_PATTERN, { error: ROUTE_PATH_EXPECTED }),
-  // No default: a wrong guess either repeats a call that must not be repeated, or fails one that could have been.
+  // No default: a wrong one would retry calls that must not be retried, or fail calls that could be retried.
   idempotent: flag(),
   timeoutMs: wholeNumber(1).default(DEFAULT_ROUTE_TIMEOUT_MS)
 }) satisfies z.ZodType<PlainRoute>
@@ -99,22 +99,22 @@
   limits: limitsSchema.prefault({})
 })
 
-/** A caller takes over from `defaultCaller` what it doesn't name itself. */
+/** Fills in the limits of `defaultCaller` that a caller does not set. */
 function fillCallers (parsed: z.output<typeof documentShape>): ConfigurationDocument {
   const callers = Object.entries(parsed.callers).map(([caller, limits]) => [caller, { ...parsed.defaultCaller, ...limits }])
   return { ...parsed, callers: Object.fromEntries(callers) }
 }
 
-/** Schema of the whole document; its output has every default filled in. */
+/** Schema of the whole document; its output has all defaults filled in. */
 export const documentSchema = documentShape.transform(fillCallers)
 
-/** Fails to compile when a schema and its type in `types.ts` differ in a key, an optional one included. */
+/** Fails to compile if a schema and its type in `types.ts` differ in a required or optional key. */
 export type DocumentSchemaKeysMatch = [
-  Holds<SameKeys<z.output<typeof documentShape>, ConfigurationDocument>>,
-  Holds<SameKeys<z.output<typeof modelSchema>, ModelSpec>>,
-  Holds<SameKeys<z.output<typeof modelServiceSchema>, ModelService>>,
-  Holds<SameKeys<z.output<typeof plainServiceSchema>, PlainService>>,
-  Holds<SameKeys<z.output<typeof routeSchema>, PlainRoute>>,
-  Holds<SameKeys<z.output<typeof namedCallerSchema>, CallerLimits>>,
-  Holds<SameKeys<z.output<typeof limitsSchema>, ConfigurationDocument['limits']>>
+  AssertTrue<SameKeys<z.output<typeof documentShape>, ConfigurationDocument>>,
+  AssertTrue<SameKeys<z.output<typeof modelSchema>, ModelSpec>>,
+  AssertTrue<SameKeys<z.output<typeof modelServiceSchema>, ModelService>>,
+  AssertTrue<SameKeys<z.output<typeof plainServiceSchema>, PlainService>>,
+  AssertTrue<SameKeys<z.output<typeof routeSchema>, PlainRoute>>,
+  AssertTrue<SameKeys<z.output<typeof namedCallerSchema>, CallerLimits>>,
+  AssertTrue<SameKeys<z.output<typeof limitsSchema>, ConfigurationDocument['limits']>>
 ]
--- a/packages/anvilarch-configuration/src/fieldSchemas.ts
+++ b/packages/anvilarch-configuration/src/fieldSchemas.ts
@@ -1,11 +1,11 @@
 /**
- * Building blocks of the schemas. The message of every schema is the text of what it expects,
- * so that an issue can quote it without a table of its own.
+ * Building blocks of the schemas. The error message of each schema describes the expected value, so that issues can use it
+ * directly.
  */
 import { isIPv4, isIPv6 } from 'node:net'
 import { z } from 'zod'
 
-/** Separates the known keys in the message of an issue on an unknown key. */
+/** Separator of the known keys in the error message for an unknown key. */
 export const KEY_SEPARATOR = ', '
 
 const MAX_NAME_LENGTH = 64
@@ -13,11 +13,11 @@
 const NAME_PATTERN = /^[A-Za-z0-9][A-Za-z0-9._-]*$/
 const ADDRESS_PATTERN = /^(?:\[([^\]]+)\]|([^:]+)):(\d{1,5})$/
 
-/** What `name` expects. */
+/** Error message of `name`. */
 export const NAME_EXPECTED = `a name of at most ${MAX_NAME_LENGTH} letters, digits, ".", "_" and "-" that starts with a letter or digit`
 
 /**
- * Names are parts of row keys, object names and URL paths, where a slash or a space would change the meaning.
+ * Names become parts of row keys, object names and URL paths, where slashes or spaces would change the meaning.
  *
  * @returns a schema for the name of a service, model, host or caller
  */
@@ -26,9 +26,9 @@
 }
 
 /**
- * @param minimum - the lowest value allowed
- * @param maximum - the highest value allowed
- * @returns a schema for a whole number
+ * @param minimum - lowest allowed value
+ * @param maximum - highest allowed value
+ * @returns a schema for an integer
  */
 export function wholeNumber (minimum: number, maximum = Number.MAX_SAFE_INTEGER): z.ZodNumber {
   const error = maximum === Number.MAX_SAFE_INTEGER
@@ -38,8 +38,8 @@
 }
 
 /**
- * @param minimum - the lowest value allowed
- * @param maximum - the highest value allowed
+ * @param minimum - lowest allowed value
+ * @param maximum - highest allowed value
  * @returns a schema for a number that may have a fraction
  */
 export function numberBetween (minimum: number, maximum: number): z.ZodNumber {
@@ -53,7 +53,7 @@
 }
 
 /**
- * @param values - the values allowed
+ * @param values - allowed values
  * @returns a schema for one of them
  */
 export function oneOf<const Values extends readonly string[]> (values: Values): z.ZodEnum<{ [Value in Values[number]]: Value }> {
@@ -61,8 +61,8 @@
 }
 
 /**
- * @param item - schema of one entry
- * @param what - the entries, in plural
+ * @param item - schema of an entry
+ * @param what - plural noun for the entries
  * @returns a schema for a list
  */
 export function listOf<Item extends z.ZodType> (item: Item, what: string): z.ZodArray<Item> {
@@ -70,8 +70,8 @@
 }
 
 /**
- * @param value - schema of one entry
- * @param what - the entries, in plural
+ * @param value - schema of an entry
+ * @param what - plural noun for the entries
  * @returns a schema for an object whose keys are names
  */
 export function namedMap<Value extends z.ZodType> (value: Value, what: string): z.ZodRecord<z.ZodString, Value> {
@@ -79,8 +79,8 @@
 }
 
 /**
- * @param shape - the keys allowed and their schemas
- * @returns a schema for an object that has no other keys
+ * @param shape - allowed keys and their schemas
+ * @returns a schema for an object without other keys
  */
 export function strictShape<Shape extends z.core.$ZodLooseShape> (shape: Shape): z.ZodObject<Shape, z.core.$strict> {
   const knownKeys = Object.keys(shape).join(KEY_SEPARATOR)
@@ -95,7 +95,7 @@
   return z.string({ error }).refine(text => URL.canParse(text) && /^https?:$/.test(new URL(text).protocol), { error })
 }
 
-/** @returns a schema for an IP number and port to listen on */
+/** @returns a schema for an IP address and port to listen on */
 export function listenAddress (): z.ZodString {
   const error = `an IP number and a port up to ${MAX_PORT}, for example "10.0.0.7:8080" or "[::1]:8080"`
   return z.string({ error }).refine(isListenAddress, { error })
--- a/packages/anvilarch-configuration/src/formatIssues.ts
+++ b/packages/anvilarch-configuration/src/formatIssues.ts
@@ -1,8 +1,8 @@
-/** Issues as text for people. */
+/** Formats issues as text. */
 import type { ConfigurationIssue } from './types'
 
 /**
- * @param issues - what is wrong with a document or with settings
+ * @param issues - problems of a document or of settings
  * @returns one paragraph for each issue
  */
 export function formatIssues (issues: ConfigurationIssue[]): string {
--- a/packages/anvilarch-configuration/src/index.ts
+++ b/packages/anvilarch-configuration/src/index.ts
@@ -1,4 +1,4 @@
-/** Types and validation of the configuration document and of the daemon settings. */
+/** Types and validation of the configuration document and the daemon settings. */
 export * from './types'
 export * from './defaults'
 export { canonicalJson, hashDocument } from './canonicalJson'
--- a/packages/anvilarch-configuration/src/problems.ts
+++ b/packages/anvilarch-configuration/src/problems.ts
@@ -1,12 +1,12 @@
-/** What is wrong with one field, before its place in the text is looked up. */
+/** Problems with single fields, without their position in the source text. */
 
-/** Keys and list positions from the root to a field. */
+/** Keys and list indexes from the root to a field. */
 export type FieldPath = Array<string | number>
 
 /** A problem with one field. */
 export interface FieldProblem {
   path: FieldPath
-  /** Whether the key or the value is to be pointed at; the value by default. */
+  /** Whether the issue refers to the key or the value; default: value. */
   at?: 'key' | 'value'
   found: string
   expected: string
@@ -16,8 +16,8 @@
 const MAX_FOUND_LENGTH = 60
 
 /**
- * @param value - what a field holds
- * @returns a short text for an issue
+ * @param value - value of a field
+ * @returns a short description for an issue
  */
 export function describeValue (value: unknown): string {
   if (value === undefined) return 'nothing'
@@ -28,9 +28,9 @@
 }
 
 /**
- * @param names - names that may be used
- * @param what - what they name, in plural
- * @returns the text of what is expected
+ * @param names - allowed names
+ * @param what - field that defines the names
+ * @returns a description of the expected value
  */
 export function oneOfNames (names: string[], what: string): string {
   if (names.length === 0) return `a name from ${what}, which has no entries`
--- a/packages/anvilarch-configuration/src/schemaProblems.ts
+++ b/packages/anvilarch-configuration/src/schemaProblems.ts
@@ -1,4 +1,4 @@
-/** Turns what the schema library reports into problems with fields. */
+/** Converts issues of the schema library to field problems. */
 import type { z } from 'zod'
 import { KEY_SEPARATOR, NAME_EXPECTED } from './fieldSchemas'
 import { describeValue, type FieldPath, type FieldProblem } from './problems'
@@ -6,17 +6,17 @@
 
 type SchemaIssue = z.core.$ZodIssue
 
-/** Handlers of the issue codes that need more than the expected text. */
+/** Converters for issue codes whose message is not sufficient. */
 const HANDLERS: Partial<Record<string, (issue: SchemaIssue, value: unknown) => FieldProblem[]>> = {
   unrecognized_keys: unknownKeys,
   invalid_value: unknownValue,
   invalid_union: unknownKind,
-  invalid_key: badKey
+  invalid_key: invalidKey
 }
 
 /**
- * @param issues - what the schema library reports
- * @param value - the value that was checked
+ * @param issues - issues of the schema library
+ * @param value - the checked value
  * @returns the problems
  */
 export function schemaProblems (issues: SchemaIssue[], value: unknown): FieldProblem[] {
@@ -53,7 +53,7 @@
   return [{ path: issue.path as FieldPath, found: describeValue(value), expected: issue.message, didYouMean }]
 }
 
-function badKey (issue: SchemaIssue): FieldProblem[] {
+function invalidKey (issue: SchemaIssue): FieldProblem[] {
   const path = issue.path as FieldPath
   return [{ path, at: 'key', found: `the key ${JSON.stringify(path.at(-1))}`, expected: NAME_EXPECTED }]
 }
--- a/packages/anvilarch-configuration/src/schemaTypes.ts
+++ b/packages/anvilarch-configuration/src/schemaTypes.ts
@@ -1,7 +1,7 @@
-/** Compile-time checks that a schema and the type that readers see have the same keys. */
+/** Compile-time checks that a schema and its type have the same keys. */
 
-/** True when both types have the same keys, optional ones included. */
+/** True if both types have the same keys, including optional ones. */
 export type SameKeys<Left, Right> = [keyof Left, keyof Right] extends [keyof Right, keyof Left] ? true : false
 
-/** Fails to compile for anything but true. */
-export type Holds<Condition extends true> = Condition
+/** Fails to compile unless the type argument is true. */
+export type AssertTrue<Condition extends true> = Condition
--- a/packages/anvilarch-configuration/src/settingsChecks.ts
+++ b/packages/anvilarch-configuration/src/settingsChecks.ts
@@ -1,14 +1,14 @@
-/** Checks of the daemon settings that look at more than one field. */
+/** Checks of the daemon settings that involve more than one field. */
 import { describeValue, type FieldProblem } from './problems'
 import type { DaemonSettings, EndpointSettings } from './types'
 
-/** Checks that hold for one role only. */
+/** Checks by role. */
 const ROLE_CHECKS: Record<DaemonSettings['role'], (settings: DaemonSettings) => FieldProblem[]> = {
   gateway: checkGateway,
   agent: checkAgent
 }
 
-/** Checks that hold for one kind of endpoint only. */
+/** Checks by kind of endpoint. */
 const ENDPOINT_CHECKS: Record<EndpointSettings['kind'], (endpoint: EndpointSettings, index: number) => FieldProblem[]> = {
   plain: (endpoint, index) => {
     if (endpoint.service !== undefined) return []
@@ -25,8 +25,8 @@
 }
 
 /**
- * @param settings - settings of the right shape
- * @returns what is wrong with them
+ * @param settings - settings that match the schema
+ * @returns their problems
  */
 export function checkSettings (settings: DaemonSettings): FieldProblem[] {
   return [...ROLE_CHECKS[settings.role](settings), ...checkListenAddresses(settings)]
@@ -70,7 +70,7 @@
   })
 }
 
-/** Port 0 stands for any free port, so that two of them don't clash. */
+/** Port 0 stands for any free port, so two of them do not conflict. */
 function checkListenAddresses (settings: DaemonSettings): FieldProblem[] {
   const seen = new Map<string, string>()
   return Object.entries(settings.listen).flatMap(([purpose, address]) => {
--- a/packages/anvilarch-configuration/src/settingsSchema.ts
+++ b/packages/anvilarch-configuration/src/settingsSchema.ts
@@ -1,9 +1,9 @@
-/** Shape of the daemon settings. `types.ts` states the same shape for readers; the compiler holds the two together. */
+/** Schema of the daemon settings. The compiler checks that it matches the types in `types.ts`. */
 import { LOG_LEVELS } from 'anvilarch-utils'
 import { z } from 'zod'
 import { DEFAULT_AGENT_SETTINGS, DEFAULT_ENDPOINT_SETTINGS, DEFAULT_GATEWAY_SETTINGS, DEFAULT_LOG_SETTINGS, DEFAULT_PLATFORM_SETTINGS } from './defaults'
 import { flag, httpUrl, listenAddress, listOf, name, numberBetween, oneOf, strictShape, wholeNumber } from './fieldSchemas'
-import type { Holds, SameKeys } from './schemaTypes'
+import type { AssertTrue, SameKeys } from './schemaTypes'
 import type { AgentSettings, DaemonSettings, EndpointSettings, GatewaySettings } from './types'
 
 const MAX_PERCENT = 100
@@ -57,7 +57,7 @@
   timeoutMs: wholeNumber(1).default(DEFAULT_PLATFORM_SETTINGS.timeoutMs)
 }) satisfies z.ZodType<DaemonSettings['platform']>
 
-/** Schema of the settings of one daemon; its output has every default filled in. */
+/** Schema of the settings of a daemon; its output has all defaults filled in. */
 export const settingsSchema = strictShape({
   role: oneOf(['gateway', 'agent']),
   name: name(),
@@ -71,12 +71,12 @@
   gateway: gatewaySchema.prefault({})
 }) satisfies z.ZodType<DaemonSettings>
 
-/** Fails to compile when a schema and its type in `types.ts` differ in a key, an optional one included. */
+/** Fails to compile if a schema and its type in `types.ts` differ in a required or optional key. */
 export type SettingsSchemaKeysMatch = [
-  Holds<SameKeys<z.output<typeof settingsSchema>, DaemonSettings>>,
-  Holds<SameKeys<z.output<typeof endpointSchema>, EndpointSettings>>,
-  Holds<SameKeys<z.output<typeof agentSchema>, AgentSettings>>,
-  Holds<SameKeys<z.output<typeof gatewaySchema>, GatewaySettings>>,
-  Holds<SameKeys<z.output<typeof listenSchema>, DaemonSettings['listen']>>,
-  Holds<SameKeys<z.output<typeof platformSchema>, DaemonSettings['platform']>>
+  AssertTrue<SameKeys<z.output<typeof settingsSchema>, DaemonSettings>>,
+  AssertTrue<SameKeys<z.output<typeof endpointSchema>, EndpointSettings>>,
+  AssertTrue<SameKeys<z.output<typeof agentSchema>, AgentSettings>>,
+  AssertTrue<SameKeys<z.output<typeof gatewaySchema>, GatewaySettings>>,
+  AssertTrue<SameKeys<z.output<typeof listenSchema>, DaemonSettings['listen']>>,
+  AssertTrue<SameKeys<z.output<typeof platformSchema>, DaemonSettings['platform']>>
 ]
--- a/packages/anvilarch-configuration/src/sourceText.ts
+++ b/packages/anvilarch-configuration/src/sourceText.ts
@@ -1,4 +1,4 @@
-/** A JSON text with comments, and where its fields stand in it. */
+/** Parses JSON with comments and locates fields in the text. */
 import { findNodeAtLocation, getNodeValue, type Node, type ParseError, parseTree, printParseErrorCode } from 'jsonc-parser'
 import type { FieldPath, FieldProblem } from './problems'
 import type { ConfigurationIssue } from './types'
@@ -12,11 +12,11 @@
 
 const PARSE_OPTIONS = { allowTrailingComma: true, disallowComments: false }
 const EXCERPT_LENGTH = 30
-/** Some editors put this invisible character first. The parser would call the whole document a bad symbol. */
+/** Some editors insert a byte order mark at the start. The parser would report the whole document as an invalid symbol. */
 const BYTE_ORDER_MARK = /^\uFEFF/
 
-/** What stands where a parse error was met, in words for people. */
-const PARSE_EXPECTATIONS: Record<string, string> = {
+/** Descriptions of the expected syntax, by parse error code. */
+const EXPECTED_SYNTAX: Record<string, string> = {
   InvalidSymbol: 'a string in double quotes, a number, true, false, null, an object or a list',
   InvalidNumberFormat: 'a number',
   PropertyNameExpected: 'a key in double quotes',
@@ -34,9 +34,9 @@
 }
 
 /**
- * @param rawText - JSON with comments; a comma before a closing bracket is allowed
- * @param fileName - named in each issue
- * @returns the parsed text, or what keeps it from being parsed
+ * @param rawText - JSON with comments and trailing commas
+ * @param fileName - file name for the issues
+ * @returns the parsed text, or the syntax errors
  */
 export function parseSource (rawText: string, fileName: string): { source?: SourceText, issues: ConfigurationIssue[] } {
   const text = rawText.replace(BYTE_ORDER_MARK, '')
@@ -50,17 +50,17 @@
 
 /**
  * @param source - a parsed text
- * @returns its value, as JSON.parse would give it
+ * @returns its value, as `JSON.parse` would return it
  */
 export function sourceValue (source: SourceText): unknown {
   return getNodeValue(source.root)
 }
 
 /**
- * JSON parsers keep the last of two equal keys, so that one of two services of the same name would vanish unseen.
+ * Finds duplicate keys. JSON parsers keep only the last one, so that one of two services of the same name would be lost silently.
  *
  * @param source - a parsed text
- * @returns a problem for each key that stands twice in its object
+ * @returns an issue for each duplicate key
  */
 export function duplicateKeys (source: SourceText): ConfigurationIssue[] {
   const issues: ConfigurationIssue[] = []
@@ -83,15 +83,15 @@
 /**
  * @param source - a parsed text
  * @param problem - a problem with one of its fields
- * @returns the issue with file, line and column
+ * @returns the issue, with file, line and column
  */
 export function locateProblem (source: SourceText, problem: FieldProblem): ConfigurationIssue {
   return issueAt(source, offsetOf(source.root, problem), problem)
 }
 
 /**
- * @param path - keys and list positions
- * @returns the path as people write it, for example `services.lookup.routes[0].path`
+ * @param path - keys and list indexes
+ * @returns the path as text, for example `services.lookup.routes[0].path`
  */
 export function fieldName (path: FieldPath): string {
   return path.reduce<string>((text, part) => {
@@ -137,11 +137,11 @@
 }
 
 /**
- * @param error - of a parse
- * @returns what was expected at its place, in words
+ * @param error - a parse error
+ * @returns a description of the expected syntax
  */
 export function expectedAt (error: ParseError): string {
-  return PARSE_EXPECTATIONS[printParseErrorCode(error.error)] ?? 'valid JSON'
+  return EXPECTED_SYNTAX[printParseErrorCode(error.error)] ?? 'valid JSON'
 }
 
 function emptyIssue (fileName: string): ConfigurationIssue {
--- a/packages/anvilarch-configuration/src/types.ts
+++ b/packages/anvilarch-configuration/src/types.ts
@@ -1,25 +1,25 @@
-/** Types of the configuration document and of the daemon settings, as they stand after validation. */
+/** Types of the configuration document and the daemon settings after validation. */
 import type { LogLevel } from 'anvilarch-utils'
 
-/** One version of a model, as the weight store holds it. */
+/** A version of a model in the weight store. */
 export interface ModelVersion {
-  /** Size of the weights, which paces their loading. */
+  /** Size of the weights, which determines how long they take to load. */
   sizeBytes: number
 }
 
-/** A model that services may run. */
+/** A model that services can use. */
 export interface ModelSpec {
   versions: Record<string, ModelVersion>
   adapters: string[]
 }
 
-/** How a model service shares its endpoints between online and batch work. */
+/** Policy by which a model service shares its endpoints between online and batch work. */
 export interface BatchPolicy {
-  /** First token of online work, 95th percentile, that batch work must not push past. */
+  /** Target of the 95th percentile of the time to first token of online work, which batch work must not exceed. */
   firstTokenTargetMs: number
-  /** Time between tokens of online work, 95th percentile, that batch work must not push past. */
+  /** Target of the 95th percentile of the time between tokens of online work, which batch work must not exceed. */
   interTokenTargetMs: number
-  /** Share of the measured slack that batch work may fill. A lower value keeps the online tail shorter. */
+  /** Share of the measured slack that batch work may use. A lower value reduces the tail latency of online work. */
   slackSharePercent: number
 }
 
@@ -30,11 +30,11 @@
   version: string
   adapters: string[]
   replicas: number
-  /** Classes of work that callers may send. */
+  /** Work classes that callers may use. */
   classes: Array<'online' | 'batch'>
-  /** Failure domains to spread replicas over; all of them when empty. */
+  /** Failure domains to spread replicas over; all if empty. */
   failureDomains: string[]
-  /** Deadline of a request that names none. */
+  /** Timeout of a request without a deadline. */
   timeoutMs: number
   batch: BatchPolicy
 }
@@ -42,9 +42,9 @@
 /** A route of a plain service. */
 export interface PlainRoute {
   method: string
-  /** Path pattern with `:name` parameters and a final `*`. */
+  /** Path pattern with `:name` parameters and an optional final `*`. */
   path: string
-  /** A call on a route that is not idempotent runs at most once. */
+  /** Whether calls may be retried. A call on a route that is not idempotent runs at most once. */
   idempotent: boolean
   timeoutMs: number
 }
@@ -59,9 +59,9 @@
 /** A service of either kind. */
 export type ServiceSpec = ModelService | PlainService
 
-/** Limits of one caller account. */
+/** Limits of a caller account. */
 export interface CallerLimits {
-  /** SHA-256, in hex, of the account's bearer key. Absent in `defaultCaller`. */
+  /** SHA-256 of the account's bearer key, as hex digits. Absent in `defaultCaller`. */
   keySha256?: string
   requestsPerSecond: number
   burst: number
@@ -69,84 +69,84 @@
   maxActiveJobs: number
 }
 
-/** The whole configuration that the system honours. */
+/** The configuration of the whole system. */
 export interface ConfigurationDocument {
   formatVersion: 1
   regions: Record<string, { failureDomains: string[] }>
   models: Record<string, ModelSpec>
   services: Record<string, ServiceSpec>
-  /** Limits of a caller that `callers` does not name. */
+  /** Limits of callers that are not in `callers`. */
   defaultCaller: CallerLimits
   callers: Record<string, CallerLimits>
   limits: {
     maxBodyBytes: number
     maxFileBytes: number
     maxItemBytes: number
-    /** Distinct attempts that an item may use up before it is final as failed. */
+    /** Maximum number of distinct attempts of an item before it fails. */
     maxItemAttempts: number
-    /** Orders to load weights that may run at the same time over the whole fleet. */
+    /** Maximum number of concurrent orders to load weights in the whole fleet. */
     maxConcurrentLoads: number
-    /** How long results of an ended job stay readable. */
+    /** Time for which results of an ended job can be read. */
     resultRetentionHours: number
   }
 }
 
-/** One endpoint beside an agent. */
+/** An endpoint of an agent. */
 export interface EndpointSettings {
   name: string
   kind: 'model' | 'plain'
-  /** Service of a plain endpoint. A model endpoint gets its service by an order. */
+  /** Service of a plain endpoint. A model endpoint is assigned its service by an order. */
   service?: string
   url: string
-  /** Whether the endpoint itself refuses an order with an old fencing token. */
+  /** Whether the endpoint itself rejects orders with an old fencing token. */
   checksFencing: boolean
-  /** Requests that the endpoint may run at the same time. */
+  /** Maximum number of concurrent requests of the endpoint. */
   slots: number
 }
 
-/** Tunables of an agent. */
+/** Settings of an agent. */
 export interface AgentSettings {
   endpoints: EndpointSettings[]
-  /** A frame or a heartbeat goes out on each attempt at least this often. */
+  /** Maximum interval between frames or heartbeats on each attempt. */
   heartbeatMs: number
-  /** Silence of an endpoint after which its stream is opened anew. */
+  /** Inactivity of an endpoint after which its stream is reopened. */
   endpointSilenceMs: number
-  /** Output frames of one stream are joined over this time. */
+  /** Time over which output frames of a stream are coalesced. */
   coalesceMs: number
-  /** How long the output of an ended attempt can be read again. */
+  /** Time for which the output of an ended attempt can be read again. */
   attemptRetentionMs: number
-  /** How long barred attempt ids are kept. */
+  /** Time for which barred attempt ids are kept. */
   barRetentionMs: number
   maxQueuedOnline: number
   maxOutputBytes: number
-  /** Longest wait for running attempts on SIGTERM. */
+  /** Maximum time to wait for running attempts after SIGTERM. */
   drainTimeoutMs: number
 }
 
-/** Tunables of a gateway. */
+/** Settings of a gateway. */
 export interface GatewaySettings {
-  /** Time between control exchanges with one agent, before it is stretched by the number of agents. */
+  /** Interval of the control exchanges with one agent, before it is extended according to the number of agents. */
   exchangeIntervalMs: number
-  /** Silence on an attempt after which it is resumed over a new connection. */
+  /** Inactivity of an attempt after which it is resumed over a new connection. */
   silenceMs: number
-  /** Retries allowed as a share of requests. */
+  /** Maximum number of retries, as a percentage of requests. */
   retryBudgetPercent: number
-  /** Time between two polls of the table for configuration, quarantine and jobs. */
+  /** Interval between polls of the table for configuration, quarantine and jobs. */
   pollIntervalMs: number
-  /** A job part lease that was not renewed for this long may be taken over. */
+  /** Time without renewal after which the lease of a job part may be taken over. */
   leaseMs: number
-  /** Batch items that this gateway keeps in progress. */
+  /** Maximum number of batch items in progress at this gateway. */
   maxBatchInProgress: number
-  /** Lines of one chunk of an uploaded file, which is also one part of a job. */
+  /** Number of lines in one chunk of an uploaded file, which is also one part of a job. */
   partItems: number
   partBytes: number
   maxConcurrentRequests: number
-  /** Longest wait for requests in progress on SIGTERM. */
+  /** Maximum time to wait for requests in progress after SIGTERM. */
   drainTimeoutMs: number
   routingPolicy: 'affinity' | 'round_robin' | 'random' | 'least_reported_load'
 }
 
-/** Settings of one daemon. */
+/** Settings of a daemon. */
 export interface DaemonSettings {
   role: 'gateway' | 'agent'
   name: string
@@ -154,11 +154,11 @@
   failureDomain: string
   region: string
   listen: {
-    /** Callers' HTTP; a gateway only. */
+    /** HTTP address for callers; gateways only. */
     callers?: string
-    /** Other daemons, HTTP/2. */
+    /** HTTP/2 address for other daemons. */
     peers: string
-    /** Operators: /healthz, /readyz, /metrics, /timeline. */
+    /** HTTP address for operators: /healthz, /readyz, /metrics, /timeline. */
     operations: string
   }
   platform: {
@@ -173,7 +173,7 @@
   gateway: GatewaySettings
 }
 
-/** One thing wrong with a document or with settings. */
+/** A problem of a document or of settings. */
 export interface ConfigurationIssue {
   file: string
   line: number
@@ -182,6 +182,6 @@
   field: string
   found: string
   expected: string
-  /** Names close to the one found. */
+  /** Valid names that are similar to the one found. */
   didYouMean: string[]
 }
--- a/packages/anvilarch-configuration/src/validate.ts
+++ b/packages/anvilarch-configuration/src/validate.ts
@@ -1,4 +1,4 @@
-/** Reads a document or settings: parses the text, checks its shape, then what its fields say about each other. */
+/** Validates documents and settings: parses the text, checks it against the schema, then checks the fields against each other. */
 import { Err, Ok, type Result } from 'ts-results'
 import type { z } from 'zod'
 import { checkDocument } from './documentChecks'
@@ -12,8 +12,8 @@
 
 /**
  * @param text - the document as JSON with comments
- * @param fileName - named in each issue
- * @returns the document with every default filled in, or everything that is wrong with it, in the order of the text
+ * @param fileName - file name for the issues
+ * @returns the document with all defaults filled in, or all its issues in the order of the text
  */
 export function validateDocument (text: string, fileName: string): Result<ConfigurationDocument, ConfigurationIssue[]> {
   return validateText(text, fileName, documentSchema, checkDocument)
@@ -21,8 +21,8 @@
 
 /**
  * @param text - the settings of one daemon as JSON with comments
- * @param fileName - named in each issue
- * @returns the settings with every default filled in, or everything that is wrong with them, in the order of the text
+ * @param fileName - file name for the issues
+ * @returns the settings with all defaults filled in, or all their issues in the order of the text
  */
 export function validateSettings (text: string, fileName: string): Result<DaemonSettings, ConfigurationIssue[]> {
   return validateText(text, fileName, settingsSchema, checkSettings)
@@ -36,11 +36,11 @@
 ): Result<Value, ConfigurationIssue[]> {
   const { source, issues } = parseSource(text, fileName)
   if (source === undefined) return Err(issues)
-  const repeated = duplicateKeys(source)
+  const duplicates = duplicateKeys(source)
   const input = sourceValue(source)
   const parsed = schema.safeParse(input)
-  if (!parsed.success) return Err(sorted([...repeated, ...located(source, schemaProblems(parsed.error.issues, input))]))
-  const found = [...repeated, ...located(source, check(parsed.data))]
+  if (!parsed.success) return Err(sorted([...duplicates, ...located(source, schemaProblems(parsed.error.issues, input))]))
+  const found = [...duplicates, ...located(source, check(parsed.data))]
   return found.length === 0 ? Ok(parsed.data) : Err(sorted(found))
 }
 
--- a/packages/anvilarch-protocol/src/index.ts
+++ b/packages/anvilarch-protocol/src/index.ts
@@ -1,4 +1,4 @@
-/** What the processes of the system and the platform say to each other. */
+/** Messages, rows and interfaces that the daemons use between each other and with the platform. */
 export * from './gen/anvilarch/v1/agent_pb'
 export * from './workClass'
 export * from './refusals'
--- a/packages/anvilarch-protocol/src/outcomes.ts
+++ b/packages/anvilarch-protocol/src/outcomes.ts
@@ -1,15 +1,15 @@
-/** How an accepted attempt ends. */
+/** Outcomes of accepted attempts. */
 
 /**
- * - `completed`: the endpoint's whole answer was read.
- * - `cancelled`: the gateway asked for it.
- * - `endpoint_crashed`: the endpoint died while the attempt was running on it.
- * - `endpoint_failed`: the endpoint could not be reached or broke its protocol.
- * - `deadline`: the time ran out.
- * - `preempted`: batch work that gave way and will not be resumed by this agent.
- * - `lost`: the agent no longer knows, because it was replaced.
+ * - `completed`: the complete response of the endpoint was read.
+ * - `cancelled`: the gateway cancelled the attempt.
+ * - `endpoint_crashed`: the endpoint crashed while it was running the attempt.
+ * - `endpoint_failed`: the endpoint was unreachable or violated its protocol.
+ * - `deadline`: the deadline passed.
+ * - `preempted`: batch work that was preempted and that this agent will not resume.
+ * - `lost`: the outcome is unknown, because the agent was replaced.
  */
 export const ATTEMPT_OUTCOMES = ['completed', 'cancelled', 'endpoint_crashed', 'endpoint_failed', 'deadline', 'preempted', 'lost'] as const
 
-/** One of the outcomes. */
+/** Outcome of an attempt. */
 export type AttemptOutcome = typeof ATTEMPT_OUTCOMES[number]
--- a/packages/anvilarch-protocol/src/platform.ts
+++ b/packages/anvilarch-protocol/src/platform.ts
@@ -1,38 +1,38 @@
 /**
- * The ports to the platform. Each is one interface; thin adapters behind it speak the platform's protocols.
- * Every method rejects with an `AnvilarchError` of code `platform_unavailable` when the service can't be reached in time.
+ * Interfaces (ports) to the services of the platform. Adapters implement them with the platform's protocols.
+ * All methods reject with an `AnvilarchError` of code `platform_unavailable` if the service does not respond in time.
  */
 
 /** A row of the table service. */
 export interface Row {
   key: string
-  /** Grows with each write of the row; never 0. */
+  /** Increases with each write of the row; never 0. */
   version: number
   /** JSON text. */
   value: string
 }
 
-/** Holds when the row has this version; 0 stands for an absent row. */
+/** True if the row has this version; 0 stands for a missing row. */
 export interface Condition {
   key: string
   version: number
 }
 
-/** A write, or with `value` null a delete. */
+/** A write, or a delete if `value` is null. */
 export interface Write {
   key: string
   value: string | null
 }
 
-/** A transaction: all writes take effect if all conditions hold, else none. */
+/** A transaction: all writes are applied if all conditions are true, otherwise none. */
 export interface Commit {
-  /** Sent again with the same id, a commit takes effect once and gives its first outcome. */
+  /** Idempotency id: a commit that is sent again with the same id is applied once and returns its first outcome. */
   commitId: string
   conditions: Condition[]
   writes: Write[]
 }
 
-/** What became of a commit. */
+/** Outcome of a commit; a conflict contains the current rows of the conditions that are false. */
 export type CommitResult =
   | { outcome: 'committed', versions: Record<string, number> }
   | { outcome: 'conflict', rows: Array<Row | { key: string, version: 0, value: null }> }
@@ -40,7 +40,7 @@
 /** One page of a scan. */
 export interface ScanPage {
   rows: Row[]
-  /** Pass as `after` to read on; absent at the end. */
+  /** Value of `after` for the next page; absent on the last page. */
   next?: string
 }
 
@@ -53,31 +53,31 @@
 
 /** The object store. */
 export interface ObjectPort {
-  /** @returns `created`, or `exists` when an object of that name was there already */
+  /** @returns `created`, or `exists` if there is already an object of that name */
   putIfAbsent: (name: string, body: Uint8Array, signal?: AbortSignal) => Promise<'created' | 'exists'>
-  /** @returns the bytes, or null when there is no such object */
+  /** @returns the bytes, or null if there is no such object */
   get: (name: string, range?: { fromByte: number, toByte: number }, signal?: AbortSignal) => Promise<Uint8Array | null>
   list: (prefix: string, options: { after?: string, limit: number }, signal?: AbortSignal) => Promise<{ names: string[], next?: string }>
   remove: (name: string, signal?: AbortSignal) => Promise<void>
 }
 
-/** A host as the platform's list shows it, some seconds late. */
+/** A host in the platform's list, which lags some seconds behind. */
 export interface HostEntry {
   host: string
   role: 'gateway' | 'agent'
-  /** IP number and port of the daemon on it. */
+  /** IP address and port of the daemon on the host. */
   address: string
   failureDomain: string
   region: string
   state: 'live' | 'leaving'
 }
 
-/** The lagging list of hosts. */
+/** The list of hosts. */
 export interface HostListPort {
   list: (signal?: AbortSignal) => Promise<HostEntry[]>
 }
 
-/** All ports together. */
+/** All ports to the platform. */
 export interface PlatformPorts {
   table: TablePort
   objects: ObjectPort
--- a/packages/anvilarch-protocol/src/rows.ts
+++ b/packages/anvilarch-protocol/src/rows.ts
@@ -1,6 +1,6 @@
 /**
- * Keys of the rows and names of the objects that the daemons keep with the platform.
- * A row that makes an object visible is written after the object, so that a reader who sees the row can read it whole.
+ * Keys of the rows and names of the objects that the daemons store on the platform.
+ * A row that refers to an object is written after the object, so that a reader of the row can always read the complete object.
  */
 
 /** Row keys and key prefixes. */
@@ -31,7 +31,7 @@
     `results/${jobId}/${String(part).padStart(6, '0')}/${epoch}-${segment}-${kind}`
 } as const
 
-/** Value of the row `config/version`. */
+/** Value of the `config/version` row. */
 export interface ConfigurationVersionRow {
   version: number
   hash: string
--- a/packages/anvilarch-protocol/src/sessions.ts
+++ b/packages/anvilarch-protocol/src/sessions.ts
@@ -1,4 +1,4 @@
-/** Bounds of a session that both sides must agree on. */
+/** Limits of a session that both sides must agree on. */
 
-/** Output bytes of one stream that may be under way before the gateway has passed them on. */
+/** Maximum output bytes of one stream that the agent has sent and the gateway has not yet forwarded. */
 export const STREAM_CREDIT_BYTES = 256 * 1024
--- a/packages/anvilarch-protocol/src/timelineEvent.ts
+++ b/packages/anvilarch-protocol/src/timelineEvent.ts
@@ -1,6 +1,6 @@
-/** One event of the time line. Every daemon keeps its latest ones and serves them at `/timeline`. */
+/** Events of the timeline. Each daemon keeps its latest events and serves them at `/timeline`. */
 
-/** An event; `atMs` is wall time, `sequence` orders the events of one process. */
+/** An event; `atMs` is wall-clock time, `sequence` orders the events of one process. */
 export interface TimelineEvent {
   atMs: number
   sequence: number
--- a/packages/anvilarch-protocol/src/workClass.ts
+++ b/packages/anvilarch-protocol/src/workClass.ts
@@ -1,7 +1,7 @@
-/** The classes of work, which keep their own connections, queues and metrics. */
+/** Work classes. Each has its own connections, queues and metrics. */
 
-/** Classes of work, the most urgent first. */
+/** Work classes, in descending order of priority. */
 export const WORK_CLASSES = ['lookup', 'online', 'batch'] as const
 
-/** One of the classes of work. */
+/** A work class. */
 export type WorkClass = typeof WORK_CLASSES[number]
