--- a/packages/anvilarch-configuration/src/sourceText.ts
+++ b/packages/anvilarch-configuration/src/sourceText.ts
@@ -131,7 +131,7 @@
     ...positionOf(text, error.offset),
     field: '',
     found: excerpt === '' ? 'the end of the line' : excerpt,
-    expected: expectedAt(error),
+    expected: describeExpectedSyntax(error),
     didYouMean: []
   }
 }
@@ -140,7 +140,7 @@
  * @param error - a parse error
  * @returns a description of the expected syntax
  */
-export function expectedAt (error: ParseError): string {
+export function describeExpectedSyntax (error: ParseError): string {
   return EXPECTED_SYNTAX[printParseErrorCode(error.error)] ?? 'valid JSON'
 }
 
--- a/packages/anvilarch-daemon/src/attempts/__fixtures__/testGateway.ts
+++ b/packages/anvilarch-daemon/src/attempts/__fixtures__/testGateway.ts
@@ -1,7 +1,7 @@
 /** A gateway in this process, in front of fake agents. */
 import { createLifecycleManager, type LifecycleManager } from 'anvilarch-utils'
 import { startCallersServer } from '../../callers'
-import type { FrontOptions } from '../../callers/frontParts'
+import type { CallersServerOptions } from '../../callers/frontParts'
 import type { CallersServer } from '../../callers'
 import type { DaemonContext } from '../../context'
 import { createAgentClients } from '../../peers/agentClients'
@@ -25,7 +25,7 @@
 
 export interface TestGatewayOptions extends TestContextOptions {
   agents: FakeAgentOptions[]
-  front?: Partial<FrontOptions>
+  front?: Partial<CallersServerOptions>
 }
 
 export async function startTestGateway (options: TestGatewayOptions): Promise<TestGateway> {
--- a/packages/anvilarch-daemon/src/callers/callersServer.ts
+++ b/packages/anvilarch-daemon/src/callers/callersServer.ts
@@ -11,7 +11,7 @@
 import { createCompletionRoutes } from './completions/completionRoutes'
 import { createModelRoutes } from './completions/modelRoutes'
 import { createDispatchTable } from './dispatchTable'
-import { DEFAULT_OPTIONS, type FrontOptions, type FrontParts } from './frontParts'
+import { DEFAULT_OPTIONS, type CallersServerOptions, type FrontParts } from './frontParts'
 import { handleRequest, type HandlerParts } from './handleRequest'
 import { answerClientErrors } from './http/clientErrors'
 import { createGracefulCloser } from './http/gracefulClose'
@@ -26,7 +26,7 @@
   quarantine: Quarantine
   /** Routes of other slices. */
   routes: Route[]
-  options?: Partial<FrontOptions>
+  options?: Partial<CallersServerOptions>
 }
 
 /** Longer than the idle time of common clients and balancers, so that it is they who close an idle connection. */
--- a/packages/anvilarch-daemon/src/callers/frontParts.ts
+++ b/packages/anvilarch-daemon/src/callers/frontParts.ts
@@ -4,7 +4,7 @@
 import type { DaemonContext } from '../context'
 
 /** Options of the front. */
-export interface FrontOptions {
+export interface CallersServerOptions {
   /** A caller that takes nothing of its answer for this long is dropped. */
   stallMs: number
   /** Time from going unready to taking no more connections, in which the balancer notices. */
@@ -12,7 +12,7 @@
 }
 
 /** Used for what the options leave out. */
-export const DEFAULT_OPTIONS: FrontOptions = { stallMs: 20_000, readinessLeadMs: 1_500 }
+export const DEFAULT_OPTIONS: CallersServerOptions = { stallMs: 20_000, readinessLeadMs: 1_500 }
 
 /** Shared parts of the routes. */
 export interface FrontParts {
@@ -20,5 +20,5 @@
   runner: RequestRunner
   /** Keeps calls with an `Idempotency-Key` from running twice. */
   intents: IntentKeeper
-  options: FrontOptions
+  options: CallersServerOptions
 }
--- a/packages/anvilarch-daemon/src/callers/http/readBody.ts
+++ b/packages/anvilarch-daemon/src/callers/http/readBody.ts
@@ -1,6 +1,6 @@
 /** Reads request bodies within a bound. */
 import type { IncomingMessage } from 'node:http'
-import { expectedAt } from 'anvilarch-configuration'
+import { describeExpectedSyntax } from 'anvilarch-configuration'
 import { AnvilarchError } from 'anvilarch-utils'
 import { parse, type ParseError } from 'jsonc-parser'
 
@@ -86,5 +86,5 @@
   const first = errors[0]
   if (first === undefined) return 'it holds something that JSON does not allow'
   const before = text.slice(0, first.offset).split('\n')
-  return `expected ${expectedAt(first)} at line ${before.length}, column ${before[before.length - 1].length + 1}`
+  return `expected ${describeExpectedSyntax(first)} at line ${before.length}, column ${before[before.length - 1].length + 1}`
 }
--- a/packages/anvilarch-daemon/src/configuration/__tests__/applyHistories.test.ts
+++ b/packages/anvilarch-daemon/src/configuration/__tests__/applyHistories.test.ts
@@ -24,7 +24,7 @@
   const platform = createFakePlatform()
   const lost = [...plan.lost]
   const outages = [...plan.outages]
-  platform.losesReply = () => lost.shift() ?? false
+  platform.dropsResponse = () => lost.shift() ?? false
   platform.step = async name => {
     await scheduler.schedule(Promise.resolve(), name)
     platform.outage = outages.shift() ?? false
--- a/packages/anvilarch-daemon/src/configuration/applyConfiguration.ts
+++ b/packages/anvilarch-daemon/src/configuration/applyConfiguration.ts
@@ -3,7 +3,7 @@
 import { canonicalJson, type ConfigurationDocument, type ConfigurationIssue, validateDocument } from 'anvilarch-configuration'
 import { type Commit, type ConfigurationVersionRow, OBJECT_NAMES, ROW_KEYS, type Row } from 'anvilarch-protocol'
 import type { DaemonContext } from '../context'
-import { settleCommit } from '../platform/settleCommit'
+import { commitWithRetry } from '../platform/commitWithRetry'
 import { type ApplyDecision, decideAfterConflict, decideApply } from './applyDecision'
 import { hashOfText } from './parseOffer'
 
@@ -75,7 +75,7 @@
     writes: [{ key, value: JSON.stringify(value) }]
   }
   const settling = { table: context.platform.table, clock: context.clock, random: context.random }
-  const result = await settleCommit(settling, commit, 'configuration.commit', SETTLE_OPTIONS)
+  const result = await commitWithRetry(settling, commit, 'configuration.commit', SETTLE_OPTIONS)
   if (result.outcome === 'conflict') {
     const found = result.rows.find(row => row.key === key)
     const row = found === undefined || found.value === null ? null : found satisfies Row
--- a/packages/anvilarch-daemon/src/jobs/acceptJob.ts
+++ b/packages/anvilarch-daemon/src/jobs/acceptJob.ts
@@ -7,7 +7,7 @@
 import { type BatchRequest, checkFileFits, contentHash } from './batchRequest'
 import { type Draw, newJobId } from './ids'
 import { type ActiveRow, type FileRow, JOB_KEYS, type JobKeyRow, type JobRow, parseRow } from './rows'
-import { settleCommit } from '../platform/settleCommit'
+import { commitWithRetry } from '../platform/commitWithRetry'
 
 /** Who asks for what. */
 export interface AcceptRequest {
@@ -167,6 +167,6 @@
     ]
   }
   const { clock, platform, random } = context
-  const result = await settleCommit({ table: platform.table, clock, random, signal: request.signal }, commit, STEP)
+  const result = await commitWithRetry({ table: platform.table, clock, random, signal: request.signal }, commit, STEP)
   return result.outcome === 'committed'
 }
--- a/packages/anvilarch-daemon/src/jobs/cancelJob.ts
+++ b/packages/anvilarch-daemon/src/jobs/cancelJob.ts
@@ -4,7 +4,7 @@
 import { endCommit } from './endJob'
 import type { JobReader } from './readJob'
 import type { JobRow } from './rows'
-import { settleCommit } from '../platform/settleCommit'
+import { commitWithRetry } from '../platform/commitWithRetry'
 
 const STEP = 'jobs.cancel'
 /** The job row changes only with its state, so that a second conflict shows a job that has ended. */
@@ -27,7 +27,7 @@
       throw new AnvilarchError(`Batch "${jobId}" is ${job.state} and can't be cancelled.`, { code: 'conflict', step: STEP, ran: 'not_run' })
     }
     const end = { state: 'cancelled', endedAtMs: clock.wallMs() } as const
-    const result = await settleCommit({ table: platform.table, clock, random }, endCommit(job, version, end), STEP)
+    const result = await commitWithRetry({ table: platform.table, clock, random }, endCommit(job, version, end), STEP)
     if (result.outcome === 'committed') {
       context.timeline.record('jobs.cancelled', { jobId })
       return { ...job, ...end }
--- a/packages/anvilarch-daemon/src/jobs/fileRoutes.ts
+++ b/packages/anvilarch-daemon/src/jobs/fileRoutes.ts
@@ -11,7 +11,7 @@
 import { type JobReader, partRows } from './readJob'
 import { sendFileContent, sendResults } from './resultContent'
 import { type FileRow, JOB_KEYS, type JobRow, parseRow, type PartRow, type ResultKind } from './rows'
-import { settleCommit } from '../platform/settleCommit'
+import { commitWithRetry } from '../platform/commitWithRetry'
 import { deletedFileWrites } from './sweep/sweepSteps'
 import { uploadFile } from './uploadFile'
 
@@ -119,7 +119,7 @@
     throw conflict(`File "${file.id}" is in use by batch "${parseRow<JobRow>(active.value).id}". Cancel the batch first, or wait until it ends.`)
   }
   const key = ROW_KEYS.file(file.id)
-  const result = await settleCommit({ table: platform.table, clock, random }, {
+  const result = await commitWithRetry({ table: platform.table, clock, random }, {
     commitId: randomUUID(),
     conditions: [{ key, version }],
     writes: deletedFileWrites(file)
@@ -134,7 +134,7 @@
   const key = ROW_KEYS.job(job.id)
   const row: JobRow = { ...job, removed: [...(job.removed ?? []), kind] }
   const commit = { commitId: randomUUID(), conditions: [{ key, version }], writes: [{ key, value: JSON.stringify(row) }] }
-  const result = await settleCommit({ table: platform.table, clock, random }, commit, STEP)
+  const result = await commitWithRetry({ table: platform.table, clock, random }, commit, STEP)
   if (result.outcome === 'conflict') throw conflict(`Batch "${job.id}" changed at the same moment. Delete the file again.`)
 }
 
--- a/packages/anvilarch-daemon/src/jobs/jobSearches.ts
+++ b/packages/anvilarch-daemon/src/jobs/jobSearches.ts
@@ -10,7 +10,7 @@
   afterPartsRead, checkJobCounts, isSearchDone, type PartReading, partsToRead, type PartSearch, startSearch, withDonePart
 } from './partSearch'
 import { type ActiveRow, isPartDone, type JobRow, parseRow, type PartRow } from './rows'
-import { settleCommit } from '../platform/settleCommit'
+import { commitWithRetry } from '../platform/commitWithRetry'
 
 /** What the searches need. */
 export interface JobSearchesOptions {
@@ -117,7 +117,7 @@
     }
     const lapses = heartbeat.lapses()
     unsettled.set(key, { commit, row })
-    const result = await settleCommit(settleContext, commit, 'jobs.claim_part', CLAIM_TRIES)
+    const result = await commitWithRetry(settleContext, commit, 'jobs.claim_part', CLAIM_TRIES)
     unsettled.delete(key)
     if (result.outcome !== 'committed') return undefined
     context.timeline.record('jobs.part_claimed', { jobId: job.id, detail: { part: reading.part, epoch: row.epoch } })
@@ -169,7 +169,7 @@
   const complete = async (jobRow: Row, job: JobRow, search: PartSearch): Promise<void> => {
     checkJobCounts(search, job.partItems)
     const commit = endCommit(job, jobRow.version, { state: 'completed', endedAtMs: clock.wallMs(), counts: search.counts })
-    const result = await settleCommit(settleContext, commit, 'jobs.complete')
+    const result = await commitWithRetry(settleContext, commit, 'jobs.complete')
     if (result.outcome === 'committed') {
       context.timeline.record('jobs.completed', { jobId: job.id, detail: { ...search.counts } })
     }
@@ -177,7 +177,7 @@
 
   const expire = async (jobRow: Row, job: JobRow): Promise<void> => {
     const commit = endCommit(job, jobRow.version, { state: 'expired', endedAtMs: clock.wallMs() })
-    const result = await settleCommit(settleContext, commit, 'jobs.expire')
+    const result = await commitWithRetry(settleContext, commit, 'jobs.expire')
     if (result.outcome === 'committed') context.timeline.record('jobs.expired', { jobId: job.id })
   }
 
--- a/packages/anvilarch-daemon/src/jobs/uploadFile.ts
+++ b/packages/anvilarch-daemon/src/jobs/uploadFile.ts
@@ -9,7 +9,7 @@
 import { type Draw, newFileId } from './ids'
 import { readMultipart, type UploadForm } from './readMultipart'
 import { type FileRow, JOB_KEYS, type UploadRow } from './rows'
-import { settleCommit, type SettleContext } from '../platform/settleCommit'
+import { commitWithRetry, type CommitRetryContext } from '../platform/commitWithRetry'
 
 const STEP = 'jobs.upload'
 const PURPOSE = 'batch'
@@ -27,7 +27,7 @@
 export async function uploadFile (context: DaemonContext, caller: string, request: IncomingMessage, draw: Draw): Promise<FileRow> {
   const { limits } = requireConfiguration(context).document
   const { clock, platform, random, settings } = context
-  const settle: SettleContext = { table: platform.table, clock, random }
+  const settle: CommitRetryContext = { table: platform.table, clock, random }
   const fileId = newFileId(clock.wallMs(), draw)
   const writer = createChunkWriter({
     objects: platform.objects,
@@ -81,10 +81,10 @@
  * A gateway that dies in the middle of an upload leaves chunks that no file names. This row tells the sweeper of them, so
  * that it need not list all chunks to find a few.
  */
-async function noteUpload (settle: SettleContext, fileId: string, row: UploadRow): Promise<Condition> {
+async function noteUpload (settle: CommitRetryContext, fileId: string, row: UploadRow): Promise<Condition> {
   const key = JOB_KEYS.upload(fileId)
   const commit = { commitId: randomUUID(), conditions: [{ key, version: 0 }], writes: [{ key, value: JSON.stringify(row) }] }
-  const result = await settleCommit(settle, commit, STEP).catch((error: unknown) => { throw asNotRun(error) })
+  const result = await commitWithRetry(settle, commit, STEP).catch((error: unknown) => { throw asNotRun(error) })
   if (result.outcome === 'committed') return { key, version: result.versions[key] }
   throw new AnvilarchError('The id of the upload is in use. Send the file again.', {
     code: 'overloaded', step: STEP, ran: 'not_run', retryAfterMs: RETRY_MS
@@ -101,7 +101,7 @@
 }
 
 /** The sweeper deletes the row of an upload that takes too long before its chunks; the condition on it notices that. */
-async function commitFile (settle: SettleContext, row: FileRow, upload: Condition): Promise<void> {
+async function commitFile (settle: CommitRetryContext, row: FileRow, upload: Condition): Promise<void> {
   const key = ROW_KEYS.file(row.id)
   const commit = {
     commitId: randomUUID(),
@@ -112,7 +112,7 @@
       { key: upload.key, value: null }
     ]
   }
-  const result = await settleCommit(settle, commit, STEP)
+  const result = await commitWithRetry(settle, commit, STEP)
   if (result.outcome === 'committed' || result.rows.some(current => current.key === key && current.version > 0)) return
   throw new AnvilarchError('The upload took too long and was given up. Send the file again.', {
     code: 'deadline_exceeded', step: STEP, ran: 'not_run'
@@ -120,11 +120,11 @@
 }
 
 /** What can't be removed now is found by the sweeper. */
-async function discard (context: DaemonContext, settle: SettleContext, writer: ChunkWriter, fileId: string): Promise<void> {
+async function discard (context: DaemonContext, settle: CommitRetryContext, writer: ChunkWriter, fileId: string): Promise<void> {
   try {
     await writer.discard()
     const writes = [{ key: JOB_KEYS.upload(fileId), value: null }]
-    await settleCommit(settle, { commitId: randomUUID(), conditions: [], writes }, STEP)
+    await commitWithRetry(settle, { commitId: randomUUID(), conditions: [], writes }, STEP)
   } catch (error) {
     context.logger.warn('chunks of a refused upload stay for the sweeper', { fileId, error: String(error) })
   }
--- a/packages/anvilarch-daemon/src/platform/__fixtures__/fakePlatform.ts
+++ b/packages/anvilarch-daemon/src/platform/__fixtures__/fakePlatform.ts
@@ -9,7 +9,7 @@
   /** Refuses every call at once. */
   outage: boolean
   /** Asked for each reply: true loses it after the effect. */
-  losesReply: () => boolean
+  dropsResponse: () => boolean
   /** Awaited before each effect and before each reply, so that a test can order them. */
   step: (name: string) => Promise<void>
   /** Every commit that took effect, in order. */
@@ -27,7 +27,7 @@
     if (fake.outage) throw new AnvilarchError('outage', { code: 'platform_unavailable', step: `platform.${operation}`, ran: 'not_run' })
     const answer = effect()
     await fake.step(`${operation}.reply`)
-    if (fake.losesReply()) throw new AnvilarchError('reply lost', { code: 'platform_unavailable', step: `platform.${operation}`, ran: 'unknown' })
+    if (fake.dropsResponse()) throw new AnvilarchError('reply lost', { code: 'platform_unavailable', step: `platform.${operation}`, ran: 'unknown' })
     return answer
   }
 
@@ -51,7 +51,7 @@
     rows,
     committed: [],
     outage: false,
-    losesReply: () => false,
+    dropsResponse: () => false,
     step: async () => {},
     table: {
       read: async keys => await call('read', () => keys.map(key => rows.get(key) ?? null)),
--- a/packages/anvilarch-daemon/src/platform/settleCommit.ts
+++ b/packages/anvilarch-daemon/src/platform/commitWithRetry.ts
@@ -2,8 +2,8 @@
 import { AnvilarchError, type Clock, type Random, sleep, toAnvilarchError } from 'anvilarch-utils'
 import type { Commit, CommitResult, TablePort } from 'anvilarch-protocol'
 
-/** Bounds of `settleCommit`. */
-export interface SettleOptions {
+/** Bounds of `commitWithRetry`. */
+export interface CommitRetryOptions {
   /** Times that the commit is sent. */
   tries: number
   /** Wait before the second try; doubles after that. */
@@ -11,14 +11,14 @@
 }
 
 /** Short, since a caller waits for the answer. */
-export const DEFAULT_OPTIONS: SettleOptions = { tries: 4, backoffMs: 100 }
+export const DEFAULT_OPTIONS: CommitRetryOptions = { tries: 4, backoffMs: 100 }
 
 /** When a client whose commit could not be settled should ask again. */
 const RETRY_AFTER_MS = 5_000
 const BACKOFF_JITTER = 0.3
 
-/** What `settleCommit` works with. */
-export interface SettleContext {
+/** What `commitWithRetry` works with. */
+export interface CommitRetryContext {
   table: TablePort
   clock: Clock
   random: Random
@@ -36,8 +36,8 @@
  * @returns the outcome
  * @throws AnvilarchError with `ran` `unknown` when it can't be settled, or `not_run` when no try reached the table
  */
-export async function settleCommit (
-  context: SettleContext, commit: Commit, step: string, options: SettleOptions = DEFAULT_OPTIONS
+export async function commitWithRetry (
+  context: CommitRetryContext, commit: Commit, step: string, options: CommitRetryOptions = DEFAULT_OPTIONS
 ): Promise<CommitResult> {
   let reached = false
   let backoffMs = options.backoffMs
--- a/packages/anvilarch-daemon/src/quarantine/__tests__/startQuarantine.test.ts
+++ b/packages/anvilarch-daemon/src/quarantine/__tests__/startQuarantine.test.ts
@@ -38,11 +38,11 @@
     const platform = createFakePlatform()
     const quarantine = await startGateway('g1', clock, platform)
     await clock.advanceAsync(10)
-    platform.losesReply = () => true
+    platform.dropsResponse = () => true
     quarantine.add('crasher', 'why')
     await clock.advanceAsync(1)
     expect(platform.rows.size).toBe(1)
-    platform.losesReply = () => false
+    platform.dropsResponse = () => false
     await clock.advanceAsync(6000)
     expect(quarantine.list()).toEqual(['crasher'])
     expect(platform.rows.size).toBe(1)
