--- a/packages/anvilarch-daemon/src/attempts/__fixtures__/testGateway.ts
+++ b/packages/anvilarch-daemon/src/attempts/__fixtures__/testGateway.ts
@@ -1,7 +1,7 @@
 /** A gateway in this process, in front of fake agents. */
 import { createLifecycleManager, type LifecycleManager } from 'anvilarch-utils'
 import { startCallersServer } from '../../callers'
-import type { CallersServerOptions } from '../../callers/frontParts'
+import type { CallersServerOptions } from '../../callers/routeDeps'
 import type { CallersServer } from '../../callers'
 import type { DaemonContext } from '../../context'
 import { createAgentClients } from '../../peers/agentClients'
--- a/packages/anvilarch-daemon/src/callers/callersServer.ts
+++ b/packages/anvilarch-daemon/src/callers/callersServer.ts
@@ -1,4 +1,4 @@
-/** The HTTP server towards callers, with its graceful shutdown. */
+/** The HTTP server for callers, with graceful shutdown. */
 import { createServer, type Server } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { abortResponse, type LifecycleManager, sleep } from 'anvilarch-utils'
@@ -11,15 +11,15 @@
 import { createCompletionRoutes } from './completions/completionRoutes'
 import { createModelRoutes } from './completions/modelRoutes'
 import { createDispatchTable } from './dispatchTable'
-import { DEFAULT_OPTIONS, type CallersServerOptions, type FrontParts } from './frontParts'
+import { DEFAULT_OPTIONS, type CallersServerOptions, type RouteDeps } from './routeDeps'
 import { handleRequest, type HandlerParts } from './handleRequest'
-import { answerClientErrors } from './http/clientErrors'
+import { respondToClientErrors } from './http/clientErrors'
 import { createGracefulCloser } from './http/gracefulClose'
 import { createCallerLimiter } from './limits/callerLimiter'
 import { createPlainRoutes } from './plain/plainRoutes'
 import type { CallersServer, Route } from './types'
 
-/** What the front needs from other slices. */
+/** Dependencies of the server on other slices. */
 export interface CallersDependencies {
   runner: RequestRunner
   directory: AgentDirectory
@@ -29,41 +29,41 @@
   options?: Partial<CallersServerOptions>
 }
 
-/** Longer than the idle time of common clients and balancers, so that it is they who close an idle connection. */
+/** Longer than the idle timeout of common clients and load balancers, so that they are the ones to close idle connections. */
 const KEEP_ALIVE_MS = 75_000
 
-/** The longest time that one upload may take. */
+/** Maximum duration of an upload. */
 const UPLOAD_TIMEOUT_MS = 3_600_000
 
 const ID_RADIX = 36
 
-/** The longest wait for ends of keyed calls that are still to be recorded. */
+/** Maximum time to wait until the outcomes of keyed calls are recorded. */
 const RECORD_TIMEOUT_MS = 5_000
 
-/** Left to the life-cycle manager after all bounds of the drain. */
+/** Added to the timeouts of the drain for the lifecycle manager. */
 const STOP_MARGIN_MS = 5_000
 
 /**
- * Starts the front and gives its stop to the life-cycle manager.
+ * Starts the server and registers its shutdown with the lifecycle manager.
  *
- * @param context - settings, time, metrics and configuration
+ * @param context - settings, clock, metrics and configuration
  * @param dependencies - runner, agents and routes of other slices
- * @param lifecycle - stops the front by a graceful shutdown
- * @returns the running front
+ * @param lifecycle - stops the server by a graceful shutdown
+ * @returns the running server
  */
 export async function startCallersServer (context: DaemonContext, dependencies: CallersDependencies, lifecycle: LifecycleManager): Promise<CallersServer> {
   const options = { ...DEFAULT_OPTIONS, ...dependencies.options }
   const { drainTimeoutMs, maxConcurrentRequests } = context.settings.gateway
   const limiter = createCallerLimiter({ clock: context.clock, maxConcurrentRequests })
   const intents = createIntentKeeper(context)
-  const front: FrontParts = { context, runner: dependencies.runner, intents, options }
+  const routeDeps: RouteDeps = { context, runner: dependencies.runner, intents, options }
   let draining: Promise<void> | undefined
   let ids = 0
 
   const parts: HandlerParts = {
     context,
     table: createDispatchTable([
-      ...createCompletionRoutes(front), ...createModelRoutes(front), ...createPlainRoutes(front), ...dependencies.routes
+      ...createCompletionRoutes(routeDeps), ...createModelRoutes(routeDeps), ...createPlainRoutes(routeDeps), ...dependencies.routes
     ]),
     limiter,
     nextRequestId: () => `req-${context.incarnation}-${(ids++).toString(ID_RADIX)}`,
@@ -72,15 +72,15 @@
   const server = createServer({ keepAliveTimeout: KEEP_ALIVE_MS, requestTimeout: UPLOAD_TIMEOUT_MS }, (request, response) => {
     handleRequest(parts, request, response).catch(() => { abortResponse(response) })
   })
-  answerClientErrors(server)
+  respondToClientErrors(server)
   const closer = createGracefulCloser(server, context.clock)
   const address = await listen(server, context.settings.listen.callers ?? '127.0.0.1:0')
 
   const drain = async (): Promise<void> => {
     context.timeline.record('gateway.draining', { detail: { inProgress: limiter.inProgress() } })
     await sleep(context.clock, options.readinessLeadMs)
-    const whole = await closer.close(drainTimeoutMs)
-    if (!whole) context.logger.warn('requests in progress were cut, since the drain took too long', { drainTimeoutMs })
+    const isDrained = await closer.close(drainTimeoutMs)
+    if (!isDrained) context.logger.warn('requests in progress were cut, since the drain took too long', { drainTimeoutMs })
     await Promise.race([intents.idle(), sleep(context.clock, RECORD_TIMEOUT_MS)])
     context.timeline.record('gateway.drained')
   }
--- a/packages/anvilarch-daemon/src/callers/completions/completionInput.ts
+++ b/packages/anvilarch-daemon/src/callers/completions/completionInput.ts
@@ -1,16 +1,16 @@
-/** Checks the body of a completion request and finds the service that answers it. */
+/** Validates the body of a completion request and selects its service. */
 import { type ConfigurationDocument, type ModelService, suggestNames } from 'anvilarch-configuration'
 import { AnvilarchError } from 'anvilarch-utils'
 
-/** The two completion routes. */
+/** Kinds of completion routes. */
 export type CompletionKind = 'chat' | 'text'
 
-/** A checked request. */
+/** A validated request. */
 export interface CompletionInput {
   service: string
   spec: ModelService
   stream: boolean
-  /** The name that the engine knows the model by. */
+  /** Name of the model or adapter at the engine. */
   engineModel: string
 }
 
@@ -21,21 +21,21 @@
   text: body => {
     if (typeof body['prompt'] === 'string' && body['prompt'] !== '') return
     if (Array.isArray(body['prompt']) && body['prompt'].length > 0) return
-    throw bad(`field "prompt" must be a text that is not empty; found ${describe(body['prompt'])}`)
+    throw badRequest(`field "prompt" must be a text that is not empty; found ${describe(body['prompt'])}`)
   }
 }
 
 /**
- * @param kind - which route
+ * @param kind - kind of the route
  * @param body - parsed body
  * @param document - the configuration in force
- * @returns what to run
- * @throws AnvilarchError that names the field, what was found and what is expected
+ * @returns the validated request
+ * @throws AnvilarchError that names the field, the value found and the expected one
  */
 export function checkCompletion (kind: CompletionKind, body: Record<string, unknown>, document: ConfigurationDocument): CompletionInput {
   const { model, stream } = body
-  if (typeof model !== 'string' || model === '') throw bad(`field "model" must name a service or a model; found ${describe(model)}`)
-  if (stream !== undefined && stream !== null && typeof stream !== 'boolean') throw bad(`field "stream" must be true or false; found ${describe(stream)}`)
+  if (typeof model !== 'string' || model === '') throw badRequest(`field "model" must name a service or a model; found ${describe(model)}`)
+  if (stream !== undefined && stream !== null && typeof stream !== 'boolean') throw badRequest(`field "stream" must be true or false; found ${describe(stream)}`)
   CHECK_PROMPT[kind](body)
   const { service, spec } = findService(model, document)
   return { service, spec, stream: stream === true, engineModel: spec.adapters.includes(model) ? model : spec.model }
@@ -44,22 +44,22 @@
 function checkMessages (body: Record<string, unknown>): void {
   const { messages } = body
   if (!Array.isArray(messages) || messages.length === 0) {
-    throw bad(`field "messages" must be a list with at least one message; found ${describe(messages)}`)
+    throw badRequest(`field "messages" must be a list with at least one message; found ${describe(messages)}`)
   }
   messages.forEach((message: unknown, index) => {
     const role = (message as { role?: unknown } | null)?.role
-    if (typeof role !== 'string') throw bad(`field "messages[${index}].role" must be a text; found ${describe(role)}`)
+    if (typeof role !== 'string') throw badRequest(`field "messages[${index}].role" must be a text; found ${describe(role)}`)
   })
 }
 
-/** A name is looked up as a service first, then as a model, then as an adapter of a service. */
+/** Looks up a name as a service first, then as a model, then as an adapter of a service. */
 function findService (name: string, document: ConfigurationDocument): { service: string, spec: ModelService } {
   const online = onlineServices(document)
   const found = online.find(({ service }) => service === name) ??
     online.find(({ spec }) => spec.model === name) ??
     online.find(({ spec }) => spec.adapters.includes(name))
   if (found !== undefined) return found
-  if (document.services[name]?.kind === 'model') throw bad(`service "${name}" takes no online requests`)
+  if (document.services[name]?.kind === 'model') throw badRequest(`service "${name}" takes no online requests`)
   const known = modelNames(document)
   const close = suggestNames(name, known)
   const hint = close.length > 0 ? `; did you mean "${close[0]}"?` : `; known are ${known.map(each => `"${each}"`).join(', ')}`
@@ -68,7 +68,7 @@
 
 /**
  * @param document - the configuration in force
- * @returns the model services that take online requests
+ * @returns the model services that accept online requests
  */
 export function onlineServices (document: ConfigurationDocument): Array<{ service: string, spec: ModelService }> {
   return Object.entries(document.services).flatMap(([service, spec]) =>
@@ -77,7 +77,7 @@
 
 /**
  * @param document - the configuration in force
- * @returns every name that the field `model` may hold, services first
+ * @returns all valid values of the field `model`, services first
  */
 export function modelNames (document: ConfigurationDocument): string[] {
   const online = onlineServices(document)
@@ -88,7 +88,7 @@
   ])]
 }
 
-function bad (message: string): AnvilarchError {
+function badRequest (message: string): AnvilarchError {
   return new AnvilarchError(message, { code: 'bad_request', step: STEP })
 }
 
--- a/packages/anvilarch-daemon/src/callers/completions/completionRequest.ts
+++ b/packages/anvilarch-daemon/src/callers/completions/completionRequest.ts
@@ -1,15 +1,15 @@
-/** Turns a checked completion into a request for the attempts slice. */
+/** Converts a validated completion to a request for the attempts slice. */
 import { createHash } from 'node:crypto'
 import type { WorkRequest } from '../../attempts/types'
 import type { CompletionInput, CompletionKind } from './completionInput'
 
-/** Path of each route at the engine. */
+/** Paths of the routes, also at the engine. */
 export const COMPLETION_PATHS: Record<CompletionKind, string> = { chat: '/v1/chat/completions', text: '/v1/completions' }
 
-/** Characters of a prompt that name its prefix. */
+/** Length of the start of a prompt that identifies its prefix. */
 const PREFIX_CHARACTERS = 512
 
-/** Who asks, and until when. */
+/** Caller and deadline of a request. */
 export interface CompletionOrigin {
   requestId: string
   caller: string
@@ -17,10 +17,10 @@
 }
 
 /**
- * @param kind - which route
+ * @param kind - kind of the route
  * @param body - parsed body
- * @param input - the same, checked
- * @param origin - who asks
+ * @param input - validated body
+ * @param origin - caller and deadline
  * @returns the request
  */
 export function completionRequest (kind: CompletionKind, body: Record<string, unknown>, input: CompletionInput, origin: CompletionOrigin): WorkRequest {
@@ -43,9 +43,9 @@
 }
 
 /**
- * A request that crashes an endpoint does so streamed or not, so that both have the same fingerprint.
+ * Ignores the streaming options: a request that crashes an endpoint does so whether it is streamed or not.
  *
- * @param service - the service that answers
+ * @param service - service that runs the request
  * @param body - parsed body
  * @returns hash of both
  */
@@ -55,10 +55,10 @@
 }
 
 /**
- * Requests that share their first message, which is where shared instructions stand, share their place in a prefix cache.
+ * Requests with the same first message, which usually contains shared instructions, can share an entry of a prefix cache.
  *
  * @param body - parsed body of a completion
- * @returns hash of the start of its prompt, or an empty string
+ * @returns hash of the start of its prompt, or an empty string if there is none
  */
 export function affinityKeyOf (body: Record<string, unknown>): string {
   const { messages, prompt } = body
--- a/packages/anvilarch-daemon/src/callers/completions/completionRoutes.ts
+++ b/packages/anvilarch-daemon/src/callers/completions/completionRoutes.ts
@@ -2,21 +2,21 @@
 import { abortResponse } from 'anvilarch-utils'
 import type { WorkResult } from '../../attempts/types'
 import { errorBody } from '../http/errorResponse'
-import { createAnswerSink } from '../http/answerSink'
-import { toCaller } from '../http/forwardedHeaders'
+import { createResponseSink } from '../http/responseSink'
+import { toCallerHeaders } from '../http/forwardedHeaders'
 import { parseJsonObject, readBody } from '../http/readBody'
 import { checkWorkClass } from '../http/requestHeaders'
 import type { CallerContext, Route } from '../types'
-import type { FrontParts } from '../frontParts'
+import type { RouteDeps } from '../routeDeps'
 import { requireConfiguration } from '../requireConfiguration'
 import { checkCompletion, type CompletionKind } from './completionInput'
 import { COMPLETION_PATHS, completionRequest } from './completionRequest'
 
 /**
- * @param parts - shared parts of the front
+ * @param parts - dependencies of the routes
  * @returns the routes
  */
-export function createCompletionRoutes (parts: FrontParts): Route[] {
+export function createCompletionRoutes (parts: RouteDeps): Route[] {
   return (['chat', 'text'] as const).map(kind => ({
     method: 'POST' as const,
     path: COMPLETION_PATHS[kind],
@@ -24,7 +24,7 @@
   }))
 }
 
-async function complete (parts: FrontParts, kind: CompletionKind, context: CallerContext): Promise<void> {
+async function complete (parts: RouteDeps, kind: CompletionKind, context: CallerContext): Promise<void> {
   const { document } = requireConfiguration(parts.context)
   checkWorkClass(context.request.headers)
   const body = parseJsonObject(await readBody(context.request, document.limits.maxBodyBytes))
@@ -34,23 +34,23 @@
     caller: context.caller,
     deadlineMs: context.deadlineMs ?? parts.context.clock.nowMs() + input.spec.timeoutMs
   })
-  if (input.stream) await answerStream(parts, context, sink => parts.runner.run(request, { sink, signal: context.signal }))
-  else answerWhole(context, await parts.runner.run(request, { signal: context.signal }))
+  if (input.stream) await sendStream(parts, context, sink => parts.runner.run(request, { sink, signal: context.signal }))
+  else sendComplete(context, await parts.runner.run(request, { signal: context.signal }))
 }
 
-function answerWhole ({ response }: CallerContext, result: WorkResult): void {
+function sendComplete ({ response }: CallerContext, result: WorkResult): void {
   if (result.outcome === 'failed') throw result.error
-  response.writeHead(result.status, { ...toCaller(result.headers), 'content-length': result.body.length })
+  response.writeHead(result.status, { ...toCallerHeaders(result.headers), 'content-length': result.body.length })
   response.end(result.body)
 }
 
 /**
- * A stream that breaks off ends without its end mark and with an error event, so that a client sees it is not whole. An answer
- * of another kind has no place for that event.
+ * A stream that fails ends with an error event and without its end mark, so that a client detects that it is incomplete.
+ * Responses of other types cannot contain such an event and are aborted.
  */
-async function answerStream (parts: FrontParts, context: CallerContext, run: (sink: ReturnType<typeof createAnswerSink>) => Promise<WorkResult>): Promise<void> {
+async function sendStream (parts: RouteDeps, context: CallerContext, run: (sink: ReturnType<typeof createResponseSink>) => Promise<WorkResult>): Promise<void> {
   const { response, requestId } = context
-  const sink = createAnswerSink(response, { clock: parts.context.clock, stallMs: parts.options.stallMs })
+  const sink = createResponseSink(response, { clock: parts.context.clock, stallMs: parts.options.stallMs })
   const result = await run(sink)
   if (result.outcome === 'failed') {
     if (!sink.started()) throw result.error
--- a/packages/anvilarch-daemon/src/callers/completions/modelRoutes.ts
+++ b/packages/anvilarch-daemon/src/callers/completions/modelRoutes.ts
@@ -1,17 +1,17 @@
-/** The model routes of the OpenAI-style API: what the field `model` may hold. */
+/** The model routes of the OpenAI-style API, which list the valid values of the field `model`. */
 import { type ConfigurationDocument, suggestNames } from 'anvilarch-configuration'
 import { AnvilarchError } from 'anvilarch-utils'
 import { sendJson } from '../http/sendJson'
-import type { FrontParts } from '../frontParts'
+import type { RouteDeps } from '../routeDeps'
 import { requireConfiguration } from '../requireConfiguration'
 import type { Route } from '../types'
 import { modelNames } from './completionInput'
 
 /**
- * @param parts - shared parts of the front
+ * @param parts - dependencies of the routes
  * @returns the routes
  */
-export function createModelRoutes (parts: FrontParts): Route[] {
+export function createModelRoutes (parts: RouteDeps): Route[] {
   return [
     {
       method: 'GET',
--- a/packages/anvilarch-daemon/src/callers/dispatchTable.ts
+++ b/packages/anvilarch-daemon/src/callers/dispatchTable.ts
@@ -6,24 +6,24 @@
 
 const METHODS: readonly RouteMethod[] = ['GET', 'HEAD', 'POST', 'PUT', 'PATCH', 'DELETE', 'OPTIONS']
 
-/** Longest value of a path parameter. */
+/** Maximum length of a path parameter. */
 const MAX_PARAMETER_CHARACTERS = 1_024
 
-/** A route with the values of its parameters. */
+/** A matching route with the values of its path parameters. */
 export interface FoundRoute {
   route: Route
   params: Record<string, string>
 }
 
-/** Looks routes up. */
+/** Looks up routes. */
 export interface DispatchTable {
   /** @throws AnvilarchError with code `not_found` or `method_not_allowed` */
   find: (method: string, url: string) => FoundRoute
 }
 
 /**
- * @param routes - all routes of the front
- * @returns a table of them
+ * @param routes - all routes of the server
+ * @returns the lookup table
  */
 export function createDispatchTable (routes: readonly Route[]): DispatchTable {
   const router: Instance<HTTPVersion.V1> = createRouter({ maxParamLength: MAX_PARAMETER_CHARACTERS, ignoreTrailingSlash: true })
--- a/packages/anvilarch-daemon/src/callers/handleRequest.ts
+++ b/packages/anvilarch-daemon/src/callers/handleRequest.ts
@@ -1,4 +1,4 @@
-/** Takes one HTTP request from its arrival to its answer. */
+/** Handles an HTTP request: finds its route, admits the caller and reports errors. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { abortResponse, toAnvilarchError } from 'anvilarch-utils'
 import type { DaemonContext } from '../context'
@@ -6,15 +6,15 @@
 import { sendError } from './http/errorResponse'
 import { bearerKeyOf, deadlineOf, requestIdOf } from './http/requestHeaders'
 import { lingerThenClose } from './http/unreadBody'
-import { accountOf, ANONYMOUS } from './limits/accounts'
+import { findAccount, ANONYMOUS } from './limits/accounts'
 import type { CallerLimiter } from './limits/callerLimiter'
 import { MethodNotAllowed } from './plain/plainRouteTable'
 import { requireConfiguration } from './requireConfiguration'
 
-/** Paths of the operator interface, which stays usable when callers overrun the gateway. */
+/** Path prefix of the operator interface, which has no limits so that it stays usable when callers overload the gateway. */
 const OPERATOR_PREFIX = '/admin/'
 
-/** What each request needs. */
+/** Dependencies of the request handler. */
 export interface HandlerParts {
   context: DaemonContext
   table: DispatchTable
@@ -24,9 +24,9 @@
 }
 
 /**
- * @param parts - shared parts of the front
+ * @param parts - dependencies of the handler
  * @param request - the request
- * @param response - to answer with
+ * @param response - its response
  */
 export async function handleRequest (parts: HandlerParts, request: IncomingMessage, response: ServerResponse): Promise<void> {
   let requestId = parts.nextRequestId()
@@ -36,7 +36,7 @@
     response.setHeader('x-request-id', requestId)
     await serve(parts, request, response, requestId)
   } catch (error) {
-    answerError(parts, request, response, { error, requestId })
+    respondWithError(parts, request, response, { error, requestId })
   }
 }
 
@@ -54,7 +54,7 @@
       requestId,
       caller,
       deadlineMs: durationMs === undefined ? undefined : parts.context.clock.nowMs() + durationMs,
-      signal: goneSignal(response)
+      signal: disconnectSignal(response)
     })
   } finally {
     release()
@@ -65,14 +65,14 @@
   const key = bearerKeyOf(request.headers)
   if (url.startsWith(OPERATOR_PREFIX)) {
     const document = parts.context.configuration.current()?.document
-    return { caller: document === undefined ? ANONYMOUS : accountOf(document, key).name, release: () => {} }
+    return { caller: document === undefined ? ANONYMOUS : findAccount(document, key).name, release: () => {} }
   }
-  const account = accountOf(requireConfiguration(parts.context).document, key)
+  const account = findAccount(requireConfiguration(parts.context).document, key)
   return { caller: account.name, release: parts.limiter.admit(account) }
 }
 
-/** @returns a signal that is aborted when the caller goes away before its answer was sent */
-function goneSignal (response: ServerResponse): AbortSignal {
+/** @returns a signal that is aborted when the caller disconnects before its response was sent */
+function disconnectSignal (response: ServerResponse): AbortSignal {
   const controller = new AbortController()
   response.once('close', () => {
     if (!response.writableFinished) controller.abort()
@@ -85,16 +85,16 @@
   requestId: string
 }
 
-function answerError (parts: HandlerParts, request: IncomingMessage, response: ServerResponse, { error, requestId }: FailedRequest): void {
-  const typed = toAnvilarchError(error, { code: 'internal', step: 'callers.handle', ran: 'unknown' })
-  if (typed.code === 'internal') parts.context.logger.error('a request failed in the gateway', { requestId, error: describe(error) })
-  parts.context.metrics.refusals.inc({ class: 'front', reason: typed.code })
+function respondWithError (parts: HandlerParts, request: IncomingMessage, response: ServerResponse, { error, requestId }: FailedRequest): void {
+  const anvilarchError = toAnvilarchError(error, { code: 'internal', step: 'callers.handle', ran: 'unknown' })
+  if (anvilarchError.code === 'internal') parts.context.logger.error('a request failed in the gateway', { requestId, error: describe(error) })
+  parts.context.metrics.refusals.inc({ class: 'front', reason: anvilarchError.code })
   if (response.headersSent || response.destroyed) {
     abortResponse(response)
     return
   }
   if (error instanceof MethodNotAllowed) response.setHeader('allow', error.allowed.join(', '))
-  sendError(response, typed, requestId)
+  sendError(response, anvilarchError, requestId)
   if (!request.complete) lingerThenClose(request, response, parts.context.clock)
 }
 
--- a/packages/anvilarch-daemon/src/callers/http/clientErrors.ts
+++ b/packages/anvilarch-daemon/src/callers/http/clientErrors.ts
@@ -1,30 +1,30 @@
-/** Answers what is not HTTP, or broke off in the middle, with a typed error as well. */
+/** Responds with a typed error to requests that are invalid HTTP or incomplete. */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { Duplex } from 'node:stream'
 import { AnvilarchError } from 'anvilarch-utils'
 import { errorBody, sendError } from './errorResponse'
 
-interface ClientFault {
+interface ClientError {
   status: number
   message: string
 }
 
-/** Faults by the code of the HTTP parser. */
-const FAULTS: Record<string, ClientFault> = {
+/** Responses by error code of the HTTP parser. */
+const CLIENT_ERRORS: Record<string, ClientError> = {
   HPE_HEADER_OVERFLOW: { status: 431, message: 'the headers are larger than this gateway takes' },
   HPE_INVALID_EOF_STATE: { status: 400, message: 'the request was cut off before its end' },
   ERR_HTTP_REQUEST_TIMEOUT: { status: 408, message: 'the request did not arrive in time' }
 }
 
-const OTHER_FAULT: ClientFault = { status: 400, message: 'the request is not valid HTTP' }
+const OTHER_CLIENT_ERROR: ClientError = { status: 400, message: 'the request is not valid HTTP' }
 
-/** The gateway never learned an id for what it could not read. */
+/** A request that could not be parsed has no id. */
 const NO_REQUEST_ID = ''
 
 /**
- * @param server - whose faulty connections are answered
+ * @param server - server whose client errors are handled
  */
-export function answerClientErrors (server: Server): void {
+export function respondToClientErrors (server: Server): void {
   const responses = new WeakMap<Duplex, ServerResponse>()
   server.on('request', (request: IncomingMessage, response: ServerResponse) => { responses.set(request.socket, response) })
   server.on('clientError', (error: NodeJS.ErrnoException, socket: Duplex) => {
@@ -32,12 +32,12 @@
       socket.destroy()
       return
     }
-    answer(socket, responses.get(socket), FAULTS[error.code ?? ''] ?? OTHER_FAULT)
+    respond(socket, responses.get(socket), CLIENT_ERRORS[error.code ?? ''] ?? OTHER_CLIENT_ERROR)
   })
 }
 
-function answer (socket: Duplex, response: ServerResponse | undefined, fault: ClientFault): void {
-  const error = new AnvilarchError(fault.message, { code: 'bad_request', step: 'callers.read_request' })
+function respond (socket: Duplex, response: ServerResponse | undefined, clientError: ClientError): void {
+  const error = new AnvilarchError(clientError.message, { code: 'bad_request', step: 'callers.read_request' })
   const open = response !== undefined && !response.writableEnded
   if (open && response.headersSent) {
     socket.destroy()
@@ -45,11 +45,11 @@
     response.setHeader('connection', 'close')
     sendError(response, error, String(response.getHeader('x-request-id') ?? NO_REQUEST_ID))
   } else {
-    socket.end(rawAnswer(fault.status, JSON.stringify(errorBody(error, NO_REQUEST_ID))))
+    socket.end(rawResponse(clientError.status, JSON.stringify(errorBody(error, NO_REQUEST_ID))))
   }
 }
 
-function rawAnswer (status: number, body: string): string {
+function rawResponse (status: number, body: string): string {
   return [
     `HTTP/1.1 ${status} Bad Request`,
     'content-type: application/json',
--- a/packages/anvilarch-daemon/src/callers/http/errorResponse.ts
+++ b/packages/anvilarch-daemon/src/callers/http/errorResponse.ts
@@ -1,4 +1,4 @@
-/** Typed JSON errors, in the shape that OpenAI-style clients read. */
+/** Typed JSON errors, in the format of OpenAI-style clients. */
 import type { ServerResponse } from 'node:http'
 import type { AnvilarchError, ErrorCode } from 'anvilarch-utils'
 import { sendJson } from './sendJson'
@@ -28,12 +28,12 @@
   deadline_exceeded: 504
 }
 
-/** Errors that a client must not answer by sending the request again at once, whatever its status says. */
+/** Errors after which a client must not retry at once, although their status suggests it. */
 const NO_RETRY = new Set<ErrorCode>(['outcome_unknown', 'quarantined', 'incomplete'])
 
 const MS_PER_SECOND = 1_000
 
-/** Body of an error. */
+/** Body of an error response. */
 export interface ErrorBody {
   error: {
     message: string
@@ -48,7 +48,7 @@
 }
 
 /**
- * @param code - code of an error
+ * @param code - error code
  * @returns its HTTP status
  */
 export function statusOf (code: ErrorCode): number {
@@ -56,9 +56,9 @@
 }
 
 /**
- * @param error - what happened
- * @param requestId - the request it happened to
- * @returns the JSON body to send
+ * @param error - the error
+ * @param requestId - id of the failed request
+ * @returns the JSON body
  */
 export function errorBody (error: AnvilarchError, requestId: string): ErrorBody {
   return {
@@ -82,11 +82,11 @@
 }
 
 /**
- * Sends an error, with `Retry-After` when it is known when to come back.
+ * Sends an error, with `Retry-After` if the error has a retry time.
  *
- * @param response - to answer with; its header must not have been sent
- * @param error - what happened
- * @param requestId - the request it happened to
+ * @param response - the response; its head must not have been sent
+ * @param error - the error
+ * @param requestId - id of the failed request
  */
 export function sendError (response: ServerResponse, error: AnvilarchError, requestId: string): void {
   if (error.retryAfterMs !== undefined) {
--- a/packages/anvilarch-daemon/src/callers/http/forwardedHeaders.ts
+++ b/packages/anvilarch-daemon/src/callers/http/forwardedHeaders.ts
@@ -1,8 +1,8 @@
-/** Which headers go on from a caller to an endpoint, and from an endpoint to a caller. */
+/** Selects the headers that are forwarded from callers to endpoints and back. */
 import type { IncomingHttpHeaders } from 'node:http'
 import type { Headers } from '../../attempts/types'
 
-/** Headers of one connection, and those that the daemons set themselves. */
+/** Hop-by-hop headers, and headers that the daemons set themselves. */
 const NOT_FORWARDED = new Set([
   'connection', 'keep-alive', 'proxy-authenticate', 'proxy-authorization', 'proxy-connection', 'te', 'trailer',
   'transfer-encoding', 'upgrade', 'expect', 'host', 'content-length', 'accept-encoding',
@@ -10,11 +10,11 @@
 ])
 
 /**
- * @param headers - as the caller sent them
- * @param requestId - the request's id
- * @returns what the endpoint gets
+ * @param headers - headers from the caller
+ * @param requestId - id of the request
+ * @returns headers for the endpoint
  */
-export function toEndpoint (headers: IncomingHttpHeaders, requestId: string): Headers {
+export function toEndpointHeaders (headers: IncomingHttpHeaders, requestId: string): Headers {
   const forwarded: Headers = { 'x-request-id': requestId }
   for (const [name, value] of Object.entries(headers)) {
     if (value === undefined || NOT_FORWARDED.has(name)) continue
@@ -24,9 +24,9 @@
 }
 
 /**
- * @param headers - as the endpoint sent them
- * @returns what the caller gets
+ * @param headers - headers from the endpoint
+ * @returns headers for the caller
  */
-export function toCaller (headers: Headers): Headers {
+export function toCallerHeaders (headers: Headers): Headers {
   return Object.fromEntries(Object.entries(headers).filter(([name]) => !NOT_FORWARDED.has(name)))
 }
--- a/packages/anvilarch-daemon/src/callers/http/gracefulClose.ts
+++ b/packages/anvilarch-daemon/src/callers/http/gracefulClose.ts
@@ -1,32 +1,32 @@
-/** Closes an HTTP server without cutting a request. */
+/** Closes an HTTP server after its requests in progress have completed. */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { Socket } from 'node:net'
 import { type Clock, isCloseDelimited, sleep } from 'anvilarch-utils'
 
-/** Closes one server. */
+/** Closes a server. */
 export interface GracefulCloser {
   /**
-   * Takes no more connections, and resolves when the last request is finished.
+   * Stops accepting connections and resolves when the last request is complete.
    *
-   * @param timeoutMs - bound after which the rest is cut
-   * @returns false when something had to be cut
+   * @param timeoutMs - time after which the remaining requests are aborted
+   * @returns false if requests had to be aborted
    */
   close: (timeoutMs: number) => Promise<boolean>
 }
 
-/** How often connections are looked at that have become idle since. */
+/** Interval of the checks for connections that have become idle. */
 const IDLE_CHECK_MS = 50
 
-/** A connection may have been opened just now for a request that is on its way. */
+/** Grace period for new connections, whose first request may be about to arrive. */
 const UNUSED_CONNECTION_MS = 1_000
 
 /**
- * @param server - to close later; it must not have connections yet
- * @param clock - for the bounds
- * @returns its closer
+ * @param server - the server; it must not have connections yet
+ * @param clock - clock for the timeouts
+ * @returns the closer
  */
 export function createGracefulCloser (server: Server, clock: Clock): GracefulCloser {
-  /** Open connections, with the last answer on each. */
+  /** Open connections with their last response. */
   const sockets = new Map<Socket, ServerResponse | undefined>()
   server.on('connection', (socket: Socket) => {
     sockets.set(socket, undefined)
@@ -37,8 +37,8 @@
   })
 
   /**
-   * Pools open connections ahead of use. The server takes one that never sent a byte for busy, and would wait for it
-   * until the whole bound has passed.
+   * Connection pools open connections ahead of use. The server counts one that never sent a byte as busy and would wait for it
+   * until the timeout.
    */
   const closeUnused = (): void => {
     for (const socket of sockets.keys()) {
@@ -47,8 +47,8 @@
   }
 
   /**
-   * A response that began before the drain could not announce the end of its connection, which then stays open, idle, for
-   * as long as its client likes.
+   * A response that started before the drain could not announce the close of its connection, which then stays open and idle
+   * until the client closes it.
    */
   const closeIdle = async (signal: AbortSignal): Promise<void> => {
     while (!signal.aborted) {
@@ -57,7 +57,7 @@
     }
   }
 
-  const cutAll = (): void => {
+  const abortAll = (): void => {
     for (const [socket, response] of sockets) {
       if (response !== undefined && !response.writableFinished && isCloseDelimited(response)) socket.resetAndDestroy()
       else socket.destroy()
@@ -71,11 +71,11 @@
       const unused = clock.after(UNUSED_CONNECTION_MS, closeUnused)
       const expired = sleep(clock, timeoutMs, finished.signal).then(() => false)
       closeIdle(finished.signal).catch(() => {})
-      const whole = await Promise.race([closed, expired])
+      const isDrained = await Promise.race([closed, expired])
       finished.abort()
       unused.cancel()
-      if (!whole) cutAll()
-      return whole
+      if (!isDrained) abortAll()
+      return isDrained
     }
   }
 }
--- a/packages/anvilarch-daemon/src/callers/http/readBody.ts
+++ b/packages/anvilarch-daemon/src/callers/http/readBody.ts
@@ -1,4 +1,4 @@
-/** Reads request bodies within a bound. */
+/** Reads request bodies with a size limit. */
 import type { IncomingMessage } from 'node:http'
 import { describeExpectedSyntax } from 'anvilarch-configuration'
 import { AnvilarchError } from 'anvilarch-utils'
@@ -7,13 +7,13 @@
 const STEP = 'callers.read_body'
 
 /**
- * Reads a whole body. Reading stops at the bound, so that no caller can fill the memory of the gateway.
- * The request is left open then, so that the caller can still be told.
+ * Reads a complete body. Reading stops at the limit, so that no caller can exhaust the memory of the gateway. The request is
+ * then left open, so that the caller can still receive the error.
  *
  * @param request - the request
- * @param limitBytes - the longest body taken
+ * @param limitBytes - maximum size of the body
  * @returns the body
- * @throws AnvilarchError with code `too_large`, or `bad_request` when the upload was cut off
+ * @throws AnvilarchError with code `too_large`, or `bad_request` if the upload was truncated
  */
 export function readBody (request: IncomingMessage, limitBytes: number): Promise<Buffer> {
   const declaredBytes = Number(request.headers['content-length'] ?? 0)
@@ -60,9 +60,9 @@
 }
 
 /**
- * @param body - a body that should hold one JSON object
+ * @param body - a body that should contain one JSON object
  * @returns the object
- * @throws AnvilarchError with code `bad_request` that names line and column of the fault
+ * @throws AnvilarchError with code `bad_request` and the line and column of a syntax error
  */
 export function parseJsonObject (body: Uint8Array): Record<string, unknown> {
   const text = Buffer.from(body.buffer, body.byteOffset, body.byteLength).toString('utf8')
@@ -70,7 +70,7 @@
   try {
     value = JSON.parse(text)
   } catch {
-    throw new AnvilarchError(`the body is not valid JSON: ${describeFault(text)}`, { code: 'bad_request', step: 'callers.parse_body' })
+    throw new AnvilarchError(`the body is not valid JSON: ${describeSyntaxError(text)}`, { code: 'bad_request', step: 'callers.parse_body' })
   }
   if (value === null || typeof value !== 'object' || Array.isArray(value)) {
     throw new AnvilarchError('the body must be a JSON object, for example {"model": "...", "messages": [...]}', { code: 'bad_request', step: 'callers.parse_body' })
@@ -78,13 +78,13 @@
   return value as Record<string, unknown>
 }
 
-/** The parser of the platform names no position for most faults; this one does. */
-function describeFault (text: string): string {
+/** `JSON.parse` reports no position for most syntax errors, unlike the parser used here. */
+function describeSyntaxError (text: string): string {
   if (text === '') return 'it is empty'
   const errors: ParseError[] = []
   parse(text, errors, { disallowComments: true })
   const first = errors[0]
   if (first === undefined) return 'it holds something that JSON does not allow'
-  const before = text.slice(0, first.offset).split('\n')
-  return `expected ${describeExpectedSyntax(first)} at line ${before.length}, column ${before[before.length - 1].length + 1}`
+  const linesBefore = text.slice(0, first.offset).split('\n')
+  return `expected ${describeExpectedSyntax(first)} at line ${linesBefore.length}, column ${linesBefore[linesBefore.length - 1].length + 1}`
 }
--- a/packages/anvilarch-daemon/src/callers/http/requestHeaders.ts
+++ b/packages/anvilarch-daemon/src/callers/http/requestHeaders.ts
@@ -1,4 +1,4 @@
-/** Reads and checks the headers that callers send. */
+/** Parses and validates request headers. */
 import type { IncomingHttpHeaders } from 'node:http'
 import { AnvilarchError } from 'anvilarch-utils'
 
@@ -8,13 +8,13 @@
 const BEARER = /^Bearer +(\S{1,512})$/i
 const WHOLE_NUMBER = /^\d{1,9}$/
 
-/** The longest deadline that a caller may ask for: a day. */
+/** Maximum deadline that a caller may set: one day. */
 export const MAX_DEADLINE_MS = 86_400_000
 
 /**
- * @param headers - of a request
- * @param makeId - makes an id for a request that brought none
- * @returns the request's id
+ * @param headers - request headers
+ * @param makeId - generates an id for a request without one
+ * @returns the id of the request
  */
 export function requestIdOf (headers: IncomingHttpHeaders, makeId: () => string): string {
   const value = headers['x-request-id']
@@ -24,8 +24,8 @@
 }
 
 /**
- * @param headers - of a request
- * @returns the time that the caller gives, in milliseconds, or undefined
+ * @param headers - request headers
+ * @returns the time until the deadline in milliseconds, or undefined
  */
 export function deadlineOf (headers: IncomingHttpHeaders): number | undefined {
   const value = headers['x-deadline-ms']
@@ -36,8 +36,8 @@
 }
 
 /**
- * @param headers - of a request
- * @returns the key under which a call runs at most once, or undefined
+ * @param headers - request headers
+ * @returns the idempotency key, or undefined
  */
 export function idempotencyKeyOf (headers: IncomingHttpHeaders): string | undefined {
   const value = headers['idempotency-key']
@@ -47,8 +47,8 @@
 }
 
 /**
- * @param headers - of a request
- * @returns the caller's key, or undefined when it sent none
+ * @param headers - request headers
+ * @returns the bearer key, or undefined
  */
 export function bearerKeyOf (headers: IncomingHttpHeaders): string | undefined {
   const value = headers.authorization
@@ -59,8 +59,8 @@
 }
 
 /**
- * @param headers - of a request to a completion route
- * @throws AnvilarchError when the request asks for another class of work than online
+ * @param headers - headers of a request to a completion route
+ * @throws AnvilarchError if the request sets a work class other than online
  */
 export function checkWorkClass (headers: IncomingHttpHeaders): void {
   const value = headers['x-work-class']
--- a/packages/anvilarch-daemon/src/callers/http/answerSink.ts
+++ b/packages/anvilarch-daemon/src/callers/http/responseSink.ts
@@ -1,40 +1,41 @@
-/** Writes an answer to a caller as it comes, at the pace at which the caller reads. */
+/** Writes output to a response as it arrives, with backpressure from the caller. */
 import type { ServerResponse } from 'node:http'
 import { type Clock, abortResponse } from 'anvilarch-utils'
 import type { Headers, WorkSink } from '../../attempts/types'
-import { toCaller } from './forwardedHeaders'
+import { toCallerHeaders } from './forwardedHeaders'
 
-/** Options of `createAnswerSink`. */
-export interface AnswerSinkOptions {
+/** Options of `createResponseSink`. */
+export interface ResponseSinkOptions {
   clock: Clock
-  /** A caller that takes nothing for this long is dropped, so that it does not hold a slot of an endpoint for ever. */
+  /** Time after which a caller that reads nothing is disconnected, so that it does not occupy a slot of an endpoint forever. */
   stallMs: number
 }
 
-/** A sink that knows whether anything was sent. */
-export interface AnswerSink extends WorkSink {
+/** A sink that writes to a response. */
+export interface ResponseSink extends WorkSink {
+  /** @returns whether the head was sent */
   started: () => boolean
-  /** Whether what was sent is a stream of events. */
+  /** @returns whether the response is a stream of events */
   isEvents: () => boolean
-  /** Sends the header if no output did. */
+  /** Sends the head if it was not sent yet. */
   flushHead: () => void
 }
 
 /**
- * The header goes out with the first output, so that a failure before it is still told by its status.
+ * The head is sent with the first output, so that an earlier failure can still be reported by its status.
  *
- * @param response - to answer with
- * @param options - clock and bound
+ * @param response - the response to write to
+ * @param options - clock and timeout
  * @returns a sink
  */
-export function createAnswerSink (response: ServerResponse, options: AnswerSinkOptions): AnswerSink {
+export function createResponseSink (response: ServerResponse, options: ResponseSinkOptions): ResponseSink {
   let head: { status: number, headers: Headers } | undefined
   let started = false
 
   const flushHead = (): void => {
     if (started || head === undefined) return
     started = true
-    response.writeHead(head.status, toCaller(head.headers))
+    response.writeHead(head.status, toCallerHeaders(head.headers))
   }
 
   return {
@@ -50,8 +51,8 @@
   }
 }
 
-/** Resolves when the caller has read on, or is gone; drops it after the bound. */
-function waitForDrain (response: ServerResponse, { clock, stallMs }: AnswerSinkOptions): Promise<void> {
+/** Resolves when the caller has continued to read or disconnected; aborts the response after `stallMs`. */
+function waitForDrain (response: ServerResponse, { clock, stallMs }: ResponseSinkOptions): Promise<void> {
   return new Promise(resolve => {
     const finish = (): void => {
       timer.cancel()
--- a/packages/anvilarch-daemon/src/callers/http/sendJson.ts
+++ b/packages/anvilarch-daemon/src/callers/http/sendJson.ts
@@ -1,8 +1,8 @@
-/** JSON answers. */
+/** JSON responses. */
 import type { ServerResponse } from 'node:http'
 
 /**
- * @param response - to answer with; its header must not have been sent
+ * @param response - the response; its head must not have been sent
  * @param status - HTTP status
  * @param body - value to send as JSON
  */
--- a/packages/anvilarch-daemon/src/callers/http/unreadBody.ts
+++ b/packages/anvilarch-daemon/src/callers/http/unreadBody.ts
@@ -1,29 +1,29 @@
-/** Ends a connection whose request was refused before its body was read. */
+/** Closes the connection of a request that was rejected before its body was read. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { Clock } from 'anvilarch-utils'
 
-/** How long, and how much, is read and dropped after the answer. */
+/** Limits of the time and size of the body that is read and discarded after the response. */
 const LINGER_MS = 500
-const LINGER_BYTES = 4 * 1024 * 1024
+const MAX_LINGER_BYTES = 4 * 1024 * 1024
 
 /**
- * A connection that is closed with unread bytes is reset, and the caller, still writing, never sees why. So the rest is
- * read and dropped for a short, bounded while.
+ * A connection that is closed with unread bytes is reset, so a caller that is still writing would not receive the error response.
+ * So the rest of the body is read and discarded within limits first.
  *
- * @param request - with an unread body
- * @param response - that has been ended
- * @param clock - to bound the while
+ * @param request - a request with an unread body
+ * @param response - its response, which has been ended
+ * @param clock - clock for the time limit
  */
 export function lingerThenClose (request: IncomingMessage, response: ServerResponse, clock: Clock): void {
-  let droppedBytes = 0
+  let discardedBytes = 0
   const close = (): void => {
     timer.cancel()
     request.socket.destroy()
   }
   const timer = clock.after(LINGER_MS, close)
   request.on('data', (chunk: Buffer) => {
-    droppedBytes += chunk.length
-    if (droppedBytes > LINGER_BYTES && response.writableFinished) close()
+    discardedBytes += chunk.length
+    if (discardedBytes > MAX_LINGER_BYTES && response.writableFinished) close()
   })
   request.once('end', () => { timer.cancel() })
   request.once('close', () => { timer.cancel() })
--- a/packages/anvilarch-daemon/src/callers/index.ts
+++ b/packages/anvilarch-daemon/src/callers/index.ts
@@ -1,4 +1,4 @@
-/** What other slices use of the front. */
+/** Exports of this slice for other slices. */
 export { startCallersServer, type CallersDependencies } from './callersServer'
 export { sendError } from './http/errorResponse'
 export { sendJson } from './http/sendJson'
--- a/packages/anvilarch-daemon/src/callers/limits/callerLimiter.ts
+++ b/packages/anvilarch-daemon/src/callers/limits/callerLimiter.ts
@@ -1,4 +1,4 @@
-/** Keeps one caller from starving the others, and all of them from overrunning the gateway. */
+/** Rate and concurrency limits of each caller, and the concurrency limit of the gateway. */
 import { AnvilarchError, type Bucket, type Clock, takeToken } from 'anvilarch-utils'
 import { LRUCache } from 'lru-cache'
 import type { Account } from './accounts'
@@ -7,7 +7,7 @@
 export interface CallerLimiter {
   /**
    * @returns a function to call when the request has ended
-   * @throws AnvilarchError with code `rate_limited` or `overloaded`, and when to come back
+   * @throws AnvilarchError with code `rate_limited` or `overloaded`, and with a retry time
    */
   admit: (account: Account) => () => void
   inProgress: () => number
@@ -16,26 +16,26 @@
 /** Options of `createCallerLimiter`. */
 export interface CallerLimiterOptions {
   clock: Clock
-  /** Requests in progress at this gateway, over all callers. */
+  /** Maximum number of requests in progress at this gateway, over all callers. */
   maxConcurrentRequests: number
 }
 
-/** Callers whose rate is remembered; the one seen least lately is forgotten, and starts again with a full bucket. */
+/** Maximum number of rate buckets. The least recently used one is evicted; its caller starts again with a full bucket. */
 const MAX_BUCKETS = 50_000
 
-/** When to come back after too many requests at the same time; they end at any moment. */
+/** Retry time after too many concurrent requests, which may end at any moment. */
 const CONCURRENCY_RETRY_AFTER_MS = 1_000
 
 /**
- * @param options - clock and bound
- * @returns a limiter that has seen nobody
+ * @param options - clock and limit
+ * @returns a limiter without requests
  */
 export function createCallerLimiter (options: CallerLimiterOptions): CallerLimiter {
   const buckets = new LRUCache<string, Bucket>({ max: MAX_BUCKETS })
   const concurrent = new Map<string, number>()
   let total = 0
 
-  const takeRate = ({ name, limits }: Account): void => {
+  const takeRateToken = ({ name, limits }: Account): void => {
     const take = takeToken(buckets.get(name), { perSecond: limits.requestsPerSecond, burst: limits.burst }, options.clock.nowMs())
     buckets.set(name, take.bucket)
     if (take.taken) return
@@ -46,8 +46,8 @@
 
   const release = (name: string): void => {
     total--
-    const left = (concurrent.get(name) ?? 1) - 1
-    if (left > 0) concurrent.set(name, left)
+    const remaining = (concurrent.get(name) ?? 1) - 1
+    if (remaining > 0) concurrent.set(name, remaining)
     else concurrent.delete(name)
   }
 
@@ -65,7 +65,7 @@
           code: 'rate_limited', step: 'callers.concurrency', retryAfterMs: CONCURRENCY_RETRY_AFTER_MS
         })
       }
-      takeRate(account)
+      takeRateToken(account)
       total++
       concurrent.set(name, running + 1)
       let released = false
--- a/packages/anvilarch-daemon/src/callers/plain/keyedCalls.ts
+++ b/packages/anvilarch-daemon/src/callers/plain/keyedCalls.ts
@@ -1,22 +1,22 @@
-/** Answers calls that run at most once under the key of their caller. */
+/** Handles calls with an idempotency key, which run at most once. */
 import type { KeyedResult } from '../../attempts/intents/types'
 import type { WorkRequest } from '../../attempts/types'
-import { toCaller } from '../http/forwardedHeaders'
-import type { FrontParts } from '../frontParts'
+import { toCallerHeaders } from '../http/forwardedHeaders'
+import type { RouteDeps } from '../routeDeps'
 import type { CallerContext } from '../types'
 
-/** Tells a caller that an answer is the recorded one. */
+/** Response header that marks a replayed response. */
 const REPLAYED_HEADER = 'idempotent-replayed'
 
 /**
- * The call goes on when its caller goes away: its end is recorded, and whoever sends it again gets it.
+ * The call continues if its caller disconnects: its outcome is recorded and returned to a retry with the same key.
  *
- * @param parts - shared parts of the front
+ * @param parts - dependencies of the routes
  * @param context - the request of the caller
  * @param work - the call
- * @param key - its key
+ * @param key - its idempotency key
  */
-export async function answerKeyedCall (parts: FrontParts, context: CallerContext, work: WorkRequest, key: string): Promise<void> {
+export async function handleKeyedCall (parts: RouteDeps, context: CallerContext, work: WorkRequest, key: string): Promise<void> {
   const call = {
     caller: work.caller,
     key,
@@ -24,14 +24,14 @@
     callHash: work.fingerprint,
     timeoutMs: Math.ceil(work.deadlineMs - parts.context.clock.nowMs())
   }
-  answer(context, await parts.intents.run(call, async () => await parts.runner.run(work)))
+  sendResult(context, await parts.intents.run(call, async () => await parts.runner.run(work)))
 }
 
-function answer ({ response }: CallerContext, keyed: KeyedResult): void {
+function sendResult ({ response }: CallerContext, keyed: KeyedResult): void {
   if (keyed.kind === 'refused') throw keyed.error
   if (keyed.kind === 'ran' && keyed.result.outcome === 'failed') throw keyed.result.error
-  const answered = keyed.kind === 'ran' ? keyed.result as Extract<typeof keyed.result, { outcome: 'completed' }> : keyed
+  const completed = keyed.kind === 'ran' ? keyed.result as Extract<typeof keyed.result, { outcome: 'completed' }> : keyed
   if (keyed.kind === 'replayed') response.setHeader(REPLAYED_HEADER, 'true')
-  response.writeHead(answered.status, { ...toCaller(answered.headers), 'content-length': answered.body.length })
-  response.end(answered.body)
+  response.writeHead(completed.status, { ...toCallerHeaders(completed.headers), 'content-length': completed.body.length })
+  response.end(completed.body)
 }
--- a/packages/anvilarch-daemon/src/callers/plain/plainRouteTable.ts
+++ b/packages/anvilarch-daemon/src/callers/plain/plainRouteTable.ts
@@ -1,4 +1,4 @@
-/** Matches a call to a plain service with the routes that the document gives it. */
+/** Matches calls to plain services with the configured routes. */
 import type { ConfigurationDocument, PlainRoute, PlainService } from 'anvilarch-configuration'
 import { suggestNames } from 'anvilarch-configuration'
 import { AnvilarchError } from 'anvilarch-utils'
@@ -10,14 +10,14 @@
 
 const tables = new WeakMap<PlainService, RouteTable>()
 
-/** Longest value of a path parameter. */
+/** Maximum length of a path parameter. */
 const MAX_PARAMETER_CHARACTERS = 1_024
 
 /**
  * @param document - the configuration in force
  * @param service - name of a plain service
- * @param method - of the call
- * @param path - of the call within the service, with its query
+ * @param method - method of the call
+ * @param path - path of the call within the service, with its query
  * @returns the route
  * @throws AnvilarchError with code `not_found` or `method_not_allowed`
  */
@@ -29,7 +29,7 @@
   throw noRoute(spec, service, method, path)
 }
 
-/** Methods under which a path of a service would be served. */
+/** @returns the methods that a service has routes for at a path */
 function allowedMethods (spec: PlainService, path: string): string[] {
   const table = tableOf(spec)
   const methods = [...new Set(spec.routes.map(route => route.method.toUpperCase()))]
@@ -62,7 +62,7 @@
   return new AnvilarchError(`service "${service}" has no route for "${path}"; its routes are ${known}`, { code: 'not_found', step: STEP })
 }
 
-/** Also carries what the header `Allow` must say. */
+/** Error that also contains the value of the header `Allow`. */
 export class MethodNotAllowed extends AnvilarchError {
   constructor (message: string, readonly allowed: readonly string[]) {
     super(message, { code: 'method_not_allowed', step: 'callers.route' })
--- a/packages/anvilarch-daemon/src/callers/plain/plainRoutes.ts
+++ b/packages/anvilarch-daemon/src/callers/plain/plainRoutes.ts
@@ -1,62 +1,62 @@
-/** Passes calls through to plain services. */
+/** Forwards calls to plain services. */
 import { createHash } from 'node:crypto'
 import type { PlainRoute } from 'anvilarch-configuration'
 import { abortResponse } from 'anvilarch-utils'
 import type { WorkRequest } from '../../attempts/types'
-import { createAnswerSink } from '../http/answerSink'
-import { toEndpoint } from '../http/forwardedHeaders'
+import { createResponseSink } from '../http/responseSink'
+import { toEndpointHeaders } from '../http/forwardedHeaders'
 import { readBody } from '../http/readBody'
 import { idempotencyKeyOf } from '../http/requestHeaders'
-import type { FrontParts } from '../frontParts'
+import type { RouteDeps } from '../routeDeps'
 import { requireConfiguration } from '../requireConfiguration'
 import type { CallerContext, Route, RouteMethod } from '../types'
-import { answerKeyedCall } from './keyedCalls'
+import { handleKeyedCall } from './keyedCalls'
 import { findPlainRoute } from './plainRouteTable'
 
 const METHODS: readonly RouteMethod[] = ['GET', 'HEAD', 'POST', 'PUT', 'PATCH', 'DELETE', 'OPTIONS']
 
 /**
- * @param parts - shared parts of the front
+ * @param parts - dependencies of the routes
  * @returns the routes
  */
-export function createPlainRoutes (parts: FrontParts): Route[] {
+export function createPlainRoutes (parts: RouteDeps): Route[] {
   return METHODS.map(method => ({
     method,
     path: '/services/:service/*',
-    handle: async (context: CallerContext) => { await passThrough(parts, context) }
+    handle: async (context: CallerContext) => { await forwardCall(parts, context) }
   }))
 }
 
-/** A key matters only to a call that may not be repeated; any other is simply run again. */
-async function passThrough (parts: FrontParts, context: CallerContext): Promise<void> {
+/** An idempotency key is only used for routes that are not idempotent; other calls can simply run again. */
+async function forwardCall (parts: RouteDeps, context: CallerContext): Promise<void> {
   const { request, params } = context
   const { document } = requireConfiguration(parts.context)
   const service = params['service']
-  const path = pathWithin(request.url ?? '/', service)
+  const path = pathWithinService(request.url ?? '/', service)
   const route = findPlainRoute(document, service, request.method ?? 'GET', path)
   const key = route.idempotent ? undefined : idempotencyKeyOf(request.headers)
   const body = await readBody(request, document.limits.maxBodyBytes)
   const work = plainRequest(context, { service, path, route, body, nowMs: parts.context.clock.nowMs() })
-  if (key === undefined) await answerAsItComes(parts, context, work)
-  else await answerKeyedCall(parts, context, work, key)
+  if (key === undefined) await streamResponse(parts, context, work)
+  else await handleKeyedCall(parts, context, work, key)
 }
 
-async function answerAsItComes (parts: FrontParts, { response, signal }: CallerContext, work: WorkRequest): Promise<void> {
-  const sink = createAnswerSink(response, { clock: parts.context.clock, stallMs: parts.options.stallMs })
+async function streamResponse (parts: RouteDeps, { response, signal }: CallerContext, work: WorkRequest): Promise<void> {
+  const sink = createResponseSink(response, { clock: parts.context.clock, stallMs: parts.options.stallMs })
   const result = await parts.runner.run(work, { sink, signal })
   if (result.outcome === 'completed') {
     sink.flushHead()
     response.end()
   } else if (sink.started()) {
-    // The length of the answer is known to the caller only by its end, so a cut connection is the one sign of a failure.
+    // The caller does not know the length of the response, so only an aborted connection shows that it is incomplete.
     abortResponse(response)
   } else {
     throw result.error
   }
 }
 
-/** The path as the caller wrote it, so that nothing in it is decoded on the way. */
-function pathWithin (url: string, service: string): string {
+/** @returns the path as the caller sent it, without any decoding */
+function pathWithinService (url: string, service: string): string {
   const prefix = `/services/${service}`
   const at = url.indexOf('/', '/services/'.length)
   return at < 0 ? '/' : url.slice(url.startsWith(`${prefix}/`) ? prefix.length : at)
@@ -77,7 +77,7 @@
     caller: context.caller,
     workClass: 'lookup',
     service,
-    call: { method, path, headers: toEndpoint(context.request.headers, context.requestId), body },
+    call: { method, path, headers: toEndpointHeaders(context.request.headers, context.requestId), body },
     outputMode: 'raw',
     idempotent: route.idempotent,
     deadlineMs: context.deadlineMs ?? nowMs + route.timeoutMs,
--- a/packages/anvilarch-daemon/src/callers/requireConfiguration.ts
+++ b/packages/anvilarch-daemon/src/callers/requireConfiguration.ts
@@ -1,15 +1,15 @@
-/** Refuses work before any configuration is in force. */
+/** Rejects requests before any configuration is in force. */
 import { AnvilarchError } from 'anvilarch-utils'
 import type { VersionedConfiguration } from '../configuration/types'
 import type { DaemonContext } from '../context'
 
-/** A configuration reaches a new gateway within a few polls. */
+/** A new gateway receives a configuration within a few polls. */
 const NOT_READY_RETRY_AFTER_MS = 1_000
 
 /**
  * @param context - shared parts of the gateway
  * @returns the configuration in force
- * @throws AnvilarchError with code `not_ready` before the first one
+ * @throws AnvilarchError with code `not_ready` if there is none yet
  */
 export function requireConfiguration (context: DaemonContext): VersionedConfiguration {
   const current = context.configuration.current()
--- a/packages/anvilarch-daemon/src/callers/types.ts
+++ b/packages/anvilarch-daemon/src/callers/types.ts
@@ -1,7 +1,7 @@
-/** The HTTP front towards callers: routes of several slices are served by one router. */
+/** Types of the HTTP server for callers, which serves the routes of several slices. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 
-/** What a route handler gets. */
+/** Input of a route handler. */
 export interface CallerContext {
   request: IncomingMessage
   response: ServerResponse
@@ -10,33 +10,33 @@
   requestId: string
   /** Account name of the caller. */
   caller: string
-  /** On the monotonic scale of the gateway's clock; undefined when the caller named none. */
+  /** Monotonic time of the gateway's clock; undefined if the caller set no deadline. */
   deadlineMs: number | undefined
-  /** Aborted when the caller goes away. */
+  /** Aborted when the caller disconnects. */
   signal: AbortSignal
 }
 
-/** Methods that a route may be served under. */
+/** HTTP methods of routes. */
 export type RouteMethod = 'GET' | 'HEAD' | 'POST' | 'PUT' | 'PATCH' | 'DELETE' | 'OPTIONS'
 
-/** One route of the front. A rejected handler becomes a typed JSON error. */
+/** A route. If its handler rejects, a typed JSON error is sent. */
 export interface Route {
   method: RouteMethod
   path: string
   handle: (context: CallerContext) => Promise<void>
 }
 
-/** The running front. */
+/** The running server for callers. */
 export interface CallersServer {
-  /** IP number and port it listens on. */
+  /** IP address and port that it listens on. */
   address: string
-  /** `draining` as soon as a graceful shutdown has begun; readiness follows it. */
+  /** `draining` from the start of a graceful shutdown; determines readiness. */
   state: () => 'serving' | 'draining'
-  /** Requests in progress. */
+  /** @returns the number of requests in progress */
   inProgress: () => number
   /**
-   * Graceful shutdown: unready first, so that the balancer sends no more; then no more connections; then the requests
-   * in progress are finished. Resolves when none is left, or when the bound of the settings has passed.
+   * Graceful shutdown: becomes unready, so that the load balancer sends no more requests, then accepts no more connections, then
+   * completes the requests in progress. Resolves when none remains or the configured timeout has passed.
    */
   drain: () => Promise<void>
 }
--- a/packages/anvilarch-daemon/src/configuration/__fixtures__/documents.ts
+++ b/packages/anvilarch-daemon/src/configuration/__fixtures__/documents.ts
@@ -1,7 +1,7 @@
-/** Small valid documents that differ in one field, so that each has its own hash. */
+/** Small valid documents that differ in one field and so have different hashes. */
 
 /**
- * @param variant - told apart by the size of a model
+ * @param variant - number that determines the size of a model
  * @returns the text of a document
  */
 export function documentText (variant: number): string {
--- a/packages/anvilarch-daemon/src/configuration/__tests__/applyHistories.test.ts
+++ b/packages/anvilarch-daemon/src/configuration/__tests__/applyHistories.test.ts
@@ -12,13 +12,13 @@
 const SEED = 20261202
 const RUNS = Number(process.env.ANVILARCH_RUNS ?? 300)
 
-/** One operator's call: through which gateway, which document, and whether it names the version it saw. */
+/** A call of an operator: its gateway, its document, and the expected version if it names one. */
 interface Call { gateway: number, variant: number, ifVersion: number | undefined, appliedBy: string }
 
-/** How a call ended for its operator. */
-interface Ending { call: Call, result?: ApplyResult, ran?: string }
+/** Outcome of a call for its operator. */
+interface CallOutcome { call: Call, result?: ApplyResult, ran?: string }
 
-interface History { calls: Call[], lost: boolean[], outages: boolean[], endings: Ending[], rows: ConfigurationVersionRow[], seen: number[][] }
+interface History { calls: Call[], lost: boolean[], outages: boolean[], outcomes: CallOutcome[], rows: ConfigurationVersionRow[], seen: number[][] }
 
 async function runHistory (scheduler: fc.Scheduler, plan: { calls: Call[], lost: boolean[], outages: boolean[] }): Promise<History> {
   const platform = createFakePlatform()
@@ -32,24 +32,24 @@
   const clock = scheduledClock(scheduler)
   const seen: number[][] = []
   const gateways = [0, 1, 2].map(() => createGateway(clock, seen))
-  const endings: Ending[] = []
-  const applyOne = async (call: Call): Promise<void> => {
+  const outcomes: CallOutcome[] = []
+  const applyCall = async (call: Call): Promise<void> => {
     const input = { documentText: documentText(call.variant), fileName: 'document', ifVersion: call.ifVersion, appliedBy: call.appliedBy }
     const context = { ...gateways[call.gateway], clock, platform, random: createRandom(SEED) }
     try {
-      endings.push({ call, result: await applyConfiguration(context, input) })
+      outcomes.push({ call, result: await applyConfiguration(context, input) })
     } catch (error) {
-      endings.push({ call, ran: (error as { ran: string }).ran })
+      outcomes.push({ call, ran: (error as { ran: string }).ran })
     }
   }
-  const all = Promise.all(plan.calls.map(applyOne))
+  const all = Promise.all(plan.calls.map(applyCall))
   await scheduler.waitFor(all)
   const rows = platform.committed.map(commit => JSON.parse(commit.writes[0].value as string) as ConfigurationVersionRow)
   expect(platform.committed.every(commit => commit.writes[0].key === ROW_KEYS.configurationVersion)).toBe(true)
-  return { ...plan, endings, rows, seen }
+  return { ...plan, outcomes, rows, seen }
 }
 
-/** A clock whose timers fire in an order that the scheduler picks. */
+/** A clock whose timers fire in an order that the scheduler chooses. */
 function scheduledClock (scheduler: fc.Scheduler): Clock {
   let nowMs = 0
   return {
@@ -75,11 +75,11 @@
   return { configuration, timeline }
 }
 
-function expectSound (history: History): void {
-  const { rows, endings, seen } = history
+function expectConsistent (history: History): void {
+  const { rows, outcomes, seen } = history
   expect(rows.map(row => row.version)).toEqual(rows.map((_row, index) => index + 1))
   for (const versions of seen) expect(versions).toEqual([...versions].sort((left, right) => left - right))
-  for (const { call, result, ran } of endings) {
+  for (const { call, result, ran } of outcomes) {
     const written = rows.filter(row => row.appliedBy === call.appliedBy)
     expect(written.length).toBeLessThanOrEqual(1)
     if (result?.outcome === 'applied' && result.changed) expect(written).toEqual([expect.objectContaining({ version: result.version, hash: result.hash })])
@@ -89,21 +89,21 @@
   }
 }
 
-const callOf = (index: number): fc.Arbitrary<Call> => fc.record({
+const callArbitrary = (index: number): fc.Arbitrary<Call> => fc.record({
   gateway: fc.nat(2), variant: fc.nat(3), ifVersion: fc.option(fc.nat(2), { nil: undefined }), appliedBy: fc.constant(`operator-${index}`)
 })
 
 describe('applyConfiguration', () => {
-  // Guards against this: two operators are both told that their document is version 7, or one is told "not run" and finds it in force.
-  it.each([2, 5])('gives each version one winner when %d operators apply at once', async operators => {
-    const calls = fc.tuple(...Array.from({ length: operators }, (_unused, index) => callOf(index)))
+  // Guards against two operators that both get the same version for their documents, or one that gets "not run" for a document in force.
+  it.each([2, 5])('accepts one document for each version when %d operators apply concurrently', async operators => {
+    const calls = fc.tuple(...Array.from({ length: operators }, (_unused, index) => callArbitrary(index)))
     const faults = fc.array(fc.boolean(), { maxLength: 40 })
     await fc.assert(fc.asyncProperty(fc.scheduler(), calls, faults, faults, async (scheduler, chosen, lost, outages) => {
-      expectSound(await runHistory(scheduler, { calls: chosen, lost, outages }))
+      expectConsistent(await runHistory(scheduler, { calls: chosen, lost, outages }))
     }), { seed: SEED, numRuns: RUNS })
   })
 
-  it('says unchanged when the same document is applied again', async () => {
+  it('reports no change when the same document is applied again', async () => {
     const platform = createFakePlatform()
     const gateway = { ...createGateway(scheduledClock(fc.sample(fc.scheduler(), 1)[0]), []), platform, random: createRandom(1), clock: { nowMs: () => 0, wallMs: () => 5, after: () => ({ cancel: () => {} }) } }
     const input = { documentText: documentText(1), fileName: 'document', appliedBy: 'ana' }
@@ -115,7 +115,7 @@
 })
 
 describe('createConfigurationHolder', () => {
-  it('takes only a higher version whose text has the stated hash and is valid', async () => {
+  it('accepts only a higher version whose text matches its hash and is valid', async () => {
     const platform = createFakePlatform()
     const clock = { nowMs: () => 0, wallMs: () => 0, after: () => ({ cancel: () => {} }) }
     const first = createGateway(clock, [])
--- a/packages/anvilarch-daemon/src/configuration/__tests__/startConfigurationPoll.test.ts
+++ b/packages/anvilarch-daemon/src/configuration/__tests__/startConfigurationPoll.test.ts
@@ -8,7 +8,7 @@
 const apply = async (fleet: FakeFleet, variant: number): Promise<unknown> =>
   await applyConfiguration(fleet.context, { documentText: documentText(variant), fileName: 'd', appliedBy: 'ana' })
 
-/** Another daemon at the same platform and on the same clock. */
+/** Starts another daemon with the same platform and clock. */
 async function startDaemon (fleet: FakeFleet, onNoSource?: () => Promise<void>): Promise<FakeFleet['context']> {
   const { configuration } = createFakeFleet(0).context
   const context = { ...fleet.context, configuration }
@@ -17,7 +17,7 @@
 }
 
 describe('startConfigurationPoll', () => {
-  it('takes each new version from the table', async () => {
+  it('applies each new version from the table', async () => {
     const fleet = createFakeFleet(0)
     const { configuration } = await startDaemon(fleet)
     await fleet.clock.advanceAsync(1000)
@@ -31,27 +31,27 @@
     expect(configuration.version()).toBe(3)
   })
 
-  // Guards against this: a daemon that restarted runs an older document.
-  it('asks elsewhere only while it has nothing and the table is down, and else waits for the table', async () => {
+  // Guards against a restarted daemon that runs an older document.
+  it('uses another source only while it has no configuration and the table is unavailable', async () => {
     const fleet = createFakeFleet(0)
     await apply(fleet, 1)
     fleet.platform.outage = true
-    let asked = 0
-    const { configuration } = await startDaemon(fleet, async () => { asked++ })
+    let fallbackCalls = 0
+    const { configuration } = await startDaemon(fleet, async () => { fallbackCalls++ })
     await fleet.clock.advanceAsync(5000)
-    expect(asked).toBeGreaterThan(3)
+    expect(fallbackCalls).toBeGreaterThan(3)
     expect(configuration.version()).toBe(0)
     fleet.platform.outage = false
     await fleet.clock.advanceAsync(1000)
     expect(configuration.version()).toBe(1)
-    const before = asked
+    const callsBefore = fallbackCalls
     fleet.platform.outage = true
     await fleet.clock.advanceAsync(60_000)
-    expect([configuration.version(), asked]).toEqual([1, before])
+    expect([configuration.version(), fallbackCalls]).toEqual([1, callsBefore])
   })
 
-  // Guards against this: a daemon that restarts finds no document.
-  it('finds the document of every row that it sees, since the object comes first', async () => {
+  // Guards against a restarted daemon that finds no document for the row.
+  it('finds the document of each row, since the object is stored first', async () => {
     const fleet = createFakeFleet(0)
     const found: boolean[] = []
     fleet.platform.step = async () => {
--- a/packages/anvilarch-daemon/src/configuration/applyConfiguration.ts
+++ b/packages/anvilarch-daemon/src/configuration/applyConfiguration.ts
@@ -1,4 +1,4 @@
-/** Puts a document in force: the object first, then the row that makes it visible. */
+/** Applies a document: stores the object first, then the row that refers to it. */
 import { randomUUID } from 'node:crypto'
 import { canonicalJson, type ConfigurationDocument, type ConfigurationIssue, validateDocument } from 'anvilarch-configuration'
 import { type Commit, type ConfigurationVersionRow, OBJECT_NAMES, ROW_KEYS, type Row } from 'anvilarch-protocol'
@@ -11,23 +11,23 @@
 export interface ApplyInput {
   /** JSON with comments. */
   documentText: string
-  /** Named in the issues. */
+  /** File name for the issues. */
   fileName: string
   ifVersion?: number
   appliedBy: string
 }
 
-/** What became of it. */
+/** Result of `applyConfiguration`. */
 export type ApplyResult =
   | { outcome: 'applied', version: number, hash: string, changed: boolean }
   | { outcome: 'conflict', version: number }
   | { outcome: 'not_valid', issues: ConfigurationIssue[] }
 
-/** What applying needs of the shared parts. */
+/** Shared parts of the daemon that `applyConfiguration` needs. */
 export type ApplyContext = Pick<DaemonContext, 'clock' | 'random' | 'platform' | 'configuration' | 'timeline'>
 
-/** An operator waits longer than a caller does, since an unknown outcome costs a look at the state. */
-const SETTLE_OPTIONS = { tries: 6, backoffMs: 100 }
+/** More attempts than for callers, since an operator has to check the state after an unknown outcome. */
+const COMMIT_RETRY_OPTIONS = { tries: 6, backoffMs: 100 }
 
 /** A validated document with its text and hash. */
 interface Candidate {
@@ -36,13 +36,13 @@
 }
 
 /**
- * A reader that sees the row can always read the whole document, since the object is there before the row names it.
- * An object whose row was never written is harmless: nobody looks for it.
+ * The object is stored before the row refers to it, so a reader of the row can always read the document. An object whose row was
+ * never written is harmless, since nothing refers to it.
  *
  * @param context - shared parts of the daemon
  * @param input - the document and who applies it
  * @returns the version, the conflict, or the issues
- * @throws AnvilarchError when the platform is not available; its `ran` says whether the document may be in force
+ * @throws AnvilarchError if the platform is unavailable; its `ran` shows whether the document may be in force
  */
 export async function applyConfiguration (context: ApplyContext, input: ApplyInput): Promise<ApplyResult> {
   const validated = validateDocument(input.documentText, input.fileName)
@@ -68,14 +68,14 @@
   const value: ConfigurationVersionRow = {
     version: decision.version, hash: candidate.hash, appliedBy: input.appliedBy, appliedAtMs: context.clock.wallMs()
   }
-  // Every try carries the same commit id, so a repeated one neither writes twice nor loses a race against itself.
+  // All attempts use the same commit id, so a retry neither writes twice nor conflicts with an earlier attempt.
   const commit: Commit = {
     commitId: randomUUID(),
     conditions: [{ key, version: decision.conditionVersion }],
     writes: [{ key, value: JSON.stringify(value) }]
   }
-  const settling = { table: context.platform.table, clock: context.clock, random: context.random }
-  const result = await commitWithRetry(settling, commit, 'configuration.commit', SETTLE_OPTIONS)
+  const commitContext = { table: context.platform.table, clock: context.clock, random: context.random }
+  const result = await commitWithRetry(commitContext, commit, 'configuration.commit', COMMIT_RETRY_OPTIONS)
   if (result.outcome === 'conflict') {
     const found = result.rows.find(row => row.key === key)
     const row = found === undefined || found.value === null ? null : found satisfies Row
--- a/packages/anvilarch-daemon/src/configuration/applyDecision.ts
+++ b/packages/anvilarch-daemon/src/configuration/applyDecision.ts
@@ -1,21 +1,21 @@
-/** What applying a document means, given the row that is in the table. Pure. */
+/** Decides, as pure functions, how to apply a document given the current row in the table. */
 import type { ConfigurationVersionRow, Row } from 'anvilarch-protocol'
 
-/** What the operator asked for. */
+/** Request of the operator. */
 export interface ApplyRequest {
   hash: string
-  /** The version that the operator saw; another one in the table is a conflict. */
+  /** Version that the operator expects; another one in the table is a conflict. */
   ifVersion?: number
 }
 
-/** What to do. */
+/** Action to take. */
 export type ApplyDecision =
   | { action: 'unchanged', version: number }
   | { action: 'conflict', version: number }
   | { action: 'write', version: number, conditionVersion: number }
 
 /**
- * @param row - the row `config/version`, or null when there is none
+ * @param row - the row `config/version`, or null if there is none
  * @returns its value
  */
 export function parseVersionRow (row: Row | null): ConfigurationVersionRow | undefined {
@@ -23,12 +23,12 @@
 }
 
 /**
- * The same document again changes nothing, also when `ifVersion` is old: it is most likely the same call sent again
- * after its reply was lost, and a conflict would make its sender believe that somebody else won.
+ * Applying the current document again changes nothing, even if `ifVersion` is old: it is most likely a retry after a lost
+ * response, for which a conflict would wrongly indicate a concurrent change.
  *
- * @param row - the row as it is
- * @param request - what is to be applied
- * @returns what to do
+ * @param row - the current row
+ * @param request - the document to apply
+ * @returns the action to take
  */
 export function decideApply (row: Row | null, request: ApplyRequest): ApplyDecision {
   const known = parseVersionRow(row)
@@ -39,9 +39,9 @@
 }
 
 /**
- * @param row - the row that stood in the way of the commit
- * @param request - what was to be applied
- * @returns how the lost race ends; who wanted the same document has won all the same
+ * @param row - the row that caused the conflict of the commit
+ * @param request - the document to apply
+ * @returns the result; `unchanged` if the concurrent change applied the same document
  */
 export function decideAfterConflict (row: Row | null, request: ApplyRequest): ApplyDecision {
   const decision = decideApply(row, request)
--- a/packages/anvilarch-daemon/src/configuration/parseOffer.ts
+++ b/packages/anvilarch-daemon/src/configuration/parseOffer.ts
@@ -1,23 +1,23 @@
-/** Reads a document as it was offered by a peer or by the platform: its hash must fit, and it must be valid. */
+/** Parses a document from a peer or the platform, which must be valid and match its hash. */
 import { createHash } from 'node:crypto'
 import { type ConfigurationDocument, type ConfigurationIssue, validateDocument } from 'anvilarch-configuration'
 
-/** A document in the form in which it travels. */
+/** A document in serialized form. */
 export interface OfferedDocument {
   version: number
   hash: string
   documentJson: string
 }
 
-/** A valid document, or why it is not one. */
+/** A valid document, or the reason why it is rejected. */
 export type ParsedOffer =
   | { ok: true, document: ConfigurationDocument }
   | { ok: false, reason: 'wrong_hash' }
   | { ok: false, reason: 'not_valid', issues: ConfigurationIssue[] }
 
 /**
- * @param offered - a document with the hash under which it was accepted
- * @returns the document, or the reason against it
+ * @param offered - a document with its expected hash
+ * @returns the document, or the reason why it is rejected
  */
 export function parseOffer (offered: OfferedDocument): ParsedOffer {
   if (hashOfText(offered.documentJson) !== offered.hash) return { ok: false, reason: 'wrong_hash' }
@@ -27,7 +27,7 @@
 
 /**
  * @param text - canonical text of a document
- * @returns the hash that names it
+ * @returns its hash
  */
 export function hashOfText (text: string): string {
   return createHash('sha256').update(text).digest('hex')
--- a/packages/anvilarch-daemon/src/configuration/startConfigurationPoll.ts
+++ b/packages/anvilarch-daemon/src/configuration/startConfigurationPoll.ts
@@ -1,4 +1,4 @@
-/** Polls the row that names the configuration in force and fetches the document that it names. */
+/** Polls the row of the current configuration version and fetches its document. */
 import { OBJECT_NAMES, ROW_KEYS } from 'anvilarch-protocol'
 import { type LifecycleManager, sleep } from 'anvilarch-utils'
 import type { DaemonContext } from '../context'
@@ -6,23 +6,23 @@
 
 /** Options of `startConfigurationPoll`. */
 export interface PollOptions {
-  /** Time between two polls once there is a configuration. */
+  /** Poll interval once there is a configuration. */
   intervalMs: number
-  /** Time between two polls before the first one. */
+  /** Poll interval before the first configuration. */
   firstIntervalMs: number
-  /** Asked when the table can't be read while there is no configuration. */
+  /** Called when the table cannot be read while there is no configuration. */
   onNoSource?: () => Promise<void>
 }
 
-/** Share by which the time between polls varies, so that daemons do not read in step. */
+/** Jitter of the poll interval, as a share, so that daemons do not poll at the same time. */
 const POLL_JITTER = 0.3
 
-/** Time between two polls of an agent, for which the table is only a second source. */
+/** Poll interval of an agent, for which the table is only a secondary source. */
 export const AGENT_POLL_MS = 60_000
 
 /**
  * @param context - shared parts of the daemon
- * @param options - intervals and what to do without a source
+ * @param options - intervals and callback for an unavailable table
  * @param lifecycle - stops the polls
  */
 export async function startConfigurationPoll (
@@ -30,18 +30,18 @@
 ): Promise<void> {
   const { configuration, platform } = context
   const stopping = new AbortController()
-  let loop: Promise<void> | undefined
+  let pollLoop: Promise<void> | undefined
 
   const fetchNewer = async (): Promise<void> => {
     const [row] = await platform.table.read([ROW_KEYS.configurationVersion], stopping.signal)
-    const named = parseVersionRow(row)
-    if (named === undefined || named.version <= configuration.version()) return
-    const body = await platform.objects.get(OBJECT_NAMES.configuration(named.hash), undefined, stopping.signal)
+    const versionRow = parseVersionRow(row)
+    if (versionRow === undefined || versionRow.version <= configuration.version()) return
+    const body = await platform.objects.get(OBJECT_NAMES.configuration(versionRow.hash), undefined, stopping.signal)
     if (body === null) {
-      context.logger.error('the document that the row names is not there', { version: named.version, hash: named.hash })
+      context.logger.error('the document that the row names is not there', { version: versionRow.version, hash: versionRow.hash })
       return
     }
-    configuration.offer({ version: named.version, hash: named.hash, documentJson: new TextDecoder().decode(body) })
+    configuration.offer({ version: versionRow.version, hash: versionRow.hash, documentJson: new TextDecoder().decode(body) })
   }
 
   const poll = async (): Promise<void> => {
@@ -54,7 +54,7 @@
     }
   }
 
-  const run = async (): Promise<void> => {
+  const runPolls = async (): Promise<void> => {
     while (!stopping.signal.aborted) {
       await poll()
       const intervalMs = configuration.version() === 0 ? options.firstIntervalMs : options.intervalMs
@@ -64,10 +64,10 @@
 
   await lifecycle.start({
     name: 'configuration poll',
-    start: () => { loop = run() },
+    start: () => { pollLoop = runPolls() },
     stop: async () => {
       stopping.abort()
-      await loop
+      await pollLoop
     }
   })
 }
--- a/packages/anvilarch-daemon/src/configuration/types.ts
+++ b/packages/anvilarch-daemon/src/configuration/types.ts
@@ -1,22 +1,22 @@
 /** The configuration in force at one daemon. */
 import type { ConfigurationDocument } from 'anvilarch-configuration'
 
-/** A document with the version under which it was accepted. */
+/** A document with its version. */
 export interface VersionedConfiguration {
   version: number
   hash: string
   document: ConfigurationDocument
-  /** The text that the hash is of. */
+  /** Text of the document, as input of the hash. */
   documentJson: string
 }
 
-/** Holds the configuration of this daemon; its version only grows. */
+/** Stores the configuration of this daemon, whose version only increases. */
 export interface ConfigurationHolder {
   /** @returns the configuration in force, or undefined before the first one */
   current: () => VersionedConfiguration | undefined
   /** @returns the version in force, 0 before the first one */
   version: () => number
-  /** Puts a document in force if its version is higher than the known one and its hash is right. */
+  /** Applies a document if its version is higher than the current one and its hash matches. */
   offer: (offered: { version: number, hash: string, documentJson: string }) => 'applied' | 'not_newer' | 'invalid'
   /** @returns a function that ends the subscription */
   onChange: (listener: (configuration: VersionedConfiguration) => void) => () => void
--- a/packages/anvilarch-daemon/src/operations/__tests__/startOperationsServer.test.ts
+++ b/packages/anvilarch-daemon/src/operations/__tests__/startOperationsServer.test.ts
@@ -4,7 +4,7 @@
 import { type Health, type OperationsContext, type Readiness, startOperationsServer } from '../startOperationsServer'
 
 describe('startOperationsServer', () => {
-  it('serves liveness, readiness, metrics and the time line, and says what is wrong with a call', async () => {
+  it('serves liveness, readiness, metrics and the timeline, and reports what is wrong with a request', async () => {
     const lifecycle = createLifecycleManager({ clock: createSystemClock() })
     const timeline = createTimeline({ clock: createFakeClock(5), process: 'gateway-1', capacity: 10 })
     timeline.record('requests.received', { requestId: 'r1' })
--- a/packages/anvilarch-daemon/src/operations/adminHttp.ts
+++ b/packages/anvilarch-daemon/src/operations/adminHttp.ts
@@ -1,12 +1,12 @@
-/** Answers of the operator interface. */
+/** Responses of the operator interface. */
 import type { ServerResponse } from 'node:http'
 
 /**
- * Messages of the protocol carry 64-bit numbers and their type name; an operator reads plain numbers.
+ * Sends JSON without the type names of protocol messages, and with their 64-bit integers as plain numbers.
  *
- * @param response - to answer with
- * @param status - of the answer
- * @param body - of the answer
+ * @param response - the response
+ * @param status - HTTP status
+ * @param body - value to send as JSON
  */
 export function sendView (response: ServerResponse, status: number, body: unknown): void {
   const text = JSON.stringify(body, (key, value: unknown) => {
--- a/packages/anvilarch-daemon/src/operations/adminRoutes.ts
+++ b/packages/anvilarch-daemon/src/operations/adminRoutes.ts
@@ -1,4 +1,4 @@
-/** The operator interface, served on the callers' address of every gateway. */
+/** Routes of the operator interface, served at the callers' address of each gateway. */
 import { suggestNames } from 'anvilarch-configuration'
 import { ROW_KEYS } from 'anvilarch-protocol'
 import { AnvilarchError, toAnvilarchError } from 'anvilarch-utils'
@@ -14,28 +14,28 @@
 import { sendView } from './adminHttp'
 import { endpointViews, type GatewayView, gatewayViews, isInForce, serviceViews } from './adminViews'
 
-/** What the routes answer from. */
+/** Dependencies of the routes. */
 export interface AdminParts {
   directory: AgentDirectory
   clients: AgentClients
   observer: LeaseObserver
-  /** This gateway, as the status shows it. */
+  /** @returns this gateway for the status */
   describeSelf: () => GatewayView
 }
 
 const PREFIX = '/admin/v1'
-/** The largest body of an operator's request: a document with 37,000 callers takes some 6 MB. */
+/** Maximum body size of an operator's request: a document with 37,000 callers takes about 6 MB. */
 const MAX_BODY_BYTES = 32 * 1024 * 1024
-/** Longest wait for a majority of the agents before an operator is told that a document is accepted. */
+/** Maximum time to wait until a majority of the agents has a document before its acceptance is reported. */
 const SPREAD_TIMEOUT_MS = 3000
 const DRAIN_TIMEOUT_MS = 3000
-/** Rows of one page, and pages read at most, when jobs are counted. */
-const COUNT_PAGE = 1000
+/** Rows per page and maximum number of pages when counting jobs. */
+const COUNT_PAGE_ROWS = 1000
 const MAX_COUNT_PAGES = 10
 
 /**
  * @param context - shared parts of the gateway
- * @param parts - what the routes answer from
+ * @param parts - dependencies of the routes
  * @returns the routes
  */
 export function createAdminRoutes (context: DaemonContext, parts: AdminParts): Route[] {
@@ -60,12 +60,12 @@
   return { version, hash, document, ...await readOrigin(context, version) }
 }
 
-/** Who applied it stands only in the row; without the table the rest is shown all the same. */
+/** Reads who applied the configuration, which is stored only in the row. If the table is unavailable, the rest is still shown. */
 async function readOrigin (context: DaemonContext, version: number): Promise<{ appliedBy: string, appliedAtMs: number } | undefined> {
   try {
     const [row] = await context.platform.table.read([ROW_KEYS.configurationVersion])
-    const named = parseVersionRow(row)
-    return named?.version === version ? { appliedBy: named.appliedBy, appliedAtMs: named.appliedAtMs } : undefined
+    const versionRow = parseVersionRow(row)
+    return versionRow?.version === version ? { appliedBy: versionRow.appliedBy, appliedAtMs: versionRow.appliedAtMs } : undefined
   } catch {
     return undefined
   }
@@ -75,12 +75,12 @@
   const input = parseApplyInput(parseJsonObject(await readBody(call.request, MAX_BODY_BYTES)), call.caller)
   const result = await applyConfiguration(context, input)
   if (result.outcome === 'applied') await waitForSpread(parts.directory, result.version, context.clock, SPREAD_TIMEOUT_MS)
-  const answer = APPLY_ANSWERS[result.outcome](result as never)
-  sendView(call.response, answer.status, answer.body)
+  const applyResponse = APPLY_RESPONSES[result.outcome](result as never)
+  sendView(call.response, applyResponse.status, applyResponse.body)
 }
 
-/** The answer to each result of an apply. */
-const APPLY_ANSWERS: { [Outcome in ApplyResult['outcome']]: (result: Extract<ApplyResult, { outcome: Outcome }>) => { status: number, body: unknown } } = {
+/** Responses by outcome of applying a document. */
+const APPLY_RESPONSES: { [Outcome in ApplyResult['outcome']]: (result: Extract<ApplyResult, { outcome: Outcome }>) => { status: number, body: unknown } } = {
   applied: ({ version, hash, changed }) => ({ status: 200, body: { version, hash, changed } }),
   conflict: ({ version }) => ({
     status: 409,
@@ -123,13 +123,13 @@
   }
 }
 
-/** @returns how many jobs run, or null while the table can't say */
+/** @returns the number of active jobs, or null if the table is unavailable */
 async function countActiveJobs (context: DaemonContext): Promise<number | null> {
   let count = 0
   let after: string | undefined
   try {
     for (let page = 0; page < MAX_COUNT_PAGES; page++) {
-      const found = await context.platform.table.scan(ROW_KEYS.activeJobs, { after, limit: COUNT_PAGE })
+      const found = await context.platform.table.scan(ROW_KEYS.activeJobs, { after, limit: COUNT_PAGE_ROWS })
       count += found.rows.length
       after = found.next
       if (after === undefined) break
--- a/packages/anvilarch-daemon/src/operations/adminViews.ts
+++ b/packages/anvilarch-daemon/src/operations/adminViews.ts
@@ -1,4 +1,4 @@
-/** What the operator interface says of services, endpoints and daemons. Pure. */
+/** Pure functions that build the operator's views of services, endpoints and daemons. */
 import type { ConfigurationDocument, ServiceSpec } from 'anvilarch-configuration'
 import type { EndpointState } from 'anvilarch-protocol'
 import type { ObservedGateway } from '../leases/types'
@@ -9,7 +9,7 @@
   name: string
   kind: ServiceSpec['kind']
   replicas: number
-  /** Endpoints that serve it now. */
+  /** Number of endpoints that currently serve it. */
   ready: number
   model?: string
   version?: string
@@ -23,7 +23,7 @@
   failureDomain: string
 }
 
-/** A gateway as the status shows it. */
+/** A gateway in the status. */
 export interface GatewayView {
   instance: string
   address: string
@@ -33,7 +33,7 @@
 }
 
 /**
- * @param agents - as this gateway sees them
+ * @param agents - agents known to this gateway
  * @returns all endpoints
  */
 export function endpointViews (agents: AgentView[]): EndpointView[] {
@@ -42,10 +42,10 @@
 }
 
 /**
- * @param endpoint - of any kind
- * @param name - of the service
- * @param service - as configured
- * @returns whether the endpoint serves it now
+ * @param endpoint - endpoint of any kind
+ * @param name - name of the service
+ * @param service - configuration of the service
+ * @returns whether the endpoint currently serves it
  */
 function serves (endpoint: EndpointView, name: string, service: ServiceSpec): boolean {
   if (endpoint.agentState !== 'serving' || endpoint.health !== 'ready' || endpoint.service !== name) return false
@@ -54,8 +54,8 @@
 }
 
 /**
- * @param document - in force
- * @param agents - as this gateway sees them
+ * @param document - the configuration in force
+ * @param agents - agents known to this gateway
  * @returns all services
  */
 export function serviceViews (document: ConfigurationDocument, agents: AgentView[]): ServiceView[] {
@@ -70,9 +70,9 @@
 }
 
 /**
- * @param observed - gateways by their heartbeat rows
+ * @param observed - gateways from their heartbeat rows
  * @param own - this gateway, whose own row may be some seconds old
- * @returns the gateways that are alive
+ * @returns the live gateways
  */
 export function gatewayViews (observed: ObservedGateway[], own: GatewayView): GatewayView[] {
   const others = observed
@@ -84,10 +84,10 @@
 }
 
 /**
- * @param version - the highest known one
- * @param gateways - alive
- * @param agents - as this gateway sees them; those that do not answer don't count
- * @returns whether every live daemon is at the version
+ * @param version - highest known version
+ * @param gateways - live gateways
+ * @param agents - agents known to this gateway; unreachable ones are ignored
+ * @returns whether all live daemons have the version
  */
 export function isInForce (version: number, gateways: GatewayView[], agents: AgentView[]): boolean {
   const live = agents.filter(agent => agent.state !== 'unreachable')
--- a/packages/anvilarch-daemon/src/operations/startOperationsServer.ts
+++ b/packages/anvilarch-daemon/src/operations/startOperationsServer.ts
@@ -1,49 +1,49 @@
-/** The address for operators: liveness, readiness, metrics and the time line of this daemon. */
+/** The HTTP server for operators: liveness, readiness, metrics and timeline of this daemon. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import type { LifecycleManager } from 'anvilarch-utils'
 import type { DaemonContext } from '../context'
 import { parseTimelineQuery } from './timelineQuery'
 
-/** Whether the daemon takes work, and why not. */
+/** Whether the daemon accepts work, and the reason if not. */
 export interface Readiness {
   ready: boolean
   reason: string
 }
 
-/** Whether every part of the role has started. */
+/** Whether all components of the role have started. */
 export type Health = 'starting' | 'running'
 
-/** What the server asks the daemon at each call. */
-export interface Probes {
+/** Health checks, called at each request. */
+export interface HealthChecks {
   health: () => Health
   readiness: () => Readiness
 }
 
-/** What the server answers from. */
+/** Shared parts of the daemon that the server needs. */
 export type OperationsContext = Pick<DaemonContext, 'settings' | 'metrics' | 'timeline' | 'logger'>
 
 /** The running server. */
 export interface OperationsServer {
-  /** IP number and port that it listens on. */
+  /** IP address and port that it listens on. */
   address: string
 }
 
-interface Answer {
+interface PageResponse {
   status: number
   contentType: string
   body: string
 }
 
-type Handler = (query: URLSearchParams) => Promise<Answer> | Answer
+type Handler = (query: URLSearchParams) => Promise<PageResponse> | PageResponse
 
 const JSON_TYPE = 'application/json'
 
-function json (status: number, body: unknown): Answer {
+function json (status: number, body: unknown): PageResponse {
   return { status, contentType: JSON_TYPE, body: JSON.stringify(body) }
 }
 
-function createHandlers (context: OperationsContext, { health, readiness }: Probes): Record<string, Handler> {
+function createHandlers (context: OperationsContext, { health, readiness }: HealthChecks): Record<string, Handler> {
   const { metrics, settings, timeline } = context
   return {
     '/healthz': () => json(health() === 'running' ? 200 : 503, { process: settings.name, role: settings.role, state: health() }),
@@ -60,7 +60,7 @@
   }
 }
 
-async function answer (handlers: Record<string, Handler>, request: IncomingMessage): Promise<Answer> {
+async function handleRequest (handlers: Record<string, Handler>, request: IncomingMessage): Promise<PageResponse> {
   const url = new URL(request.url ?? '/', 'http://localhost')
   const handler = Object.hasOwn(handlers, url.pathname) ? handlers[url.pathname] : undefined
   if (handler === undefined) return json(404, { error: `No page "${url.pathname}". There are: ${Object.keys(handlers).join(', ')}.` })
@@ -68,23 +68,23 @@
   return await handler(url.searchParams)
 }
 
-function write (response: ServerResponse, found: Answer): void {
+function write (response: ServerResponse, found: PageResponse): void {
   response.writeHead(found.status, { 'content-type': found.contentType })
   response.end(found.body)
 }
 
 /**
  * @param context - shared parts of the daemon
- * @param probes - asked at each `/healthz` and `/readyz`
+ * @param checks - called at each `/healthz` and `/readyz`
  * @param lifecycle - stops the server
- * @returns the address that it listens on
+ * @returns the running server
  */
 export async function startOperationsServer (
-  context: OperationsContext, probes: Probes, lifecycle: LifecycleManager
+  context: OperationsContext, checks: HealthChecks, lifecycle: LifecycleManager
 ): Promise<OperationsServer> {
-  const handlers = createHandlers(context, probes)
+  const handlers = createHandlers(context, checks)
   const server = createServer((request, response) => {
-    answer(handlers, request).then(
+    handleRequest(handlers, request).then(
       found => { write(response, found) },
       (error: unknown) => {
         context.logger.error('operations request failed', { error: String(error) })
--- a/packages/anvilarch-daemon/src/operations/timelineQuery.ts
+++ b/packages/anvilarch-daemon/src/operations/timelineQuery.ts
@@ -1,6 +1,6 @@
-/** Reads the query of `/timeline`. */
+/** Parses the query of `/timeline`. */
 
-/** A valid query, as the time line takes it. */
+/** A valid query of the timeline. */
 export interface TimelineQuery {
   requestId?: string
   jobId?: string
@@ -8,12 +8,12 @@
   limit?: number
 }
 
-/** The largest `limit` that is served. */
+/** Maximum `limit`. */
 export const MAX_LIMIT = 10_000
 
 /**
- * @param query - `request`, `job`, `since` in milliseconds since the epoch, and `limit`
- * @returns the filter, or an error that names the parameter
+ * @param query - `request`, `job`, `since` in milliseconds since the Unix epoch, and `limit`
+ * @returns the filter, or an error that names the invalid parameter
  */
 export function parseTimelineQuery (query: URLSearchParams): TimelineQuery | { error: string } {
   const since = wholeNumber(query, 'since', Number.MAX_SAFE_INTEGER)
--- a/packages/anvilarch-daemon/src/platform/__fixtures__/fakePlatform.ts
+++ b/packages/anvilarch-daemon/src/platform/__fixtures__/fakePlatform.ts
@@ -1,18 +1,18 @@
-/** The platform in memory, with switches for outages and lost replies. Each step can be put off by the test. */
+/** An in-memory platform with simulated outages and lost responses. Tests can delay each step. */
 import type { Commit, CommitResult, PlatformPorts, Row } from 'anvilarch-protocol'
 import { AnvilarchError } from 'anvilarch-utils'
 
-/** What a test may do to the platform. */
+/** The platform with controls for tests. */
 export interface FakePlatform extends PlatformPorts {
   rows: Map<string, Row>
   objects: PlatformPorts['objects'] & { stored: Map<string, Uint8Array> }
-  /** Refuses every call at once. */
+  /** Rejects all calls immediately. */
   outage: boolean
-  /** Asked for each reply: true loses it after the effect. */
+  /** Called for each response; true drops it after the call has taken effect. */
   dropsResponse: () => boolean
-  /** Awaited before each effect and before each reply, so that a test can order them. */
+  /** Awaited before each effect and each response, so that a test can control their order. */
   step: (name: string) => Promise<void>
-  /** Every commit that took effect, in order. */
+  /** Commits that took effect, in order. */
   committed: Commit[]
 }
 
@@ -22,13 +22,13 @@
   const stored = new Map<string, Uint8Array>()
   const outcomes = new Map<string, CommitResult>()
 
-  const call = async <Answer>(operation: string, effect: () => Answer): Promise<Answer> => {
+  const call = async <Result>(operation: string, effect: () => Result): Promise<Result> => {
     await fake.step(`${operation}.effect`)
     if (fake.outage) throw new AnvilarchError('outage', { code: 'platform_unavailable', step: `platform.${operation}`, ran: 'not_run' })
-    const answer = effect()
+    const result = effect()
     await fake.step(`${operation}.reply`)
     if (fake.dropsResponse()) throw new AnvilarchError('reply lost', { code: 'platform_unavailable', step: `platform.${operation}`, ran: 'unknown' })
-    return answer
+    return result
   }
 
   const commitOnce = (commit: Commit): CommitResult => {
--- a/packages/anvilarch-daemon/src/platform/__tests__/createHttpPlatform.test.ts
+++ b/packages/anvilarch-daemon/src/platform/__tests__/createHttpPlatform.test.ts
@@ -4,14 +4,14 @@
 import type { Metrics } from '../../metrics/types'
 import { createPlatform, type Platform } from '../createPlatform'
 
-/** Long enough for an answer on a busy machine; only the tests of silence wait for it. */
+/** Long enough for a response on a busy host; only the test of unresponsive connections waits for it. */
 const TIMEOUT_MS = 1500
 
-interface Rig { platform: Platform, metrics: Metrics, table: StandinHandle, objects: StandinHandle, hosts: StandinHandle }
+interface PlatformFixture { platform: Platform, metrics: Metrics, table: StandinHandle, objects: StandinHandle, hosts: StandinHandle }
 
 const open: Array<() => Promise<void>> = []
 
-async function start (): Promise<Rig> {
+async function start (): Promise<PlatformFixture> {
   const [table, objects, hosts] = [await startTableStandin(), await startObjectStandin(), await startHostStandin()]
   const metrics = createMetrics()
   const settings = { adapter: 'http' as const, tableUrl: table.url, objectsUrl: objects.url, hostsUrl: hosts.url, timeoutMs: TIMEOUT_MS }
@@ -28,7 +28,7 @@
   ({ commitId, conditions: [{ key: 'a', version }], writes: [{ key: 'a', value: commitId }] })
 
 describe('createPlatform', () => {
-  it('reads, scans and commits rows, and tells a conflict', async () => {
+  it('reads, scans and commits rows, and reports a conflict', async () => {
     const { platform: { table } } = await start()
     expect(await table.commit(write('one', 0))).toMatchObject({ outcome: 'committed' })
     expect(await table.commit(write('two', 0))).toMatchObject({ outcome: 'conflict', rows: [{ key: 'a', value: 'one' }] })
@@ -48,7 +48,7 @@
     expect(await objects.get('a/b')).toBeNull()
   })
 
-  it('says of an outage that nothing ran, and counts the call', async () => {
+  it('reports calls during an outage as not run, and counts them', async () => {
     const { platform, metrics, table, hosts } = await start()
     table.faults.set({ outage: true })
     await expect(platform.table.read(['a'])).rejects.toMatchObject({ code: 'platform_unavailable', step: 'platform.table.read', peer: table.url, ran: 'not_run' })
@@ -57,8 +57,8 @@
     await expect(platform.hosts.list()).rejects.toMatchObject({ code: 'platform_unavailable', ran: 'not_run' })
   })
 
-  // Guards against this: a change is reported as not made and is found in force.
-  it('says of a lost reply that the outcome is unknown, and the commit id settles it', async () => {
+  // Guards against a change that is reported as not run but has taken effect.
+  it('reports an unknown outcome after a lost response, and a retry with the commit id determines it', async () => {
     const { platform, table } = await start()
     table.faults.set({ loseReplies: 1 })
     await expect(platform.table.commit(write('one', 0))).rejects.toMatchObject({ code: 'platform_unavailable', ran: 'unknown' })
@@ -67,8 +67,8 @@
     expect(await platform.table.read(['a'])).toMatchObject([{ value: 'one', version: 1 }])
   })
 
-  // Guards against this: every call to the table times out for minutes although the table is well.
-  it('loses one call at most to connections that went silent', async () => {
+  // Guards against calls to the table that all time out for minutes although the table is healthy.
+  it('loses at most one call to connections that became unresponsive', async () => {
     const { platform, table } = await start()
     await Promise.all(Array.from({ length: 8 }, async () => await platform.table.read(['a'])))
     table.faults.set({ silence: true })
--- a/packages/anvilarch-daemon/src/platform/__tests__/httpObjects.test.ts
+++ b/packages/anvilarch-daemon/src/platform/__tests__/httpObjects.test.ts
@@ -6,7 +6,7 @@
 
 const RANGE = { fromByte: 0, toByte: 3 }
 
-/** Reads an object from a store that answers so and then ends the connection. */
+/** Reads an object from a store that sends the given bytes and then closes the connection. */
 async function getFrom (bytes: string, range?: typeof RANGE): Promise<string | undefined> {
   const server = await startRawServer(socket => { socket.end(bytes) })
   const caller = createHttpCaller({ service: 'objects', baseUrl: server.url, timeoutMs: 5000, clock: createSystemClock(), metrics: createMetrics() })
@@ -20,16 +20,16 @@
 }
 
 describe('an object over HTTP', () => {
-  // Guards against this: a job runs on the first part of its items, or its results lack their end.
+  // Guards against a job that runs only the first part of its items, or whose results are truncated.
   it.each([
-    ['that ends with its connection', 'HTTP/1.1 200 OK\r\n\r\nhalf', undefined],
-    ['of which a part came unasked', 'HTTP/1.1 206 Partial Content\r\ncontent-length: 4\r\n\r\nhalf', undefined],
-    ['that came whole where a part was asked for', 'HTTP/1.1 200 OK\r\ncontent-length: 8\r\n\r\nboth all', RANGE]
-  ])('is not taken for the wanted one: %s', async (_name, bytes, range) => {
+    ['a close-delimited response', 'HTTP/1.1 200 OK\r\n\r\nhalf', undefined],
+    ['a partial response that was not requested', 'HTTP/1.1 206 Partial Content\r\ncontent-length: 4\r\n\r\nhalf', undefined],
+    ['a complete response to a range request', 'HTTP/1.1 200 OK\r\ncontent-length: 8\r\n\r\nboth all', RANGE]
+  ])('is rejected: %s', async (_name, bytes, range) => {
     await expect(getFrom(bytes, range)).rejects.toMatchObject({ code: 'platform_unavailable', step: 'platform.objects.get' })
   })
 
-  it('is taken with a length, in chunks and as the part that was asked for', async () => {
+  it('is accepted with a length, with chunks and as the requested range', async () => {
     expect(await getFrom('HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nfull')).toBe('full')
     expect(await getFrom('HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nfull\r\n0\r\n\r\n')).toBe('full')
     expect(await getFrom('HTTP/1.1 206 Partial Content\r\ncontent-length: 4\r\n\r\npart', RANGE)).toBe('part')
--- a/packages/anvilarch-daemon/src/platform/commitWithRetry.ts
+++ b/packages/anvilarch-daemon/src/platform/commitWithRetry.ts
@@ -1,23 +1,23 @@
-/** Sends a commit until its outcome is known. */
+/** Retries a commit until its outcome is known. */
 import { AnvilarchError, type Clock, type Random, sleep, toAnvilarchError } from 'anvilarch-utils'
 import type { Commit, CommitResult, TablePort } from 'anvilarch-protocol'
 
-/** Bounds of `commitWithRetry`. */
+/** Limits of `commitWithRetry`. */
 export interface CommitRetryOptions {
-  /** Times that the commit is sent. */
+  /** Maximum number of times that the commit is sent. */
   tries: number
-  /** Wait before the second try; doubles after that. */
+  /** Delay before the second attempt; doubles after each further one. */
   backoffMs: number
 }
 
-/** Short, since a caller waits for the answer. */
+/** Short, since a caller waits for the response. */
 export const DEFAULT_OPTIONS: CommitRetryOptions = { tries: 4, backoffMs: 100 }
 
-/** When a client whose commit could not be settled should ask again. */
+/** Retry time for a client whose commit has an unknown outcome. */
 const RETRY_AFTER_MS = 5_000
 const BACKOFF_JITTER = 0.3
 
-/** What `commitWithRetry` works with. */
+/** Dependencies of `commitWithRetry`. */
 export interface CommitRetryContext {
   table: TablePort
   clock: Clock
@@ -26,46 +26,46 @@
 }
 
 /**
- * The reply of the table may be lost after the write took effect: the caller would see an error and its job would run all
- * the same. The table gives a repeated commit id its first outcome, so sending it again settles the matter.
+ * The response of the table may be lost after the write took effect: the caller would receive an error although its job runs.
+ * The table returns the first outcome for a repeated commit id, so a retry determines the outcome.
  *
- * @param context - table, time and random numbers
- * @param commit - is sent unchanged each time
- * @param step - the step to name in an error
- * @param options - bounds
+ * @param context - table, clock and random numbers
+ * @param commit - commit that is sent unchanged each time
+ * @param step - step to name in an error
+ * @param options - limits
  * @returns the outcome
- * @throws AnvilarchError with `ran` `unknown` when it can't be settled, or `not_run` when no try reached the table
+ * @throws AnvilarchError with `ran` `unknown` if the outcome stays unknown, or `not_run` if no attempt reached the table
  */
 export async function commitWithRetry (
   context: CommitRetryContext, commit: Commit, step: string, options: CommitRetryOptions = DEFAULT_OPTIONS
 ): Promise<CommitResult> {
-  let reached = false
+  let mayHaveRun = false
   let backoffMs = options.backoffMs
-  let last: AnvilarchError | undefined
+  let lastError: AnvilarchError | undefined
   for (let attempt = 1; attempt <= options.tries; attempt++) {
     try {
       return await context.table.commit(commit, context.signal)
     } catch (error) {
-      last = toAnvilarchError(error, { code: 'platform_unavailable', step, ran: 'unknown' })
-      reached ||= last.ran !== 'not_run'
+      lastError = toAnvilarchError(error, { code: 'platform_unavailable', step, ran: 'unknown' })
+      mayHaveRun ||= lastError.ran !== 'not_run'
     }
-    // A table that refuses the first try has not got the commit: the answer is certain, and nobody is kept waiting.
-    if (!reached || context.signal?.aborted === true) break
+    // If the table rejects the first attempt, the commit was certainly not run, so the caller need not wait.
+    if (!mayHaveRun || context.signal?.aborted === true) break
     if (attempt < options.tries) await sleep(context.clock, context.random.jitter(backoffMs, BACKOFF_JITTER), context.signal)
     backoffMs *= 2
   }
-  throw unsettled(last, step, reached)
+  throw commitError(lastError, step, mayHaveRun)
 }
 
-function unsettled (last: AnvilarchError | undefined, step: string, reached: boolean): AnvilarchError {
-  const retryAfterMs = last?.retryAfterMs ?? RETRY_AFTER_MS
-  if (!reached) {
+function commitError (lastError: AnvilarchError | undefined, step: string, mayHaveRun: boolean): AnvilarchError {
+  const retryAfterMs = lastError?.retryAfterMs ?? RETRY_AFTER_MS
+  if (!mayHaveRun) {
     return new AnvilarchError('The table service is not available; nothing was changed. Send the request again later.', {
-      code: 'platform_unavailable', step, peer: last?.peer, ran: 'not_run', retryAfterMs, cause: last
+      code: 'platform_unavailable', step, peer: lastError?.peer, ran: 'not_run', retryAfterMs, cause: lastError
     })
   }
   return new AnvilarchError(
     'The table service did not say whether the change took effect. Send the same request again with the same Idempotency-Key to learn what became of it.',
-    { code: 'outcome_unknown', step, peer: last?.peer, ran: 'unknown', retryAfterMs, cause: last }
+    { code: 'outcome_unknown', step, peer: lastError?.peer, ran: 'unknown', retryAfterMs, cause: lastError }
   )
 }
--- a/packages/anvilarch-daemon/src/platform/createPlatform.ts
+++ b/packages/anvilarch-daemon/src/platform/createPlatform.ts
@@ -1,23 +1,23 @@
-/** Chooses the adapters that speak the platform's protocols. */
+/** Selects the adapter to the platform. */
 import type { DaemonSettings } from 'anvilarch-configuration'
 import type { PlatformPorts } from 'anvilarch-protocol'
 import type { Clock } from 'anvilarch-utils'
 import type { Metrics } from '../metrics/types'
 import { createHttpPlatform } from './http/createHttpPlatform'
 
-/** What an adapter is given. */
+/** Options of an adapter. */
 export interface PlatformOptions {
   settings: DaemonSettings['platform']
   clock: Clock
   metrics: Pick<Metrics, 'platformCalls'>
 }
 
-/** The ports, and how to free what they hold. */
+/** The ports to the platform, with a method to close their connections. */
 export interface Platform extends PlatformPorts {
   close: () => Promise<void>
 }
 
-/** One row for each value of the setting `platform.adapter`. */
+/** Adapters by value of the setting `platform.adapter`. */
 const ADAPTERS: Record<DaemonSettings['platform']['adapter'], (options: PlatformOptions) => Platform> = {
   http: createHttpPlatform
 }
--- a/packages/anvilarch-daemon/src/platform/http/createHttpPlatform.ts
+++ b/packages/anvilarch-daemon/src/platform/http/createHttpPlatform.ts
@@ -1,4 +1,4 @@
-/** The `http` adapter: the platform's services over HTTP and JSON. */
+/** The `http` adapter, which calls the platform's services over HTTP with JSON. */
 import { createHttpCaller } from './httpCaller'
 import { createHostListPort } from './hostListPort'
 import { createObjectPort } from './objectPort'
@@ -7,7 +7,7 @@
 
 /**
  * @param options - addresses, timeout, clock and metrics
- * @returns ports that share one bound on time and one way of reporting errors
+ * @returns ports with a common timeout and error reporting
  */
 export function createHttpPlatform (options: PlatformOptions): Platform {
   const { settings, clock, metrics } = options
--- a/packages/anvilarch-daemon/src/platform/http/hostListPort.ts
+++ b/packages/anvilarch-daemon/src/platform/http/hostListPort.ts
@@ -1,17 +1,17 @@
 /** The list of hosts over HTTP. */
 import type { HostEntry, HostListPort } from 'anvilarch-protocol'
 import type { HttpCaller } from './httpCaller'
-import { parseJsonAnswer } from './json'
+import { parseJsonResponse } from './json'
 
 /**
- * @param caller - calls the service that keeps the list
+ * @param caller - calls the host list service
  * @returns the port
  */
 export function createHostListPort (caller: HttpCaller): HostListPort {
   return {
     list: async signal => {
-      const answer = await caller.call({ operation: 'list', method: 'GET', path: '/hosts', accept: [200], signal })
-      return parseJsonAnswer<{ hosts: HostEntry[] }>(answer, 'platform.hosts.list').hosts
+      const response = await caller.call({ operation: 'list', method: 'GET', path: '/hosts', accept: [200], signal })
+      return parseJsonResponse<{ hosts: HostEntry[] }>(response, 'platform.hosts.list').hosts
     }
   }
 }
--- a/packages/anvilarch-daemon/src/platform/http/httpCaller.ts
+++ b/packages/anvilarch-daemon/src/platform/http/httpCaller.ts
@@ -1,4 +1,4 @@
-/** Calls to one service of the platform, each bounded in time, counted, and with typed errors. */
+/** Calls a service of the platform, with a timeout, metrics and typed errors. */
 import { Pool } from 'undici'
 import { AnvilarchError, type Clock, type RunStatus, createInactivityTimeout, isFramed } from 'anvilarch-utils'
 import type { Metrics } from '../../metrics/types'
@@ -13,7 +13,7 @@
   metrics: Pick<Metrics, 'platformCalls'>
 }
 
-/** One call. */
+/** A call. */
 export interface HttpCall {
   /** Metric label and part of the step in errors. */
   operation: string
@@ -21,33 +21,33 @@
   path: string
   headers?: Record<string, string>
   body?: string | Uint8Array
-  /** Statuses that the port understands; any other one is an error. */
+  /** Statuses that the port handles; others are errors. */
   accept: number[]
   signal?: AbortSignal
 }
 
-/** The whole answer to a call. */
-export interface HttpAnswer {
+/** The complete response to a call. */
+export interface HttpResponse {
   status: number
   body: Uint8Array
 }
 
-/** Calls one service. */
+/** Calls a service. */
 export interface HttpCaller {
-  call: (call: HttpCall) => Promise<HttpAnswer>
+  call: (call: HttpCall) => Promise<HttpResponse>
   close: () => Promise<void>
 }
 
-/** Connections to one service; more calls wait for a free one, within their own bound. */
+/** Maximum number of connections to one service. Further calls wait for a free one within their timeout. */
 const MAX_CONNECTIONS = 32
-/** Error codes of a connection that was never made, so that nothing can have run. */
-const NEVER_CONNECTED = new Set(['ECONNREFUSED', 'ENOTFOUND', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT'])
+/** Error codes of connections that were never established, so that the call was not run. */
+const CONNECT_ERROR_CODES = new Set(['ECONNREFUSED', 'ENOTFOUND', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT'])
 const STATUS_TOO_MANY_REQUESTS = 429
 const STATUS_UNAVAILABLE = 503
-/** When to try again, where the service does not say. */
+/** Retry time if the service sends none. */
 const DEFAULT_RETRY_AFTER_MS = 1000
 
-/** An answer with a status that the port does not understand. */
+/** A response with a status that the port does not handle. */
 class UnexpectedStatusError extends Error {
   constructor (readonly status: number, readonly retryAfterMs: number | undefined) {
     super(`status ${status}`)
@@ -55,7 +55,7 @@
 }
 
 /**
- * @param options - the service and its bounds
+ * @param options - the service and its timeout
  * @returns a caller with its own pool of connections
  */
 export function createHttpCaller (options: HttpCallerOptions): HttpCaller {
@@ -65,18 +65,18 @@
   let pool = newPool()
 
   /*
-   * Something between the two ends may lose track of open connections: they stay silent for good while new ones work.
-   * One notices it by a call that times out. Every other idle connection of the pool may be silent as well, so that
-   * call after call would time out; a new pool ends that with the first one. Calls in progress on the old pool finish.
+   * A middlebox may lose its state of open connections, which then stay unresponsive although new ones work. A call that times
+   * out indicates this. All other idle connections of the pool may be affected, so that each of the next calls would time out.
+   * So the pool is replaced at the first timeout. Calls in progress on the old pool are completed.
    */
-  const replacePool = (silent: Pool): void => {
-    if (pool !== silent) return
+  const replacePool = (unresponsivePool: Pool): void => {
+    if (pool !== unresponsivePool) return
     pool = newPool()
-    silent.close().catch(() => {})
+    unresponsivePool.close().catch(() => {})
   }
 
-  const send = async (call: HttpCall, used: Pool, signal: AbortSignal): Promise<HttpAnswer> => {
-    const response = await used.request({
+  const send = async (call: HttpCall, usedPool: Pool, signal: AbortSignal): Promise<HttpResponse> => {
+    const response = await usedPool.request({
       method: call.method,
       path: basePath + call.path,
       headers: call.headers,
@@ -93,7 +93,7 @@
     throw new UnexpectedStatusError(response.statusCode, parseRetryAfterMs(response.headers['retry-after']))
   }
 
-  const call = async (call: HttpCall): Promise<HttpAnswer> => {
+  const call = async (call: HttpCall): Promise<HttpResponse> => {
     const controller = new AbortController()
     const forward = (): void => controller.abort()
     call.signal?.addEventListener('abort', forward, { once: true })
@@ -144,18 +144,18 @@
     code: 'platform_unavailable',
     step: `platform.${options.service}.${operation}`,
     peer: options.baseUrl,
-    ran: ranOf(error, outcome),
+    ran: runStatusOf(error, outcome),
     retryAfterMs: error instanceof UnexpectedStatusError ? error.retryAfterMs ?? DEFAULT_RETRY_AFTER_MS : DEFAULT_RETRY_AFTER_MS,
     cause: error
   })
 }
 
-/** Whether the service may have done what was asked, though no good answer came. */
-function ranOf (error: unknown, outcome: string): RunStatus {
+/** @returns whether the service may have run a failed call */
+function runStatusOf (error: unknown, outcome: string): RunStatus {
   if (outcome === 'timeout' || outcome === 'aborted') return 'unknown'
   if (error instanceof UnexpectedStatusError) {
     return error.status === STATUS_UNAVAILABLE || error.status === STATUS_TOO_MANY_REQUESTS ? 'not_run' : 'unknown'
   }
   const code = (error as { code?: string }).code
-  return code !== undefined && NEVER_CONNECTED.has(code) ? 'not_run' : 'unknown'
+  return code !== undefined && CONNECT_ERROR_CODES.has(code) ? 'not_run' : 'unknown'
 }
--- a/packages/anvilarch-daemon/src/platform/http/json.ts
+++ b/packages/anvilarch-daemon/src/platform/http/json.ts
@@ -1,21 +1,21 @@
-/** Reading and writing the JSON bodies of the platform's services. */
+/** JSON bodies of the platform's services. */
 import { AnvilarchError } from 'anvilarch-utils'
-import type { HttpAnswer } from './httpCaller'
+import type { HttpResponse } from './httpCaller'
 
-/** Headers of a call with a JSON body. */
+/** Headers of calls with a JSON body. */
 export const JSON_HEADERS = { 'content-type': 'application/json' }
 
 const decoder = new TextDecoder()
 
 /**
- * @param answer - an answer with a JSON body
- * @param step - the step to name in an error
+ * @param response - a response with a JSON body
+ * @param step - step to name in an error
  * @returns the parsed body
- * @throws AnvilarchError with code `platform_unavailable` when it is not JSON
+ * @throws AnvilarchError with code `platform_unavailable` if the body is not valid JSON
  */
-export function parseJsonAnswer<Body> (answer: HttpAnswer, step: string): Body {
+export function parseJsonResponse<Body> (response: HttpResponse, step: string): Body {
   try {
-    return JSON.parse(decoder.decode(answer.body)) as Body
+    return JSON.parse(decoder.decode(response.body)) as Body
   } catch (error) {
     throw new AnvilarchError('The platform answered with something that is not JSON.', {
       code: 'platform_unavailable', step, ran: 'unknown', cause: error
--- a/packages/anvilarch-daemon/src/platform/http/tablePort.ts
+++ b/packages/anvilarch-daemon/src/platform/http/tablePort.ts
@@ -1,21 +1,21 @@
 /** The table service over HTTP. */
 import type { CommitResult, Row, ScanPage, TablePort } from 'anvilarch-protocol'
 import type { HttpCaller } from './httpCaller'
-import { JSON_HEADERS, parseJsonAnswer } from './json'
+import { JSON_HEADERS, parseJsonResponse } from './json'
 
 /**
- * A commit whose reply was lost may have taken effect. It is never sent again from here: only the caller knows
- * the commit id that settles what became of it.
+ * A commit whose response was lost may have taken effect. It is not retried here: its caller retries it with the same commit id to
+ * determine the outcome.
  *
  * @param caller - calls the table service
  * @returns the port
  */
 export function createTablePort (caller: HttpCaller): TablePort {
   const post = async <Body>(operation: string, body: unknown, signal?: AbortSignal): Promise<Body> => {
-    const answer = await caller.call({
+    const response = await caller.call({
       operation, method: 'POST', path: `/v1/${operation}`, headers: JSON_HEADERS, body: JSON.stringify(body), accept: [200], signal
     })
-    return parseJsonAnswer<Body>(answer, `platform.table.${operation}`)
+    return parseJsonResponse<Body>(response, `platform.table.${operation}`)
   }
   return {
     read: async (keys, signal) => (await post<{ rows: Array<Row | null> }>('read', { keys }, signal)).rows,
