--- a/packages/anvilarch-utils/src/__tests__/fakeClock.test.ts
+++ b/packages/anvilarch-utils/src/__tests__/fakeClock.test.ts
@@ -31,7 +31,7 @@
 })
 
 describe('sleep', () => {
-  it('ends early when its signal aborts, and leaves no timer', async () => {
+  it('ends early when its signal aborts, and cancels its timer', async () => {
     const clock = createFakeClock()
     const controller = new AbortController()
     const slept = sleep(clock, 1000, controller.signal)
