--- a/packages/anvilarch-daemon/src/jobs/uploadFile.ts
+++ b/packages/anvilarch-daemon/src/jobs/uploadFile.ts
@@ -9,7 +9,7 @@
 import { type RandomSource, newFileId } from './ids'
 import { readMultipart, type UploadForm } from './readMultipart'
 import { type FileRow, JOB_KEYS, type UploadRow } from './rows'
-import { settleCommit, type SettleContext } from '../platform/settleCommit'
+import { commitWithRetry, type CommitRetryContext } from '../platform/commitWithRetry'
 
 const STEP = 'jobs.upload'
 const PURPOSE = 'batch'
@@ -27,7 +27,7 @@
 export async function uploadFile (context: DaemonContext, caller: string, request: IncomingMessage, randomValue: RandomSource): Promise<FileRow> {
   const { limits } = requireConfiguration(context).document
   const { clock, platform, random, settings } = context
-  const settle: SettleContext = { table: platform.table, clock, random }
+  const settle: CommitRetryContext = { table: platform.table, clock, random }
   const fileId = newFileId(clock.wallMs(), randomValue)
   const writer = createChunkWriter({
     objects: platform.objects,
@@ -81,10 +81,10 @@
  * Records the upload before its first chunk is written. A gateway that crashes during an upload leaves chunks that belong to
  * no file; with this row the sweeper finds them without listing all chunks.
  */
-async function recordUpload (settle: SettleContext, fileId: string, row: UploadRow): Promise<Condition> {
+async function recordUpload (settle: CommitRetryContext, fileId: string, row: UploadRow): Promise<Condition> {
   const key = JOB_KEYS.upload(fileId)
   const commit = { commitId: randomUUID(), conditions: [{ key, version: 0 }], writes: [{ key, value: JSON.stringify(row) }] }
-  const result = await settleCommit(settle, commit, STEP).catch((error: unknown) => { throw toNotRun(error) })
+  const result = await commitWithRetry(settle, commit, STEP).catch((error: unknown) => { throw toNotRun(error) })
   if (result.outcome === 'committed') return { key, version: result.versions[key] }
   throw new AnvilarchError('The id of the upload is in use. Send the file again.', {
     code: 'overloaded', step: STEP, ran: 'not_run', retryAfterMs: RETRY_MS
@@ -101,7 +101,7 @@
 }
 
 /** Makes the file visible. The condition on the upload row fails if the sweeper has expired the upload and removes its chunks. */
-async function commitFile (settle: SettleContext, row: FileRow, upload: Condition): Promise<void> {
+async function commitFile (settle: CommitRetryContext, row: FileRow, upload: Condition): Promise<void> {
   const key = ROW_KEYS.file(row.id)
   const commit = {
     commitId: randomUUID(),
@@ -112,7 +112,7 @@
       { key: upload.key, value: null }
     ]
   }
-  const result = await settleCommit(settle, commit, STEP)
+  const result = await commitWithRetry(settle, commit, STEP)
   if (result.outcome === 'committed' || result.rows.some(current => current.key === key && current.version > 0)) return
   throw new AnvilarchError('The upload took too long and was given up. Send the file again.', {
     code: 'deadline_exceeded', step: STEP, ran: 'not_run'
@@ -120,11 +120,11 @@
 }
 
 /** Removes the chunks and the row of a failed upload. Whatever cannot be removed now is left to the sweeper. */
-async function discard (context: DaemonContext, settle: SettleContext, writer: ChunkWriter, fileId: string): Promise<void> {
+async function discard (context: DaemonContext, settle: CommitRetryContext, writer: ChunkWriter, fileId: string): Promise<void> {
   try {
     await writer.discard()
     const writes = [{ key: JOB_KEYS.upload(fileId), value: null }]
-    await settleCommit(settle, { commitId: randomUUID(), conditions: [], writes }, STEP)
+    await commitWithRetry(settle, { commitId: randomUUID(), conditions: [], writes }, STEP)
   } catch (error) {
     context.logger.warn('chunks of a refused upload stay for the sweeper', { fileId, error: String(error) })
   }
