--- a/packages/anvilarch-daemon/src/configuration/__tests__/applyHistories.test.ts
+++ b/packages/anvilarch-daemon/src/configuration/__tests__/applyHistories.test.ts
@@ -94,7 +94,8 @@
 })
 
 describe('applyConfiguration', () => {
-  // Guards against two operators that both get the same version for their documents, or one that gets "not run" for a document in force.
+  // Guards against two operators that both get the same version for their documents, or one that gets "not run" although its
+  // document is in force.
   it.each([2, 5])('accepts one document for each version when %d operators apply concurrently', async operators => {
     const calls = fc.tuple(...Array.from({ length: operators }, (_unused, index) => callArbitrary(index)))
     const faults = fc.array(fc.boolean(), { maxLength: 40 })
--- a/packages/anvilarch-utils/src/mixHashes.ts
+++ b/packages/anvilarch-utils/src/mixHashes.ts
@@ -2,7 +2,7 @@
 
 /**
  * Combining two hashes takes a few nanoseconds, whereas the cost of hashing each pair of texts grows with their length. The steps
- * are the finalizer of MurmurHash3, after which each bit of the input changes each bit of the result with a probability of one half.
+ * are the finalizer of MurmurHash3, after which each bit of the input changes each bit of the result with a probability of 0.5.
  *
  * @param one - 32-bit hash
  * @param other - 32-bit hash
