--- a/packages/anvilarch-standins/src/__fixtures__/callStandin.ts
+++ b/packages/anvilarch-standins/src/__fixtures__/callStandin.ts
@@ -1,14 +1,14 @@
-/** HTTP calls of the tests. Each uses a connection of its own unless it is given one. */
+/** HTTP calls of the tests. Each opens a new connection unless a dispatcher is given. */
 import { Agent, type Dispatcher, request } from 'undici'
 
-/** An answer, read whole. */
+/** A response with its complete body. */
 export interface Answer {
   status: number
   headers: Record<string, string | string[] | undefined>
   text: string
 }
 
-/** @returns a dispatcher that keeps no connection */
+/** @returns a dispatcher that reuses no connection */
 function freshDispatcher (): Dispatcher {
   return new Agent({ pipelining: 0 })
 }
@@ -16,7 +16,7 @@
 /**
  * @param url - address
  * @param init - method, body (sent as JSON unless it is text), headers, dispatcher
- * @returns the answer
+ * @returns the response
  */
 export async function call (url: string, init: { method?: Dispatcher.HttpMethod, body?: object | string, headers?: Record<string, string>, dispatcher?: Dispatcher } = {}): Promise<Answer> {
   const body = init.body === undefined ? null : typeof init.body === 'string' ? init.body : JSON.stringify(init.body)
@@ -27,7 +27,7 @@
 /**
  * @param url - address
  * @param init - as for `call`
- * @returns the answer's JSON
+ * @returns the parsed JSON body of the response
  */
 export async function callForJson (url: string, init: Parameters<typeof call>[1] = {}): Promise<any> {
   return JSON.parse((await call(url, init)).text)
--- a/packages/anvilarch-standins/src/bin/demo.ts
+++ b/packages/anvilarch-standins/src/bin/demo.ts
@@ -1,4 +1,4 @@
-/** Starts the local fleet, walks through what the system does, and prints what happened as a table. */
+/** Starts the local fleet, runs the steps of the demo, and prints their results as a table. */
 import { join, resolve } from 'node:path'
 import Table from 'cli-table3'
 import { command, number, option, run, string } from 'cmd-ts'
--- a/packages/anvilarch-standins/src/bin/fleet.ts
+++ b/packages/anvilarch-standins/src/bin/fleet.ts
@@ -1,4 +1,4 @@
-/** Starts the local fleet and leaves it up until it is interrupted. */
+/** Starts the local fleet and keeps it running until it is interrupted. */
 import { readFileSync } from 'node:fs'
 import { join, resolve } from 'node:path'
 import { LOG_LEVELS, type LogLevel } from 'anvilarch-utils'
@@ -9,7 +9,7 @@
 import { startFleet } from '../fleet/startFleet'
 import { DEFAULT_FLEET_OPTIONS, type Fleet } from '../fleet/types'
 
-/** The document's endpoints need their weights before the daemons can serve all of it. */
+/** Includes the time in which the endpoints load the weights of the document's models, before which the daemons are not ready. */
 const READY_TIMEOUT_MS = 30_000
 
 const numberOption = (long: string, value: number, description: string): ReturnType<typeof option<typeof number>> =>
@@ -34,7 +34,7 @@
   },
   handler: async ({ document, noDocument, directory, ignoreFencing, ...options }) => {
     const starting = startFleet({ ...options, directory: resolve(directory), checksFencing: !ignoreFencing })
-    // Signals that arrive while the fleet is starting end it as soon as it is up.
+    // A signal that arrives while the fleet is starting terminates it as soon as it is running.
     const interrupted = new Promise<void>(resolve => {
       process.on('SIGINT', () => { resolve() })
       process.on('SIGTERM', () => { resolve() })
--- a/packages/anvilarch-standins/src/bin/standin.ts
+++ b/packages/anvilarch-standins/src/bin/standin.ts
@@ -1,4 +1,4 @@
-/** Runs one stand-in as a process: `standin.js <kind> --port N`. Prints one JSON line with its address when it listens. */
+/** Runs one stand-in as a process: `standin.js <kind> --port N`. Prints one JSON line with its address once it is listening. */
 import { existsSync, readFileSync, unlinkSync, writeFileSync } from 'node:fs'
 import { command, flag, multioption, number, option, optional, run, string, subcommands, array } from 'cmd-ts'
 import type { Faults } from '../common/faults'
@@ -50,7 +50,7 @@
   return text === undefined ? {} : JSON.parse(text) as Partial<Faults>
 }
 
-/** A request that crashes an endpoint crashes it again after its restart; without its faults the stand-in would answer it then. */
+/** Restores the faults after a crash, so that a request that crashed an endpoint crashes it again after the restart. */
 function takeFaultsOfCrash (file: string | undefined): Partial<Faults> {
   if (file === undefined || !existsSync(file)) return {}
   const faults = parseFaults(readFileSync(file, 'utf8'))
@@ -58,7 +58,7 @@
   return faults
 }
 
-/** A stand-in without options of its own. */
+/** @returns the command of a stand-in that has only the common options */
 function simpleCommand (name: string, start: (options: StandinOptions) => Promise<StandinHandle>) {
   return command({
     name,
--- a/packages/anvilarch-standins/src/common/connections.ts
+++ b/packages/anvilarch-standins/src/common/connections.ts
@@ -1,23 +1,23 @@
-/** The open connections of one stand-in, which can be silenced or cut. */
+/** Tracks the open connections of one stand-in, so that they can be silenced or closed. */
 import type { Server } from 'node:http'
 import type { Socket } from 'node:net'
 
-/** Connections of one server. */
+/** Open connections of one server. */
 export interface Connections {
   /**
-   * Silences every open connection for good: what arrives is ignored and what is written goes nowhere.
+   * Silences every open connection permanently: received data is ignored and written data is discarded.
    *
-   * @param except - the connection that asked for it
+   * @param except - the connection of the request that set the fault
    */
   silenceAll: (except?: Socket) => void
   isSilent: (socket: Socket) => boolean
-  /** Cuts every open connection. */
+  /** Destroys every open connection. */
   cutAll: () => void
 }
 
 /**
- * @param server - the server whose connections are followed
- * @returns its connections
+ * @param server - the server whose connections are tracked
+ * @returns its open connections
  */
 export function followConnections (server: Server): Connections {
   const open = new Set<Socket>()
@@ -38,8 +38,8 @@
 }
 
 /**
- * The kernel still acknowledges bytes on the connection, as it does when something between two hosts has lost track
- * of it only in one direction; no byte of the stand-in leaves it again, not even its end.
+ * Discards everything that the stand-in writes to the connection, including its end. The kernel still acknowledges received
+ * bytes, as when a device between two hosts has lost the state of the connection in one direction only.
  */
 function silenceSocket (socket: Socket, silent: WeakSet<Socket>): void {
   silent.add(socket)
--- a/packages/anvilarch-standins/src/common/faults.ts
+++ b/packages/anvilarch-standins/src/common/faults.ts
@@ -1,28 +1,28 @@
-/** The fault switches that every stand-in has, set over HTTP at `/faults` or in process. */
+/** The fault switches of every stand-in, set over HTTP at `/faults` or within the process. */
 
-/** Faults of one stand-in. Each holds until it is set back. */
+/** Faults of one stand-in. Each stays in effect until it is reset. */
 export interface Faults {
-  /** Added to each request, half of it before the effect and half before the answer. */
+  /** Delay added to each request, half of it before the request takes effect and half before the response. */
   latencyMs: number
-  /** Answers 503 at once. */
+  /** Responds with 503 to every request without processing it. */
   outage: boolean
-  /** Accepts requests and never answers; nothing takes effect and streams stand still. */
+  /** Accepts requests without ever responding; nothing takes effect and streams are paused. */
   frozen: boolean
-  /** Share, from 0 to 1, of requests that take effect and whose connection is then cut. */
+  /** Share, from 0 to 1, of requests that take effect and whose connection is then closed without a response. */
   loseReplies: number
-  /** Setting it to true silences the connections open at that moment for good; new ones work. Reads as false again at once. */
+  /** Setting it to true permanently silences the connections that are open; new connections work. The field then reads as false again. */
   silence: boolean
-  /** How late lists, load reports and cache events are. */
+  /** Delay with which lists, load reports and cache events become visible. */
   lagMs: number
-  /** Text in a request that ends the process with exit code 70 when the request runs; empty for none. */
+  /** A request that contains this text ends the process with exit code 70 when it runs; empty for none. */
   crashOn: string
-  /** Text in a request that gives 500; empty for none. */
+  /** A request that contains this text fails with 500; empty for none. */
   failOn: string
-  /** Share, from 0 to 1, of requests for work that are answered with 500 before they run; health and reports stay good. */
+  /** Share, from 0 to 1, of work requests that fail with 500 before they run; health checks and reports still succeed. */
   failShare: number
 }
 
-/** No fault at all. */
+/** All faults switched off. */
 export const DEFAULT_FAULTS: Faults = {
   latencyMs: 0,
   outage: false,
@@ -39,17 +39,17 @@
 export interface FaultSwitches {
   get: () => Faults
   /**
-   * @param changes - the faults to change; all others stay
-   * @returns all faults as they stand now
+   * @param changes - the faults to change; all others keep their values
+   * @returns all faults after the change
    * @throws Error that names an unknown switch or a value of the wrong type
    */
   set: (changes: Partial<Faults>) => Faults
-  /** Told of every change. */
+  /** Registers a listener that is called on every change. */
   onChange: (listener: (changes: Partial<Faults>, faults: Faults) => void) => void
 }
 
 /**
- * @param initial - faults that differ from none at the start
+ * @param initial - faults that are switched on at the start
  * @returns the switches
  */
 export function createFaultSwitches (initial: Partial<Faults> = {}): FaultSwitches {
@@ -67,7 +67,7 @@
   }
 }
 
-/** A switch that was misspelt would leave a failure test without its failure, so it is an error. */
+/** Rejects unknown switches: with a misspelt one, a failure test would run without its failure. */
 function validateFaults (changes: Partial<Faults>): void {
   for (const [name, value] of Object.entries(changes)) {
     if (!Object.hasOwn(DEFAULT_FAULTS, name)) {
--- a/packages/anvilarch-standins/src/common/httpEdge.ts
+++ b/packages/anvilarch-standins/src/common/httpEdge.ts
@@ -1,4 +1,4 @@
-/** The HTTP edge of a stand-in: routes, fault switches and the test side at `/faults` and `/ledger`. */
+/** The HTTP server of a stand-in: its routes, its fault switches, and the test interface at `/faults` and `/ledger`. */
 import { createServer, type IncomingHttpHeaders, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { AddressInfo, Socket } from 'node:net'
 import { type Clock, createRandom, createSystemClock, type Random, sleep } from 'anvilarch-utils'
@@ -6,7 +6,7 @@
 import { followConnections } from './connections'
 import { createFaultSwitches, type Faults, type FaultSwitches } from './faults'
 
-/** A request as a handler sees it. */
+/** A request as passed to a handler. */
 export interface EdgeRequest {
   method: string
   path: string
@@ -16,7 +16,7 @@
   body: Buffer
 }
 
-/** The answer of a handler: a body, or a function that writes it over time. */
+/** The response of a handler: a body, or a function that writes it over time. */
 export interface EdgeReply {
   status: number
   headers?: Record<string, string>
@@ -29,49 +29,49 @@
   method: 'GET' | 'POST' | 'PUT' | 'DELETE' | 'ANY'
   path: string
   handle: (request: EdgeRequest) => EdgeReply | Promise<EdgeReply>
-  /** Whether the route runs callers' work, which `failShare` fails a part of. */
+  /** Whether the route runs work of callers, a share of which fails under `failShare`. */
   isWork?: boolean
 }
 
-/** Options that every stand-in takes. */
+/** Options common to all stand-ins. */
 export interface StandinOptions {
   /** Port to listen on; 0 for any free one. */
   port?: number
-  /** IP number to listen on. */
+  /** IP address to listen on. */
   host?: string
   faults?: Partial<Faults>
   clock?: Clock
-  /** Seed of the random numbers that choose which replies are lost. */
+  /** Seed of the random numbers that select which responses are lost. */
   seed?: number
-  /** Called on a request that holds the text of `crashOn`, after the connections were cut. */
+  /** Called on a request that contains the text of `crashOn`, after the connections were closed. */
   onCrash?: () => void
 }
 
-/** What every running stand-in offers its owner. */
+/** The interface of every running stand-in to the code that started it. */
 export interface StandinHandle<Ledger = unknown> {
   url: string
   port: number
   faults: FaultSwitches
   ledger: () => Ledger
-  /** @returns true after a request with the text of `crashOn` ended the stand-in */
+  /** @returns true after a request that contains the text of `crashOn` has ended the stand-in */
   crashed: () => boolean
   close: () => Promise<void>
 }
 
-/** What a kind of stand-in gives the edge. */
+/** The part of the server that differs between kinds of stand-ins. */
 export interface EdgeDefinition<Ledger> {
   routes: EdgeRoute[]
   ledger: (query?: URLSearchParams) => Ledger
-  /** True when the kind crashes by itself at the step at which the request runs. */
+  /** True when the handlers of the kind crash the stand-in themselves, at the step at which the request runs. */
   crashesItself?: boolean
 }
 
-/** A running edge; `crash` ends it as the end of a process would. */
+/** A running server; `crash` ends it in the way in which the end of a process would. */
 export interface Edge<Ledger> extends StandinHandle<Ledger> {
   crash: () => void
 }
 
-/** Exit code of a stand-in that a request has crashed; the fleet's supervisor restarts it. */
+/** Exit code of a stand-in that was crashed by a request; the supervisor of the fleet restarts it. */
 export const CRASH_EXIT_CODE = 70
 
 const DEFAULT_HOST = '127.0.0.1'
@@ -81,7 +81,7 @@
 /**
  * @param definition - routes and ledger of the kind
  * @param options - port, faults and clock
- * @returns the running edge
+ * @returns the running server
  */
 export async function startEdge<Ledger> (definition: EdgeDefinition<Ledger>, options: StandinOptions): Promise<Edge<Ledger>> {
   const clock = options.clock ?? createSystemClock()
@@ -184,7 +184,7 @@
   send(response, reply)
 }
 
-/** @returns whether path or body of a request hold a text; an empty text is in none */
+/** @returns whether the path or the body of a request contains a text; false for an empty text */
 export function contains (request: EdgeRequest, text: string): boolean {
   if (text === '') return false
   return request.body.includes(text) || request.path.includes(text)
--- a/packages/anvilarch-standins/src/common/text.ts
+++ b/packages/anvilarch-standins/src/common/text.ts
@@ -1,4 +1,4 @@
-/** Text that is a function of other text, so that any reader of an answer can check it whole. */
+/** Deterministic text, generated from the hash of a request, so that any reader can check a response completely. */
 
 const FNV_OFFSET = 0x811c9dc5
 const FNV_PRIME = 0x01000193
@@ -13,8 +13,8 @@
 ]
 
 /**
- * @param text - what to hash
- * @param seed - hash to go on from
+ * @param text - text to hash
+ * @param seed - hash to continue from
  * @returns a 32-bit FNV-1a hash
  */
 export function hashText (text: string, seed = FNV_OFFSET): number {
@@ -26,7 +26,7 @@
 }
 
 /**
- * @param hash - hash of the text that is answered
+ * @param hash - hash of the request's text
  * @param index - position of the word
  * @returns the word, with a space before all but the first
  */
--- a/packages/anvilarch-standins/src/demo/callers.ts
+++ b/packages/anvilarch-standins/src/demo/callers.ts
@@ -1,4 +1,4 @@
-/** What a caller does: completions, plain and streamed, and calls to a plain service. Each answer is checked whole. */
+/** The requests of a caller: completions, whole and streamed, and calls to a plain service. Each response is checked completely. */
 import { createSystemClock } from 'anvilarch-utils'
 import { createParser } from 'eventsource-parser'
 import { Agent, request } from 'undici'
@@ -10,7 +10,7 @@
 const REQUEST_TIMEOUT_MS = 30_000
 const clock = createSystemClock()
 
-/** A connection for each call: when a gateway closes an idle one while it drains, no call of the demo may be on it. */
+/** Opens a new connection for each call, so that no call is sent on an idle connection that a draining gateway is closing. */
 const dispatcher = new Agent({ pipelining: 0 })
 
 /** A chat request. */
@@ -20,7 +20,7 @@
   requestId?: string
 }
 
-/** What came back, and when. */
+/** Times and token count of a streamed response. */
 export interface ChatAnswer {
   firstTokenMs: number
   totalMs: number
@@ -34,7 +34,7 @@
 /**
  * @param gatewayUrl - a gateway
  * @param chat - the request
- * @throws DemoFailure when the answer is not whole
+ * @throws DemoFailure when the response is not complete and correct
  */
 export async function askPlain (gatewayUrl: string, chat: ChatRequest): Promise<void> {
   const body = chatBody(chat, false)
@@ -49,7 +49,7 @@
  * @param gatewayUrl - a gateway
  * @param chat - the request
  * @returns times and tokens
- * @throws DemoFailure when the answer is not whole
+ * @throws DemoFailure when the response is not complete and correct
  */
 export async function askStreamed (gatewayUrl: string, chat: ChatRequest): Promise<ChatAnswer> {
   const body = chatBody(chat, true)
@@ -79,11 +79,11 @@
 
 /**
  * @param gatewayUrl - a gateway
- * @param method - of the call
- * @param path - within the service
- * @param body - of the call
- * @param requestId - under which the service counts it
- * @throws DemoFailure when the answer is not the service's answer to this call
+ * @param method - method of the call
+ * @param path - path within the service
+ * @param body - body of the call
+ * @param requestId - request id under which the service records the execution
+ * @throws DemoFailure when the response is not the one to this call
  */
 export async function callLookup (gatewayUrl: string, method: 'GET' | 'POST', path: string, body: string, requestId: string): Promise<void> {
   const { status, text } = await send(method, `${gatewayUrl}/services/lookup${path}`, body, requestId)
--- a/packages/anvilarch-standins/src/demo/commandLine.ts
+++ b/packages/anvilarch-standins/src/demo/commandLine.ts
@@ -1,20 +1,20 @@
-/** Runs the operator's command line as a process of its own, as an operator does. */
+/** Runs the command-line interface in a separate process, as an operator does. */
 import { spawn } from 'node:child_process'
 import { join } from 'node:path'
 import { WORKSPACE_ROOT } from '../fleet/fleetPlan'
 import { type DemoContext, DemoFailure } from './types'
 
 const COMMAND_SCRIPT = join(WORKSPACE_ROOT, 'packages/anvilarch/lib/bin/anvilarch.js')
-/** No step waits longer for one command. */
+/** Exceeds the longest `--wait` of a command in the demo. */
 const COMMAND_TIMEOUT_MS = 50_000
 
 /**
- * Runs `anvilarch ... --json` against the gateways that are up.
+ * Runs `anvilarch ... --json` against the running gateways.
  *
  * @param context - the demo
  * @param commandArguments - command and options
  * @returns the JSON that it printed
- * @throws DemoFailure when it exits with another code than 0
+ * @throws DemoFailure when it exits with a code other than 0
  */
 export async function runCommand<Answer> (context: DemoContext, ...commandArguments: string[]): Promise<Answer> {
   const gateways = context.fleet.processes('gateway').filter(({ processId }) => processId !== undefined).map(({ spec }) => spec.addresses.callers)
--- a/packages/anvilarch-standins/src/demo/executions.ts
+++ b/packages/anvilarch-standins/src/demo/executions.ts
@@ -1,4 +1,4 @@
-/** The executions that the endpoints have reported, for comparison with what callers were told. */
+/** Reads the executions that the endpoints have reported, for comparison with the responses that callers received. */
 import type { Execution } from '../ledger/executions'
 import { callJson } from '../fleet/waits'
 import type { Fleet } from '../fleet/types'
--- a/packages/anvilarch-standins/src/demo/jobItems.ts
+++ b/packages/anvilarch-standins/src/demo/jobItems.ts
@@ -1,4 +1,4 @@
-/** The items of the demo's jobs, and the check of their results. */
+/** Creates the items of the demo's jobs and checks their results. */
 import { readFileSync, writeFileSync } from 'node:fs'
 import { expectedText } from '../engine/answers'
 import { expectThat } from './types'
@@ -8,7 +8,7 @@
 /** Options of the items. */
 export interface JobItemOptions {
   count: number
-  /** Told apart from other jobs, so that each is a job of its own. */
+  /** Unique per job: a job with the items of another one would be recognized as the same job. */
   label: string
   shortestTokens: number
   longestTokens: number
@@ -36,8 +36,8 @@
 }
 
 /**
- * @param file - where to write
- * @param options - how many and how long
+ * @param file - file to write
+ * @param options - number, label and lengths of the items
  */
 export function writeItems (file: string, options: JobItemOptions): void {
   const lines = Array.from({ length: options.count }, (_, index) => JSON.stringify(itemAt(options, index)))
@@ -47,7 +47,7 @@
 /**
  * @param file - the results of the job
  * @param options - the items
- * @throws DemoFailure when an item has no result, or two, or another item's answer
+ * @throws DemoFailure when an item has no result, more than one, or the result of another item
  */
 export function checkResults (file: string, options: JobItemOptions): void {
   const results = readFileSync(file, 'utf8').split('\n').filter(line => line !== '').map(line => JSON.parse(line) as { custom_id: string, response: { body: { choices: Array<{ message: { content: string } }> } } })
--- a/packages/anvilarch-standins/src/demo/onlineLoad.ts
+++ b/packages/anvilarch-standins/src/demo/onlineLoad.ts
@@ -1,23 +1,23 @@
-/** Online requests that go on while something else happens. */
+/** Generates a constant load of online requests, in parallel to other steps. */
 import { askStreamed, type ChatAnswer } from './callers'
 
-/** Running requests. */
+/** A running load. */
 export interface OnlineLoad {
-  /** Sends no more; resolves with all answers when those in progress have ended, and rejects if one was not whole. */
+  /** Stops sending; resolves with the results of all requests once those in progress have ended, and rejects if one failed. */
   finish: () => Promise<ChatAnswer[]>
 }
 
 /** Options of `startOnlineLoad`. */
 export interface OnlineLoadOptions {
   gatewayUrls: string[]
-  /** Requests in progress at any time. */
+  /** Number of concurrent requests. */
   concurrency: number
   maxTokens: number
   label: string
 }
 
 /**
- * @param options - where to, how many and how long
+ * @param options - gateways, concurrency and length of the responses
  * @returns the running load
  */
 export function startOnlineLoad (options: OnlineLoadOptions): OnlineLoad {
@@ -44,8 +44,8 @@
 
 /**
  * @param values - measured values
- * @param percent - how many of them may be lower
- * @returns the value at that rank, 0 when there is none
+ * @param percent - percentage of values that may be lower
+ * @returns the value at that rank, 0 for an empty list
  */
 export function percentile (values: number[], percent: number): number {
   const sorted = [...values].sort((a, b) => a - b)
--- a/packages/anvilarch-standins/src/demo/runDemo.ts
+++ b/packages/anvilarch-standins/src/demo/runDemo.ts
@@ -1,4 +1,4 @@
-/** Walks through the steps of the demo on a fleet of its own. */
+/** Runs the steps of the demo on a separate fleet. */
 import { mkdirSync } from 'node:fs'
 import { join } from 'node:path'
 import { createSystemClock, sleep } from 'anvilarch-utils'
@@ -10,7 +10,7 @@
 import { completionStep, lookupStep } from './steps/requestSteps'
 import { type DemoContext, type DemoStep, DemoFailure, type StepReport } from './types'
 
-/** The steps in order; a later one needs the earlier ones. */
+/** The steps in order; each one depends on the earlier ones. */
 const DEMO_STEPS: DemoStep[] = [configurationStep, completionStep, lookupStep, jobStep, cancelStep, drainStep]
 
 const clock = createSystemClock()
@@ -19,16 +19,16 @@
 export interface DemoOptions {
   directory: string
   documentFile: string
-  /** The demo ends after this time in any case. */
+  /** Time limit of the demo. */
   timeoutMs: number
   fleet?: Partial<FleetOptions>
-  /** Told of each line of progress. */
+  /** Called with each line of progress. */
   onProgress: (line: string) => void
 }
 
 /**
- * @param options - folder, document and bound
- * @returns how each step ended, including the start and the end of the fleet
+ * @param options - folder, document and time limit
+ * @returns the result of each step, including the start and the end of the fleet
  */
 export async function runDemo (options: DemoOptions): Promise<StepReport[]> {
   const bound = new AbortController()
--- a/packages/anvilarch-standins/src/demo/steps/configurationStep.ts
+++ b/packages/anvilarch-standins/src/demo/steps/configurationStep.ts
@@ -1,4 +1,4 @@
-/** Step 1: one document is put in force in every daemon. */
+/** Step 1: applies a configuration document to every daemon. */
 import { callJson, waitFor } from '../../fleet/waits'
 import { runCommand } from '../commandLine'
 import { type DemoContext, type DemoStep, expectThat } from '../types'
@@ -6,7 +6,7 @@
 const KNOWN_TIMEOUT_MS = 15_000
 const LOADED_TIMEOUT_MS = 20_000
 
-/** Applies the document and waits until every daemon holds it and every engine has its model. */
+/** Applies the document and waits until it is in force in every daemon and every engine has loaded its model. */
 export const configurationStep: DemoStep = {
   title: 'A document is applied and in force in every daemon',
   run: async context => {
@@ -22,7 +22,7 @@
   }
 }
 
-/** "Every live daemon" is every one that the gateway has heard of. Just after the start that may leave some out. */
+/** Waits until the gateway has discovered all daemons. `config apply --wait` covers only discovered ones, which just after the start may not be all. */
 async function waitUntilKnown (context: DemoContext, daemonCount: number): Promise<void> {
   await waitFor(async () => {
     const status = await runCommand<{ gateways: unknown[], agents: unknown[] }>(context, 'status')
@@ -30,7 +30,7 @@
   }, { clock: context.clock, timeoutMs: KNOWN_TIMEOUT_MS, what: `${daemonCount} daemons to know of each other` })
 }
 
-/** The placement orders the weights after the document is in force; until they are there, callers are told when to come back. */
+/** Waits until the models are loaded. The placement orders them once the document is in force; until then, requests are rejected with `Retry-After`. */
 async function waitForModels ({ fleet, clock }: DemoContext): Promise<void> {
   await waitFor(async () => {
     const models = await Promise.all(fleet.processes('engine').map(async ({ spec }) => await callJson<{ models: Array<{ state: string }> }>('GET', `${spec.addresses.http}/models`)))
--- a/packages/anvilarch-standins/src/demo/steps/drainStep.ts
+++ b/packages/anvilarch-standins/src/demo/steps/drainStep.ts
@@ -1,11 +1,11 @@
-/** Step 6: an agent and a gateway are told to end, and nothing in progress is cut. */
+/** Step 6: an agent and a gateway receive SIGTERM, and no request in progress is interrupted. */
 import { waitFor } from '../../fleet/waits'
 import { askPlain, askStreamed } from '../callers'
 import { readExecutions } from '../executions'
 import { type DemoContext, type DemoStep, expectThat } from '../types'
 
 const STREAMS = 18
-/** Long enough to be in progress while both drain. */
+/** Long enough that the streams are in progress while both daemons drain. */
 const STREAM_TOKENS = 150
 const BEGIN_TIMEOUT_MS = 5000
 const DRAIN_TIMEOUT_MS = 20_000
@@ -21,7 +21,7 @@
   }
 }
 
-/** Has streams in progress on all endpoints and through all gateways that are up, and ends one daemon among them. */
+/** Starts streams on all endpoints through all running gateways, terminates one daemon, and checks that no stream is interrupted. */
 async function drain (context: DemoContext, name: string): Promise<string> {
   const { fleet, clock } = context
   const urls = fleet.processes('gateway').filter(({ processId }) => processId !== undefined).map(({ spec }) => spec.addresses.callers)
--- a/packages/anvilarch-standins/src/demo/steps/jobSteps.ts
+++ b/packages/anvilarch-standins/src/demo/steps/jobSteps.ts
@@ -1,4 +1,4 @@
-/** Steps 4 and 5: a job runs beside online work, and a job is cancelled. */
+/** Steps 4 and 5: a job runs in parallel to online requests, and a job is cancelled. */
 import { join } from 'node:path'
 import { sleep } from 'anvilarch-utils'
 import { waitFor } from '../../fleet/waits'
@@ -19,10 +19,10 @@
 const ONLINE_CONCURRENCY = 6
 const ONLINE_TOKENS = 30
 const CANCEL_TIMEOUT_MS = 15_000
-/** Long enough for an item that was in progress to end, and for a gateway that had not heard of the cancel to begin another. */
+/** Long enough for an item in progress to end, and for a gateway that has not yet received the cancellation to start another item. */
 const QUIET_MS = 2000
 
-/** A job of 1,000 items beside online requests. */
+/** Runs a job of 1,000 items in parallel to online requests. */
 export const jobStep: DemoStep = {
   title: 'A job of 1,000 items runs while online requests run; sent again it is the same job',
   run: async context => {
@@ -52,7 +52,7 @@
   }
 }
 
-/** A job is cancelled and stops. */
+/** Cancels a job and checks that it stops. */
 export const cancelStep: DemoStep = {
   title: 'A job is cancelled and stops',
   run: async context => {
@@ -71,7 +71,7 @@
   }
 }
 
-/** Waits until no execution runs, then checks that none begins. */
+/** Waits until no execution is running, then checks that none starts. */
 async function waitUntilQuiet ({ fleet, clock }: DemoContext): Promise<number> {
   const isQuiet = async (): Promise<boolean> => !(await readExecutions(fleet)).some(({ state }) => state === 'running')
   await waitFor(isQuiet, { clock, timeoutMs: CANCEL_TIMEOUT_MS, what: 'the items in progress to stop', intervalMs: 200 })
--- a/packages/anvilarch-standins/src/demo/steps/requestSteps.ts
+++ b/packages/anvilarch-standins/src/demo/steps/requestSteps.ts
@@ -6,10 +6,10 @@
 import { type DemoContext, type DemoStep, expectThat } from '../types'
 
 const CHAT_TOKENS = 40
-/** Until a gateway has heard from the agents that the models are there, it refuses with `Retry-After`. */
+/** Until the agents have reported the models to a gateway, it rejects requests with `Retry-After`. */
 const FIRST_ANSWER_TIMEOUT_MS = 10_000
 
-/** A completion, plain and streamed, through each gateway. */
+/** Requests completions: a whole one through one gateway, and a streamed one through each. */
 export const completionStep: DemoStep = {
   title: 'A chat completion, plain and streamed, is answered whole',
   run: async context => {
@@ -42,7 +42,7 @@
   }
 }
 
-/** Lookups, and calls that may not be repeated. */
+/** Calls the plain service: lookups, and one call that must not be repeated. */
 export const lookupStep: DemoStep = {
   title: 'A plain service is called; a call that is not idempotent runs once',
   run: async ({ fleet }) => {
--- a/packages/anvilarch-standins/src/demo/types.ts
+++ b/packages/anvilarch-standins/src/demo/types.ts
@@ -1,26 +1,26 @@
-/** The steps of the demo and what they work with. */
+/** The types of the demo's steps. */
 import type { Clock } from 'anvilarch-utils'
 import type { Fleet } from '../fleet/types'
 
-/** What every step is given. */
+/** The context of every step. */
 export interface DemoContext {
   fleet: Fleet
   clock: Clock
-  /** Aborted when the demo has taken too long. */
+  /** Aborted when the demo exceeds its time limit. */
   signal: AbortSignal
-  /** Folder for the files of jobs. */
+  /** Folder for job files. */
   directory: string
   documentFile: string
 }
 
-/** One step. */
+/** One step of the demo. */
 export interface DemoStep {
   title: string
-  /** @returns what happened, in a line; throws when it is not what should happen */
+  /** @returns a summary of one line; rejects when the step failed */
   run: (context: DemoContext) => Promise<string>
 }
 
-/** How a step ended. */
+/** The result of a step. */
 export interface StepReport {
   title: string
   passed: boolean
@@ -28,7 +28,7 @@
   detail: string
 }
 
-/** What should happen did not. */
+/** Thrown when an expectation of the demo is not met. */
 export class DemoFailure extends Error {
   constructor (message: string) {
     super(message)
@@ -38,8 +38,8 @@
 
 /**
  * @param condition - must be true
- * @param message - what was found; evaluated only when it is not
- * @throws DemoFailure when it is not true
+ * @param message - returns the error message; called only on failure
+ * @throws DemoFailure when the condition is false
  */
 export function expectThat (condition: boolean, message: () => string): asserts condition {
   if (!condition) throw new DemoFailure(message())
--- a/packages/anvilarch-standins/src/engine/__tests__/engineLoop.test.ts
+++ b/packages/anvilarch-standins/src/engine/__tests__/engineLoop.test.ts
@@ -16,21 +16,21 @@
     loop = createEngineLoop({ clock, speed: SPEED, onStep: result => { if (result.produced.length > 0) tokenTimes.push(clock.nowMs()) } })
   })
 
-  test('produces a token in each step and then rests without a timer', () => {
+  test('produces one token per step and has no timer when it is idle', () => {
     loop.submit(SPEC)
     clock.advance(1000)
     expect(tokenTimes).toEqual([10, 20, 30, 40, 50])
     expect(clock.pendingCount()).toBe(0)
   })
 
-  test('keeps one timer however many sequences run', () => {
+  test('uses a single timer for several sequences', () => {
     for (const id of ['a', 'b', 'c']) loop.submit({ ...SPEC, id })
     clock.advance(15)
     expect(clock.pendingCount()).toBe(1)
     expect(loop.load()).toMatchObject({ running: 3 })
   })
 
-  test('stands still while it is frozen and goes on afterwards', () => {
+  test('pauses while it is frozen and continues afterwards', () => {
     loop.submit(SPEC)
     clock.advance(20)
     loop.setFrozen(true)
--- a/packages/anvilarch-standins/src/engine/__tests__/engineStandin.test.ts
+++ b/packages/anvilarch-standins/src/engine/__tests__/engineStandin.test.ts
@@ -25,7 +25,7 @@
   const chunksOf = (text: string): any[] => text.split('\n\n').filter(event => event.startsWith('data: {')).map(event => JSON.parse(event.slice('data: '.length)))
   const textOf = (text: string): string => chunksOf(text).map(chunk => chunk.choices[0]?.delta?.content ?? chunk.choices[0]?.text ?? '').join('')
 
-  test('answers whole, in the text that the request alone decides', async () => {
+  test('responds with a complete text that depends on the request alone', async () => {
     await start()
     const answer = JSON.parse((await ask(CHAT, { messages: MESSAGES })).text)
     expect(answer.choices[0]).toMatchObject({ message: { role: 'assistant', content: expectedText(CHAT, { messages: MESSAGES }) }, finish_reason: 'stop' })
@@ -34,7 +34,7 @@
     expect(completion.usage).toMatchObject({ prompt_tokens: 2, completion_tokens: 4, total_tokens: 6 })
   })
 
-  test('streams one token an event, then the reason, the usage and the end', async () => {
+  test('streams one token per event, then the finish reason, the usage and the final event', async () => {
     await start()
     const { text, headers } = await ask(CHAT, { messages: MESSAGES, max_tokens: 3, stream: true, stream_options: { include_usage: true } })
     expect(headers['content-type']).toBe('text/event-stream')
@@ -46,7 +46,7 @@
     expect(textOf(text)).toBe(expectedText(CHAT, { messages: MESSAGES, max_tokens: 3 }))
   })
 
-  test('gives a known stream again from an offset', async () => {
+  test('sends an existing stream again from an offset', async () => {
     await start()
     const body = { messages: MESSAGES, max_tokens: 6, stream: true }
     const whole = await ask(CHAT, body)
@@ -55,7 +55,7 @@
     expect(engine.ledger().executions).toHaveLength(1)
   })
 
-  test('fails a share of the requests for work before they run, with good health', async () => {
+  test('fails a share of the work requests before they run, while health checks succeed', async () => {
     await start({ faults: { failShare: 0.5 } })
     const body = { messages: MESSAGES, max_tokens: 1 }
     const answers = await Promise.all(Array.from({ length: 40 }, async (_, index) => await ask(CHAT, body, `a${index}`)))
@@ -69,7 +69,7 @@
     expect(await callForJson(`${engine.url}/health`)).toMatchObject({ status: 'ok' })
   })
 
-  test('frees the slot of a cancelled stream and goes on with it when it is resumed', async () => {
+  test('frees the slot of a cancelled stream and continues the stream when it is resumed', async () => {
     await start({ engine: { slots: 1 } })
     const body = { messages: MESSAGES, max_tokens: 100, stream: true }
     const first = ask(CHAT, body)
@@ -85,7 +85,7 @@
     expect(engine.ledger().executions.map(({ attemptId, state }) => [attemptId, state])).toEqual([['a1', 'completed'], ['a2', 'completed']])
   })
 
-  test('goes on with a stream that another engine began, if its text is the start of the answer', async () => {
+  test('continues a stream that another engine started, if its text is the start of the completion', async () => {
     await start()
     const body = { messages: MESSAGES, max_tokens: 5, stream: true }
     const full = expectedText(CHAT, body)
@@ -96,7 +96,7 @@
     expect((await ask(CHAT, { ...body, continuation: { tokens: 2, text: 'other' } }, 'a3')).status).toBe(400)
   })
 
-  test('refuses an attempt id that it knows and streams that it does not', async () => {
+  test('rejects a repeated attempt id and requests for unknown streams', async () => {
     await start()
     await ask(CHAT, { messages: MESSAGES, max_tokens: 1 })
     expect((await ask(CHAT, { messages: MESSAGES, max_tokens: 1 })).status).toBe(409)
@@ -108,14 +108,14 @@
     [{}, '"messages" must be a list'],
     [{ messages: MESSAGES, max_tokens: 0 }, '"max_tokens" is 0'],
     [{ messages: MESSAGES, continuation: { tokens: -1, text: '' } }, '"continuation.tokens" is -1']
-  ])('refuses the bad request %j', async (body, message) => {
+  ])('rejects the invalid request %j', async (body, message) => {
     await start()
     const answer = await ask(CHAT, body)
     expect(answer.status).toBe(400)
     expect(JSON.parse(answer.text).error.message).toContain(message)
   })
 
-  test('loads a model on an order at the pace of the weight store', async () => {
+  test('loads a model on an order, in the time that the weight store takes for the transfer', async () => {
     const weights = await startWeightStandin({ transferMs: 5 })
     await start({ preload: [], weightsUrl: weights.url })
     expect((await ask(CHAT, { messages: MESSAGES })).status).toBe(404)
@@ -130,7 +130,7 @@
     await weights.close()
   })
 
-  test.each([[true, 409], [false, 200]])('with checksFencing %s answers %s to an order with an old token', async (checksFencing, status) => {
+  test.each([[true, 409], [false, 200]])('with checksFencing %s, responds with %s to an order with an old token', async (checksFencing, status) => {
     await start({ checksFencing })
     const order = { action: 'load', model: 'm', version: '1' }
     await call(`${engine.url}/orders`, { body: { ...order, fencingToken: 5 } })
@@ -138,8 +138,8 @@
     expect(engine.ledger().orders.map(({ fencingToken, accepted }) => [fencingToken, accepted])).toEqual([[5, true], [4, !checksFencing]])
   })
 
-  test('crashes when a marked request runs, and the collector knows of it', async () => {
-    // Guards against this: a request that ran twice is counted once.
+  test('crashes when a request with the text of crashOn runs, after the collector has recorded its execution', async () => {
+    // Guards against a request that ran twice being counted once, because the record of the crashed execution was lost.
     const ledger = await startLedgerStandin()
     await start({ ledgerUrl: ledger.url, faults: { crashOn: 'poison' } })
     await expect(ask(CHAT, { messages: [{ role: 'user', content: 'poison' }] })).rejects.toThrow()
@@ -148,7 +148,7 @@
     await ledger.close()
   })
 
-  test('publishes cache events by their sequence, with gaps', async () => {
+  test('publishes cache events in order of their sequence numbers, with gaps', async () => {
     await start({ engine: { cacheEventGapShare: 0.5 }, seed: 3 })
     await ask('/v1/completions', { prompt: 'p'.repeat(64 * 20), max_tokens: 1 })
     const { events, latest } = await callForJson(`${engine.url}/cache-events?after=0`)
--- a/packages/anvilarch-standins/src/engine/__tests__/scheduler.test.ts
+++ b/packages/anvilarch-standins/src/engine/__tests__/scheduler.test.ts
@@ -7,7 +7,7 @@
   return { id, promptTokens: 10, blocks: [], producedTokens: 0, totalTokens: 2, ...changes }
 }
 
-/** Runs steps until the engine is idle, and returns what each produced. */
+/** Runs steps until the engine is idle. @returns the sequences that produced a token, per step */
 function runAll (state: SchedulerState): string[][] {
   const produced: string[][] = []
   for (let step = planStep(state); step !== undefined; step = planStep(state)) {
@@ -17,11 +17,11 @@
 }
 
 describe('planStep', () => {
-  test('gives nothing to do on an idle engine', () => {
+  test('returns no step for an idle engine', () => {
     expect(planStep(createScheduler(SPEED))).toBeUndefined()
   })
 
-  test('admits in the order of arrival up to the slots', () => {
+  test('admits sequences in order of arrival up to the number of slots', () => {
     const state = createScheduler(SPEED)
     for (const id of ['a', 'b', 'c']) submitSequence(state, sequence(id))
     planStep(state)
@@ -29,14 +29,14 @@
     expect([...state.waiting.keys()]).toEqual(['c'])
   })
 
-  test('spreads a long prompt over steps while others go on', () => {
+  test('prefills a long prompt over several steps while other sequences continue', () => {
     const state = createScheduler(SPEED)
     submitSequence(state, sequence('short', { totalTokens: 3 }))
     submitSequence(state, sequence('long', { promptTokens: 250, totalTokens: 1 }))
     expect(runAll(state)).toEqual([['short'], ['short'], ['short', 'long']])
   })
 
-  test('takes longer with more sequences, more context and more uncached prompt', () => {
+  test('plans longer steps for more sequences, more context and more uncached prompt tokens', () => {
     const durationOf = (specs: SequenceSpec[]): number => {
       const state = createScheduler(SPEED)
       for (const spec of specs) submitSequence(state, spec)
@@ -51,7 +51,7 @@
 })
 
 describe('finishStep', () => {
-  test('gives one token to every running sequence and finishes at the total', () => {
+  test('produces one token for every running sequence and finishes sequences at their total', () => {
     const state = createScheduler(SPEED)
     submitSequence(state, sequence('a'))
     submitSequence(state, sequence('b', { producedTokens: 1 }))
@@ -59,7 +59,7 @@
     expect(currentLoad(state)).toMatchObject({ running: 0, waiting: 0 })
   })
 
-  test('gives no token to a sequence that was taken out during the step', () => {
+  test('produces no token for a sequence that was removed during the step', () => {
     const state = createScheduler(SPEED)
     submitSequence(state, sequence('a'))
     const step = planStep(state)
@@ -68,7 +68,7 @@
     expect(planStep(state)).toBeUndefined()
   })
 
-  test('prefills only what is not cached, and drops the blocks that were not used for longest', () => {
+  test('prefills only uncached tokens, and evicts the least recently used blocks', () => {
     const state = createScheduler(SPEED)
     const prefilled = (id: string, blocks: number[]): number => {
       submitSequence(state, sequence(id, { promptTokens: blocks.length * 10 + 5, blocks, totalTokens: 1 }))
--- a/packages/anvilarch-standins/src/engine/answers.ts
+++ b/packages/anvilarch-standins/src/engine/answers.ts
@@ -1,7 +1,7 @@
-/** The answers of the engine: tokens and their count are functions of the request alone. */
+/** Plans the completions of the engine: tokens and their count depend on the request alone. */
 import { hashText, wordAt } from '../common/text'
 
-/** The two endpoints of the OpenAI-style API. */
+/** The two kinds of completions of the OpenAI-style API. */
 export type AnswerKind = 'chat' | 'completion'
 
 /** The fields of a request that the engine reads. */
@@ -16,7 +16,7 @@
   continuation?: { tokens: number, text: string }
 }
 
-/** What the engine will answer. */
+/** The completion that the engine produces for a request. */
 export interface AnswerPlan {
   kind: AnswerKind
   hash: number
@@ -26,25 +26,25 @@
   finishReason: 'stop' | 'length'
 }
 
-/** Characters of one pseudo-token of a prompt: about what tokenisers reach on English text. */
+/** Characters per pseudo-token of a prompt, close to the average of tokenizers on English text. */
 const CHARACTERS_PER_TOKEN = 4
-/** An answer without `max_tokens` has from 8 to 63 tokens, as the prompt's hash says. */
+/** A completion without `max_tokens` has 8 to 63 tokens, selected by the hash of the prompt. */
 const SHORTEST_ANSWER_TOKENS = 8
 const ANSWER_TOKENS_SPREAD = 56
 
 /**
  * @param path - `/v1/chat/completions` or `/v1/completions`
- * @returns the kind of answer
+ * @returns the kind of completion
  */
 export function answerKindOf (path: string): AnswerKind {
   return path.endsWith('/chat/completions') ? 'chat' : 'completion'
 }
 
 /**
- * @param kind - kind of answer
+ * @param kind - kind of completion
  * @param body - the request
- * @param blockTokens - tokens of one block of the prefix cache
- * @returns what the engine will answer
+ * @param blockTokens - tokens per block of the prefix cache
+ * @returns the completion that the engine produces
  */
 export function planAnswer (kind: AnswerKind, body: EngineRequestBody, blockTokens: number): AnswerPlan {
   const prompt = promptOf(kind, body)
@@ -61,8 +61,8 @@
 }
 
 /**
- * @param plan - the answer
- * @param tokens - how many tokens from the start
+ * @param plan - the completion
+ * @param tokens - number of tokens from the start
  * @returns their text
  */
 export function answerText (plan: Pick<AnswerPlan, 'hash' | 'totalTokens'>, tokens = plan.totalTokens): string {
@@ -70,7 +70,7 @@
 }
 
 /**
- * The whole text that any engine answers to a request, so that a test can check an answer whole.
+ * Computes the complete text that any engine produces for a request, so that a test can check a response completely.
  *
  * @param endpointPath - `/v1/chat/completions` or `/v1/completions`
  * @param body - the request, parsed or as JSON text
--- a/packages/anvilarch-standins/src/engine/engineLoop.ts
+++ b/packages/anvilarch-standins/src/engine/engineLoop.ts
@@ -1,4 +1,4 @@
-/** Drives the scheduler on a clock, with one timer for the whole engine however many streams it has. */
+/** Drives the scheduler on a clock, with a single timer for all streams of the engine. */
 import type { Clock, Timer } from 'anvilarch-utils'
 import { type CacheChange } from './prefixCache'
 import { cachedPromptTokens, createScheduler, currentLoad, type EngineStep, finishStep, planStep, removeSequence, submitSequence, takeCacheChanges } from './scheduler'
@@ -8,25 +8,25 @@
 export interface EngineLoopOptions {
   clock: Clock
   speed: EngineSpeed
-  /** Told of each step when its time has passed. */
+  /** Called with the result of each step when its duration has elapsed. */
   onStep: (result: StepResult) => void
-  /** Told of changes of the prefix cache. */
+  /** Called with the changes of the prefix cache. */
   onCacheChanges?: (changes: CacheChange[]) => void
 }
 
-/** A running engine without its HTTP edge; the bench runs it on a fake clock. */
+/** A running engine without its HTTP server; the benchmarks run it on a fake clock. */
 export interface EngineLoop {
   submit: (spec: SequenceSpec) => void
   /** @returns false when the engine has no such sequence */
   remove: (id: string) => boolean
   load: () => EngineLoad
   cachedPromptTokens: (id: string) => number
-  /** Stands still, as a frozen process does, until it is called with false. */
+  /** Pauses the engine, like a paused process, until it is called with false. */
   setFrozen: (frozen: boolean) => void
   stop: () => void
 }
 
-/** A loop that is later than this, because the process was paused or starved, goes on from now instead of catching up. */
+/** A loop that is delayed by more than this, by a process pause or a lack of CPU time, continues from now instead of catching up. */
 const MAX_CATCH_UP_MS = 100
 
 /**
--- a/packages/anvilarch-standins/src/engine/engineRequests.ts
+++ b/packages/anvilarch-standins/src/engine/engineRequests.ts
@@ -1,4 +1,4 @@
-/** The requests of an engine: completions, and streams that are resumed or cancelled. */
+/** Handles the requests of an engine: completions, and the resumption and cancellation of streams. */
 import { randomUUID } from 'node:crypto'
 import { type Clock } from 'anvilarch-utils'
 import { contains, type Edge, type EdgeReply, type EdgeRequest } from '../common/httpEdge'
@@ -13,13 +13,13 @@
 import { type EngineOptions, type StepResult } from './types'
 import { findProblem } from './validateRequest'
 
-/** What the engine ran, and the orders it got. */
+/** The executions of the engine, and the orders that it received. */
 export interface EngineLedger {
   executions: Execution[]
   orders: RecordedOrder[]
 }
 
-/** The parts of one engine. */
+/** The components of one engine. */
 export interface EngineState {
   name: string
   incarnation: string
@@ -36,13 +36,13 @@
 const EVENT_STREAM_HEADERS = { 'content-type': 'text/event-stream', 'cache-control': 'no-cache' }
 
 /**
- * Runs a completion. The execution is recorded before it begins.
+ * Runs a completion. The execution is recorded before it starts.
  *
  * @param state - the engine
- * @param edge - faults and the end of the process
- * @param kind - kind of answer
+ * @param edge - the server, for its faults and to crash it
+ * @param kind - kind of completion
  * @param request - the request
- * @returns the whole answer, or a stream of it
+ * @returns the complete response, or a stream of it
  */
 export async function complete (state: EngineState, edge: Edge<EngineLedger>, kind: AnswerKind, request: EdgeRequest): Promise<EdgeReply> {
   const body = JSON.parse(request.body.toString()) as EngineRequestBody
@@ -110,11 +110,11 @@
 
 function recordState (state: EngineState, stream: EngineStream): void {
   const execution = state.log.end(stream.executionId, stream.state, state.clock.wallMs())
-  // Unlike the start, the end need not be safe before anything goes on: a lost end only leaves the execution as running.
+  // Unlike the start, the end is not waited for: if its record is lost, the execution is only still listed as running.
   if (execution !== undefined) state.reporter.report(execution).catch(() => {})
 }
 
-/** Puts a stream into the batch, unless it was cancelled meanwhile or has nothing left to produce. */
+/** Submits a stream to the scheduler, unless it was cancelled in the meantime or has no tokens left to produce. */
 function submit (state: EngineState, stream: EngineStream): void {
   if (stream.state !== 'running' || stream.submitted) return
   const { plan } = stream.source
@@ -132,7 +132,7 @@
   recordState(state, stream)
 }
 
-/** Hands the tokens of one step to their streams. A stream that crashes the engine does so at its first token, as a request that runs. */
+/** Applies the tokens of one step to their streams. A stream that crashes the engine does so at its first token: by then it runs. */
 export function takeStep (state: EngineState, edge: Edge<EngineLedger>, result: StepResult): void {
   for (const { id, producedTokens } of result.produced) {
     const stream = state.streams.get(id)
@@ -152,7 +152,7 @@
   state.streams.sweep(nowMs)
 }
 
-/** Attaches to a stream, and puts one that was cancelled back into the batch. */
+/** Attaches the connection to a stream, and submits a cancelled stream to the scheduler again. */
 export function resume (state: EngineState, request: EdgeRequest): EdgeReply {
   const stream = state.streams.get(request.params.attemptId ?? '')
   if (stream === undefined) return refuse(404, 'no such stream', 'unknown_stream')
@@ -168,7 +168,7 @@
   return { status: 200, headers: EVENT_STREAM_HEADERS, stream: response => { attachReader(stream, response, offsetTokens) } }
 }
 
-/** Frees the slot of a stream; its state stays for its retention. */
+/** Cancels a stream and frees its slot; its state is kept for the retention period. */
 export function cancel (state: EngineState, request: EdgeRequest): EdgeReply {
   const stream = state.streams.get(request.params.attemptId ?? '')
   if (stream === undefined) return refuse(404, 'no such stream', 'unknown_stream')
@@ -179,7 +179,7 @@
   return { status: 200, body: { state: stream.state, tokens: stream.producedTokens } }
 }
 
-/** @returns cache events that are old enough to be published */
+/** @returns the cache events that are old enough to be published */
 export function cacheEvents (state: EngineState, edge: Edge<EngineLedger>, request: EdgeRequest): EdgeReply {
   const after = Number(request.query.get('after') ?? 0)
   const lagMs = state.options.cacheEventLagMs + edge.faults.get().lagMs
--- a/packages/anvilarch-standins/src/engine/engineStandin.ts
+++ b/packages/anvilarch-standins/src/engine/engineStandin.ts
@@ -1,4 +1,4 @@
-/** The stand-in of a model engine: continuous batching behind an OpenAI-style HTTP edge. */
+/** The stand-in of a model engine: continuous batching behind an OpenAI-style HTTP API. */
 import { randomUUID } from 'node:crypto'
 import { createRandom, createSystemClock } from 'anvilarch-utils'
 import { type Edge, type StandinHandle, type StandinOptions, startEdge } from '../common/httpEdge'
@@ -20,7 +20,7 @@
   weightsUrl?: string
   /** Address of the ledger collector. */
   ledgerUrl?: string
-  /** Whether orders with an old fencing token are refused. */
+  /** Whether orders with an old fencing token are rejected. */
   checksFencing?: boolean
   /** Models that are ready from the start, as `model:version`. */
   preload?: string[]
@@ -30,7 +30,7 @@
 
 /** A running engine. */
 export interface EngineStandin extends StandinHandle<EngineLedger> {
-  /** The load without lag. */
+  /** @returns the current load, without lag */
   load: () => EngineLoad
   models: () => EngineModel[]
 }
--- a/packages/anvilarch-standins/src/engine/models.ts
+++ b/packages/anvilarch-standins/src/engine/models.ts
@@ -1,9 +1,9 @@
-/** The models of an engine: orders to load and unload them, and their way from the weight store. */
+/** The models of an engine: orders to load and unload them, and the transfer of their weights from the weight store. */
 import { type Clock, sleep } from 'anvilarch-utils'
 import { request } from 'undici'
 import type { EdgeReply } from '../common/httpEdge'
 
-/** A model within the engine. */
+/** A model that the engine has loaded or is loading. */
 export interface EngineModel {
   model: string
   version: string
@@ -11,7 +11,7 @@
   state: 'loading' | 'ready'
 }
 
-/** An order as it comes over HTTP. */
+/** An order as received over HTTP. */
 export interface EngineOrder {
   action: 'load' | 'unload'
   model: string
@@ -20,7 +20,7 @@
   fencingToken: number
 }
 
-/** An order that was carried out or refused. */
+/** An order that was executed or rejected. */
 export interface RecordedOrder extends EngineOrder {
   accepted: boolean
   atMs: number
@@ -32,7 +32,7 @@
   fencingToken: () => number
   orders: () => RecordedOrder[]
   order: (order: EngineOrder) => EdgeReply
-  /** @returns whether a model under this name can answer */
+  /** @returns whether a request for a model of this name can be served */
   serves: (name: string | undefined) => boolean
   stop: () => void
 }
@@ -42,19 +42,19 @@
   clock: Clock
   /** Address of the weight store; without one, models are ready at once. */
   weightsUrl?: string
-  /** Whether an order with an old token is refused. */
+  /** Whether an order with an old token is rejected. */
   checksFencing: boolean
   /** Models that are ready from the start, as `model:version`. */
   preload: string[]
-  /** Whether a request must name a loaded model; otherwise any name is answered while one is ready. */
+  /** Whether a request must name a loaded model; otherwise any name is served while at least one model is ready. */
   strictModel: boolean
 }
 
-/** Wait after a transfer that failed without saying when to come back. */
+/** Delay before a failed transfer is retried, when the response has no `Retry-After`. */
 const RETRY_DELAY_MS = 300
 
 /**
- * @param options - weight store, fencing and models at the start
+ * @param options - weight store, fencing and initial models
  * @returns the models of an engine
  */
 export function createModelHolder (options: ModelHolderOptions): ModelHolder {
@@ -132,7 +132,7 @@
   throw new Error('the model is not wanted any more')
 }
 
-/** @returns undefined when the weights have come, else when to try again */
+/** @returns undefined when the transfer is complete, else the delay before the next attempt */
 async function tryTransfer (url: string, signal: AbortSignal): Promise<number | undefined> {
   try {
     const response = await request(url, { signal })
--- a/packages/anvilarch-standins/src/engine/prefixCache.ts
+++ b/packages/anvilarch-standins/src/engine/prefixCache.ts
@@ -1,19 +1,19 @@
-/** The prefix cache of an engine: fixed blocks of prompts, the least recently used of which go first. */
+/** The prefix cache of an engine: prompt blocks of fixed size, evicted in least-recently-used order. */
 
-/** Cached blocks by their chained hash, the least recently used first. */
+/** Cached blocks by chained hash, the least recently used first. */
 export interface PrefixCache {
   blocks: Set<number>
   maxBlocks: number
 }
 
-/** A change that is published later. */
+/** A change of the cache, published later as an event. */
 export interface CacheChange {
   type: 'stored' | 'removed'
   block: number
 }
 
 /**
- * @param maxBlocks - blocks that fit
+ * @param maxBlocks - capacity in blocks
  * @returns an empty cache
  */
 export function createPrefixCache (maxBlocks: number): PrefixCache {
@@ -23,7 +23,7 @@
 /**
  * @param cache - the cache
  * @param blocks - chained hashes of the blocks of a prompt
- * @returns how many blocks from the start are cached
+ * @returns the number of leading blocks that are cached
  */
 export function countCachedPrefix (cache: PrefixCache, blocks: number[]): number {
   const miss = blocks.findIndex(block => !cache.blocks.has(block))
@@ -39,7 +39,8 @@
  */
 export function storeBlocks (cache: PrefixCache, blocks: number[]): CacheChange[] {
   const changes: CacheChange[] = []
-  // The last block goes in first: a prefix without its end is of use, an end without its prefix is not.
+  // Stored from the last block to the first, so that the last ones are evicted first: a prefix without its end can be used, but
+  // not an end without its prefix.
   for (let index = blocks.length - 1; index >= 0; index--) {
     const block = blocks[index]
     if (!cache.blocks.delete(block)) changes.push({ type: 'stored', block })
--- a/packages/anvilarch-standins/src/engine/reports.ts
+++ b/packages/anvilarch-standins/src/engine/reports.ts
@@ -1,4 +1,4 @@
-/** What an engine publishes of itself: its load with a lag, and cache events late and with gaps. */
+/** The reports that an engine publishes: its load with a lag, and cache events with a lag and with gaps. */
 import type { Random } from 'anvilarch-utils'
 import type { CacheChange } from './prefixCache'
 import type { CacheEvent, EngineLoad } from './types'
@@ -9,7 +9,7 @@
   /** @returns the load as it was `lagMs` ago */
   loadAsOf: (nowMs: number, lagMs: number) => EngineLoad
   noteCacheChanges: (nowMs: number, changes: CacheChange[]) => void
-  /** @returns events after a sequence number that are at least `lagMs` old; a missing number is a gap */
+  /** @returns events after a sequence number that are at least `lagMs` old; a missing sequence number is a lost event */
   cacheEvents: (nowMs: number, lagMs: number, after: number) => { events: CacheEvent[], latest: number }
 }
 
@@ -19,7 +19,7 @@
 const MAX_EVENTS_IN_ANSWER = 1000
 
 /**
- * @param random - chooses the events that get lost
+ * @param random - selects the events that are lost
  * @param gapShare - share of events that are never published
  * @returns empty reports
  */
--- a/packages/anvilarch-standins/src/engine/scheduler.ts
+++ b/packages/anvilarch-standins/src/engine/scheduler.ts
@@ -1,18 +1,18 @@
 /**
- * The decision core of the engine: continuous batching as a stepping model without time of its own. Whoever drives it
- * asks for the next step, waits as long as the step says, on any clock, and then has its result applied.
+ * The scheduler of the engine: models continuous batching in steps, without a clock of its own. The driver plans the next
+ * step, waits for its duration on any clock, and then finishes the step.
  */
 import { type CacheChange, countCachedPrefix, createPrefixCache, type PrefixCache, storeBlocks } from './prefixCache'
 import type { EngineLoad, EngineSpeed, SequenceSpec, StepResult } from './types'
 
-/** A sequence within the engine. */
+/** A submitted sequence. */
 interface Sequence extends SequenceSpec {
   /** Tokens to prefill before the next token can be produced. */
   prefillTokens: number
   cachedPromptTokens: number
 }
 
-/** Everything the engine knows about its sequences. */
+/** The sequences of the engine, its speed and its prefix cache. */
 export interface SchedulerState {
   speed: EngineSpeed
   waiting: Map<string, Sequence>
@@ -21,7 +21,7 @@
   cacheChanges: CacheChange[]
 }
 
-/** One step: how long it takes and what it does. */
+/** One step: its duration, the sequences that decode, and the prompt tokens that are prefilled. */
 export interface EngineStep {
   durationMs: number
   decoding: string[]
@@ -29,7 +29,7 @@
 }
 
 /**
- * @param speed - how fast the engine is and how much it holds
+ * @param speed - step durations and capacity of the engine
  * @returns an idle engine
  */
 export function createScheduler (speed: EngineSpeed): SchedulerState {
@@ -38,7 +38,7 @@
 }
 
 /**
- * Queues a sequence behind all others; engines know no priorities.
+ * Queues a sequence behind all others; engines have no priorities.
  *
  * @param state - the engine
  * @param spec - the sequence
@@ -49,8 +49,8 @@
 
 /**
  * @param state - the engine
- * @param id - sequence to take out at once
- * @returns false when it is not there
+ * @param id - sequence to remove immediately
+ * @returns false when there is no such sequence
  */
 export function removeSequence (state: SchedulerState, id: string): boolean {
   return state.waiting.delete(id) || state.running.delete(id)
@@ -65,7 +65,7 @@
   return state.running.get(id)?.cachedPromptTokens ?? 0
 }
 
-/** @returns the load as it is now */
+/** @returns the current load */
 export function currentLoad (state: SchedulerState): EngineLoad {
   return {
     running: state.running.size,
@@ -75,7 +75,7 @@
 }
 
 /**
- * Admits what fits and plans the next step.
+ * Admits waiting sequences to free slots and plans the next step.
  *
  * @param state - the engine
  * @returns the step, or undefined when there is nothing to do
@@ -102,10 +102,10 @@
 }
 
 /**
- * Applies a step whose time has passed. Sequences that were taken out meanwhile produce nothing.
+ * Applies a step whose duration has elapsed. Sequences that were removed in the meantime produce nothing.
  *
  * @param state - the engine
- * @param step - the step that `planStep` gave
+ * @param step - the step that `planStep` returned
  * @returns tokens produced and sequences finished
  */
 export function finishStep (state: SchedulerState, step: EngineStep): StepResult {
@@ -141,7 +141,7 @@
     if (state.running.size >= state.speed.slots) return
     const cachedBlocks = countCachedPrefix(state.cache, sequence.blocks)
     sequence.cachedPromptTokens = cachedBlocks * state.speed.blockTokens
-    // The last prompt token is always computed, since its output is the first token of the answer.
+    // The last prompt token is always computed, since its output is the first token of the completion.
     sequence.prefillTokens = Math.max(1, sequence.promptTokens + sequence.producedTokens - sequence.cachedPromptTokens)
     state.waiting.delete(sequence.id)
     state.running.set(sequence.id, sequence)
--- a/packages/anvilarch-standins/src/engine/sseEvents.ts
+++ b/packages/anvilarch-standins/src/engine/sseEvents.ts
@@ -1,10 +1,10 @@
-/** The server-sent events and the JSON bodies of the OpenAI-style API. One event carries one token. */
+/** Formats the server-sent events and the JSON bodies of the OpenAI-style API. Each event carries one token. */
 import { wordAt } from '../common/text'
 import { answerText, type AnswerKind, type AnswerPlan } from './answers'
 
-/** What all events of one stream share. */
+/** The data common to all events of one stream. */
 export interface EventSource {
-  /** Id of the completion, as callers see it. */
+  /** Id of the completion in the response to the caller. */
   completionId: string
   createdSeconds: number
   model: string
@@ -21,9 +21,9 @@
   completion: { event: 'text_completion', whole: 'text_completion' }
 }
 
-/** Makes the events of one stream. */
+/** Formats the events of one stream. */
 export interface EventWriter {
-  /** @returns the event with the token of this index */
+  /** @returns the event for the token at this index */
   token: (index: number) => string
   /** @returns the events after the last token */
   ending: () => string
@@ -31,7 +31,7 @@
 
 /**
  * @param source - the stream
- * @returns a writer that formats everything but the token only once
+ * @returns a writer that formats everything except the tokens only once
  */
 export function createEventWriter (source: EventSource): EventWriter {
   const { plan } = source
@@ -52,8 +52,8 @@
 }
 
 /**
- * @param source - a finished answer
- * @returns the body of an answer that is not streamed
+ * @param source - a finished completion
+ * @returns the body of a response that is not streamed
  */
 export function wholeBody (source: EventSource): object {
   const { plan } = source
--- a/packages/anvilarch-standins/src/engine/streams.ts
+++ b/packages/anvilarch-standins/src/engine/streams.ts
@@ -1,4 +1,4 @@
-/** The streams of an engine: each keeps its state apart from the connections that read it, so that any can be read again. */
+/** The streams of an engine. The state of a stream is independent of the connections that read it, so that it can be read again. */
 import type { ServerResponse } from 'node:http'
 import type { EventSource, EventWriter } from './sseEvents'
 
@@ -12,7 +12,7 @@
   next: number
 }
 
-/** One request within the engine. */
+/** One completion request of the engine. */
 export interface EngineStream {
   attemptId: string
   requestId: string
@@ -21,13 +21,13 @@
   writer: EventWriter
   producedTokens: number
   state: StreamState
-  /** False until the ledger knows of the execution, and again after a cancel. */
+  /** False until the ledger has recorded the execution, and again after the stream has ended. */
   submitted: boolean
-  /** The request ends the process at its first token. */
+  /** Whether the request crashes the engine at its first token. */
   crashes: boolean
   endedMs: number
   readers: Set<StreamReader>
-  /** Called when the stream ends, for answers that are not streamed. */
+  /** Called when the stream ends, for responses that are not streamed. */
   onEnd: Array<() => void>
 }
 
@@ -35,14 +35,14 @@
 export interface StreamRegistry {
   get: (attemptId: string) => EngineStream | undefined
   add: (stream: EngineStream) => void
-  /** Drops ended streams whose retention is over. */
+  /** Removes ended streams whose retention period has elapsed. */
   sweep: (nowMs: number) => void
   size: () => number
 }
 
 /**
- * @param retentionMs - how long an ended stream is kept
- * @returns a registry without streams
+ * @param retentionMs - retention period of an ended stream
+ * @returns an empty registry
  */
 export function createStreamRegistry (retentionMs: number): StreamRegistry {
   const streams = new Map<string, EngineStream>()
@@ -59,10 +59,10 @@
 }
 
 /**
- * Attaches a connection. It is sent what was produced already, then each token as it comes.
+ * Attaches a connection to a stream. The tokens produced so far are sent to it, then each new token.
  *
  * @param stream - the stream to read
- * @param response - the connection's answer, whose head is written
+ * @param response - the response of the connection, with its headers already written
  * @param offsetTokens - index of the first token to send
  */
 export function attachReader (stream: EngineStream, response: ServerResponse, offsetTokens: number): void {
@@ -73,7 +73,7 @@
   pump(stream, reader)
 }
 
-/** Sends new tokens to all readers, and the end when the stream has ended. */
+/** Sends new tokens to all readers, and the final events when the stream has ended. */
 export function pumpReaders (stream: EngineStream): void {
   for (const reader of stream.readers) pump(stream, reader)
 }
@@ -83,7 +83,7 @@
  *
  * @param stream - the stream
  * @param state - how it ended
- * @param nowMs - start of its retention
+ * @param nowMs - start of its retention period
  */
 export function endStream (stream: EngineStream, state: 'completed' | 'cancelled', nowMs: number): void {
   stream.state = state
@@ -93,7 +93,7 @@
   for (const onEnd of stream.onEnd.splice(0)) onEnd()
 }
 
-/** A reader that is slow holds back only itself: it goes on from its own position when its connection has drained. */
+/** A slow reader delays only itself: it continues from its own position when its connection has drained. */
 function pump (stream: EngineStream, reader: StreamReader): void {
   const { response } = reader
   if (response.writableNeedDrain) return
@@ -104,6 +104,6 @@
     return
   }
   stream.readers.delete(reader)
-  // A cancelled stream ends without the last events, so that nobody takes it for a whole answer.
+  // A cancelled stream ends without the final events, so that it cannot be mistaken for a complete response.
   response.end(stream.state === 'completed' ? text + stream.writer.ending() : text)
 }
--- a/packages/anvilarch-standins/src/engine/types.ts
+++ b/packages/anvilarch-standins/src/engine/types.ts
@@ -1,39 +1,39 @@
-/** Options of the model engine and the messages between its parts. */
+/** Options of the model engine and the types shared by its modules. */
 import { AnvilarchError } from 'anvilarch-utils'
 
-/** How fast the modelled engine is, and how much it holds. All are assumptions; a measurement of a real engine replaces them. */
+/** Step durations and capacity of the modelled engine. */
 export interface EngineSpeed {
-  /** Sequences that are batched at the same time. Engines stop there because more lengthen every step. */
+  /** Maximum number of sequences in a batch. Engines limit it because each further sequence lengthens every step. */
   slots: number
-  /** Time of one step with a single sequence: reading the weights once, whatever the batch. */
+  /** Duration of reading the weights once, which each step does independently of the batch size. */
   baseStepMs: number
-  /** Added for each sequence that decodes in the step. Small beside the base: that is why batching pays. */
+  /** Added for each sequence that decodes in the step. Batching is efficient because this is small compared to the base duration. */
   perSequenceMs: number
-  /** Added for each thousand tokens of context that the attention of the step reads. */
+  /** Added for each 1,000 tokens of context that the attention of the step reads. */
   perThousandContextTokensMs: number
-  /** Added for each prompt token that is not in the prefix cache. Prefill is bound by arithmetic, so it grows with tokens. */
+  /** Added for each prompt token that is not in the prefix cache. Prefill is compute-bound, so it grows with the number of tokens. */
   prefillPerTokenMs: number
-  /** Prompt tokens prefilled in one step over all sequences; longer prompts are spread over steps, as engines do to bound one step. */
+  /** Prompt tokens prefilled per step over all sequences. Longer prompts are split into chunks, as in real engines, to bound the duration of a step. */
   prefillChunkTokens: number
-  /** Tokens that the prefix cache holds; the least recently used blocks go first. */
+  /** Capacity of the prefix cache in tokens; the least recently used blocks are evicted first. */
   cacheTokens: number
-  /** Tokens of one cache block. */
+  /** Tokens per cache block. */
   blockTokens: number
 }
 
 /** All options of the model engine. */
 export interface EngineOptions extends EngineSpeed {
-  /** How late the load report is. Engines publish theirs from a background loop. */
+  /** Lag of the load report. Real engines publish it from a background loop. */
   loadLagMs: number
-  /** How late cache events are. */
+  /** Lag of cache events. */
   cacheEventLagMs: number
   /** Share of cache events, from 0 to 1, that are never published. */
   cacheEventGapShare: number
-  /** How long the state of a cancelled or ended stream is kept. */
+  /** Retention period of the state of a cancelled or completed stream. */
   retentionMs: number
 }
 
-/** Defaults that put 95 in 100 tokens within 26 ms of the one before at a full batch of short prompts. */
+/** With these defaults and a full batch of short prompts, 95 % of tokens follow the previous one within 26 ms. */
 export const DEFAULT_ENGINE_OPTIONS: EngineOptions = {
   slots: 32,
   baseStepMs: 12,
@@ -62,15 +62,15 @@
   }
 }
 
-/** A request as the scheduler sees it. */
+/** A request as submitted to the scheduler. */
 export interface SequenceSpec {
   id: string
   promptTokens: number
-  /** Chained hashes of the whole blocks of the prompt, for the prefix cache. */
+  /** Chained hashes of the full blocks of the prompt, for the prefix cache. */
   blocks: number[]
-  /** Tokens produced before, on this engine or another one. They are prefilled like prompt tokens. */
+  /** Tokens already produced, on this engine or another one. They are prefilled like prompt tokens. */
   producedTokens: number
-  /** The sequence is finished when it has produced this many. */
+  /** Number of produced tokens at which the sequence is finished. */
   totalTokens: number
 }
 
@@ -81,9 +81,9 @@
   cachedTokens: number
 }
 
-/** What one step brought. */
+/** The result of one step. */
 export interface StepResult {
-  /** Sequences that produced one token each, with their count so far. */
+  /** Sequences that produced one token each, with their total so far. */
   produced: Array<{ id: string, producedTokens: number }>
   finished: string[]
 }
--- a/packages/anvilarch-standins/src/engine/validateRequest.ts
+++ b/packages/anvilarch-standins/src/engine/validateRequest.ts
@@ -1,4 +1,4 @@
-/** Checks a request to the engine as far as the engine reads it. */
+/** Validates the fields of a request that the engine reads. */
 import type { AnswerKind, EngineRequestBody } from './answers'
 
 const FIND_PROMPT_PROBLEM: Record<AnswerKind, (body: EngineRequestBody) => string | undefined> = {
@@ -7,9 +7,9 @@
 }
 
 /**
- * @param kind - kind of answer
+ * @param kind - kind of completion
  * @param body - the parsed request
- * @returns what is wrong, or undefined
+ * @returns a description of the first problem, or undefined when the request is valid
  */
 export function findProblem (kind: AnswerKind, body: EngineRequestBody): string | undefined {
   if (typeof body !== 'object' || body === null) return 'the body must be a JSON object'
--- a/packages/anvilarch-standins/src/fleet/__tests__/fleet.test.ts
+++ b/packages/anvilarch-standins/src/fleet/__tests__/fleet.test.ts
@@ -23,7 +23,7 @@
   }
 }
 
-/** Runs real processes, from the build that `npm test` makes first. */
+/** Starts real processes from the build, which `npm test` creates first. */
 describe('startFleet', () => {
   let fleet: Fleet | undefined
 
@@ -35,7 +35,7 @@
     return status === 200 && JSON.parse(text).choices[0].message.content === expectedText(CHAT, body)
   }
 
-  test('serves through a gateway and an agent, survives the loss of the agent and of the engine, and ends whole', async () => {
+  test('serves through a gateway and an agent, recovers from the loss of the agent and of the engine, and terminates all processes', async () => {
     fleet = await startFleet({ directory: mkdtempSync(join(tmpdir(), 'fleet-')), gateways: 1, modelEndpoints: 1, plainEndpoints: 1, endpointsPerAgent: 2, restartMs: 10, startTimeoutMs: TIMEOUT_MS })
     await applyDocument(fleet.callerUrls()[0], DOCUMENT, readFileSync(DOCUMENT, 'utf8'))
     await fleet.waitReady()
--- a/packages/anvilarch-standins/src/fleet/__tests__/fleetPlan.test.ts
+++ b/packages/anvilarch-standins/src/fleet/__tests__/fleetPlan.test.ts
@@ -8,25 +8,25 @@
 }
 
 describe('planFleet', () => {
-  test('gives each listener a port of its own', () => {
+  test('assigns a separate port to each listener', () => {
     const addresses = plan().flatMap(({ addresses }) => Object.values(addresses))
     expect(new Set(addresses).size).toBe(addresses.length)
     expect(addresses.join(' ')).not.toContain('undefined')
   })
 
-  test.each([1, 2, 5])('puts an agent before every %i endpoints', endpointsPerAgent => {
+  test.each([1, 2, 5])('plans one agent per %i endpoints', endpointsPerAgent => {
     const agents = plan({ endpointsPerAgent }).filter(({ role }) => role === 'agent')
     expect(agents).toHaveLength(Math.ceil(5 / endpointsPerAgent))
     expect(agents.flatMap(({ fronts }) => fronts)).toEqual(['engine-1', 'engine-2', 'engine-3', 'plain-1', 'plain-2'])
   })
 
-  test('writes settings that the daemons take', () => {
+  test('creates valid settings for the daemons', () => {
     const daemons = plan({ endpointsPerAgent: 2, agentSettings: { heartbeatMs: 100 }, gatewaySettings: { pollIntervalMs: 200 } }).filter(({ settings }) => settings !== undefined)
     expect(daemons).toHaveLength(5)
     for (const { settings } of daemons) expect(validateSettings(JSON.stringify(settings), 'settings').ok).toBe(true)
   })
 
-  test('lists a daemon under another address when asked to', () => {
+  test('lists a daemon under the address that hostAddress returns', () => {
     const agents = plan({ hostAddress: ({ name, listen }) => name === 'agent-1' ? '127.0.0.1:9' : listen.peers }).filter(({ role }) => role === 'agent')
     expect(agents[0].hostEntry?.address).toBe('127.0.0.1:9')
     expect(agents[1].hostEntry?.address).toBe(agents[1].settings?.listen.peers)
--- a/packages/anvilarch-standins/src/fleet/__tests__/ports.test.ts
+++ b/packages/anvilarch-standins/src/fleet/__tests__/ports.test.ts
@@ -1,13 +1,14 @@
 import { createServer, type Server } from 'node:net'
 import { allocatePorts } from '../ports'
 
-// Guards against this: a fleet does not start, `EADDRINUSE`, when another one starts beside it.
+// Guards against a fleet that fails to start with `EADDRINUSE` when another one starts at the same time. The operating system
+// assigns ports from this one on by itself.
 const FIRST_GIVEN_AWAY = 32_768
 
-/** Another fleet beside the test may take a port between the look at it and its use; it does not do so each time. */
+/** Attempts per test: another fleet that runs beside the test may take a port between its allocation and its use, but not every time. */
 const MAX_TRIES = 20
 
-/** @returns the first of so many ports in a row that no process has; another fleet may run beside the test */
+/** @returns the first of `count` consecutive free ports; another fleet may run beside the test */
 async function freeRun (count: number): Promise<number> {
   for (let tries = 0; tries < MAX_TRIES; tries++) {
     const [first] = await allocatePorts(1, 0)
@@ -17,7 +18,7 @@
   throw new Error(`no ${count} ports in a row were free in ${MAX_TRIES} places: end other fleets`)
 }
 
-/** @returns a server at the port; undefined when another process has been faster */
+/** @returns a server that listens on the port; undefined when another process has taken the port */
 async function take (port: number): Promise<Server | undefined> {
   const server = createServer()
   return await new Promise(resolve => {
@@ -26,7 +27,7 @@
   })
 }
 
-/** @returns two ports that are found by a look that begins at a port that is taken, counted from that one */
+/** @returns the offsets of two allocated ports from a port that is in use, when the allocation starts at that port */
 async function portsAfterTakenOne (): Promise<number[]> {
   const port = await freeRun(3)
   const taken = await take(port)
@@ -39,14 +40,14 @@
   }
 }
 
-describe('the ports of a fleet', () => {
-  it('are different, and none that the system gives away by itself', async () => {
+describe('allocatePorts', () => {
+  it('returns distinct ports below the ephemeral range of the operating system', async () => {
     const ports = await allocatePorts(60, 0)
     expect(new Set(ports).size).toBe(60)
     expect(Math.max(...ports)).toBeLessThan(FIRST_GIVEN_AWAY)
   })
 
-  it('pass over one that is taken', async () => {
+  it('skips a port that is in use', async () => {
     let found: number[] = []
     for (let tries = 0; tries < MAX_TRIES && String(found) !== '1,2'; tries++) {
       found = await portsAfterTakenOne()
@@ -55,7 +56,7 @@
     expect(found).toEqual([1, 2])
   })
 
-  it('follow the base that was asked for', async () => {
+  it('returns consecutive ports from a given base port', async () => {
     let found: number[] | undefined
     let port = 0
     for (let tries = 0; tries < MAX_TRIES && found === undefined; tries++) {
--- a/packages/anvilarch-standins/src/fleet/__tests__/supervisor.test.ts
+++ b/packages/anvilarch-standins/src/fleet/__tests__/supervisor.test.ts
@@ -9,7 +9,7 @@
 
 const clock = createSystemClock()
 
-/** A process that runs one line of script. */
+/** @returns the supervisor of a process that runs one line of script */
 function supervise (line: string): Supervisor {
   const spec: ProcessSpec = { name: 'child', role: 'engine', script: '-e', arguments: [line], addresses: {}, aliveUrl: '', readyUrl: '' }
   return createSupervisor(spec, {
@@ -23,14 +23,14 @@
 describe('createSupervisor', () => {
   let supervisor: Supervisor
 
-  // A child that is started again and again would outlive a test that fails.
+  // A child that is restarted repeatedly would outlive a test that fails.
   afterEach(async () => {
     supervisor.retire()
     supervisor.kill('SIGKILL')
     await supervisor.ended()
   })
 
-  test('starts a process again that a request has crashed, until it is retired', async () => {
+  test('restarts a process that was crashed by a request, until restarts are disabled', async () => {
     supervisor = supervise(`process.exit(${CRASH_EXIT_CODE})`)
     supervisor.spawn()
     await waitFor(() => supervisor.process.starts >= 3, { clock, timeoutMs: 20_000, what: 'three starts' })
@@ -38,7 +38,7 @@
     expect((await supervisor.ended()).code).toBe(CRASH_EXIT_CODE)
   })
 
-  test('leaves a process ended that ended otherwise', async () => {
+  test('does not restart a process that exited for another reason', async () => {
     supervisor = supervise('setInterval(() => {}, 1000)')
     supervisor.spawn()
     supervisor.kill('SIGKILL')
--- a/packages/anvilarch-standins/src/fleet/applyDocument.ts
+++ b/packages/anvilarch-standins/src/fleet/applyDocument.ts
@@ -1,8 +1,8 @@
-/** Puts a document in force through a gateway's operator interface. */
+/** Applies a configuration document through the operator interface of a gateway. */
 import { basename } from 'node:path'
 import { callJson } from './waits'
 
-/** What the gateway answered. */
+/** The response of the gateway. */
 export interface AppliedDocument {
   version: number
   hash: string
@@ -10,10 +10,10 @@
 }
 
 /**
- * @param gatewayUrl - a gateway's address towards callers
+ * @param gatewayUrl - caller-facing address of a gateway
  * @param file - name of the file, for error messages
  * @param documentText - the document, JSON with comments
- * @returns version and hash
+ * @returns version and hash of the applied document
  */
 export async function applyDocument (gatewayUrl: string, file: string, documentText: string): Promise<AppliedDocument> {
   return await callJson<AppliedDocument>('POST', `${gatewayUrl}/admin/v1/configuration`, { documentText, fileName: basename(file), appliedBy: 'fleet' })
--- a/packages/anvilarch-standins/src/fleet/fleetFile.ts
+++ b/packages/anvilarch-standins/src/fleet/fleetFile.ts
@@ -1,4 +1,4 @@
-/** Writes `fleet.json`, from which a tester outside learns the addresses and process ids. */
+/** Writes the files of the fleet: the settings of the daemons, and `fleet.json` with the addresses and process ids for external tests. */
 import { existsSync, mkdirSync, readFileSync, renameSync, rmSync, writeFileSync } from 'node:fs'
 import { join } from 'node:path'
 import { AnvilarchError } from 'anvilarch-utils'
@@ -8,7 +8,7 @@
 const SETTINGS_HEADER = '// Written by the fleet script at each start; the daemon reads it once.\n'
 
 /**
- * Writes the settings files of all daemons.
+ * Writes the settings file of each daemon.
  *
  * @param processes - the processes of the fleet
  */
@@ -20,10 +20,10 @@
 }
 
 /**
- * Creates the folders of the fleet.
+ * Creates the folders of the fleet, and removes the stored faults of an earlier one.
  *
  * @param directory - folder of the fleet
- * @throws AnvilarchError when another fleet runs there, whose file and settings would be lost
+ * @throws AnvilarchError when another fleet runs there, whose files would be overwritten
  */
 export function createFolders (directory: string): void {
   const other = findRunningFleet(directory)
@@ -32,7 +32,7 @@
   }
   mkdirSync(join(directory, 'settings'), { recursive: true })
   mkdirSync(join(directory, 'logs'), { recursive: true })
-  // What a crash in an earlier fleet left behind is no fault of this one.
+  // Faults that a crash in an earlier fleet has stored must not apply to this one.
   rmSync(join(directory, 'faults'), { recursive: true, force: true })
   mkdirSync(join(directory, 'faults'))
 }
@@ -51,10 +51,10 @@
 }
 
 /**
- * Writes the file whole under another name and then renames it, so that a reader never sees half of it.
+ * Writes the file under another name and then renames it, so that a reader never gets an incomplete file.
  *
  * @param directory - folder of the fleet
- * @param processes - the processes as they are now
+ * @param processes - the current state of the processes
  */
 export function writeFleetFile (directory: string, processes: FleetProcess[]): void {
   const file = join(directory, 'fleet.json')
--- a/packages/anvilarch-standins/src/fleet/fleetPlan.ts
+++ b/packages/anvilarch-standins/src/fleet/fleetPlan.ts
@@ -1,11 +1,11 @@
-/** Lays out the fleet: which processes there are, with which addresses, arguments and settings. */
+/** Plans the fleet: its processes with their addresses, arguments and settings. */
 import { join, resolve } from 'node:path'
 import type { EndpointSettings } from 'anvilarch-configuration'
 import type { HostEntry } from 'anvilarch-protocol'
 import { FLEET_HOST } from './ports'
 import type { FleetDaemonSettings, FleetOptions, ProcessRole, ProcessSpec } from './types'
 
-/** Root of the workspace, seen from the sources as well as from the build. */
+/** Root of the workspace. The relative path is the same from the sources (`src`) and from the build (`lib`). */
 export const WORKSPACE_ROOT = resolve(__dirname, '../../../..')
 
 const STANDIN_SCRIPT = join(WORKSPACE_ROOT, 'packages/anvilarch-standins/lib/bin/standin.js')
@@ -13,12 +13,12 @@
 
 const PLATFORM_ROLES = ['table', 'objects', 'hosts', 'weights', 'ledger'] as const
 const DEFAULT_SLOTS = 32
-/** A plain service answers in a few milliseconds, so that many calls run at the same time on one endpoint. */
+/** A plain service responds in a few milliseconds, so that one endpoint runs many calls concurrently. */
 const PLAIN_SLOTS = 64
 
 /**
  * @param options - the fleet
- * @returns how many ports it needs
+ * @returns the number of ports that it needs
  */
 export function countPorts (options: FleetOptions): number {
   const endpoints = options.modelEndpoints + options.plainEndpoints
@@ -28,7 +28,7 @@
 
 /**
  * @param options - the fleet
- * @param ports - as many as `countPorts` says
+ * @param ports - as many ports as `countPorts` returns
  * @returns all processes in the order in which they start
  */
 export function planFleet (options: FleetOptions, ports: number[]): ProcessSpec[] {
--- a/packages/anvilarch-standins/src/fleet/hostList.ts
+++ b/packages/anvilarch-standins/src/fleet/hostList.ts
@@ -1,13 +1,13 @@
-/** Keeps the stand-in's list of hosts in step with the daemons of the fleet, as the platform would. */
+/** Publishes the state of the fleet's daemons to the stand-in of the host list, as the platform would. */
 import type { HostEntry } from 'anvilarch-protocol'
 import { type Clock } from 'anvilarch-utils'
 import type { FleetProcess } from './types'
 import { callJson } from './waits'
 
-/** The list of hosts. */
+/** Publishes the list of hosts. */
 export interface HostListKeeper {
   set: (daemon: string, state: HostEntry['state'] | 'gone') => Promise<void>
-  /** A daemon ended: it stays on the list for a while, as a host that was lost does. */
+  /** Records the exit of a daemon. Its host is removed from the list after a delay, as a lost host is. */
   noteExit: (process: FleetProcess) => void
   publish: () => Promise<void>
 }
@@ -15,8 +15,8 @@
 /**
  * @param url - address of the stand-in
  * @param processes - all processes of the fleet
- * @param options - clock, and how long a lost host stays on the list
- * @returns the keeper; nothing is published yet
+ * @param options - clock, and the delay until a lost host is removed from the list
+ * @returns the publisher; nothing is published yet
  */
 export function createHostListKeeper (url: string, processes: FleetProcess[], options: { clock: Clock, hostLossMs: number }): HostListKeeper {
   const entries = new Map<string, HostEntry>()
--- a/packages/anvilarch-standins/src/fleet/ports.ts
+++ b/packages/anvilarch-standins/src/fleet/ports.ts
@@ -1,24 +1,25 @@
-/** Free ports for the processes of the fleet. */
+/** Allocates free ports for the processes of the fleet. */
 import { createServer, type Server } from 'node:net'
 import type { AddressInfo } from 'node:net'
 
-/** IP number that everything in the fleet listens on. */
+/** IP address on which all processes of the fleet listen. */
 export const FLEET_HOST = '127.0.0.1'
 
 /**
- * Ports that no process is given unless it asks for them. The system gives those above to outgoing connections and to whoever
- * takes any port: such a port may be taken again between the look and the start of the process that is to listen on it.
+ * Range of ports that a process gets only on explicit request. The operating system assigns higher (ephemeral) ports to outgoing
+ * connections and to processes that bind port 0: such a port could be taken between its allocation and the start of the process
+ * that is to listen on it.
  */
 const FIRST_PORT = 2_000
 const PORT_COUNT = 9_000
 
 /**
- * Finds ports by binding them all at once, so that no two are the same, and setting them free together.
+ * Finds free ports. All of them are bound at the same time, so that no two are the same, and released together.
  *
- * @param count - how many
+ * @param count - number of ports
  * @param basePort - first of consecutive ports, or 0 for any free ones
  * @returns the ports
- * @throws Error when a port of the given base is taken, or when too few are free
+ * @throws Error when a port of the consecutive range is in use, or when too few ports are free
  */
 export async function allocatePorts (count: number, basePort: number): Promise<number[]> {
   const servers: Server[] = []
@@ -31,7 +32,7 @@
   }
 }
 
-/** Begins anywhere, so that two fleets that start together look at different ports. */
+/** Binds free ports, starting at a random one, so that two fleets that start at the same time try different ports. */
 async function bindAny (count: number, servers: Server[]): Promise<void> {
   const offset = Math.floor(Math.random() * PORT_COUNT)
   for (let tries = 0; tries < PORT_COUNT && servers.length < count; tries++) {
--- a/packages/anvilarch-standins/src/fleet/startFleet.ts
+++ b/packages/anvilarch-standins/src/fleet/startFleet.ts
@@ -1,4 +1,4 @@
-/** Starts the local fleet: stand-ins, agents and gateways as processes of their own. A test tool; the system's own processes start none. */
+/** Starts the local fleet: stand-ins, agents and gateways as separate processes. For tests only; the daemons start no processes. */
 import { join } from 'node:path'
 import { AnvilarchError, createSystemClock, sleep } from 'anvilarch-utils'
 import type { Faults } from '../common/faults'
@@ -13,14 +13,14 @@
 
 const DAEMON_ROLES: ProcessRole[] = ['gateway', 'agent']
 const ENDPOINT_ROLES: ProcessRole[] = ['engine', 'plain']
-/** A daemon gets this long to drain when the fleet stops. */
+/** Time for a daemon to drain when the fleet stops. */
 const STOP_DAEMONS_MS = 5000
 const STOP_STANDINS_MS = 1000
 const clock = createSystemClock()
 
 /**
  * @param given - options that differ from the defaults, and the folder to write to
- * @returns the fleet with every process up; daemons are ready once a document was applied
+ * @returns the fleet with every process running; daemons become ready once a configuration document has been applied
  */
 export async function startFleet (given: Partial<FleetOptions> & { directory: string }): Promise<Fleet> {
   const options: FleetOptions = { ...DEFAULT_FLEET_OPTIONS, ...given }
@@ -113,7 +113,7 @@
   return fleet
 }
 
-/** Only an endpoint that a request has crashed comes back by itself, as the platform would bring it back; daemons do when asked for. */
+/** Endpoints that were crashed by a request are restarted, as the platform would do; daemons only with `restartDaemons`. */
 function restartDelayMs (options: FleetOptions, spec: ProcessSpec, exit: ProcessExit): number | undefined {
   if (ENDPOINT_ROLES.includes(spec.role) && exit.code === CRASH_EXIT_CODE) return options.restartMs
   if (DAEMON_ROLES.includes(spec.role) && options.restartDaemons) return options.restartMs
@@ -129,7 +129,7 @@
   throw new AnvilarchError(`"${supervisor.process.spec.name}" did not end within ${timeoutMs} ms`, { code: 'deadline_exceeded', step: 'fleet.waitExit', peer: supervisor.process.spec.name })
 }
 
-/** A process that was stopped by a signal can't handle one to end, so each is set going first, and killed when it takes too long. */
+/** Terminates processes. A stopped process (SIGSTOP) can't handle SIGTERM, so each one is continued first; it is killed after the timeout. */
 async function endAll (supervisors: Supervisor[], timeoutMs: number): Promise<void> {
   await Promise.all(supervisors.map(async supervisor => {
     if (supervisor.process.processId === undefined) return
--- a/packages/anvilarch-standins/src/fleet/supervisor.ts
+++ b/packages/anvilarch-standins/src/fleet/supervisor.ts
@@ -1,16 +1,16 @@
-/** Starts one process of the fleet, follows it, and starts it again when its policy says so. */
+/** Starts one process of the fleet, tracks its state, and restarts it according to its policy. */
 import { type ChildProcess, spawn } from 'node:child_process'
 import { closeSync, openSync } from 'node:fs'
 import { type Clock, type Timer } from 'anvilarch-utils'
 import type { FleetProcess, ProcessExit, ProcessSpec } from './types'
 
-/** What happens after a process has ended by itself. */
+/** Options of `createSupervisor`. */
 export interface SupervisorOptions {
   clock: Clock
   logFile: string
-  /** @returns the wait before it is started again, or undefined to leave it ended */
+  /** @returns the delay before the process is restarted, or undefined not to restart it */
   restartDelayMs: (spec: ProcessSpec, exit: ProcessExit) => number | undefined
-  /** Told of every start and end. */
+  /** Called on every start and exit. */
   onChange: (process: FleetProcess) => void
 }
 
@@ -19,13 +19,13 @@
   process: FleetProcess
   spawn: () => void
   kill: (signal: NodeJS.Signals) => void
-  /** From now on it is not started again by itself. */
+  /** Disables automatic restarts. */
   retire: () => void
-  /** @returns a promise of the end of the running process; resolves at once when none runs */
+  /** @returns a promise of the exit of the running process; resolves at once when none is running */
   ended: () => Promise<ProcessExit>
 }
 
-/** In the fleet, a daemon that finds an invariant violated ends at once, so that the violation is noticed. */
+/** In the fleet, a daemon that detects the violation of an invariant exits immediately, so that the violation is noticed. */
 const ENVIRONMENT = { ANVILARCH_EXIT_ON_VIOLATION: '1' }
 
 const NEVER_STARTED: ProcessExit = { code: null, signal: null }
@@ -55,7 +55,7 @@
     if (retired || child !== undefined) return
     restartTimer?.cancel()
     const log = openSync(options.logFile, 'a')
-    // A process group of its own: an interrupt typed at the terminal reaches the fleet alone, which then ends its children in order.
+    // A separate process group: an interrupt from the terminal reaches only the fleet, which then terminates its children in order.
     const started = spawn(process.execPath, [spec.script, ...spec.arguments], { stdio: ['ignore', log, log], detached: true, env: { ...process.env, ...ENVIRONMENT } })
     closeSync(log)
     child = started
--- a/packages/anvilarch-standins/src/fleet/types.ts
+++ b/packages/anvilarch-standins/src/fleet/types.ts
@@ -1,4 +1,4 @@
-/** Options of the local fleet, and what its owner gets. */
+/** Options and interface of the local fleet. */
 import type { AgentSettings, DaemonSettings, GatewaySettings } from 'anvilarch-configuration'
 import type { HostEntry } from 'anvilarch-protocol'
 import { AnvilarchError } from 'anvilarch-utils'
@@ -7,7 +7,7 @@
 import { DEFAULT_SERVICE_MS } from '../plain/plainStandin'
 import { DEFAULT_MAX_CONCURRENT_TRANSFERS, DEFAULT_TRANSFER_MS } from '../weights/weightStandin'
 
-/** What a process of the fleet is. */
+/** Role of a process of the fleet. */
 export type ProcessRole = 'table' | 'objects' | 'hosts' | 'weights' | 'ledger' | 'engine' | 'plain' | 'gateway' | 'agent'
 
 /** Options of `startFleet`. */
@@ -17,40 +17,40 @@
   gateways: number
   modelEndpoints: number
   plainEndpoints: number
-  /** Endpoints that one agent fronts. */
+  /** Number of endpoints behind one agent. */
   endpointsPerAgent: number
   /** First port; 0 for any free ones. */
   basePort: number
-  /** Region and failure domains, over which the hosts are spread in turn. They must be in the document that is applied. */
+  /** Region and failure domains, to which the hosts are assigned round-robin. The configuration document must contain them. */
   region: string
   failureDomains: string[]
   /** Service of the plain endpoints. */
   plainService: string
-  /** Whether the engines refuse orders with an old fencing token. */
+  /** Whether the engines reject orders with an old fencing token. */
   checksFencing: boolean
   engine: Partial<EngineOptions>
   serviceMs: number
   weights: { maxConcurrent: number, transferMs: number }
-  /** How late the host list is. */
+  /** Lag of the host list. */
   hostListLagMs: number
-  /** A stand-in endpoint that a request has crashed is started again after this time. */
+  /** Delay before an endpoint that was crashed by a request is restarted. */
   restartMs: number
-  /** Whether daemons that ended are started again too. */
+  /** Whether daemons that have exited are restarted too. */
   restartDaemons: boolean
-  /** A daemon that ended stays this long on the list of hosts. */
+  /** Delay before the host of a daemon that has exited is removed from the list of hosts. */
   hostLossMs: number
   logLevel: DaemonSettings['log']['level']
   gatewaySettings: Partial<GatewaySettings>
   agentSettings: Partial<Omit<AgentSettings, 'endpoints'>>
-  /** Last word on the settings of each daemon. */
+  /** Adjusts the planned settings of each daemon. */
   adjustSettings?: (settings: FleetDaemonSettings) => FleetDaemonSettings
-  /** Address under which the list of hosts shows a daemon; where it listens by default. A test may put a relay in front of it. */
+  /** Address of a daemon in the list of hosts; its listening address by default. A test can put a relay in front of the daemon. */
   hostAddress?: (settings: FleetDaemonSettings) => string
-  /** Longest wait for a process to come up. */
+  /** Maximum time for a process to come up. */
   startTimeoutMs: number
 }
 
-/** The fleet of the demo: small, in two failure domains, with engines fast enough for a walk of a minute. */
+/** The fleet of the demo: small, in two failure domains, with engines fast enough for a demo of one minute. */
 export const DEFAULT_FLEET_OPTIONS: Omit<FleetOptions, 'directory'> = {
   gateways: 2,
   modelEndpoints: 3,
@@ -88,14 +88,14 @@
   if (options.failureDomains.length === 0) throw new AnvilarchError('fleet option "failureDomains" is empty', { code: 'bad_request', step: 'fleet.options' })
 }
 
-/** Settings as the fleet writes them; what it leaves out gets the daemon's defaults. */
+/** Settings as written by the fleet; the daemon applies its defaults to omitted ones. */
 export type FleetDaemonSettings = Omit<DaemonSettings, 'platform' | 'agent' | 'gateway'> & {
   platform: Pick<DaemonSettings['platform'], 'tableUrl' | 'objectsUrl' | 'hostsUrl'>
   agent?: Partial<AgentSettings>
   gateway?: Partial<GatewaySettings>
 }
 
-/** How to start one process. */
+/** Start command, addresses and settings of one process. */
 export interface ProcessSpec {
   name: string
   role: ProcessRole
@@ -103,30 +103,30 @@
   arguments: string[]
   /** Addresses by purpose: `http` of a stand-in; `callers`, `peers` and `operations` of a daemon. */
   addresses: Record<string, string>
-  /** Address that answers once the process is up. */
+  /** Address that responds once the process is running. */
   aliveUrl: string
-  /** Address that answers 200 once the process can do its work. */
+  /** Address that responds with 200 once the process is ready. */
   readyUrl: string
   settings?: FleetDaemonSettings
   settingsFile?: string
   /** Entry of the daemon's host in the list of hosts. */
   hostEntry?: HostEntry
-  /** What the stand-ins in front of an endpoint are called: the agent's endpoint names are the processes' names. */
+  /** Process names of the endpoints behind an agent. They are also the endpoint names in the settings of the agent. */
   fronts?: string[]
 }
 
-/** How a process ended. */
+/** Exit code and signal of a process. */
 export interface ProcessExit {
   code: number | null
   signal: NodeJS.Signals | null
 }
 
-/** A process of the fleet as its owner sees it. */
+/** State of a process of the fleet. */
 export interface FleetProcess {
   spec: ProcessSpec
   /** Undefined while it is not running. */
   processId: number | undefined
-  /** How often it was started. */
+  /** Number of starts. */
   starts: number
   lastExit: ProcessExit | undefined
   logFile: string
@@ -135,25 +135,25 @@
 /** A running fleet. */
 export interface Fleet {
   options: FleetOptions
-  /** Addresses of the platform's stand-ins. */
+  /** Addresses of the stand-ins of the platform services. */
   urls: Record<'table' | 'objects' | 'hosts' | 'weights' | 'ledger', string>
   processes: (role?: ProcessRole) => FleetProcess[]
   /** @throws AnvilarchError when there is no process of that name */
   get: (name: string) => FleetProcess
-  /** Addresses of the gateways' HTTP towards callers. */
+  /** Caller-facing HTTP addresses of the gateways. */
   callerUrls: () => string[]
   /** Starts a process that is not running. */
   spawn: (name: string) => Promise<void>
   kill: (name: string, signal: NodeJS.Signals) => void
-  /** Ends a process by a signal, waits for its end and starts it again. */
+  /** Terminates a process by a signal, waits for its exit and starts it again. */
   restart: (name: string, signal?: NodeJS.Signals) => Promise<void>
-  /** @returns how the process ended */
+  /** @returns exit code and signal of the process, once it has exited */
   waitExit: (name: string, timeoutMs: number) => Promise<ProcessExit>
-  /** Waits until the processes, all daemons by default, can do their work. */
+  /** Waits until the processes, all daemons by default, are ready. */
   waitReady: (names?: string[], timeoutMs?: number) => Promise<void>
   setFaults: (name: string, changes: Partial<Faults>) => Promise<Faults>
-  /** Shows a host as leaving, as live again, or no more. */
+  /** Sets the state of a host in the list of hosts; `gone` removes it from the list. */
   setHostState: (daemon: string, state: 'live' | 'leaving' | 'gone') => Promise<void>
-  /** Ends every process that the fleet started. */
+  /** Terminates every process of the fleet. */
   stop: () => Promise<void>
 }
--- a/packages/anvilarch-standins/src/fleet/waits.ts
+++ b/packages/anvilarch-standins/src/fleet/waits.ts
@@ -1,4 +1,4 @@
-/** Bounded waits on conditions and on addresses. */
+/** Waits for conditions with a timeout, and HTTP calls of the fleet. */
 import { AnvilarchError, type Clock, sleep } from 'anvilarch-utils'
 import { Agent, request } from 'undici'
 
@@ -6,7 +6,7 @@
 export interface WaitOptions {
   clock: Clock
   timeoutMs: number
-  /** What is waited for, as the error says it. */
+  /** Description of the condition, for the error message. */
   what: string
   intervalMs?: number
 }
@@ -15,14 +15,14 @@
 const PROBE_TIMEOUT_MS = 1000
 const CALL_TIMEOUT_MS = 5000
 
-/** A connection for each call: a kept one may have been silenced by a fault meanwhile, and the call would be lost on it. */
+/** Opens a new connection for each call: a pooled one may have been silenced by a fault, and the call would be lost on it. */
 const dispatcher = new Agent({ pipelining: 0 })
 
 /**
- * @param condition - tried until it gives a value other than undefined or false
- * @param options - clock and bound
+ * @param condition - called repeatedly until it returns a value other than undefined or false
+ * @param options - clock and timeout
  * @returns the value
- * @throws AnvilarchError of code `deadline_exceeded` that says what was waited for
+ * @throws AnvilarchError of code `deadline_exceeded` that contains the description of the condition
  */
 export async function waitFor<Value> (condition: () => Promise<Value | undefined | false> | Value | undefined | false, options: WaitOptions): Promise<Value> {
   const untilMs = options.clock.nowMs() + options.timeoutMs
@@ -38,7 +38,7 @@
 
 /**
  * @param url - address to probe
- * @returns true when it answers 200
+ * @returns true when it responds with 200
  */
 export async function answersOk (url: string): Promise<boolean> {
   try {
@@ -54,8 +54,8 @@
  * @param method - HTTP method
  * @param url - address
  * @param body - sent as JSON
- * @returns the parsed answer
- * @throws AnvilarchError when the answer is not 200
+ * @returns the parsed response
+ * @throws AnvilarchError when the status of the response is not 200
  */
 export async function callJson<Answer> (method: 'GET' | 'PUT' | 'POST', url: string, body?: object): Promise<Answer> {
   const response = await request(url, {
--- a/packages/anvilarch-standins/src/hosts/__tests__/hostStandin.test.ts
+++ b/packages/anvilarch-standins/src/hosts/__tests__/hostStandin.test.ts
@@ -6,7 +6,7 @@
 const HOST: HostEntry = { host: 'host-1', role: 'agent', address: '127.0.0.1:1', failureDomain: 'domain-a', region: 'local', state: 'live' }
 
 describe('startHostStandin', () => {
-  test('shows a change only when the lag is over', async () => {
+  test('shows a change only after the lag has elapsed', async () => {
     const clock = createFakeClock()
     const hosts = await startHostStandin({ clock, faults: { lagMs: 1000 } })
     await callForJson(`${hosts.url}/hosts`, { method: 'PUT', body: { hosts: [HOST] } })
--- a/packages/anvilarch-standins/src/hosts/hostStandin.ts
+++ b/packages/anvilarch-standins/src/hosts/hostStandin.ts
@@ -1,12 +1,12 @@
-/** The stand-in of the platform's list of hosts, which shows changes `lagMs` late. */
+/** The stand-in of the platform's list of hosts, in which changes become visible after `lagMs`. */
 import type { HostEntry } from 'anvilarch-protocol'
 import { type Clock, createSystemClock } from 'anvilarch-utils'
 import { type Edge, type EdgeReply, type EdgeRequest, type StandinHandle, type StandinOptions, startEdge } from '../common/httpEdge'
 
-/** What the list has served. */
+/** Counts of served requests, and the current list. */
 export interface HostLedger {
   counts: { reads: number, changes: number }
-  /** The list as it is, without lag. */
+  /** The current list, without lag. */
   hosts: HostEntry[]
 }
 
@@ -18,18 +18,18 @@
 
 /** Options of the host list. */
 export interface HostStandinOptions extends StandinOptions {
-  /** The list at the start, shown at once. */
+  /** The initial list, visible without lag. */
   hosts?: HostEntry[]
 }
 
 interface HostState {
-  /** Lists with the time from which each holds, the oldest first; the first one always holds already. */
+  /** Lists with the start of their validity, the oldest first; the first one has been valid from the start. */
   history: Array<{ sinceMs: number, hosts: HostEntry[] }>
   counts: HostLedger['counts']
 }
 
 /**
- * @param options - port, faults (`lagMs`), clock and the first list
+ * @param options - port, faults (`lagMs`), clock and the initial list
  * @returns the running stand-in
  */
 export async function startHostStandin (options: HostStandinOptions = {}): Promise<HostStandin> {
--- a/packages/anvilarch-standins/src/index.ts
+++ b/packages/anvilarch-standins/src/index.ts
@@ -1,4 +1,4 @@
-/** Stand-ins for the platform and the endpoints, each startable in process by a test or as a process of its own. */
+/** Stand-ins for the platform services and the endpoints. Each runs within the process of a test or as a separate process. */
 export * from './common/faults'
 export { CRASH_EXIT_CODE, type StandinHandle, type StandinOptions } from './common/httpEdge'
 export * from './table/tableStandin'
--- a/packages/anvilarch-standins/src/ledger/executions.ts
+++ b/packages/anvilarch-standins/src/ledger/executions.ts
@@ -1,33 +1,33 @@
-/** The executions of one endpoint, which tests compare with what callers were told. */
+/** The executions of one endpoint, which tests compare with the responses that callers received. */
 
 /** State of one execution. */
 export type ExecutionState = 'running' | 'completed' | 'cancelled'
 
-/** One request that an endpoint has begun to run. */
+/** One request that an endpoint has started to run. */
 export interface Execution {
-  /** Tells apart two executions of the same attempt id, which would be a fault of the system under test. */
+  /** Distinguishes two executions of the same attempt id, which would be a fault of the system under test. */
   executionId: string
   requestId: string
   attemptId: string
   startedAtMs: number
   endedAtMs?: number
   state: ExecutionState
-  /** Name of the endpoint, and which start of it. An execution still `running` in an earlier start ended with that start. */
+  /** Name and incarnation of the endpoint. An execution of an earlier incarnation that is still `running` ended with that incarnation. */
   endpoint: string
   incarnation: string
 }
 
-/** The executions, the oldest first. */
+/** A log of executions, the oldest first. */
 export interface ExecutionLog {
   start: (execution: Execution) => void
   end: (executionId: string, state: ExecutionState, endedAtMs: number) => Execution | undefined
   list: (requestId?: string) => Execution[]
 }
 
-/** Executions kept; the oldest are dropped first, so that a long soak does not fill the memory. */
+/** Maximum number of executions in a log. The oldest are evicted first, so that a long soak test does not exhaust the memory. */
 const MAX_EXECUTIONS = 1_000_000
 
-/** @returns a log without executions */
+/** @returns an empty log */
 export function createExecutionLog (): ExecutionLog {
   const byId = new Map<string, Execution>()
   return {
--- a/packages/anvilarch-standins/src/ledger/ledgerReporter.ts
+++ b/packages/anvilarch-standins/src/ledger/ledgerReporter.ts
@@ -1,15 +1,15 @@
 /**
- * Reports executions to the ledger collector of the fleet. An endpoint waits for the collector's answer before it runs
+ * Reports executions to the ledger collector of the fleet. An endpoint waits for the response of the collector before it runs
  * a request: otherwise the record of a request that crashes the endpoint, or of one that ran just before a kill,
- * would be lost with the process, and a request that ran twice would look as if it had run once.
+ * would be lost with the process, and a request that ran twice would be counted once.
  */
 import { type Clock, sleep } from 'anvilarch-utils'
 import { request } from 'undici'
 import type { Execution } from './executions'
 
-/** Sends executions to the collector. */
+/** Sends execution records to the collector. */
 export interface LedgerReporter {
-  /** @returns a promise that resolves when the collector has the record */
+  /** @returns a promise that resolves when the collector has stored the record */
   report: (execution: Execution) => Promise<void>
 }
 
@@ -24,7 +24,7 @@
 
 /**
  * @param url - address of the collector, or undefined when there is none
- * @param clock - paces retries
+ * @param clock - clock of the delays between retries
  * @returns the reporter
  */
 export function createLedgerReporter (url: string | undefined, clock: Clock): LedgerReporter {
--- a/packages/anvilarch-standins/src/ledger/ledgerStandin.ts
+++ b/packages/anvilarch-standins/src/ledger/ledgerStandin.ts
@@ -1,4 +1,4 @@
-/** The collector of execution records, which outlives the endpoints that report to it. */
+/** The collector of execution records. It keeps running when the endpoints that report to it end. */
 import { type EdgeReply, type EdgeRequest, type StandinHandle, type StandinOptions, startEdge } from '../common/httpEdge'
 import { createExecutionLog, type Execution, type ExecutionLog } from './executions'
 
@@ -12,7 +12,7 @@
 
 /**
  * @param options - port, faults and clock
- * @returns the running collector; `GET /ledger?request=ID` gives the executions of one request
+ * @returns the running collector; `GET /ledger?request=ID` returns the executions of one request
  */
 export async function startLedgerStandin (options: StandinOptions = {}): Promise<LedgerStandin> {
   const log = createExecutionLog()
--- a/packages/anvilarch-standins/src/objects/objectStandin.ts
+++ b/packages/anvilarch-standins/src/objects/objectStandin.ts
@@ -1,7 +1,7 @@
 /** The stand-in of the platform's object store. */
 import { type EdgeReply, type EdgeRequest, type StandinHandle, type StandinOptions, startEdge } from '../common/httpEdge'
 
-/** What the store has served. */
+/** Counts of served requests, and the size of the store. */
 export interface ObjectLedger {
   counts: { puts: number, repeatedPuts: number, gets: number, lists: number, removes: number }
   objectCount: number
@@ -10,7 +10,7 @@
 
 /** A running object store. */
 export interface ObjectStandin extends StandinHandle<ObjectLedger> {
-  /** @returns the names that start with the prefix, in order */
+  /** @returns the names that start with the prefix, sorted */
   names: (prefix?: string) => string[]
   /** @returns the bytes of one object */
   read: (name: string) => Uint8Array | undefined
@@ -42,7 +42,7 @@
   return { ...edge, names: (prefix = '') => sortedNames(state, prefix), read: name => state.objects.get(name) }
 }
 
-/** Never replaces an object: a name that was read once always means the same bytes. */
+/** Stores an object unless it exists. Objects are immutable: every read of a name returns the same bytes. */
 function putObject (state: ObjectState, request: EdgeRequest): EdgeReply {
   const name = nameOf(request)
   if (state.objects.has(name)) {
--- a/packages/anvilarch-standins/src/plain/__tests__/plainStandin.test.ts
+++ b/packages/anvilarch-standins/src/plain/__tests__/plainStandin.test.ts
@@ -3,7 +3,7 @@
 import { expectedPlainAnswer, startPlainStandin } from '../plainStandin'
 
 describe('startPlainStandin', () => {
-  test('answers any method and path, and counts each execution', async () => {
+  test('responds to any method and path, and records each execution', async () => {
     const plain = await startPlainStandin({ name: 'plain-1' })
     const answer = await callForJson(`${plain.url}/orders?now=1`, { method: 'POST', body: 'text', headers: { 'x-request-id': 'r1', 'x-attempt-id': 'a1' } })
     expect(answer).toEqual({ path: '/orders', requestId: 'r1', answer: expectedPlainAnswer('POST', '/orders', 'text') })
@@ -11,8 +11,8 @@
     await plain.close()
   })
 
-  test('has the collector know of a request that crashes it', async () => {
-    // Guards against this: a request that ran twice is counted once.
+  test('reports a request that crashes it to the collector before it runs', async () => {
+    // Guards against a request that ran twice being counted once, because the record of the crashed execution was lost.
     const ledger = await startLedgerStandin()
     const plain = await startPlainStandin({ name: 'plain-1', ledgerUrl: ledger.url, faults: { crashOn: 'poison' } })
     await expect(call(`${plain.url}/poison`, { headers: { 'x-request-id': 'r1' } })).rejects.toThrow()
--- a/packages/anvilarch-standins/src/plain/plainStandin.ts
+++ b/packages/anvilarch-standins/src/plain/plainStandin.ts
@@ -1,4 +1,4 @@
-/** The stand-in of a plain service: answers any method and path, and counts what it ran. */
+/** The stand-in of a plain service: responds to any method and path, and records its executions. */
 import { randomUUID } from 'node:crypto'
 import { type Clock, createSystemClock, sleep } from 'anvilarch-utils'
 import { contains, type Edge, type EdgeReply, type EdgeRequest, type StandinHandle, type StandinOptions, startEdge } from '../common/httpEdge'
@@ -6,7 +6,7 @@
 import { createExecutionLog, type Execution, type ExecutionLog } from '../ledger/executions'
 import { createLedgerReporter, type LedgerReporter } from '../ledger/ledgerReporter'
 
-/** What the service ran. */
+/** The executions of the service. */
 export interface PlainLedger {
   executions: Execution[]
 }
@@ -15,7 +15,7 @@
 export interface PlainStandinOptions extends StandinOptions {
   /** Name under which it reports to the collector. */
   name?: string
-  /** Time that one call takes. */
+  /** Duration of one call. */
   serviceMs?: number
   /** Address of the ledger collector. */
   ledgerUrl?: string
@@ -24,10 +24,10 @@
 /** A running plain service. */
 export type PlainStandin = StandinHandle<PlainLedger>
 
-/** About what a lookup in memory behind a small HTTP server takes. */
+/** Corresponds to an in-memory lookup behind a small HTTP server. */
 export const DEFAULT_SERVICE_MS = 2
 
-/** Words in one answer. */
+/** Words in the `answer` of one response. */
 const ANSWER_WORDS = 6
 
 interface PlainState {
@@ -86,9 +86,9 @@
 
 /**
  * @param method - method of the call
- * @param path - path without query, as the service sees it
+ * @param path - path without query, as received by the service
  * @param body - body of the call
- * @returns the text in `answer`
+ * @returns the text in the field `answer` of the response
  */
 export function expectedPlainAnswer (method: string, path: string, body: string): string {
   const hash = hashText(`${method} ${path}\n${body}`)
--- a/packages/anvilarch-standins/src/table/__tests__/tableState.test.ts
+++ b/packages/anvilarch-standins/src/table/__tests__/tableState.test.ts
@@ -7,22 +7,22 @@
 }
 
 describe('commitWrites', () => {
-  test('applies all writes when every condition holds', () => {
+  test('applies all writes when every condition is met', () => {
     const state = createTableState()
     const result = commitWrites(state, { commitId: 'a', conditions: [{ key: 'x', version: 0 }], writes: [{ key: 'x', value: '1' }, { key: 'y', value: '2' }] })
     expect(result).toEqual({ outcome: 'committed', versions: { x: 1, y: 1 } })
     expect(readRows(state, ['x', 'absent'])).toEqual([{ key: 'x', version: 1, value: '1' }, null])
   })
 
-  test('applies nothing when one condition fails, and shows the rows of all conditions in order', () => {
+  test('applies nothing when one condition fails, and returns the rows of all conditions in order', () => {
     const state = tableWith(['x'])
     const result = commitWrites(state, { commitId: 'b', conditions: [{ key: 'y', version: 0 }, { key: 'x', version: 0 }], writes: [{ key: 'y', value: '2' }] })
     expect(result).toEqual({ outcome: 'conflict', rows: [{ key: 'y', version: 0, value: null }, { key: 'x', version: 1, value: 'x' }] })
     expect(readRows(state, ['y'])).toEqual([null])
   })
 
-  test('gives a commit id that it has seen its first outcome and applies it once', () => {
-    // Guards against this: a lease is taken twice.
+  test('applies a repeated commit id once and returns its first outcome', () => {
+    // Guards against a lease being acquired twice when a commit is repeated.
     const state = createTableState()
     const commit = { commitId: 'a', conditions: [{ key: 'x', version: 0 }], writes: [{ key: 'x', value: '1' }] }
     const first = commitWrites(state, commit)
@@ -31,7 +31,7 @@
   })
 
   test('never repeats the version of a row that was deleted and written again', () => {
-    // Guards against this: a stale commit succeeds.
+    // Guards against a stale commit that succeeds because the version in its condition is in use again.
     const state = tableWith(['x'])
     commitWrites(state, { commitId: 'b', conditions: [], writes: [{ key: 'x', value: null }] })
     commitWrites(state, { commitId: 'c', conditions: [], writes: [{ key: 'x', value: 'again' }] })
@@ -47,11 +47,11 @@
     expect(scanRows(state, 'part/', { limit: 2, after: first.next })).toEqual({ rows: [{ key: 'part/3', version: 1, value: 'part/3' }] })
   })
 
-  test('gives no further page when the last row is on this one', () => {
+  test('returns no next page when the last row is on this one', () => {
     expect(scanRows(tableWith(['a/1', 'a/2']), 'a/', { limit: 2 }).next).toBeUndefined()
   })
 
-  test('leaves out deleted rows', () => {
+  test('omits deleted rows', () => {
     const state = tableWith(['a/1', 'a/2'])
     commitWrites(state, { commitId: 'b', conditions: [], writes: [{ key: 'a/1', value: null }] })
     expect(scanRows(state, 'a/', { limit: 9 }).rows.map(row => row.key)).toEqual(['a/2'])
--- a/packages/anvilarch-standins/src/table/tableStandin.ts
+++ b/packages/anvilarch-standins/src/table/tableStandin.ts
@@ -3,7 +3,7 @@
 import { type EdgeReply, type EdgeRequest, type StandinHandle, type StandinOptions, startEdge } from '../common/httpEdge'
 import { commitWrites, createTableState, readRows, scanRows, type TableState } from './tableState'
 
-/** What the table has served. */
+/** Counts of served requests, and the number of rows. */
 export interface TableLedger {
   counts: TableState['counts']
   rowCount: number
--- a/packages/anvilarch-standins/src/table/tableState.ts
+++ b/packages/anvilarch-standins/src/table/tableState.ts
@@ -1,21 +1,21 @@
-/** The state of the table service: rows in key order, and the first outcome of each commit id. */
+/** The state of the table service: rows in key order, and the outcome of each commit id, which makes commits idempotent. */
 import type { Commit, CommitResult, Condition, Row, ScanPage } from 'anvilarch-protocol'
 
-/** Rows and remembered commits of one table. */
+/** Rows and commit outcomes of one table. */
 export interface TableState {
   rows: Map<string, Row>
-  /** All keys, sorted, so that a scan of one prefix reads only that prefix. */
+  /** All keys, sorted, so that a scan reads only the keys of its prefix. */
   keys: string[]
-  /** Version of the latest write. One counter for all rows, so that a row written again after a delete never repeats a version. */
+  /** Version of the latest write. A single counter serves all rows, so that a row that is deleted and written again never repeats a version. */
   revision: number
   outcomes: Map<string, CommitResult>
   counts: { reads: number, scans: number, commits: number, conflicts: number, repeatedCommits: number }
 }
 
-/** Commit ids remembered; the oldest are forgotten first. */
+/** Maximum number of stored commit outcomes; the oldest are evicted first. */
 const MAX_OUTCOMES = 200_000
 
-/** @returns a table without rows */
+/** @returns an empty table */
 export function createTableState (): TableState {
   return { rows: new Map(), keys: [], revision: 0, outcomes: new Map(), counts: { reads: 0, scans: 0, commits: 0, conflicts: 0, repeatedCommits: 0 } }
 }
@@ -33,7 +33,7 @@
 /**
  * @param state - the table
  * @param prefix - only keys that start with it
- * @param options - where to read on and how many rows at most
+ * @param options - key after which to continue, and the maximum number of rows
  * @returns one page in key order
  */
 export function scanRows (state: TableState, prefix: string, options: { after?: string, limit: number }): ScanPage {
@@ -50,11 +50,11 @@
 }
 
 /**
- * Applies a transaction, or repeats its first outcome.
+ * Applies a transaction, or returns its first outcome when the commit id was already processed.
  *
  * @param state - the table
  * @param commit - conditions and writes
- * @returns what became of it
+ * @returns the outcome
  */
 export function commitWrites (state: TableState, commit: Commit): CommitResult {
   const known = state.outcomes.get(commit.commitId)
@@ -83,7 +83,7 @@
   return { outcome: 'committed', versions }
 }
 
-/** Lists the rows of all conditions in their order, so that the loser needs no second read. */
+/** Returns the rows of all conditions in their order, so that the rejected writer needs no further read. */
 function describeConflict (state: TableState, commit: Commit): CommitResult {
   state.counts.conflicts++
   return {
--- a/packages/anvilarch-standins/src/weights/__tests__/weightStandin.test.ts
+++ b/packages/anvilarch-standins/src/weights/__tests__/weightStandin.test.ts
@@ -3,7 +3,7 @@
 import { startWeightStandin } from '../weightStandin'
 
 describe('startWeightStandin', () => {
-  test('refuses a transfer above its rate and says when to come back', async () => {
+  test('rejects a transfer above its concurrency limit with a Retry-After header', async () => {
     const clock = createFakeClock()
     const weights = await startWeightStandin({ maxConcurrent: 1, transferMs: 50, clock })
     const calls = [call(`${weights.url}/weights/m/1`), call(`${weights.url}/weights/m/1`)]
--- a/packages/anvilarch-standins/src/weights/weightStandin.ts
+++ b/packages/anvilarch-standins/src/weights/weightStandin.ts
@@ -2,7 +2,7 @@
 import { type Clock, createSystemClock, sleep } from 'anvilarch-utils'
 import { type EdgeReply, type EdgeRequest, type StandinHandle, type StandinOptions, startEdge } from '../common/httpEdge'
 
-/** What the store has served. */
+/** The transfers of the store, and the number of rejected ones. */
 export interface WeightLedger {
   transfers: Array<{ model: string, version: string, startedAtMs: number }>
   refused: number
@@ -11,18 +11,18 @@
 
 /** Options of the weight store. */
 export interface WeightStandinOptions extends StandinOptions {
-  /** Transfers at the same time; a further one gets 429. */
+  /** Maximum number of concurrent transfers; a further one is rejected with 429. */
   maxConcurrent?: number
-  /** Time of one transfer, standing for the size of the weights over the store's bandwidth. */
+  /** Duration of one transfer. It represents the size of the weights divided by the bandwidth of the store. */
   transferMs?: number
 }
 
 /** A running weight store. */
 export type WeightStandin = StandinHandle<WeightLedger>
 
-/** Two at a time: few enough that a placement which paces nothing is refused at once in a small fleet. */
+/** Low enough that a placement without any rate limit is rejected immediately, even in a small fleet. */
 export const DEFAULT_MAX_CONCURRENT_TRANSFERS = 2
-/** Long enough that two orders given together overlap, short enough for a test. */
+/** Long enough that the transfers of two simultaneous orders overlap, and short enough for a test. */
 export const DEFAULT_TRANSFER_MS = 200
 
 interface WeightState {
@@ -33,7 +33,7 @@
 }
 
 /**
- * @param options - rate, port, faults and clock
+ * @param options - concurrency limit, transfer time, port, faults and clock
  * @returns the running stand-in
  */
 export async function startWeightStandin (options: WeightStandinOptions = {}): Promise<WeightStandin> {
