--- a/packages/anvilarch-standins/src/bin/demo.ts
+++ b/packages/anvilarch-standins/src/bin/demo.ts
@@ -12,11 +12,11 @@
 
 const main = command({
   name: 'demo',
-  description: 'Starts the local fleet and walks through what the system does. Exits 0 when all of it happened, else 1.',
+  description: 'Starts the local fleet and runs the steps of the demo. Exits with 0 when all steps succeed, else with 1.',
   args: {
     directory: option({ type: string, long: 'directory', defaultValue: () => join(WORKSPACE_ROOT, '.fleet/demo'), description: 'folder for fleet.json, settings, logs and job files' }),
-    document: option({ type: string, long: 'document', defaultValue: () => join(WORKSPACE_ROOT, 'examples/demo.jsonc'), description: 'document to put in force' }),
-    timeoutSeconds: option({ type: number, long: 'timeout-seconds', defaultValue: () => DEFAULT_TIMEOUT_SECONDS, description: 'the demo ends after this time in any case' })
+    document: option({ type: string, long: 'document', defaultValue: () => join(WORKSPACE_ROOT, 'examples/demo.jsonc'), description: 'configuration document to apply' }),
+    timeoutSeconds: option({ type: number, long: 'timeout-seconds', defaultValue: () => DEFAULT_TIMEOUT_SECONDS, description: 'time limit of the demo' })
   },
   handler: async ({ directory, document, timeoutSeconds }) => {
     const reports = await runDemo({
--- a/packages/anvilarch-standins/src/bin/fleet.ts
+++ b/packages/anvilarch-standins/src/bin/fleet.ts
@@ -17,20 +17,20 @@
 
 const main = command({
   name: 'fleet',
-  description: 'Starts the stand-ins, agents and gateways on this machine and leaves them up.\n\nExample: npm run fleet -- --gateways 3 --restart-daemons',
+  description: 'Starts the stand-ins, agents and gateways on this host and keeps them running.\n\nExample: npm run fleet -- --gateways 3 --restart-daemons',
   args: {
     directory: option({ type: string, long: 'directory', defaultValue: () => join(WORKSPACE_ROOT, '.fleet'), description: 'folder for fleet.json, settings and logs' }),
     gateways: numberOption('gateways', DEFAULT_FLEET_OPTIONS.gateways, 'number of gateways'),
     modelEndpoints: numberOption('model-endpoints', DEFAULT_FLEET_OPTIONS.modelEndpoints, 'number of model engines'),
     plainEndpoints: numberOption('plain-endpoints', DEFAULT_FLEET_OPTIONS.plainEndpoints, 'number of plain services'),
-    endpointsPerAgent: numberOption('endpoints-per-agent', DEFAULT_FLEET_OPTIONS.endpointsPerAgent, 'endpoints that one agent fronts'),
+    endpointsPerAgent: numberOption('endpoints-per-agent', DEFAULT_FLEET_OPTIONS.endpointsPerAgent, 'number of endpoints behind one agent'),
     basePort: numberOption('base-port', DEFAULT_FLEET_OPTIONS.basePort, 'first of consecutive ports; 0 for any free ones'),
-    restartMs: numberOption('restart-ms', DEFAULT_FLEET_OPTIONS.restartMs, 'wait before an endpoint that crashed is started again'),
-    restartDaemons: flag({ type: boolean, long: 'restart-daemons', description: 'start gateways and agents again when they end' }),
-    ignoreFencing: flag({ type: boolean, long: 'ignore-fencing', description: 'engines take orders with an old fencing token' }),
+    restartMs: numberOption('restart-ms', DEFAULT_FLEET_OPTIONS.restartMs, 'delay before an endpoint that crashed is restarted'),
+    restartDaemons: flag({ type: boolean, long: 'restart-daemons', description: 'restart gateways and agents when they exit' }),
+    ignoreFencing: flag({ type: boolean, long: 'ignore-fencing', description: 'engines accept orders with an old fencing token' }),
     logLevel: option({ type: oneOf<LogLevel>([...LOG_LEVELS]), long: 'log-level', defaultValue: () => 'info' as const, description: `level of the daemons' logs: ${LOG_LEVELS.join(', ')}` }),
-    document: option({ type: string, long: 'document', defaultValue: () => join(WORKSPACE_ROOT, 'examples/demo.jsonc'), description: 'document to put in force' }),
-    noDocument: flag({ type: boolean, long: 'no-document', description: 'put no document in force; the daemons are not ready before one is' })
+    document: option({ type: string, long: 'document', defaultValue: () => join(WORKSPACE_ROOT, 'examples/demo.jsonc'), description: 'configuration document to apply' }),
+    noDocument: flag({ type: boolean, long: 'no-document', description: 'apply no configuration document; the daemons are not ready until one is applied' })
   },
   handler: async ({ document, noDocument, directory, ignoreFencing, ...options }) => {
     const starting = startFleet({ ...options, directory: resolve(directory), checksFencing: !ignoreFencing })
@@ -45,7 +45,7 @@
       print(describe(fleet))
       await interrupted
     } finally {
-      print('ending all processes of the fleet')
+      print('terminating all processes of the fleet')
       await fleet.stop()
     }
   }
@@ -63,7 +63,7 @@
     const addresses = Object.entries(spec.addresses).map(([purpose, url]) => `${purpose} ${url}`)
     table.push([spec.name, processId ?? 'ended', addresses.join('\n')])
   }
-  return `${table.toString()}\nThe same with settings files, logs and fault switches: ${join(fleet.options.directory, 'fleet.json')}\nEnd the fleet with Ctrl-C.`
+  return `${table.toString()}\nThe same with settings files, logs and fault switches: ${join(fleet.options.directory, 'fleet.json')}\nStop the fleet with Ctrl-C.`
 }
 
 function print (text: string): void {
--- a/packages/anvilarch-standins/src/bin/standin.ts
+++ b/packages/anvilarch-standins/src/bin/standin.ts
@@ -14,8 +14,8 @@
 
 const commonArguments = {
   port: option({ type: number, long: 'port', defaultValue: () => 0, description: 'port to listen on; 0 for any free one' }),
-  faults: option({ type: optional(string), long: 'faults', description: 'faults at the start as JSON, for example {"lagMs":500}' }),
-  faultsFile: option({ type: optional(string), long: 'faults-file', description: 'where a crash leaves the faults for the next start' }),
+  faults: option({ type: optional(string), long: 'faults', description: 'initial faults as JSON, for example {"lagMs":500}' }),
+  faultsFile: option({ type: optional(string), long: 'faults-file', description: 'file in which a crash stores the faults for the next start' }),
   seed: option({ type: number, long: 'seed', defaultValue: () => 1, description: 'seed of the random numbers' })
 }
 
@@ -71,8 +71,8 @@
   name: 'weights',
   args: {
     ...commonArguments,
-    maxConcurrent: option({ type: number, long: 'max-concurrent', defaultValue: () => DEFAULT_MAX_CONCURRENT_TRANSFERS, description: 'transfers at the same time' }),
-    transferMs: option({ type: number, long: 'transfer-ms', defaultValue: () => DEFAULT_TRANSFER_MS, description: 'time of one transfer' })
+    maxConcurrent: option({ type: number, long: 'max-concurrent', defaultValue: () => DEFAULT_MAX_CONCURRENT_TRANSFERS, description: 'maximum number of concurrent transfers' }),
+    transferMs: option({ type: number, long: 'transfer-ms', defaultValue: () => DEFAULT_TRANSFER_MS, description: 'duration of one transfer' })
   },
   handler: async given => {
     await serve('weights', startWeightStandin({ ...commonOptions(given), maxConcurrent: given.maxConcurrent, transferMs: given.transferMs }))
@@ -83,7 +83,7 @@
   name: 'plain',
   args: {
     ...endpointArguments,
-    serviceMs: option({ type: number, long: 'service-ms', defaultValue: () => DEFAULT_SERVICE_MS, description: 'time of one call' })
+    serviceMs: option({ type: number, long: 'service-ms', defaultValue: () => DEFAULT_SERVICE_MS, description: 'duration of one call' })
   },
   handler: async given => {
     await serve('plain', startPlainStandin({ ...commonOptions(given), name: given.name, ledgerUrl: given.ledgerUrl, serviceMs: given.serviceMs }))
@@ -97,8 +97,8 @@
     weightsUrl: option({ type: optional(string), long: 'weights-url', description: 'address of the weight store' }),
     preload: multioption({ type: array(string), long: 'preload', description: 'model that is ready from the start, as model:version' }),
     set: multioption({ type: array(string), long: 'set', description: `an engine option as name=value; names: ${Object.keys(DEFAULT_ENGINE_OPTIONS).join(', ')}` }),
-    checksFencing: flag({ long: 'checks-fencing', description: 'refuse orders with an old fencing token' }),
-    strictModel: flag({ long: 'strict-model', description: 'answer only requests that name a loaded model' })
+    checksFencing: flag({ long: 'checks-fencing', description: 'reject orders with an old fencing token' }),
+    strictModel: flag({ long: 'strict-model', description: 'serve only requests that name a loaded model' })
   },
   handler: async given => {
     await serve('engine', startEngineStandin({
--- a/packages/anvilarch-standins/src/demo/callers.ts
+++ b/packages/anvilarch-standins/src/demo/callers.ts
@@ -39,10 +39,10 @@
 export async function askPlain (gatewayUrl: string, chat: ChatRequest): Promise<void> {
   const body = chatBody(chat, false)
   const { status, text } = await send('POST', gatewayUrl + CHAT_PATH, JSON.stringify(body), chat.requestId)
-  expectThat(status === 200, () => `a completion was answered ${status}: ${text}`)
+  expectThat(status === 200, () => `a completion failed with status ${status}: ${text}`)
   const answer = JSON.parse(text) as { choices: Array<{ message: { content: string } }> }
   const expected = expectedText(CHAT_PATH, body)
-  expectThat(answer.choices[0].message.content === expected, () => `a completion is not whole: found "${answer.choices[0].message.content}", expected "${expected}"`)
+  expectThat(answer.choices[0].message.content === expected, () => `the text of a completion is wrong: found "${answer.choices[0].message.content}", expected "${expected}"`)
 }
 
 /**
@@ -55,7 +55,7 @@
   const body = chatBody(chat, true)
   const startMs = clock.nowMs()
   const response = await request(gatewayUrl + CHAT_PATH, { dispatcher, method: 'POST', headers: headersOf(chat.requestId), body: JSON.stringify(body), signal: AbortSignal.timeout(REQUEST_TIMEOUT_MS) })
-  expectThat(response.statusCode === 200, () => `a stream was answered ${response.statusCode}`)
+  expectThat(response.statusCode === 200, () => `a streamed completion failed with status ${response.statusCode}`)
   const seen = { text: '', ended: false, tokens: 0, firstTokenMs: 0 }
   const parser = createParser({
     onEvent: ({ data }) => {
@@ -72,8 +72,8 @@
   response.body.setEncoding('utf8')
   for await (const text of response.body) parser.feed(String(text))
   const expected = expectedText(CHAT_PATH, body)
-  expectThat(seen.ended, () => `a stream ended without its last event after "${seen.text}"`)
-  expectThat(seen.text === expected, () => `a stream is not whole: found "${seen.text}", expected "${expected}"`)
+  expectThat(seen.ended, () => `a stream ended without its final event after "${seen.text}"`)
+  expectThat(seen.text === expected, () => `the text of a stream is wrong: found "${seen.text}", expected "${expected}"`)
   return { firstTokenMs: seen.firstTokenMs, totalMs: clock.nowMs() - startMs, tokens: seen.tokens }
 }
 
@@ -87,9 +87,9 @@
  */
 export async function callLookup (gatewayUrl: string, method: 'GET' | 'POST', path: string, body: string, requestId: string): Promise<void> {
   const { status, text } = await send(method, `${gatewayUrl}/services/lookup${path}`, body, requestId)
-  expectThat(status === 200, () => `${method} ${path} was answered ${status}: ${text}`)
+  expectThat(status === 200, () => `${method} ${path} failed with status ${status}: ${text}`)
   const { answer } = JSON.parse(text) as { answer: string }
-  expectThat(answer === expectedPlainAnswer(method, path, body), () => `${method} ${path} got the answer of another call: ${text}`)
+  expectThat(answer === expectedPlainAnswer(method, path, body), () => `${method} ${path} returned the response to another call: ${text}`)
 }
 
 async function send (method: 'GET' | 'POST', url: string, body: string, requestId: string | undefined): Promise<{ status: number, text: string }> {
--- a/packages/anvilarch-standins/src/demo/runDemo.ts
+++ b/packages/anvilarch-standins/src/demo/runDemo.ts
@@ -53,9 +53,9 @@
       if (!reports[reports.length - 1].passed) break
     }
   } finally {
-    report(await runStep(new AbortController().signal, 'The fleet ends', async () => {
+    report(await runStep(new AbortController().signal, 'The fleet stops', async () => {
       await started.fleet.stop()
-      return 'every process has ended'
+      return 'every process has exited'
     }))
     bound.abort()
     await timeout
@@ -66,7 +66,7 @@
 async function runStep (signal: AbortSignal, title: string, run: () => Promise<string>): Promise<StepReport> {
   const startMs = clock.nowMs()
   const outOfTime = new Promise<never>((_resolve, reject) => {
-    signal.addEventListener('abort', () => { reject(new DemoFailure('the demo has run out of time')) }, { once: true })
+    signal.addEventListener('abort', () => { reject(new DemoFailure('the demo exceeded its time limit')) }, { once: true })
   })
   try {
     const detail = await Promise.race([run(), outOfTime])
--- a/packages/anvilarch-standins/src/demo/steps/configurationStep.ts
+++ b/packages/anvilarch-standins/src/demo/steps/configurationStep.ts
@@ -8,14 +8,14 @@
 
 /** Applies the document and waits until it is in force in every daemon and every engine has loaded its model. */
 export const configurationStep: DemoStep = {
-  title: 'A document is applied and in force in every daemon',
+  title: 'A configuration document is applied and in force in every daemon',
   run: async context => {
     const { fleet } = context
     const daemonCount = fleet.processes('gateway').length + fleet.processes('agent').length
     await waitUntilKnown(context, daemonCount)
     const applied = await runCommand<{ version: number, inForce: boolean, waitedMs: number, daemons: unknown[] }>(context, 'config', 'apply', context.documentFile, '--wait', '20')
     expectThat(applied.inForce, () => `version ${applied.version} is not in force everywhere: ${JSON.stringify(applied.daemons)}`)
-    expectThat(applied.daemons.length === daemonCount, () => `the gateway knows ${applied.daemons.length} daemons; ${daemonCount} run: ${JSON.stringify(applied.daemons)}`)
+    expectThat(applied.daemons.length === daemonCount, () => `the gateway has discovered ${applied.daemons.length} of ${daemonCount} daemons: ${JSON.stringify(applied.daemons)}`)
     await fleet.waitReady()
     await waitForModels(context)
     return `version ${applied.version} in force in ${daemonCount} daemons ${(applied.waitedMs / 1000).toFixed(1)} s after it was accepted; ${fleet.processes('engine').length} engines have loaded their model`
@@ -27,7 +27,7 @@
   await waitFor(async () => {
     const status = await runCommand<{ gateways: unknown[], agents: unknown[] }>(context, 'status')
     return status.gateways.length + status.agents.length === daemonCount
-  }, { clock: context.clock, timeoutMs: KNOWN_TIMEOUT_MS, what: `${daemonCount} daemons to know of each other` })
+  }, { clock: context.clock, timeoutMs: KNOWN_TIMEOUT_MS, what: `${daemonCount} daemons to discover each other` })
 }
 
 /** Waits until the models are loaded. The placement orders them once the document is in force; until then, requests are rejected with `Retry-After`. */
--- a/packages/anvilarch-standins/src/demo/steps/drainStep.ts
+++ b/packages/anvilarch-standins/src/demo/steps/drainStep.ts
@@ -12,12 +12,12 @@
 
 /** Both kinds of daemon drain on SIGTERM. */
 export const drainStep: DemoStep = {
-  title: 'SIGTERM drains an agent and a gateway; nothing in progress is cut',
+  title: 'SIGTERM drains an agent and a gateway; no request in progress is interrupted',
   run: async context => {
     const agent = await drain(context, 'agent-1')
     const gateway = await drain(context, 'gateway-2')
     await askPlain(context.fleet.callerUrls()[0], { prompt: 'Who is left?', maxTokens: 5 })
-    return `${agent}; ${gateway}; the others go on answering`
+    return `${agent}; ${gateway}; the other daemons continue to serve`
   }
 }
 
@@ -33,16 +33,16 @@
   const running = await waitFor(async () => {
     const mine = (await readExecutions(fleet)).filter(({ requestId, state }) => requestId.startsWith(prefix) && state === 'running')
     return mine.length === STREAMS && mine
-  }, { clock, timeoutMs: BEGIN_TIMEOUT_MS, what: `${STREAMS} streams to run before the end of "${name}"` })
+  }, { clock, timeoutMs: BEGIN_TIMEOUT_MS, what: `${STREAMS} streams to run before "${name}" is terminated` })
   const behind = fronts.length === 0 ? Math.floor(STREAMS / urls.length) : running.filter(({ endpoint }) => fronts.includes(endpoint)).length
-  expectThat(behind > 0, () => `no stream runs behind "${name}"`)
+  expectThat(behind > 0, () => `no stream runs through "${name}"`)
   await fleet.setHostState(name, 'leaving')
   fleet.kill(name, 'SIGTERM')
   const exit = await fleet.waitExit(name, DRAIN_TIMEOUT_MS)
   const cut = (await settled).filter(stream => stream.status === 'rejected')
-  expectThat(cut.length === 0, () => `${cut.length} of ${STREAMS} streams were cut: ${String((cut[0] as PromiseRejectedResult).reason)}`)
-  expectThat(exit.code === 0, () => `"${name}" ended with code ${String(exit.code)}, signal ${String(exit.signal)}`)
+  expectThat(cut.length === 0, () => `${cut.length} of ${STREAMS} streams were interrupted: ${String((cut[0] as PromiseRejectedResult).reason)}`)
+  expectThat(exit.code === 0, () => `"${name}" exited with code ${String(exit.code)}, signal ${String(exit.signal)}`)
   const resent = (await readExecutions(fleet)).filter(({ requestId }) => requestId.startsWith(prefix)).length - STREAMS
   expectThat(resent === 0, () => `${resent} streams ran a second time elsewhere while "${name}" drained`)
-  return `${name} ended after the ${behind} streams in progress on it`
+  return `${name} exited after the ${behind} streams in progress on it`
 }
--- a/packages/anvilarch-standins/src/demo/steps/jobSteps.ts
+++ b/packages/anvilarch-standins/src/demo/steps/jobSteps.ts
@@ -24,7 +24,7 @@
 
 /** Runs a job of 1,000 items in parallel to online requests. */
 export const jobStep: DemoStep = {
-  title: 'A job of 1,000 items runs while online requests run; sent again it is the same job',
+  title: 'A job of 1,000 items runs in parallel to online requests; submitted again, it is the same job',
   run: async context => {
     const { fleet, directory, clock } = context
     const items = { ...JOB_ITEMS, label: `lot-${Math.round(clock.wallMs())}` }
@@ -46,9 +46,9 @@
     await runCommand(context, 'job', 'results', job.id, '--output', outputFile)
     checkResults(outputFile, items)
     const again = (await runCommand<{ job: JobView }>(context, 'job', 'submit', inputFile)).job
-    expectThat(again.id === job.id, () => `sent again, the job is "${again.id}"; expected "${job.id}"`)
+    expectThat(again.id === job.id, () => `submitted again, the job is "${again.id}"; expected "${job.id}"`)
     const firstTokens = online.map(({ firstTokenMs }) => firstTokenMs)
-    return `${items.count} results, one for each item, after ${(tookMs / 1000).toFixed(1)} s; ${online.length} online answers meanwhile, 95 % with a first token within ${Math.round(percentile(firstTokens, 95))} ms`
+    return `${items.count} results, one for each item, after ${(tookMs / 1000).toFixed(1)} s; ${online.length} online responses in the meantime, 95 % with a first token within ${Math.round(percentile(firstTokens, 95))} ms`
   }
 }
 
@@ -61,13 +61,13 @@
     const before = (await readExecutions(fleet)).length
     writeItems(inputFile, { ...CANCELLED_ITEMS, label: `cancelled-${Math.round(clock.wallMs())}` })
     const { job } = await runCommand<{ job: JobView }>(context, 'job', 'submit', inputFile)
-    await waitFor(async () => (await readExecutions(fleet)).length > before, { clock, timeoutMs: CANCEL_TIMEOUT_MS, what: 'the job to begin' })
+    await waitFor(async () => (await readExecutions(fleet)).length > before, { clock, timeoutMs: CANCEL_TIMEOUT_MS, what: 'the job to start' })
     await runCommand(context, 'job', 'cancel', job.id)
     await waitFor(async () => (await runCommand<{ job: JobView }>(context, 'job', 'show', job.id)).job.status === 'cancelled', { clock, timeoutMs: CANCEL_TIMEOUT_MS, what: 'the job to be cancelled' })
     const started = await waitUntilQuiet(context)
     const ran = started - before
     expectThat(ran < CANCELLED_ITEMS.count, () => `all ${ran} items ran`)
-    return `${ran} of ${CANCELLED_ITEMS.count} items had begun; none began or runs after the cancel`
+    return `${ran} of ${CANCELLED_ITEMS.count} items had started; none started or runs after the cancellation`
   }
 }
 
@@ -78,6 +78,6 @@
   const started = (await readExecutions(fleet)).length
   await sleep(clock, QUIET_MS)
   const later = (await readExecutions(fleet)).length
-  expectThat(later === started, () => `${later - started} more items began after the job had stopped`)
+  expectThat(later === started, () => `${later - started} more items started after the job had stopped`)
   return started
 }
--- a/packages/anvilarch-standins/src/demo/steps/requestSteps.ts
+++ b/packages/anvilarch-standins/src/demo/steps/requestSteps.ts
@@ -11,19 +11,19 @@
 
 /** Requests completions: a whole one through one gateway, and a streamed one through each. */
 export const completionStep: DemoStep = {
-  title: 'A chat completion, plain and streamed, is answered whole',
+  title: 'Chat completions, whole and streamed, are complete and correct',
   run: async context => {
     const { fleet } = context
     await waitForFirstAnswers(context)
     const requestId = 'demo-chat'
     await askPlain(fleet.callerUrls()[0], { prompt: 'Why is my domain on hold?', maxTokens: CHAT_TOKENS, requestId })
     const streamed = await Promise.all(fleet.callerUrls().map(async (url, index) => await askStreamed(url, { prompt: `Explain transfer ${index}.`, maxTokens: CHAT_TOKENS })))
-    expectThat(streamed.every(({ tokens }) => tokens === CHAT_TOKENS), () => `the usage says ${streamed.map(({ tokens }) => tokens).join(' and ')} tokens; expected ${CHAT_TOKENS}`)
+    expectThat(streamed.every(({ tokens }) => tokens === CHAT_TOKENS), () => `the usage reports ${streamed.map(({ tokens }) => tokens).join(' and ')} tokens; expected ${CHAT_TOKENS}`)
     const executions = await readExecutions(fleet, requestId)
     expectThat(executions.length === 1, () => `the request ran ${executions.length} times: ${JSON.stringify(executions)}`)
     const timeline = await runCommand<{ events: Array<{ process: string }> }>(context, 'timeline', '--request', requestId)
     const processes = new Set(timeline.events.map(event => event.process))
-    return `${streamed.length + 1} answers of ${CHAT_TOKENS} tokens; first token after ${Math.round(streamed[0].firstTokenMs)} ms; ${timeline.events.length} events on the time line of one, from ${processes.size} processes`
+    return `${streamed.length + 1} responses of ${CHAT_TOKENS} tokens; first token after ${Math.round(streamed[0].firstTokenMs)} ms; ${timeline.events.length} events on the timeline of one request, from ${processes.size} processes`
   }
 }
 
@@ -38,7 +38,7 @@
         last = (error as Error).message
         return false
       }
-    }, { clock, timeoutMs: FIRST_ANSWER_TIMEOUT_MS, what: `a first answer from ${url}`, intervalMs: 200 }).catch((error: Error) => { throw new Error(`${error.message}; last: ${last}`) })
+    }, { clock, timeoutMs: FIRST_ANSWER_TIMEOUT_MS, what: `a first response from ${url}`, intervalMs: 200 }).catch((error: Error) => { throw new Error(`${error.message}; last error: ${last}`) })
   }
 }
 
@@ -52,6 +52,6 @@
     await callLookup(urls[0], 'POST', '/orders', '{"name":"example.com"}', 'demo-order')
     const executions = await readExecutions(fleet, 'demo-order')
     expectThat(executions.length === 1, () => `the order ran ${executions.length} times: ${JSON.stringify(executions)}`)
-    return `${names.length} lookups answered; the order ran once, on ${executions[0].endpoint}`
+    return `${names.length} lookups succeeded; the order ran once, on ${executions[0].endpoint}`
   }
 }
--- a/packages/anvilarch-standins/src/engine/models.ts
+++ b/packages/anvilarch-standins/src/engine/models.ts
@@ -129,7 +129,7 @@
     if (delayMs === undefined) return
     await sleep(options.clock, delayMs, signal)
   }
-  throw new Error('the model is not wanted any more')
+  throw new Error('the model is no longer needed')
 }
 
 /** @returns undefined when the transfer is complete, else the delay before the next attempt */
--- a/packages/anvilarch-standins/src/fleet/__tests__/fleet.test.ts
+++ b/packages/anvilarch-standins/src/fleet/__tests__/fleet.test.ts
@@ -39,7 +39,7 @@
     fleet = await startFleet({ directory: mkdtempSync(join(tmpdir(), 'fleet-')), gateways: 1, modelEndpoints: 1, plainEndpoints: 1, endpointsPerAgent: 2, restartMs: 10, startTimeoutMs: TIMEOUT_MS })
     await applyDocument(fleet.callerUrls()[0], DOCUMENT, readFileSync(DOCUMENT, 'utf8'))
     await fleet.waitReady()
-    const answered = { clock, timeoutMs: TIMEOUT_MS, what: 'an answer', intervalMs: 200 }
+    const answered = { clock, timeoutMs: TIMEOUT_MS, what: 'a response', intervalMs: 200 }
     await waitFor(async () => await ask('first'), answered)
 
     await fleet.restart('agent-1', 'SIGKILL')
--- a/packages/anvilarch-standins/src/fleet/__tests__/ports.test.ts
+++ b/packages/anvilarch-standins/src/fleet/__tests__/ports.test.ts
@@ -15,7 +15,7 @@
     const isFree = await allocatePorts(count, first).then(() => true, () => false)
     if (isFree) return first
   }
-  throw new Error(`no ${count} ports in a row were free in ${MAX_TRIES} places: end other fleets`)
+  throw new Error(`found no ${count} consecutive free ports in ${MAX_TRIES} attempts: stop other fleets`)
 }
 
 /** @returns a server that listens on the port; undefined when another process has taken the port */
--- a/packages/anvilarch-standins/src/fleet/fleetFile.ts
+++ b/packages/anvilarch-standins/src/fleet/fleetFile.ts
@@ -5,7 +5,7 @@
 import { DEFAULT_FAULTS } from '../common/faults'
 import type { FleetProcess } from './types'
 
-const SETTINGS_HEADER = '// Written by the fleet script at each start; the daemon reads it once.\n'
+const SETTINGS_HEADER = '// Written by the fleet script at each start; the daemon reads it once, when it starts.\n'
 
 /**
  * Writes the settings file of each daemon.
@@ -28,7 +28,7 @@
 export function createFolders (directory: string): void {
   const other = findRunningFleet(directory)
   if (other !== undefined) {
-    throw new AnvilarchError(`a fleet runs in "${directory}" as process ${other}; end it first or give another --directory`, { code: 'conflict', step: 'fleet.start' })
+    throw new AnvilarchError(`a fleet is running in "${directory}" as process ${other}; stop it first or choose another --directory`, { code: 'conflict', step: 'fleet.start' })
   }
   mkdirSync(join(directory, 'settings'), { recursive: true })
   mkdirSync(join(directory, 'logs'), { recursive: true })
@@ -67,21 +67,21 @@
     fleetPid: process.pid,
     processes: processes.map(describeProcess),
     faults: {
-      how: 'Each stand-in (every process but gateways and agents) serves GET and PUT /faults and GET /ledger at its http address. PUT merges the fields that it is given.',
+      how: 'Each stand-in (every process except gateways and agents) serves GET and PUT /faults and GET /ledger at its http address. PUT merges the given fields into the current faults.',
       example: 'curl -X PUT <http address>/faults -d \'{"latencyMs":200}\'',
       switches: DEFAULT_FAULTS,
       meaning: {
-        latencyMs: 'added to each request, half before the effect and half before the answer',
-        outage: '503 at once',
-        frozen: 'accepts requests and never answers; streams stand still',
-        loseReplies: 'share from 0 to 1 of requests that take effect and whose connection is then cut',
-        silence: 'true silences the connections open at that moment for good; new ones work',
-        lagMs: 'how late lists, load reports and cache events are',
-        crashOn: 'text in a request that ends the process with exit code 70 when the request runs; the fleet starts it again with the same faults',
-        failOn: 'text in a request that gives 500',
-        failShare: 'share from 0 to 1 of an engine\'s requests for work that are answered with 500 before they run; health stays good'
+        latencyMs: 'delay added to each request, half before it takes effect and half before the response',
+        outage: 'responds with 503 to every request without processing it',
+        frozen: 'accepts requests without ever responding; streams are paused',
+        loseReplies: 'share from 0 to 1 of requests that take effect and whose connection is then closed without a response',
+        silence: 'true permanently silences the connections that are open; new connections work',
+        lagMs: 'delay with which lists, load reports and cache events become visible',
+        crashOn: 'a request that contains this text ends the process with exit code 70 when it runs; the fleet restarts it with the same faults',
+        failOn: 'a request that contains this text fails with 500',
+        failShare: 'share from 0 to 1 of an engine\'s work requests that fail with 500 before they run; health checks still succeed'
       },
-      ledger: 'The process "ledger" collects the executions of all endpoints and outlives them: GET <http address>/ledger, or /ledger?request=ID.'
+      ledger: 'The process "ledger" collects the executions of all endpoints and keeps running when they end: GET <http address>/ledger, or /ledger?request=ID.'
     }
   }
 }
--- a/packages/anvilarch-standins/src/fleet/ports.ts
+++ b/packages/anvilarch-standins/src/fleet/ports.ts
@@ -43,7 +43,7 @@
       if ((error as NodeJS.ErrnoException).code !== 'EADDRINUSE') throw error
     }
   }
-  if (servers.length < count) throw new Error(`only ${servers.length} of ${count} ports from ${FIRST_PORT} on are free`)
+  if (servers.length < count) throw new Error(`found only ${servers.length} of ${count} free ports from ${FIRST_PORT} on`)
 }
 
 async function bind (port: number): Promise<Server> {
--- a/packages/anvilarch-standins/src/fleet/startFleet.ts
+++ b/packages/anvilarch-standins/src/fleet/startFleet.ts
@@ -44,7 +44,7 @@
   const get = (name: string): Supervisor => {
     const supervisor = supervisors.get(name)
     if (supervisor !== undefined) return supervisor
-    throw new AnvilarchError(`no process "${name}" in the fleet; there are ${[...supervisors.keys()].join(', ')}`, { code: 'not_found', step: 'fleet.get' })
+    throw new AnvilarchError(`no process "${name}" in the fleet; known processes are ${[...supervisors.keys()].join(', ')}`, { code: 'not_found', step: 'fleet.get' })
   }
   const urlOf = (role: ProcessRole): string => get(role).process.spec.addresses.http
   const urls = { table: urlOf('table'), objects: urlOf('objects'), hosts: urlOf('hosts'), weights: urlOf('weights'), ledger: urlOf('ledger') }
@@ -55,7 +55,7 @@
     const { starts } = started
     await waitFor(async () => {
       if (started.processId === undefined && started.starts === starts) {
-        throw new AnvilarchError(`"${started.spec.name}" ended with ${describeExit(started.lastExit)}; its log is ${started.logFile}`, { code: 'unavailable', step: 'fleet.start', peer: started.spec.name })
+        throw new AnvilarchError(`"${started.spec.name}" exited with ${describeExit(started.lastExit)}; see its log ${started.logFile}`, { code: 'unavailable', step: 'fleet.start', peer: started.spec.name })
       }
       return await answersOk(started.spec.aliveUrl)
     }, { clock, timeoutMs: options.startTimeoutMs, what: `"${started.spec.name}" to come up` })
@@ -126,7 +126,7 @@
   const exit = await Promise.race([supervisor.ended(), timeout])
   bound.abort()
   if (exit !== undefined) return exit
-  throw new AnvilarchError(`"${supervisor.process.spec.name}" did not end within ${timeoutMs} ms`, { code: 'deadline_exceeded', step: 'fleet.waitExit', peer: supervisor.process.spec.name })
+  throw new AnvilarchError(`"${supervisor.process.spec.name}" did not exit within ${timeoutMs} ms`, { code: 'deadline_exceeded', step: 'fleet.waitExit', peer: supervisor.process.spec.name })
 }
 
 /** Terminates processes. A stopped process (SIGSTOP) can't handle SIGTERM, so each one is continued first; it is killed after the timeout. */
@@ -145,5 +145,5 @@
 }
 
 function describeExit (exit: ProcessExit | undefined): string {
-  return exit === undefined ? 'no exit' : `code ${String(exit.code)}, signal ${String(exit.signal)}`
+  return exit === undefined ? 'unknown status' : `code ${String(exit.code)}, signal ${String(exit.signal)}`
 }
--- a/packages/anvilarch-standins/src/fleet/waits.ts
+++ b/packages/anvilarch-standins/src/fleet/waits.ts
@@ -30,7 +30,7 @@
     const value = await condition()
     if (value !== undefined && value !== false) return value
     if (options.clock.nowMs() >= untilMs) {
-      throw new AnvilarchError(`waited ${options.timeoutMs} ms for ${options.what}`, { code: 'deadline_exceeded', step: 'fleet.wait' })
+      throw new AnvilarchError(`timed out after ${options.timeoutMs} ms waiting for ${options.what}`, { code: 'deadline_exceeded', step: 'fleet.wait' })
     }
     await sleep(options.clock, options.intervalMs ?? DEFAULT_INTERVAL_MS)
   }
--- a/packages/anvilarch-standins/src/ledger/ledgerReporter.ts
+++ b/packages/anvilarch-standins/src/ledger/ledgerReporter.ts
@@ -56,7 +56,7 @@
     try {
       const response = await request(`${url}/executions`, { method: 'POST', headers: { 'content-type': 'application/json' }, body })
       await response.body.dump()
-      if (response.statusCode !== 200) throw new Error(`the ledger collector answered ${response.statusCode}`)
+      if (response.statusCode !== 200) throw new Error(`the ledger collector responded with ${response.statusCode}`)
       for (const { resolve } of batch) resolve()
       return
     } catch (error) {
