--- a/packages/anvilarch-bench/src/soak/run/gatewayPool.ts
+++ b/packages/anvilarch-bench/src/soak/run/gatewayPool.ts
@@ -1,5 +1,5 @@
 /** Asks gateways whether they are ready, as the platform's balancer does, and chooses among those that are. */
-import { answersOk, type Fleet } from 'anvilarch-standins'
+import { respondsOk, type Fleet } from 'anvilarch-standins'
 import { type Clock, type Random, sleep } from 'anvilarch-utils'
 import type { GatewayAddress, GatewayPool } from '../load/types'
 
@@ -22,7 +22,7 @@
 
   const watch = async (gateway: typeof gateways[number]): Promise<void> => {
     while (!stopping.signal.aborted) {
-      gateway.isReady = await answersOk(gateway.readyUrl)
+      gateway.isReady = await respondsOk(gateway.readyUrl)
       await sleep(clock, ASK_INTERVAL_MS, stopping.signal)
     }
   }
--- a/packages/anvilarch-standins/src/fleet/startFleet.ts
+++ b/packages/anvilarch-standins/src/fleet/startFleet.ts
@@ -9,7 +9,7 @@
 import { allocatePorts } from './ports'
 import { createSupervisor, type Supervisor } from './supervisor'
 import { DEFAULT_FLEET_OPTIONS, type Fleet, type FleetOptions, type ProcessExit, type ProcessRole, type ProcessSpec, validateFleetOptions } from './types'
-import { answersOk, callJson, waitFor } from './waits'
+import { respondsOk, callJson, waitFor } from './waits'
 
 const DAEMON_ROLES: ProcessRole[] = ['gateway', 'agent']
 const ENDPOINT_ROLES: ProcessRole[] = ['engine', 'plain']
@@ -57,7 +57,7 @@
       if (started.processId === undefined && started.starts === starts) {
         throw new AnvilarchError(`"${started.spec.name}" exited with ${describeExit(started.lastExit)}; see its log ${started.logFile}`, { code: 'unavailable', step: 'fleet.start', peer: started.spec.name })
       }
-      return await answersOk(started.spec.aliveUrl)
+      return await respondsOk(started.spec.aliveUrl)
     }, { clock, timeoutMs: options.startTimeoutMs, what: `"${started.spec.name}" to come up` })
   }
 
@@ -91,7 +91,7 @@
     waitReady: async (names, timeoutMs = options.startTimeoutMs) => {
       const wanted = names?.map(get) ?? all().filter(({ process: { spec } }) => DAEMON_ROLES.includes(spec.role))
       await Promise.all(wanted.map(async ({ process: { spec } }) => {
-        await waitFor(async () => await answersOk(spec.readyUrl), { clock, timeoutMs, what: `"${spec.name}" to be ready` })
+        await waitFor(async () => await respondsOk(spec.readyUrl), { clock, timeoutMs, what: `"${spec.name}" to be ready` })
       }))
     },
     setFaults: async (name, changes) => await callJson<Faults>('PUT', `${get(name).process.spec.addresses.http}/faults`, changes),
--- a/packages/anvilarch-standins/src/fleet/waits.ts
+++ b/packages/anvilarch-standins/src/fleet/waits.ts
@@ -40,7 +40,7 @@
  * @param url - address to probe
  * @returns true when it responds with 200
  */
-export async function answersOk (url: string): Promise<boolean> {
+export async function respondsOk (url: string): Promise<boolean> {
   try {
     const response = await request(url, { dispatcher, signal: AbortSignal.timeout(PROBE_TIMEOUT_MS) })
     await response.body.dump()
