--- a/packages/anvilarch-standins/src/bin/fleet.ts
+++ b/packages/anvilarch-standins/src/bin/fleet.ts
@@ -41,7 +41,7 @@
     })
     const fleet = await starting
     try {
-      if (!noDocument) await putInForce(fleet, document)
+      if (!noDocument) await applyAndWaitReady(fleet, document)
       print(describe(fleet))
       await interrupted
     } finally {
@@ -51,7 +51,7 @@
   }
 })
 
-async function putInForce (fleet: Fleet, file: string): Promise<void> {
+async function applyAndWaitReady (fleet: Fleet, file: string): Promise<void> {
   const { version } = await applyDocument(fleet.callerUrls()[0], file, readFileSync(file, 'utf8'))
   await fleet.waitReady(undefined, READY_TIMEOUT_MS)
   print(`${file} is in force as version ${version}`)
--- a/packages/anvilarch-standins/src/bin/standin.ts
+++ b/packages/anvilarch-standins/src/bin/standin.ts
@@ -2,7 +2,7 @@
 import { existsSync, readFileSync, unlinkSync, writeFileSync } from 'node:fs'
 import { command, flag, multioption, number, option, optional, run, string, subcommands, array } from 'cmd-ts'
 import type { Faults } from '../common/faults'
-import { CRASH_EXIT_CODE, type StandinHandle, type StandinOptions } from '../common/httpEdge'
+import { CRASH_EXIT_CODE, type StandinHandle, type StandinOptions } from '../common/standinServer'
 import { startEngineStandin } from '../engine/engineStandin'
 import { DEFAULT_ENGINE_OPTIONS, type EngineOptions } from '../engine/types'
 import { startHostStandin } from '../hosts/hostStandin'
@@ -38,7 +38,7 @@
   return {
     port: given.port,
     seed: given.seed,
-    faults: { ...parseFaults(given.faults), ...takeFaultsOfCrash(given.faultsFile) },
+    faults: { ...parseFaults(given.faults), ...takeCrashFaults(given.faultsFile) },
     onCrash: () => {
       if (given.faultsFile !== undefined) writeFileSync(given.faultsFile, JSON.stringify(running?.faults.get()))
       process.exit(CRASH_EXIT_CODE)
@@ -51,7 +51,7 @@
 }
 
 /** Restores the faults after a crash, so that a request that crashed an endpoint crashes it again after the restart. */
-function takeFaultsOfCrash (file: string | undefined): Partial<Faults> {
+function takeCrashFaults (file: string | undefined): Partial<Faults> {
   if (file === undefined || !existsSync(file)) return {}
   const faults = parseFaults(readFileSync(file, 'utf8'))
   unlinkSync(file)
--- a/packages/anvilarch-standins/src/common/__tests__/httpEdge.test.ts
+++ b/packages/anvilarch-standins/src/common/__tests__/standinServer.test.ts
@@ -4,7 +4,7 @@
 
 const COMMIT = { commitId: 'a', conditions: [], writes: [{ key: 'x', value: '1' }] }
 
-describe('startEdge', () => {
+describe('startStandinServer', () => {
   let table: TableStandin
 
   beforeEach(async () => { table = await startTableStandin() })
@@ -19,9 +19,9 @@
   })
 
   test('rejects a misspelt fault, which would leave a test without its failure', async () => {
-    const answer = await call(`${table.url}/faults`, { method: 'PUT', body: { latency: 5 } })
-    expect(answer.status).toBe(400)
-    expect(answer.text).toContain('unknown fault \\"latency\\"')
+    const response = await call(`${table.url}/faults`, { method: 'PUT', body: { latency: 5 } })
+    expect(response.status).toBe(400)
+    expect(response.text).toContain('unknown fault \\"latency\\"')
   })
 
   test('responds with 503 during an outage, and nothing takes effect', async () => {
@@ -38,23 +38,23 @@
 
   test('does not respond while it is frozen', async () => {
     await setFaults({ frozen: true })
-    let answered = false
-    call(`${table.url}/v1/commit`, { body: COMMIT }).then(() => { answered = true }, () => {})
+    let responded = false
+    call(`${table.url}/v1/commit`, { body: COMMIT }).then(() => { responded = true }, () => {})
     // The response to a request that was sent later shows that the frozen one had time to complete.
     expect(await callForJson(`${table.url}/faults`)).toMatchObject({ frozen: true })
-    expect(answered).toBe(false)
+    expect(responded).toBe(false)
     expect(table.rows()).toEqual([])
   })
 
   test('silences the open connections once and serves new ones', async () => {
-    const kept = new Agent({ connections: 1 })
+    const pooled = new Agent({ connections: 1 })
     const read = { body: { keys: ['x'] } }
-    await call(`${table.url}/v1/read`, { ...read, dispatcher: kept })
+    await call(`${table.url}/v1/read`, { ...read, dispatcher: pooled })
     expect(await setFaults({ silence: true })).toMatchObject({ silence: false })
-    const silent = call(`${table.url}/v1/read`, { ...read, dispatcher: kept }).then(() => 'answered', () => 'cut')
+    const silent = call(`${table.url}/v1/read`, { ...read, dispatcher: pooled }).then(() => 'responded', () => 'closed')
     expect((await call(`${table.url}/v1/read`, read)).status).toBe(200)
-    await kept.destroy()
-    expect(await silent).toBe('cut')
+    await pooled.destroy()
+    expect(await silent).toBe('closed')
   })
 
   test('responds with 500 to a request that contains the text of failOn', async () => {
--- a/packages/anvilarch-standins/src/common/connections.ts
+++ b/packages/anvilarch-standins/src/common/connections.ts
@@ -12,14 +12,14 @@
   silenceAll: (except?: Socket) => void
   isSilent: (socket: Socket) => boolean
   /** Destroys every open connection. */
-  cutAll: () => void
+  destroyAll: () => void
 }
 
 /**
  * @param server - the server whose connections are tracked
  * @returns its open connections
  */
-export function followConnections (server: Server): Connections {
+export function trackConnections (server: Server): Connections {
   const open = new Set<Socket>()
   const silent = new WeakSet<Socket>()
   server.on('connection', socket => {
@@ -33,7 +33,7 @@
       }
     },
     isSilent: socket => silent.has(socket),
-    cutAll: () => { for (const socket of open) socket.destroy() }
+    destroyAll: () => { for (const socket of open) socket.destroy() }
   }
 }
 
--- a/packages/anvilarch-standins/src/common/httpEdge.ts
+++ b/packages/anvilarch-standins/src/common/standinServer.ts
@@ -3,11 +3,11 @@
 import type { AddressInfo, Socket } from 'node:net'
 import { type Clock, createRandom, createSystemClock, type Random, sleep } from 'anvilarch-utils'
 import findMyWay from 'find-my-way'
-import { followConnections } from './connections'
+import { trackConnections } from './connections'
 import { createFaultSwitches, type Faults, type FaultSwitches } from './faults'
 
 /** A request as passed to a handler. */
-export interface EdgeRequest {
+export interface HandlerRequest {
   method: string
   path: string
   params: Record<string, string | undefined>
@@ -17,7 +17,7 @@
 }
 
 /** The response of a handler: a body, or a function that writes it over time. */
-export interface EdgeReply {
+export interface HandlerResult {
   status: number
   headers?: Record<string, string>
   body?: Uint8Array | object
@@ -25,10 +25,10 @@
 }
 
 /** One route. */
-export interface EdgeRoute {
+export interface StandinRoute {
   method: 'GET' | 'POST' | 'PUT' | 'DELETE' | 'ANY'
   path: string
-  handle: (request: EdgeRequest) => EdgeReply | Promise<EdgeReply>
+  handle: (request: HandlerRequest) => HandlerResult | Promise<HandlerResult>
   /** Whether the route runs work of callers, a share of which fails under `failShare`. */
   isWork?: boolean
 }
@@ -59,15 +59,15 @@
 }
 
 /** The part of the server that differs between kinds of stand-ins. */
-export interface EdgeDefinition<Ledger> {
-  routes: EdgeRoute[]
+export interface StandinDefinition<Ledger> {
+  routes: StandinRoute[]
   ledger: (query?: URLSearchParams) => Ledger
   /** True when the handlers of the kind crash the stand-in themselves, at the step at which the request runs. */
-  crashesItself?: boolean
+  crashesInHandler?: boolean
 }
 
 /** A running server; `crash` ends it in the way in which the end of a process would. */
-export interface Edge<Ledger> extends StandinHandle<Ledger> {
+export interface StandinServer<Ledger> extends StandinHandle<Ledger> {
   crash: () => void
 }
 
@@ -83,7 +83,7 @@
  * @param options - port, faults and clock
  * @returns the running server
  */
-export async function startEdge<Ledger> (definition: EdgeDefinition<Ledger>, options: StandinOptions): Promise<Edge<Ledger>> {
+export async function startStandinServer<Ledger> (definition: StandinDefinition<Ledger>, options: StandinOptions): Promise<StandinServer<Ledger>> {
   const clock = options.clock ?? createSystemClock()
   const random = createRandom(options.seed ?? 1)
   const faults = createFaultSwitches(options.faults)
@@ -93,30 +93,30 @@
     router.lookup(request, response)
   })
   server.keepAliveTimeout = 0
-  const connections = followConnections(server)
+  const connections = trackConnections(server)
   let crashed = false
   const crash = (): void => {
     if (crashed) return
     crashed = true
     server.close()
-    connections.cutAll()
+    connections.destroyAll()
     options.onCrash?.()
   }
-  const pipeline = { clock, random, faults, crash: definition.crashesItself === true ? undefined : crash }
+  const context = { clock, random, faults, crash: definition.crashesInHandler === true ? undefined : crash }
 
   router.on('GET', '/faults', (_request, response) => { sendJson(response, 200, faults.get()) })
-  let asking: Socket | undefined
-  faults.onChange(changes => { if (changes.silence === true) connections.silenceAll(asking) })
+  let requestingSocket: Socket | undefined
+  faults.onChange(changes => { if (changes.silence === true) connections.silenceAll(requestingSocket) })
   router.on('PUT', '/faults', (request, response) => {
     readBody(request).then(body => {
-      asking = request.socket
+      requestingSocket = request.socket
       sendJson(response, 200, faults.set(JSON.parse(body.toString()) as Partial<Faults>))
     }).catch((error: Error) => {
       sendJson(response, 400, { error: { message: error.message } })
-    }).finally(() => { asking = undefined })
+    }).finally(() => { requestingSocket = undefined })
   })
   router.on('GET', '/ledger', (request, response) => { sendJson(response, 200, definition.ledger(urlOf(request).searchParams)) })
-  for (const route of definition.routes) addRoute(router, route, pipeline)
+  for (const route of definition.routes) addRoute(router, route, context)
 
   await listen(server, options.port ?? 0, options.host ?? DEFAULT_HOST)
   const address = server.address() as AddressInfo
@@ -130,62 +130,62 @@
     close: async () => {
       await new Promise<void>(resolve => {
         server.close(() => { resolve() })
-        connections.cutAll()
+        connections.destroyAll()
       })
     }
   }
 }
 
-interface Pipeline {
+interface ServeContext {
   clock: Clock
   random: Random
   faults: FaultSwitches
   crash: (() => void) | undefined
 }
 
-function addRoute (router: ReturnType<typeof findMyWay>, route: EdgeRoute, pipeline: Pipeline): void {
+function addRoute (router: ReturnType<typeof findMyWay>, route: StandinRoute, context: ServeContext): void {
   const methods = route.method === 'ANY' ? [...ANY_METHODS] : [route.method]
   router.on(methods, route.path, (request, response, params) => {
-    serve(route, request as IncomingMessage, response as ServerResponse, params, pipeline).catch((error: Error) => {
+    serve(route, request as IncomingMessage, response as ServerResponse, params, context).catch((error: Error) => {
       sendJson(response as ServerResponse, error instanceof SyntaxError ? 400 : 500, { error: { message: error.message } })
     })
   })
 }
 
-async function serve (route: EdgeRoute, request: IncomingMessage, response: ServerResponse, params: Record<string, string | undefined>, pipeline: Pipeline): Promise<void> {
-  const faults = pipeline.faults.get()
+async function serve (route: StandinRoute, request: IncomingMessage, response: ServerResponse, params: Record<string, string | undefined>, context: ServeContext): Promise<void> {
+  const faults = context.faults.get()
   if (faults.outage) {
     sendJson(response, 503, { error: { message: 'outage' } })
     return
   }
   if (faults.frozen) return
   const body = await readBody(request)
-  if (faults.latencyMs > 0) await sleep(pipeline.clock, faults.latencyMs / 2)
+  if (faults.latencyMs > 0) await sleep(context.clock, faults.latencyMs / 2)
   const url = urlOf(request)
-  const edgeRequest: EdgeRequest = { method: request.method ?? 'GET', path: url.pathname, params, query: url.searchParams, headers: request.headers, body }
-  if (contains(edgeRequest, faults.failOn)) {
+  const handlerRequest: HandlerRequest = { method: request.method ?? 'GET', path: url.pathname, params, query: url.searchParams, headers: request.headers, body }
+  if (containsText(handlerRequest, faults.failOn)) {
     sendJson(response, 500, { error: { message: 'the request holds the text that fails' } })
     return
   }
-  if (route.isWork === true && pipeline.random.next() < faults.failShare) {
+  if (route.isWork === true && context.random.next() < faults.failShare) {
     sendJson(response, 500, { error: { message: 'one of the share of requests that fail' } })
     return
   }
-  const reply = await route.handle(edgeRequest)
-  if (pipeline.crash !== undefined && contains(edgeRequest, faults.crashOn)) {
-    pipeline.crash()
+  const result = await route.handle(handlerRequest)
+  if (context.crash !== undefined && containsText(handlerRequest, faults.crashOn)) {
+    context.crash()
     return
   }
-  if (pipeline.random.next() < faults.loseReplies) {
+  if (context.random.next() < faults.loseReplies) {
     request.socket.destroy()
     return
   }
-  if (faults.latencyMs > 0) await sleep(pipeline.clock, faults.latencyMs / 2)
-  send(response, reply)
+  if (faults.latencyMs > 0) await sleep(context.clock, faults.latencyMs / 2)
+  send(response, result)
 }
 
 /** @returns whether the path or the body of a request contains a text; false for an empty text */
-export function contains (request: EdgeRequest, text: string): boolean {
+export function containsText (request: HandlerRequest, text: string): boolean {
   if (text === '') return false
   return request.body.includes(text) || request.path.includes(text)
 }
@@ -194,19 +194,19 @@
   return new URL(request.url ?? '/', 'http://localhost')
 }
 
-function send (response: ServerResponse, reply: EdgeReply): void {
-  if (reply.stream !== undefined) {
-    response.writeHead(reply.status, reply.headers)
-    reply.stream(response)
+function send (response: ServerResponse, result: HandlerResult): void {
+  if (result.stream !== undefined) {
+    response.writeHead(result.status, result.headers)
+    result.stream(response)
     return
   }
-  if (reply.body === undefined || reply.body instanceof Uint8Array) {
-    const bytes = reply.body ?? new Uint8Array(0)
-    response.writeHead(reply.status, { 'content-length': String(bytes.length), ...reply.headers })
+  if (result.body === undefined || result.body instanceof Uint8Array) {
+    const bytes = result.body ?? new Uint8Array(0)
+    response.writeHead(result.status, { 'content-length': String(bytes.length), ...result.headers })
     response.end(bytes)
     return
   }
-  sendJson(response, reply.status, reply.body, reply.headers)
+  sendJson(response, result.status, result.body, result.headers)
 }
 
 function sendJson (response: ServerResponse, status: number, value: unknown, headers: Record<string, string> = {}): void {
--- a/packages/anvilarch-standins/src/demo/callers.ts
+++ b/packages/anvilarch-standins/src/demo/callers.ts
@@ -2,7 +2,7 @@
 import { createSystemClock } from 'anvilarch-utils'
 import { createParser } from 'eventsource-parser'
 import { Agent, request } from 'undici'
-import { expectedText } from '../engine/answers'
+import { expectedText } from '../engine/completionPlan'
 import { expectedPlainAnswer } from '../plain/plainStandin'
 import { expectThat } from './types'
 
@@ -21,7 +21,7 @@
 }
 
 /** Times and token count of a streamed response. */
-export interface ChatAnswer {
+export interface StreamResult {
   firstTokenMs: number
   totalMs: number
   tokens: number
@@ -36,13 +36,13 @@
  * @param chat - the request
  * @throws DemoFailure when the response is not complete and correct
  */
-export async function askPlain (gatewayUrl: string, chat: ChatRequest): Promise<void> {
+export async function requestCompletion (gatewayUrl: string, chat: ChatRequest): Promise<void> {
   const body = chatBody(chat, false)
   const { status, text } = await send('POST', gatewayUrl + CHAT_PATH, JSON.stringify(body), chat.requestId)
   expectThat(status === 200, () => `a completion failed with status ${status}: ${text}`)
-  const answer = JSON.parse(text) as { choices: Array<{ message: { content: string } }> }
+  const completion = JSON.parse(text) as { choices: Array<{ message: { content: string } }> }
   const expected = expectedText(CHAT_PATH, body)
-  expectThat(answer.choices[0].message.content === expected, () => `the text of a completion is wrong: found "${answer.choices[0].message.content}", expected "${expected}"`)
+  expectThat(completion.choices[0].message.content === expected, () => `the text of a completion is wrong: found "${completion.choices[0].message.content}", expected "${expected}"`)
 }
 
 /**
@@ -51,30 +51,30 @@
  * @returns times and tokens
  * @throws DemoFailure when the response is not complete and correct
  */
-export async function askStreamed (gatewayUrl: string, chat: ChatRequest): Promise<ChatAnswer> {
+export async function streamCompletion (gatewayUrl: string, chat: ChatRequest): Promise<StreamResult> {
   const body = chatBody(chat, true)
   const startMs = clock.nowMs()
   const response = await request(gatewayUrl + CHAT_PATH, { dispatcher, method: 'POST', headers: headersOf(chat.requestId), body: JSON.stringify(body), signal: AbortSignal.timeout(REQUEST_TIMEOUT_MS) })
   expectThat(response.statusCode === 200, () => `a streamed completion failed with status ${response.statusCode}`)
-  const seen = { text: '', ended: false, tokens: 0, firstTokenMs: 0 }
+  const received = { text: '', ended: false, tokens: 0, firstTokenMs: 0 }
   const parser = createParser({
     onEvent: ({ data }) => {
       if (data === '[DONE]') {
-        seen.ended = true
+        received.ended = true
         return
       }
       const chunk = JSON.parse(data) as { choices?: Array<{ delta?: { content?: string } }>, usage?: { completion_tokens: number } }
-      if (seen.text === '') seen.firstTokenMs = clock.nowMs() - startMs
-      seen.text += chunk.choices?.[0]?.delta?.content ?? ''
-      seen.tokens = chunk.usage?.completion_tokens ?? seen.tokens
+      if (received.text === '') received.firstTokenMs = clock.nowMs() - startMs
+      received.text += chunk.choices?.[0]?.delta?.content ?? ''
+      received.tokens = chunk.usage?.completion_tokens ?? received.tokens
     }
   })
   response.body.setEncoding('utf8')
   for await (const text of response.body) parser.feed(String(text))
   const expected = expectedText(CHAT_PATH, body)
-  expectThat(seen.ended, () => `a stream ended without its final event after "${seen.text}"`)
-  expectThat(seen.text === expected, () => `the text of a stream is wrong: found "${seen.text}", expected "${expected}"`)
-  return { firstTokenMs: seen.firstTokenMs, totalMs: clock.nowMs() - startMs, tokens: seen.tokens }
+  expectThat(received.ended, () => `a stream ended without its final event after "${received.text}"`)
+  expectThat(received.text === expected, () => `the text of a stream is wrong: found "${received.text}", expected "${expected}"`)
+  return { firstTokenMs: received.firstTokenMs, totalMs: clock.nowMs() - startMs, tokens: received.tokens }
 }
 
 /**
--- a/packages/anvilarch-standins/src/demo/commandLine.ts
+++ b/packages/anvilarch-standins/src/demo/commandLine.ts
@@ -16,12 +16,12 @@
  * @returns the JSON that it printed
  * @throws DemoFailure when it exits with a code other than 0
  */
-export async function runCommand<Answer> (context: DemoContext, ...commandArguments: string[]): Promise<Answer> {
+export async function runCommand<Output> (context: DemoContext, ...commandArguments: string[]): Promise<Output> {
   const gateways = context.fleet.processes('gateway').filter(({ processId }) => processId !== undefined).map(({ spec }) => spec.addresses.callers)
-  const shown = `anvilarch ${commandArguments.join(' ')}`
+  const commandText = `anvilarch ${commandArguments.join(' ')}`
   const { code, output, errors } = await runNode([COMMAND_SCRIPT, ...commandArguments, '--gateway', gateways.join(','), '--json'], context.signal)
-  if (code === 0) return JSON.parse(output) as Answer
-  throw new DemoFailure(`"${shown}" exited with ${String(code)}: ${errors}${output}`.trim())
+  if (code === 0) return JSON.parse(output) as Output
+  throw new DemoFailure(`"${commandText}" exited with ${String(code)}: ${errors}${output}`.trim())
 }
 
 async function runNode (nodeArguments: string[], signal: AbortSignal): Promise<{ code: number | null, output: string, errors: string }> {
--- a/packages/anvilarch-standins/src/demo/jobItems.ts
+++ b/packages/anvilarch-standins/src/demo/jobItems.ts
@@ -1,6 +1,6 @@
 /** Creates the items of the demo's jobs and checks their results. */
 import { readFileSync, writeFileSync } from 'node:fs'
-import { expectedText } from '../engine/answers'
+import { expectedText } from '../engine/completionPlan'
 import { expectThat } from './types'
 
 const CHAT_PATH = '/v1/chat/completions'
@@ -10,8 +10,8 @@
   count: number
   /** Unique per job: a job with the items of another one would be recognized as the same job. */
   label: string
-  shortestTokens: number
-  longestTokens: number
+  minTokens: number
+  maxTokens: number
 }
 
 interface Item {
@@ -22,7 +22,7 @@
 }
 
 function itemAt (options: JobItemOptions, index: number): Item {
-  const spread = options.longestTokens - options.shortestTokens + 1
+  const spread = options.maxTokens - options.minTokens + 1
   return {
     custom_id: `${options.label}-${index}`,
     method: 'POST',
@@ -30,7 +30,7 @@
     body: {
       model: 'assistant',
       messages: [{ role: 'user', content: `Review renewal ${index} of lot ${options.label}.` }],
-      max_tokens: options.shortestTokens + index % spread
+      max_tokens: options.minTokens + index % spread
     }
   }
 }
--- a/packages/anvilarch-standins/src/demo/onlineLoad.ts
+++ b/packages/anvilarch-standins/src/demo/onlineLoad.ts
@@ -1,10 +1,10 @@
 /** Generates a constant load of online requests, in parallel to other steps. */
-import { askStreamed, type ChatAnswer } from './callers'
+import { streamCompletion, type StreamResult } from './callers'
 
 /** A running load. */
 export interface OnlineLoad {
   /** Stops sending; resolves with the results of all requests once those in progress have ended, and rejects if one failed. */
-  finish: () => Promise<ChatAnswer[]>
+  finish: () => Promise<StreamResult[]>
 }
 
 /** Options of `startOnlineLoad`. */
@@ -21,23 +21,23 @@
  * @returns the running load
  */
 export function startOnlineLoad (options: OnlineLoadOptions): OnlineLoad {
-  const answers: ChatAnswer[] = []
+  const results: StreamResult[] = []
   const stopping = new AbortController()
   let sent = 0
-  const work = async (): Promise<void> => {
+  const runWorker = async (): Promise<void> => {
     while (!stopping.signal.aborted) {
       const index = sent++
       const gatewayUrl = options.gatewayUrls[index % options.gatewayUrls.length]
-      answers.push(await askStreamed(gatewayUrl, { prompt: `${options.label} ${index}`, maxTokens: options.maxTokens }))
+      results.push(await streamCompletion(gatewayUrl, { prompt: `${options.label} ${index}`, maxTokens: options.maxTokens }))
     }
   }
-  const workers = Promise.allSettled(Array.from({ length: options.concurrency }, work))
+  const workers = Promise.allSettled(Array.from({ length: options.concurrency }, runWorker))
   return {
     finish: async () => {
       stopping.abort()
       const failed = (await workers).find(worker => worker.status === 'rejected')
       if (failed !== undefined) throw failed.reason
-      return answers
+      return results
     }
   }
 }
--- a/packages/anvilarch-standins/src/demo/runDemo.ts
+++ b/packages/anvilarch-standins/src/demo/runDemo.ts
@@ -31,8 +31,8 @@
  * @returns the result of each step, including the start and the end of the fleet
  */
 export async function runDemo (options: DemoOptions): Promise<StepReport[]> {
-  const bound = new AbortController()
-  const timeout = sleep(clock, options.timeoutMs, bound.signal).then(() => { bound.abort() })
+  const timeLimit = new AbortController()
+  const timeout = sleep(clock, options.timeoutMs, timeLimit.signal).then(() => { timeLimit.abort() })
   const reports: StepReport[] = []
   const report = (entry: StepReport): void => {
     reports.push(entry)
@@ -40,16 +40,16 @@
   }
   mkdirSync(options.directory, { recursive: true })
   let context: DemoContext | undefined
-  report(await runStep(bound.signal, 'The fleet starts', async () => {
+  report(await runStep(timeLimit.signal, 'The fleet starts', async () => {
     const fleet = await startFleet({ ...options.fleet, directory: options.directory })
-    context = { fleet, clock, signal: bound.signal, directory: options.directory, documentFile: options.documentFile }
+    context = { fleet, clock, signal: timeLimit.signal, directory: options.directory, documentFile: options.documentFile }
     return `${fleet.processes().length} processes; ${join(options.directory, 'fleet.json')} describes them`
   }))
   if (context === undefined) return reports
   const started = context
   try {
     for (const step of DEMO_STEPS) {
-      report(await runStep(bound.signal, step.title, async () => await step.run(started)))
+      report(await runStep(timeLimit.signal, step.title, async () => await step.run(started)))
       if (!reports[reports.length - 1].passed) break
     }
   } finally {
@@ -57,7 +57,7 @@
       await started.fleet.stop()
       return 'every process has exited'
     }))
-    bound.abort()
+    timeLimit.abort()
     await timeout
   }
   return reports
@@ -65,11 +65,11 @@
 
 async function runStep (signal: AbortSignal, title: string, run: () => Promise<string>): Promise<StepReport> {
   const startMs = clock.nowMs()
-  const outOfTime = new Promise<never>((_resolve, reject) => {
+  const timeLimitExceeded = new Promise<never>((_resolve, reject) => {
     signal.addEventListener('abort', () => { reject(new DemoFailure('the demo exceeded its time limit')) }, { once: true })
   })
   try {
-    const detail = await Promise.race([run(), outOfTime])
+    const detail = await Promise.race([run(), timeLimitExceeded])
     return { title, passed: true, durationMs: clock.nowMs() - startMs, detail }
   } catch (error) {
     return { title, passed: false, durationMs: clock.nowMs() - startMs, detail: (error as Error).message }
--- a/packages/anvilarch-standins/src/demo/steps/configurationStep.ts
+++ b/packages/anvilarch-standins/src/demo/steps/configurationStep.ts
@@ -3,8 +3,8 @@
 import { runCommand } from '../commandLine'
 import { type DemoContext, type DemoStep, expectThat } from '../types'
 
-const KNOWN_TIMEOUT_MS = 15_000
-const LOADED_TIMEOUT_MS = 20_000
+const DISCOVERY_TIMEOUT_MS = 15_000
+const MODEL_LOAD_TIMEOUT_MS = 20_000
 
 /** Applies the document and waits until it is in force in every daemon and every engine has loaded its model. */
 export const configurationStep: DemoStep = {
@@ -12,7 +12,7 @@
   run: async context => {
     const { fleet } = context
     const daemonCount = fleet.processes('gateway').length + fleet.processes('agent').length
-    await waitUntilKnown(context, daemonCount)
+    await waitForDiscovery(context, daemonCount)
     const applied = await runCommand<{ version: number, inForce: boolean, waitedMs: number, daemons: unknown[] }>(context, 'config', 'apply', context.documentFile, '--wait', '20')
     expectThat(applied.inForce, () => `version ${applied.version} is not in force everywhere: ${JSON.stringify(applied.daemons)}`)
     expectThat(applied.daemons.length === daemonCount, () => `the gateway has discovered ${applied.daemons.length} of ${daemonCount} daemons: ${JSON.stringify(applied.daemons)}`)
@@ -23,17 +23,17 @@
 }
 
 /** Waits until the gateway has discovered all daemons. `config apply --wait` covers only discovered ones, which just after the start may not be all. */
-async function waitUntilKnown (context: DemoContext, daemonCount: number): Promise<void> {
+async function waitForDiscovery (context: DemoContext, daemonCount: number): Promise<void> {
   await waitFor(async () => {
     const status = await runCommand<{ gateways: unknown[], agents: unknown[] }>(context, 'status')
     return status.gateways.length + status.agents.length === daemonCount
-  }, { clock: context.clock, timeoutMs: KNOWN_TIMEOUT_MS, what: `${daemonCount} daemons to discover each other` })
+  }, { clock: context.clock, timeoutMs: DISCOVERY_TIMEOUT_MS, what: `${daemonCount} daemons to discover each other` })
 }
 
 /** Waits until the models are loaded. The placement orders them once the document is in force; until then, requests are rejected with `Retry-After`. */
 async function waitForModels ({ fleet, clock }: DemoContext): Promise<void> {
   await waitFor(async () => {
     const models = await Promise.all(fleet.processes('engine').map(async ({ spec }) => await callJson<{ models: Array<{ state: string }> }>('GET', `${spec.addresses.http}/models`)))
-    return models.every(answer => answer.models.some(({ state }) => state === 'ready'))
-  }, { clock, timeoutMs: LOADED_TIMEOUT_MS, what: 'every engine to load its model' })
+    return models.every(response => response.models.some(({ state }) => state === 'ready'))
+  }, { clock, timeoutMs: MODEL_LOAD_TIMEOUT_MS, what: 'every engine to load its model' })
 }
--- a/packages/anvilarch-standins/src/demo/steps/jobSteps.ts
+++ b/packages/anvilarch-standins/src/demo/steps/jobSteps.ts
@@ -14,13 +14,13 @@
   request_counts: { total: number, completed: number, failed: number }
 }
 
-const JOB_ITEMS: Omit<JobItemOptions, 'label'> = { count: 1000, shortestTokens: 8, longestTokens: 16 }
-const CANCELLED_ITEMS: Omit<JobItemOptions, 'label'> = { count: 3000, shortestTokens: 40, longestTokens: 60 }
+const JOB_ITEMS: Omit<JobItemOptions, 'label'> = { count: 1000, minTokens: 8, maxTokens: 16 }
+const CANCELLED_ITEMS: Omit<JobItemOptions, 'label'> = { count: 3000, minTokens: 40, maxTokens: 60 }
 const ONLINE_CONCURRENCY = 6
 const ONLINE_TOKENS = 30
 const CANCEL_TIMEOUT_MS = 15_000
 /** Long enough for an item in progress to end, and for a gateway that has not yet received the cancellation to start another item. */
-const QUIET_MS = 2000
+const SETTLE_MS = 2000
 
 /** Runs a job of 1,000 items in parallel to online requests. */
 export const jobStep: DemoStep = {
@@ -41,14 +41,14 @@
     } finally {
       await load.finish().catch(() => {})
     }
-    const tookMs = clock.nowMs() - startMs
+    const elapsedMs = clock.nowMs() - startMs
     const online = await load.finish()
     await runCommand(context, 'job', 'results', job.id, '--output', outputFile)
     checkResults(outputFile, items)
-    const again = (await runCommand<{ job: JobView }>(context, 'job', 'submit', inputFile)).job
-    expectThat(again.id === job.id, () => `submitted again, the job is "${again.id}"; expected "${job.id}"`)
+    const resubmitted = (await runCommand<{ job: JobView }>(context, 'job', 'submit', inputFile)).job
+    expectThat(resubmitted.id === job.id, () => `submitted again, the job is "${resubmitted.id}"; expected "${job.id}"`)
     const firstTokens = online.map(({ firstTokenMs }) => firstTokenMs)
-    return `${items.count} results, one for each item, after ${(tookMs / 1000).toFixed(1)} s; ${online.length} online responses in the meantime, 95 % with a first token within ${Math.round(percentile(firstTokens, 95))} ms`
+    return `${items.count} results, one for each item, after ${(elapsedMs / 1000).toFixed(1)} s; ${online.length} online responses in the meantime, 95 % with a first token within ${Math.round(percentile(firstTokens, 95))} ms`
   }
 }
 
@@ -64,7 +64,7 @@
     await waitFor(async () => (await readExecutions(fleet)).length > before, { clock, timeoutMs: CANCEL_TIMEOUT_MS, what: 'the job to start' })
     await runCommand(context, 'job', 'cancel', job.id)
     await waitFor(async () => (await runCommand<{ job: JobView }>(context, 'job', 'show', job.id)).job.status === 'cancelled', { clock, timeoutMs: CANCEL_TIMEOUT_MS, what: 'the job to be cancelled' })
-    const started = await waitUntilQuiet(context)
+    const started = await waitUntilStopped(context)
     const ran = started - before
     expectThat(ran < CANCELLED_ITEMS.count, () => `all ${ran} items ran`)
     return `${ran} of ${CANCELLED_ITEMS.count} items had started; none started or runs after the cancellation`
@@ -72,11 +72,11 @@
 }
 
 /** Waits until no execution is running, then checks that none starts. */
-async function waitUntilQuiet ({ fleet, clock }: DemoContext): Promise<number> {
-  const isQuiet = async (): Promise<boolean> => !(await readExecutions(fleet)).some(({ state }) => state === 'running')
-  await waitFor(isQuiet, { clock, timeoutMs: CANCEL_TIMEOUT_MS, what: 'the items in progress to stop', intervalMs: 200 })
+async function waitUntilStopped ({ fleet, clock }: DemoContext): Promise<number> {
+  const isIdle = async (): Promise<boolean> => !(await readExecutions(fleet)).some(({ state }) => state === 'running')
+  await waitFor(isIdle, { clock, timeoutMs: CANCEL_TIMEOUT_MS, what: 'the items in progress to stop', intervalMs: 200 })
   const started = (await readExecutions(fleet)).length
-  await sleep(clock, QUIET_MS)
+  await sleep(clock, SETTLE_MS)
   const later = (await readExecutions(fleet)).length
   expectThat(later === started, () => `${later - started} more items started after the job had stopped`)
   return started
--- a/packages/anvilarch-standins/src/demo/steps/requestSteps.ts
+++ b/packages/anvilarch-standins/src/demo/steps/requestSteps.ts
@@ -1,23 +1,23 @@
 /** Steps 2 and 3: online requests of both kinds. */
 import { waitFor } from '../../fleet/waits'
-import { askPlain, askStreamed, callLookup } from '../callers'
+import { requestCompletion, streamCompletion, callLookup } from '../callers'
 import { runCommand } from '../commandLine'
 import { readExecutions } from '../executions'
 import { type DemoContext, type DemoStep, expectThat } from '../types'
 
 const CHAT_TOKENS = 40
 /** Until the agents have reported the models to a gateway, it rejects requests with `Retry-After`. */
-const FIRST_ANSWER_TIMEOUT_MS = 10_000
+const FIRST_RESPONSE_TIMEOUT_MS = 10_000
 
 /** Requests completions: a whole one through one gateway, and a streamed one through each. */
 export const completionStep: DemoStep = {
   title: 'Chat completions, whole and streamed, are complete and correct',
   run: async context => {
     const { fleet } = context
-    await waitForFirstAnswers(context)
+    await waitForFirstResponses(context)
     const requestId = 'demo-chat'
-    await askPlain(fleet.callerUrls()[0], { prompt: 'Why is my domain on hold?', maxTokens: CHAT_TOKENS, requestId })
-    const streamed = await Promise.all(fleet.callerUrls().map(async (url, index) => await askStreamed(url, { prompt: `Explain transfer ${index}.`, maxTokens: CHAT_TOKENS })))
+    await requestCompletion(fleet.callerUrls()[0], { prompt: 'Why is my domain on hold?', maxTokens: CHAT_TOKENS, requestId })
+    const streamed = await Promise.all(fleet.callerUrls().map(async (url, index) => await streamCompletion(url, { prompt: `Explain transfer ${index}.`, maxTokens: CHAT_TOKENS })))
     expectThat(streamed.every(({ tokens }) => tokens === CHAT_TOKENS), () => `the usage reports ${streamed.map(({ tokens }) => tokens).join(' and ')} tokens; expected ${CHAT_TOKENS}`)
     const executions = await readExecutions(fleet, requestId)
     expectThat(executions.length === 1, () => `the request ran ${executions.length} times: ${JSON.stringify(executions)}`)
@@ -27,18 +27,18 @@
   }
 }
 
-async function waitForFirstAnswers ({ fleet, clock }: DemoContext): Promise<void> {
-  let last = ''
+async function waitForFirstResponses ({ fleet, clock }: DemoContext): Promise<void> {
+  let lastError = ''
   for (const url of fleet.callerUrls()) {
     await waitFor(async () => {
       try {
-        await askPlain(url, { prompt: 'Are you there?', maxTokens: 1 })
+        await requestCompletion(url, { prompt: 'Are you there?', maxTokens: 1 })
         return true
       } catch (error) {
-        last = (error as Error).message
+        lastError = (error as Error).message
         return false
       }
-    }, { clock, timeoutMs: FIRST_ANSWER_TIMEOUT_MS, what: `a first response from ${url}`, intervalMs: 200 }).catch((error: Error) => { throw new Error(`${error.message}; last error: ${last}`) })
+    }, { clock, timeoutMs: FIRST_RESPONSE_TIMEOUT_MS, what: `a first response from ${url}`, intervalMs: 200 }).catch((error: Error) => { throw new Error(`${error.message}; last error: ${lastError}`) })
   }
 }
 
--- a/packages/anvilarch-standins/src/engine/answers.ts
+++ b/packages/anvilarch-standins/src/engine/completionPlan.ts
@@ -2,7 +2,7 @@
 import { hashText, wordAt } from '../common/text'
 
 /** The two kinds of completions of the OpenAI-style API. */
-export type AnswerKind = 'chat' | 'completion'
+export type CompletionKind = 'chat' | 'completion'
 
 /** The fields of a request that the engine reads. */
 export interface EngineRequestBody {
@@ -17,8 +17,8 @@
 }
 
 /** The completion that the engine produces for a request. */
-export interface AnswerPlan {
-  kind: AnswerKind
+export interface CompletionPlan {
+  kind: CompletionKind
   hash: number
   promptTokens: number
   blocks: number[]
@@ -29,14 +29,14 @@
 /** Characters per pseudo-token of a prompt, close to the average of tokenizers on English text. */
 const CHARACTERS_PER_TOKEN = 4
 /** A completion without `max_tokens` has 8 to 63 tokens, selected by the hash of the prompt. */
-const SHORTEST_ANSWER_TOKENS = 8
-const ANSWER_TOKENS_SPREAD = 56
+const MIN_COMPLETION_TOKENS = 8
+const COMPLETION_TOKENS_SPREAD = 56
 
 /**
  * @param path - `/v1/chat/completions` or `/v1/completions`
  * @returns the kind of completion
  */
-export function answerKindOf (path: string): AnswerKind {
+export function completionKindOf (path: string): CompletionKind {
   return path.endsWith('/chat/completions') ? 'chat' : 'completion'
 }
 
@@ -46,7 +46,7 @@
  * @param blockTokens - tokens per block of the prefix cache
  * @returns the completion that the engine produces
  */
-export function planAnswer (kind: AnswerKind, body: EngineRequestBody, blockTokens: number): AnswerPlan {
+export function planCompletion (kind: CompletionKind, body: EngineRequestBody, blockTokens: number): CompletionPlan {
   const prompt = promptOf(kind, body)
   const hash = hashText(prompt)
   const limit = body.max_completion_tokens ?? body.max_tokens ?? undefined
@@ -55,7 +55,7 @@
     hash,
     promptTokens: Math.max(1, Math.ceil(prompt.length / CHARACTERS_PER_TOKEN)),
     blocks: blockHashes(prompt, blockTokens * CHARACTERS_PER_TOKEN),
-    totalTokens: limit ?? SHORTEST_ANSWER_TOKENS + hash % ANSWER_TOKENS_SPREAD,
+    totalTokens: limit ?? MIN_COMPLETION_TOKENS + hash % COMPLETION_TOKENS_SPREAD,
     finishReason: limit === undefined ? 'stop' : 'length'
   }
 }
@@ -65,7 +65,7 @@
  * @param tokens - number of tokens from the start
  * @returns their text
  */
-export function answerText (plan: Pick<AnswerPlan, 'hash' | 'totalTokens'>, tokens = plan.totalTokens): string {
+export function completionText (plan: Pick<CompletionPlan, 'hash' | 'totalTokens'>, tokens = plan.totalTokens): string {
   return Array.from({ length: tokens }, (_, index) => wordAt(plan.hash, index)).join('')
 }
 
@@ -78,10 +78,10 @@
  */
 export function expectedText (endpointPath: string, body: object | string): string {
   const parsed = (typeof body === 'string' ? JSON.parse(body) : body) as EngineRequestBody
-  return answerText(planAnswer(answerKindOf(endpointPath), parsed, 1))
+  return completionText(planCompletion(completionKindOf(endpointPath), parsed, 1))
 }
 
-function promptOf (kind: AnswerKind, body: EngineRequestBody): string {
+function promptOf (kind: CompletionKind, body: EngineRequestBody): string {
   if (kind === 'chat') return JSON.stringify(body.messages)
   return Array.isArray(body.prompt) ? body.prompt.join('\n') : body.prompt ?? ''
 }
--- a/packages/anvilarch-standins/src/engine/engineLoop.ts
+++ b/packages/anvilarch-standins/src/engine/engineLoop.ts
@@ -68,9 +68,9 @@
     load: () => currentLoad(state),
     cachedPromptTokens: id => cachedPromptTokens(state, id),
     setFrozen: value => {
-      const thawed = frozen && !value
+      const resumed = frozen && !value
       frozen = value
-      if (!thawed) return
+      if (!resumed) return
       timer?.cancel()
       step = undefined
       schedule(clock.nowMs())
--- a/packages/anvilarch-standins/src/engine/engineRequests.ts
+++ b/packages/anvilarch-standins/src/engine/engineRequests.ts
@@ -1,15 +1,15 @@
 /** Handles the requests of an engine: completions, and the resumption and cancellation of streams. */
 import { randomUUID } from 'node:crypto'
 import { type Clock } from 'anvilarch-utils'
-import { contains, type Edge, type EdgeReply, type EdgeRequest } from '../common/httpEdge'
+import { containsText, type HandlerRequest, type HandlerResult, type StandinServer } from '../common/standinServer'
 import { type Execution, type ExecutionLog } from '../ledger/executions'
 import { type LedgerReporter } from '../ledger/ledgerReporter'
-import { type AnswerKind, answerText, type EngineRequestBody, planAnswer } from './answers'
+import { type CompletionKind, completionText, type EngineRequestBody, planCompletion } from './completionPlan'
 import { type EngineLoop } from './engineLoop'
-import { type ModelHolder, type RecordedOrder } from './models'
+import { type ModelRegistry, type RecordedOrder } from './models'
 import { type EngineReports } from './reports'
-import { createEventWriter, wholeBody } from './sseEvents'
-import { attachReader, endStream, type EngineStream, pumpReaders, type StreamRegistry } from './streams'
+import { createEventWriter, completionBody } from './sseEvents'
+import { attachReader, endStream, type EngineStream, flushReaders, type StreamRegistry } from './streams'
 import { type EngineOptions, type StepResult } from './types'
 import { findProblem } from './validateRequest'
 
@@ -27,7 +27,7 @@
   options: EngineOptions
   loop: EngineLoop
   streams: StreamRegistry
-  models: ModelHolder
+  models: ModelRegistry
   reports: EngineReports
   log: ExecutionLog
   reporter: LedgerReporter
@@ -39,36 +39,36 @@
  * Runs a completion. The execution is recorded before it starts.
  *
  * @param state - the engine
- * @param edge - the server, for its faults and to crash it
+ * @param server - the server, for its faults and to crash it
  * @param kind - kind of completion
  * @param request - the request
  * @returns the complete response, or a stream of it
  */
-export async function complete (state: EngineState, edge: Edge<EngineLedger>, kind: AnswerKind, request: EdgeRequest): Promise<EdgeReply> {
+export async function complete (state: EngineState, server: StandinServer<EngineLedger>, kind: CompletionKind, request: HandlerRequest): Promise<HandlerResult> {
   const body = JSON.parse(request.body.toString()) as EngineRequestBody
   const problem = findProblem(kind, body)
-  if (problem !== undefined) return refuse(400, problem, 'invalid_request_error')
-  if (!state.models.serves(body.model)) return refuse(404, `the model ${JSON.stringify(body.model)} is not loaded`, 'model_not_found')
+  if (problem !== undefined) return errorResult(400, problem, 'invalid_request_error')
+  if (!state.models.serves(body.model)) return errorResult(404, `the model ${JSON.stringify(body.model)} is not loaded`, 'model_not_found')
   const attemptId = String(request.headers['x-attempt-id'] ?? randomUUID())
-  if (state.streams.get(attemptId) !== undefined) return refuse(409, `attempt "${attemptId}" is known already; resume it instead`, 'attempt_exists')
-  const plan = planAnswer(kind, body, state.options.blockTokens)
-  const doneTokens = body.continuation?.tokens ?? 0
-  if (doneTokens > plan.totalTokens || (doneTokens > 0 && body.continuation?.text !== answerText(plan, doneTokens))) {
-    return refuse(400, 'the text of "continuation" is not the start of this answer', 'bad_continuation')
+  if (state.streams.get(attemptId) !== undefined) return errorResult(409, `attempt "${attemptId}" is known already; resume it instead`, 'attempt_exists')
+  const plan = planCompletion(kind, body, state.options.blockTokens)
+  const continuedTokens = body.continuation?.tokens ?? 0
+  if (continuedTokens > plan.totalTokens || (continuedTokens > 0 && body.continuation?.text !== completionText(plan, continuedTokens))) {
+    return errorResult(400, 'the text of "continuation" is not the start of this answer', 'bad_continuation')
   }
-  const stream = createStream(state, request, attemptId, body, plan, doneTokens)
-  stream.crashes = contains(request, edge.faults.get().crashOn)
+  const stream = createStream(state, request, attemptId, body, plan, continuedTokens)
+  stream.crashesEngine = containsText(request, server.faults.get().crashOn)
   state.streams.add(stream)
   await recordStart(state, stream)
   submit(state, stream)
   if (body.stream === true) {
-    return { status: 200, headers: EVENT_STREAM_HEADERS, stream: response => { attachReader(stream, response, doneTokens) } }
+    return { status: 200, headers: EVENT_STREAM_HEADERS, stream: response => { attachReader(stream, response, continuedTokens) } }
   }
   if (stream.state === 'running') await new Promise<void>(resolve => { stream.onEnd.push(resolve) })
-  return stream.state === 'completed' ? { status: 200, body: wholeBody(stream.source) } : refuse(409, 'the attempt was cancelled', 'cancelled')
+  return stream.state === 'completed' ? { status: 200, body: completionBody(stream.source) } : errorResult(409, 'the attempt was cancelled', 'cancelled')
 }
 
-function createStream (state: EngineState, request: EdgeRequest, attemptId: string, body: EngineRequestBody, plan: ReturnType<typeof planAnswer>, doneTokens: number): EngineStream {
+function createStream (state: EngineState, request: HandlerRequest, attemptId: string, body: EngineRequestBody, plan: ReturnType<typeof planCompletion>, continuedTokens: number): EngineStream {
   const requestId = String(request.headers['x-request-id'] ?? attemptId)
   const source = {
     completionId: `${plan.kind === 'chat' ? 'chatcmpl' : 'cmpl'}-${requestId}`,
@@ -84,10 +84,10 @@
     executionId: randomUUID(),
     source,
     writer: createEventWriter(source),
-    producedTokens: doneTokens,
+    producedTokens: continuedTokens,
     state: 'running',
     submitted: false,
-    crashes: false,
+    crashesEngine: false,
     endedMs: 0,
     readers: new Set(),
     onEnd: []
@@ -124,7 +124,7 @@
   }
   stream.submitted = true
   state.loop.submit({ id: stream.attemptId, promptTokens: plan.promptTokens, blocks: plan.blocks, producedTokens: stream.producedTokens, totalTokens: plan.totalTokens })
-  state.reports.noteLoad(state.clock.nowMs(), state.loop.load())
+  state.reports.recordLoad(state.clock.nowMs(), state.loop.load())
 }
 
 function finish (state: EngineState, stream: EngineStream, outcome: 'completed' | 'cancelled'): void {
@@ -133,32 +133,32 @@
 }
 
 /** Applies the tokens of one step to their streams. A stream that crashes the engine does so at its first token: by then it runs. */
-export function takeStep (state: EngineState, edge: Edge<EngineLedger>, result: StepResult): void {
+export function applyStep (state: EngineState, server: StandinServer<EngineLedger>, result: StepResult): void {
   for (const { id, producedTokens } of result.produced) {
     const stream = state.streams.get(id)
     if (stream === undefined) continue
-    if (stream.crashes) {
+    if (stream.crashesEngine) {
       state.loop.stop()
-      edge.crash()
+      server.crash()
       return
     }
     if (stream.source.cachedTokens === 0) stream.source.cachedTokens = state.loop.cachedPromptTokens(id)
     stream.producedTokens = producedTokens
     if (producedTokens >= stream.source.plan.totalTokens) finish(state, stream, 'completed')
-    else pumpReaders(stream)
+    else flushReaders(stream)
   }
   const nowMs = state.clock.nowMs()
-  state.reports.noteLoad(nowMs, state.loop.load())
-  state.streams.sweep(nowMs)
+  state.reports.recordLoad(nowMs, state.loop.load())
+  state.streams.removeExpired(nowMs)
 }
 
 /** Attaches the connection to a stream, and submits a cancelled stream to the scheduler again. */
-export function resume (state: EngineState, request: EdgeRequest): EdgeReply {
+export function resume (state: EngineState, request: HandlerRequest): HandlerResult {
   const stream = state.streams.get(request.params.attemptId ?? '')
-  if (stream === undefined) return refuse(404, 'no such stream', 'unknown_stream')
+  if (stream === undefined) return errorResult(404, 'no such stream', 'unknown_stream')
   const { offsetTokens = 0 } = JSON.parse(request.body.toString() || '{}') as { offsetTokens?: number }
   if (!Number.isInteger(offsetTokens) || offsetTokens < 0 || offsetTokens > stream.source.plan.totalTokens) {
-    return refuse(400, `"offsetTokens" is ${JSON.stringify(offsetTokens)}; the answer has ${stream.source.plan.totalTokens} tokens`, 'invalid_request_error')
+    return errorResult(400, `"offsetTokens" is ${JSON.stringify(offsetTokens)}; the answer has ${stream.source.plan.totalTokens} tokens`, 'invalid_request_error')
   }
   if (stream.state === 'cancelled') {
     stream.state = 'running'
@@ -169,9 +169,9 @@
 }
 
 /** Cancels a stream and frees its slot; its state is kept for the retention period. */
-export function cancel (state: EngineState, request: EdgeRequest): EdgeReply {
+export function cancel (state: EngineState, request: HandlerRequest): HandlerResult {
   const stream = state.streams.get(request.params.attemptId ?? '')
-  if (stream === undefined) return refuse(404, 'no such stream', 'unknown_stream')
+  if (stream === undefined) return errorResult(404, 'no such stream', 'unknown_stream')
   if (stream.state === 'running') {
     state.loop.remove(stream.attemptId)
     finish(state, stream, 'cancelled')
@@ -180,12 +180,12 @@
 }
 
 /** @returns the cache events that are old enough to be published */
-export function cacheEvents (state: EngineState, edge: Edge<EngineLedger>, request: EdgeRequest): EdgeReply {
+export function cacheEvents (state: EngineState, server: StandinServer<EngineLedger>, request: HandlerRequest): HandlerResult {
   const after = Number(request.query.get('after') ?? 0)
-  const lagMs = state.options.cacheEventLagMs + edge.faults.get().lagMs
+  const lagMs = state.options.cacheEventLagMs + server.faults.get().lagMs
   return { status: 200, body: state.reports.cacheEvents(state.clock.nowMs(), lagMs, after) }
 }
 
-function refuse (status: number, message: string, code: string): EdgeReply {
+function errorResult (status: number, message: string, code: string): HandlerResult {
   return { status, body: { error: { message, type: 'invalid_request_error', code } } }
 }
--- a/packages/anvilarch-standins/src/engine/engineStandin.ts
+++ b/packages/anvilarch-standins/src/engine/engineStandin.ts
@@ -1,12 +1,12 @@
 /** The stand-in of a model engine: continuous batching behind an OpenAI-style HTTP API. */
 import { randomUUID } from 'node:crypto'
 import { createRandom, createSystemClock } from 'anvilarch-utils'
-import { type Edge, type StandinHandle, type StandinOptions, startEdge } from '../common/httpEdge'
+import { type StandinServer, type StandinHandle, type StandinOptions, startStandinServer } from '../common/standinServer'
 import { createExecutionLog } from '../ledger/executions'
 import { createLedgerReporter } from '../ledger/ledgerReporter'
 import { createEngineLoop } from './engineLoop'
-import { cacheEvents, cancel, complete, type EngineLedger, type EngineState, resume, takeStep } from './engineRequests'
-import { createModelHolder, type EngineModel, type EngineOrder } from './models'
+import { cacheEvents, cancel, complete, type EngineLedger, type EngineState, resume, applyStep } from './engineRequests'
+import { createModelRegistry, type EngineModel, type EngineOrder } from './models'
 import { createEngineReports } from './reports'
 import { createStreamRegistry } from './streams'
 import { DEFAULT_ENGINE_OPTIONS, type EngineLoad, type EngineOptions, validateEngineOptions } from './types'
@@ -52,40 +52,40 @@
     loop: createEngineLoop({
       clock,
       speed: engineOptions,
-      onStep: result => { takeStep(state, edge, result) },
-      onCacheChanges: changes => { reports.noteCacheChanges(clock.nowMs(), changes) }
+      onStep: result => { applyStep(state, server, result) },
+      onCacheChanges: changes => { reports.recordCacheChanges(clock.nowMs(), changes) }
     }),
     streams: createStreamRegistry(engineOptions.retentionMs),
-    models: createModelHolder({ clock, weightsUrl: options.weightsUrl, checksFencing: options.checksFencing ?? false, preload: options.preload ?? [], strictModel: options.strictModel ?? false }),
+    models: createModelRegistry({ clock, weightsUrl: options.weightsUrl, checksFencing: options.checksFencing ?? false, preload: options.preload ?? [], strictModel: options.strictModel ?? false }),
     reports,
     log: createExecutionLog(),
     reporter: createLedgerReporter(options.ledgerUrl, clock)
   }
-  const edge: Edge<EngineLedger> = await startEdge<EngineLedger>({
-    crashesItself: true,
+  const server: StandinServer<EngineLedger> = await startStandinServer<EngineLedger>({
+    crashesInHandler: true,
     routes: [
-      { method: 'POST', path: '/v1/chat/completions', isWork: true, handle: request => complete(state, edge, 'chat', request) },
-      { method: 'POST', path: '/v1/completions', isWork: true, handle: request => complete(state, edge, 'completion', request) },
+      { method: 'POST', path: '/v1/chat/completions', isWork: true, handle: request => complete(state, server, 'chat', request) },
+      { method: 'POST', path: '/v1/completions', isWork: true, handle: request => complete(state, server, 'completion', request) },
       { method: 'POST', path: '/v1/streams/:attemptId/resume', isWork: true, handle: request => resume(state, request) },
       { method: 'POST', path: '/v1/streams/:attemptId/cancel', handle: request => cancel(state, request) },
-      { method: 'GET', path: '/load', handle: () => ({ status: 200, body: reports.loadAsOf(clock.nowMs(), engineOptions.loadLagMs + edge.faults.get().lagMs) }) },
-      { method: 'GET', path: '/cache-events', handle: request => cacheEvents(state, edge, request) },
+      { method: 'GET', path: '/load', handle: () => ({ status: 200, body: reports.loadAsOf(clock.nowMs(), engineOptions.loadLagMs + server.faults.get().lagMs) }) },
+      { method: 'GET', path: '/cache-events', handle: request => cacheEvents(state, server, request) },
       { method: 'GET', path: '/models', handle: () => ({ status: 200, body: { models: state.models.list(), fencingToken: state.models.fencingToken(), incarnation: state.incarnation } }) },
       { method: 'POST', path: '/orders', handle: request => state.models.order(JSON.parse(request.body.toString()) as EngineOrder) },
       { method: 'GET', path: '/health', handle: () => ({ status: 200, body: { status: 'ok', incarnation: state.incarnation } }) }
     ],
     ledger: query => ({ executions: state.log.list(query?.get('request') ?? undefined), orders: state.models.orders() })
   }, options)
-  edge.faults.onChange((_changes, faults) => { state.loop.setFrozen(faults.frozen) })
-  state.loop.setFrozen(edge.faults.get().frozen)
+  server.faults.onChange((_changes, faults) => { state.loop.setFrozen(faults.frozen) })
+  state.loop.setFrozen(server.faults.get().frozen)
   return {
-    ...edge,
+    ...server,
     load: () => state.loop.load(),
     models: () => state.models.list(),
     close: async () => {
       state.loop.stop()
       state.models.stop()
-      await edge.close()
+      await server.close()
     }
   }
 }
--- a/packages/anvilarch-standins/src/engine/models.ts
+++ b/packages/anvilarch-standins/src/engine/models.ts
@@ -1,7 +1,7 @@
 /** The models of an engine: orders to load and unload them, and the transfer of their weights from the weight store. */
 import { type Clock, sleep } from 'anvilarch-utils'
 import { request } from 'undici'
-import type { EdgeReply } from '../common/httpEdge'
+import type { HandlerResult } from '../common/standinServer'
 
 /** A model that the engine has loaded or is loading. */
 export interface EngineModel {
@@ -27,18 +27,18 @@
 }
 
 /** The models of one engine. */
-export interface ModelHolder {
+export interface ModelRegistry {
   list: () => EngineModel[]
   fencingToken: () => number
   orders: () => RecordedOrder[]
-  order: (order: EngineOrder) => EdgeReply
+  order: (order: EngineOrder) => HandlerResult
   /** @returns whether a request for a model of this name can be served */
   serves: (name: string | undefined) => boolean
   stop: () => void
 }
 
-/** Options of `createModelHolder`. */
-export interface ModelHolderOptions {
+/** Options of `createModelRegistry`. */
+export interface ModelRegistryOptions {
   clock: Clock
   /** Address of the weight store; without one, models are ready at once. */
   weightsUrl?: string
@@ -57,7 +57,7 @@
  * @param options - weight store, fencing and initial models
  * @returns the models of an engine
  */
-export function createModelHolder (options: ModelHolderOptions): ModelHolder {
+export function createModelRegistry (options: ModelRegistryOptions): ModelRegistry {
   const models = new Map<string, EngineModel>()
   const orders: RecordedOrder[] = []
   const stopping = new AbortController()
@@ -67,13 +67,13 @@
     models.set(`${model}:${version}`, { model, version, adapters: [], state: 'ready' })
   }
 
-  const load = (order: EngineOrder): EdgeReply => {
+  const load = (order: EngineOrder): HandlerResult => {
     const key = `${order.model}:${order.version}`
     const adapters = order.adapters ?? []
-    const known = models.get(key)
-    if (known !== undefined) {
-      known.adapters = adapters
-      return { status: known.state === 'ready' ? 200 : 202, body: known }
+    const existing = models.get(key)
+    if (existing !== undefined) {
+      existing.adapters = adapters
+      return { status: existing.state === 'ready' ? 200 : 202, body: existing }
     }
     const added: EngineModel = { model: order.model, version: order.version, adapters, state: 'loading' }
     models.set(key, added)
@@ -83,7 +83,7 @@
     return { status: 202, body: added }
   }
 
-  const actions: Record<EngineOrder['action'], (order: EngineOrder) => EdgeReply> = {
+  const actions: Record<EngineOrder['action'], (order: EngineOrder) => HandlerResult> = {
     load,
     unload: order => {
       models.delete(`${order.model}:${order.version}`)
@@ -121,11 +121,11 @@
   return undefined
 }
 
-async function fetchWeights (model: EngineModel, stillWanted: () => boolean, options: ModelHolderOptions, signal: AbortSignal): Promise<void> {
+async function fetchWeights (model: EngineModel, isStillNeeded: () => boolean, options: ModelRegistryOptions, signal: AbortSignal): Promise<void> {
   if (options.weightsUrl === undefined) return
   const url = `${options.weightsUrl}/weights/${encodeURIComponent(model.model)}/${encodeURIComponent(model.version)}`
-  while (stillWanted()) {
-    const delayMs = await tryTransfer(url, signal)
+  while (isStillNeeded()) {
+    const delayMs = await attemptTransfer(url, signal)
     if (delayMs === undefined) return
     await sleep(options.clock, delayMs, signal)
   }
@@ -133,7 +133,7 @@
 }
 
 /** @returns undefined when the transfer is complete, else the delay before the next attempt */
-async function tryTransfer (url: string, signal: AbortSignal): Promise<number | undefined> {
+async function attemptTransfer (url: string, signal: AbortSignal): Promise<number | undefined> {
   try {
     const response = await request(url, { signal })
     await response.body.dump()
--- a/packages/anvilarch-standins/src/engine/reports.ts
+++ b/packages/anvilarch-standins/src/engine/reports.ts
@@ -5,10 +5,10 @@
 
 /** The reports of one engine. */
 export interface EngineReports {
-  noteLoad: (nowMs: number, load: EngineLoad) => void
+  recordLoad: (nowMs: number, load: EngineLoad) => void
   /** @returns the load as it was `lagMs` ago */
   loadAsOf: (nowMs: number, lagMs: number) => EngineLoad
-  noteCacheChanges: (nowMs: number, changes: CacheChange[]) => void
+  recordCacheChanges: (nowMs: number, changes: CacheChange[]) => void
   /** @returns events after a sequence number that are at least `lagMs` old; a missing sequence number is a lost event */
   cacheEvents: (nowMs: number, lagMs: number, after: number) => { events: CacheEvent[], latest: number }
 }
@@ -16,7 +16,7 @@
 const IDLE_LOAD: EngineLoad = { running: 0, waiting: 0, cachedTokens: 0 }
 const MAX_SAMPLES = 4096
 const MAX_EVENTS = 10_000
-const MAX_EVENTS_IN_ANSWER = 1000
+const MAX_EVENTS_PER_RESPONSE = 1000
 
 /**
  * @param random - selects the events that are lost
@@ -28,12 +28,12 @@
   const events: Array<{ atMs: number, event: CacheEvent }> = []
   let sequence = 0
   return {
-    noteLoad: (nowMs, load) => {
+    recordLoad: (nowMs, load) => {
       samples.push({ atMs: nowMs, load })
       if (samples.length > MAX_SAMPLES) samples.splice(0, MAX_SAMPLES / 2)
     },
     loadAsOf: (nowMs, lagMs) => samples.findLast(({ atMs }) => atMs <= nowMs - lagMs)?.load ?? IDLE_LOAD,
-    noteCacheChanges: (nowMs, changes) => {
+    recordCacheChanges: (nowMs, changes) => {
       for (const change of changes) {
         sequence++
         if (random.next() >= gapShare) events.push({ atMs: nowMs, event: { sequence, ...change } })
@@ -43,8 +43,8 @@
     cacheEvents: (nowMs, lagMs, after) => {
       const published = events.filter(({ atMs }) => atMs <= nowMs - lagMs)
       const latest = published[published.length - 1]?.event.sequence ?? 0
-      const wanted = published.filter(({ event }) => event.sequence > after)
-      return { events: wanted.slice(0, MAX_EVENTS_IN_ANSWER).map(({ event }) => event), latest }
+      const requested = published.filter(({ event }) => event.sequence > after)
+      return { events: requested.slice(0, MAX_EVENTS_PER_RESPONSE).map(({ event }) => event), latest }
     }
   }
 }
--- a/packages/anvilarch-standins/src/engine/scheduler.ts
+++ b/packages/anvilarch-standins/src/engine/scheduler.ts
@@ -84,19 +84,19 @@
   admitWaiting(state)
   if (state.running.size === 0) return undefined
   const step: EngineStep = { durationMs: 0, decoding: [], prefills: [] }
-  let prefillLeft = state.speed.prefillChunkTokens
+  let prefillBudget = state.speed.prefillChunkTokens
   let contextTokens = 0
   for (const sequence of state.running.values()) {
     if (sequence.prefillTokens === 0) {
       step.decoding.push(sequence.id)
       contextTokens += sequence.promptTokens + sequence.producedTokens
-    } else if (prefillLeft > 0) {
-      const tokens = Math.min(prefillLeft, sequence.prefillTokens)
-      prefillLeft -= tokens
+    } else if (prefillBudget > 0) {
+      const tokens = Math.min(prefillBudget, sequence.prefillTokens)
+      prefillBudget -= tokens
       step.prefills.push({ id: sequence.id, tokens })
     }
   }
-  const prefilledTokens = state.speed.prefillChunkTokens - prefillLeft
+  const prefilledTokens = state.speed.prefillChunkTokens - prefillBudget
   step.durationMs = stepDurationMs(state.speed, step.decoding.length, contextTokens, prefilledTokens)
   return step
 }
--- a/packages/anvilarch-standins/src/engine/streams.ts
+++ b/packages/anvilarch-standins/src/engine/streams.ts
@@ -1,6 +1,6 @@
 /** The streams of an engine. The state of a stream is independent of the connections that read it, so that it can be read again. */
 import type { ServerResponse } from 'node:http'
-import type { EventSource, EventWriter } from './sseEvents'
+import type { CompletionSource, EventWriter } from './sseEvents'
 
 /** State of one stream. */
 export type StreamState = 'running' | 'completed' | 'cancelled'
@@ -9,7 +9,7 @@
 interface StreamReader {
   response: ServerResponse
   /** Index of the next token to write. */
-  next: number
+  nextToken: number
 }
 
 /** One completion request of the engine. */
@@ -17,14 +17,14 @@
   attemptId: string
   requestId: string
   executionId: string
-  source: EventSource
+  source: CompletionSource
   writer: EventWriter
   producedTokens: number
   state: StreamState
   /** False until the ledger has recorded the execution, and again after the stream has ended. */
   submitted: boolean
   /** Whether the request crashes the engine at its first token. */
-  crashes: boolean
+  crashesEngine: boolean
   endedMs: number
   readers: Set<StreamReader>
   /** Called when the stream ends, for responses that are not streamed. */
@@ -36,7 +36,7 @@
   get: (attemptId: string) => EngineStream | undefined
   add: (stream: EngineStream) => void
   /** Removes ended streams whose retention period has elapsed. */
-  sweep: (nowMs: number) => void
+  removeExpired: (nowMs: number) => void
   size: () => number
 }
 
@@ -49,7 +49,7 @@
   return {
     get: attemptId => streams.get(attemptId),
     add: stream => { streams.set(stream.attemptId, stream) },
-    sweep: nowMs => {
+    removeExpired: nowMs => {
       for (const stream of streams.values()) {
         if (stream.state !== 'running' && nowMs - stream.endedMs > retentionMs) streams.delete(stream.attemptId)
       }
@@ -66,16 +66,16 @@
  * @param offsetTokens - index of the first token to send
  */
 export function attachReader (stream: EngineStream, response: ServerResponse, offsetTokens: number): void {
-  const reader = { response, next: offsetTokens }
+  const reader = { response, nextToken: offsetTokens }
   stream.readers.add(reader)
   response.on('close', () => { stream.readers.delete(reader) })
-  response.on('drain', () => { pump(stream, reader) })
-  pump(stream, reader)
+  response.on('drain', () => { flushReader(stream, reader) })
+  flushReader(stream, reader)
 }
 
 /** Sends new tokens to all readers, and the final events when the stream has ended. */
-export function pumpReaders (stream: EngineStream): void {
-  for (const reader of stream.readers) pump(stream, reader)
+export function flushReaders (stream: EngineStream): void {
+  for (const reader of stream.readers) flushReader(stream, reader)
 }
 
 /**
@@ -89,21 +89,21 @@
   stream.state = state
   stream.endedMs = nowMs
   stream.submitted = false
-  pumpReaders(stream)
+  flushReaders(stream)
   for (const onEnd of stream.onEnd.splice(0)) onEnd()
 }
 
 /** A slow reader delays only itself: it continues from its own position when its connection has drained. */
-function pump (stream: EngineStream, reader: StreamReader): void {
+function flushReader (stream: EngineStream, reader: StreamReader): void {
   const { response } = reader
   if (response.writableNeedDrain) return
   let text = ''
-  for (; reader.next < stream.producedTokens; reader.next++) text += stream.writer.token(reader.next)
+  for (; reader.nextToken < stream.producedTokens; reader.nextToken++) text += stream.writer.token(reader.nextToken)
   if (stream.state === 'running') {
     if (text !== '') response.write(text)
     return
   }
   stream.readers.delete(reader)
   // A cancelled stream ends without the final events, so that it cannot be mistaken for a complete response.
-  response.end(stream.state === 'completed' ? text + stream.writer.ending() : text)
+  response.end(stream.state === 'completed' ? text + stream.writer.finalEvents() : text)
 }
--- a/packages/anvilarch-standins/src/fleet/__tests__/fleet.test.ts
+++ b/packages/anvilarch-standins/src/fleet/__tests__/fleet.test.ts
@@ -3,7 +3,7 @@
 import { join } from 'node:path'
 import { createSystemClock } from 'anvilarch-utils'
 import { call, callForJson } from '../../__fixtures__/callStandin'
-import { expectedText } from '../../engine/answers'
+import { expectedText } from '../../engine/completionPlan'
 import { applyDocument } from '../applyDocument'
 import { WORKSPACE_ROOT } from '../fleetPlan'
 import { startFleet } from '../startFleet'
@@ -29,7 +29,7 @@
 
   afterEach(async () => { await fleet?.stop() }, TIMEOUT_MS)
 
-  const ask = async (prompt: string): Promise<boolean> => {
+  const isServed = async (prompt: string): Promise<boolean> => {
     const body = { model: 'assistant', messages: [{ role: 'user', content: prompt }], max_tokens: 5 }
     const { status, text } = await call(fleet?.callerUrls()[0] + CHAT, { body, headers: { 'content-type': 'application/json' } })
     return status === 200 && JSON.parse(text).choices[0].message.content === expectedText(CHAT, body)
@@ -39,15 +39,15 @@
     fleet = await startFleet({ directory: mkdtempSync(join(tmpdir(), 'fleet-')), gateways: 1, modelEndpoints: 1, plainEndpoints: 1, endpointsPerAgent: 2, restartMs: 10, startTimeoutMs: TIMEOUT_MS })
     await applyDocument(fleet.callerUrls()[0], DOCUMENT, readFileSync(DOCUMENT, 'utf8'))
     await fleet.waitReady()
-    const answered = { clock, timeoutMs: TIMEOUT_MS, what: 'a response', intervalMs: 200 }
-    await waitFor(async () => await ask('first'), answered)
+    const waitOptions = { clock, timeoutMs: TIMEOUT_MS, what: 'a response', intervalMs: 200 }
+    await waitFor(async () => await isServed('first'), waitOptions)
 
     await fleet.restart('agent-1', 'SIGKILL')
-    await waitFor(async () => await ask('after the loss of the agent'), answered)
+    await waitFor(async () => await isServed('after the loss of the agent'), waitOptions)
 
     await fleet.setFaults('engine-1', { crashOn: 'poison' })
-    expect(await ask('poison')).toBe(false)
-    await waitFor(async () => await ask('after the crash of the engine'), answered)
+    expect(await isServed('poison')).toBe(false)
+    await waitFor(async () => await isServed('after the crash of the engine'), waitOptions)
     expect(fleet.get('engine-1')).toMatchObject({ starts: expect.any(Number), lastExit: { code: 70 } })
     expect(await callForJson(`${fleet.get('engine-1').spec.addresses.http}/faults`)).toMatchObject({ crashOn: 'poison' })
 
--- a/packages/anvilarch-standins/src/fleet/fleetFile.ts
+++ b/packages/anvilarch-standins/src/fleet/fleetFile.ts
@@ -26,9 +26,9 @@
  * @throws AnvilarchError when another fleet runs there, whose files would be overwritten
  */
 export function createFolders (directory: string): void {
-  const other = findRunningFleet(directory)
-  if (other !== undefined) {
-    throw new AnvilarchError(`a fleet is running in "${directory}" as process ${other}; stop it first or choose another --directory`, { code: 'conflict', step: 'fleet.start' })
+  const runningFleetPid = findRunningFleet(directory)
+  if (runningFleetPid !== undefined) {
+    throw new AnvilarchError(`a fleet is running in "${directory}" as process ${runningFleetPid}; stop it first or choose another --directory`, { code: 'conflict', step: 'fleet.start' })
   }
   mkdirSync(join(directory, 'settings'), { recursive: true })
   mkdirSync(join(directory, 'logs'), { recursive: true })
--- a/packages/anvilarch-standins/src/fleet/hostList.ts
+++ b/packages/anvilarch-standins/src/fleet/hostList.ts
@@ -5,10 +5,10 @@
 import { callJson } from './waits'
 
 /** Publishes the list of hosts. */
-export interface HostListKeeper {
+export interface HostListPublisher {
   set: (daemon: string, state: HostEntry['state'] | 'gone') => Promise<void>
   /** Records the exit of a daemon. Its host is removed from the list after a delay, as a lost host is. */
-  noteExit: (process: FleetProcess) => void
+  recordExit: (process: FleetProcess) => void
   publish: () => Promise<void>
 }
 
@@ -18,7 +18,7 @@
  * @param options - clock, and the delay until a lost host is removed from the list
  * @returns the publisher; nothing is published yet
  */
-export function createHostListKeeper (url: string, processes: FleetProcess[], options: { clock: Clock, hostLossMs: number }): HostListKeeper {
+export function createHostListPublisher (url: string, processes: FleetProcess[], options: { clock: Clock, hostLossMs: number }): HostListPublisher {
   const entries = new Map<string, HostEntry>()
   for (const { spec } of processes) {
     if (spec.hostEntry !== undefined) entries.set(spec.name, spec.hostEntry)
@@ -41,12 +41,12 @@
   return {
     set,
     publish,
-    noteExit: ended => {
-      const { name } = ended.spec
+    recordExit: exitedProcess => {
+      const { name } = exitedProcess.spec
       if (!entries.has(name)) return
-      const { starts } = ended
+      const { starts } = exitedProcess
       options.clock.after(options.hostLossMs, () => {
-        if (ended.processId !== undefined || ended.starts !== starts) return
+        if (exitedProcess.processId !== undefined || exitedProcess.starts !== starts) return
         set(name, 'gone').catch(() => {})
       })
     }
--- a/packages/anvilarch-standins/src/fleet/ports.ts
+++ b/packages/anvilarch-standins/src/fleet/ports.ts
@@ -24,7 +24,7 @@
 export async function allocatePorts (count: number, basePort: number): Promise<number[]> {
   const servers: Server[] = []
   try {
-    if (basePort === 0) await bindAny(count, servers)
+    if (basePort === 0) await bindFreePorts(count, servers)
     else for (let index = 0; index < count; index++) servers.push(await bind(basePort + index))
     return servers.map(server => (server.address() as AddressInfo).port)
   } finally {
@@ -33,10 +33,10 @@
 }
 
 /** Binds free ports, starting at a random one, so that two fleets that start at the same time try different ports. */
-async function bindAny (count: number, servers: Server[]): Promise<void> {
+async function bindFreePorts (count: number, servers: Server[]): Promise<void> {
   const offset = Math.floor(Math.random() * PORT_COUNT)
-  for (let tries = 0; tries < PORT_COUNT && servers.length < count; tries++) {
-    const port = FIRST_PORT + (offset + tries) % PORT_COUNT
+  for (let attempt = 0; attempt < PORT_COUNT && servers.length < count; attempt++) {
+    const port = FIRST_PORT + (offset + attempt) % PORT_COUNT
     try {
       servers.push(await bind(port))
     } catch (error) {
--- a/packages/anvilarch-standins/src/fleet/startFleet.ts
+++ b/packages/anvilarch-standins/src/fleet/startFleet.ts
@@ -2,10 +2,10 @@
 import { join } from 'node:path'
 import { AnvilarchError, createSystemClock, sleep } from 'anvilarch-utils'
 import type { Faults } from '../common/faults'
-import { CRASH_EXIT_CODE } from '../common/httpEdge'
+import { CRASH_EXIT_CODE } from '../common/standinServer'
 import { createFolders, writeFleetFile, writeSettingsFiles } from './fleetFile'
 import { countPorts, planFleet } from './fleetPlan'
-import { createHostListKeeper } from './hostList'
+import { createHostListPublisher } from './hostList'
 import { allocatePorts } from './ports'
 import { createSupervisor, type Supervisor } from './supervisor'
 import { DEFAULT_FLEET_OPTIONS, type Fleet, type FleetOptions, type ProcessExit, type ProcessRole, type ProcessSpec, validateFleetOptions } from './types'
@@ -19,17 +19,17 @@
 const clock = createSystemClock()
 
 /**
- * @param given - options that differ from the defaults, and the folder to write to
+ * @param overrides - options that differ from the defaults, and the folder to write to
  * @returns the fleet with every process running; daemons become ready once a configuration document has been applied
  */
-export async function startFleet (given: Partial<FleetOptions> & { directory: string }): Promise<Fleet> {
-  const options: FleetOptions = { ...DEFAULT_FLEET_OPTIONS, ...given }
+export async function startFleet (overrides: Partial<FleetOptions> & { directory: string }): Promise<Fleet> {
+  const options: FleetOptions = { ...DEFAULT_FLEET_OPTIONS, ...overrides }
   validateFleetOptions(options)
   const specs = planFleet(options, await allocatePorts(countPorts(options), options.basePort))
   createFolders(options.directory)
   const supervisors = new Map<string, Supervisor>()
-  const all = (): Supervisor[] => [...supervisors.values()]
-  const writeFile = (): void => { writeFleetFile(options.directory, all().map(supervisor => supervisor.process)) }
+  const allSupervisors = (): Supervisor[] => [...supervisors.values()]
+  const writeFile = (): void => { writeFleetFile(options.directory, allSupervisors().map(supervisor => supervisor.process)) }
   for (const spec of specs) {
     supervisors.set(spec.name, createSupervisor(spec, {
       clock,
@@ -37,7 +37,7 @@
       restartDelayMs: (ended, exit) => restartDelayMs(options, ended, exit),
       onChange: changed => {
         writeFile()
-        if (changed.processId === undefined) hosts.noteExit(changed)
+        if (changed.processId === undefined) hosts.recordExit(changed)
       }
     }))
   }
@@ -48,9 +48,9 @@
   }
   const urlOf = (role: ProcessRole): string => get(role).process.spec.addresses.http
   const urls = { table: urlOf('table'), objects: urlOf('objects'), hosts: urlOf('hosts'), weights: urlOf('weights'), ledger: urlOf('ledger') }
-  const hosts = createHostListKeeper(urls.hosts, all().map(supervisor => supervisor.process), { clock, hostLossMs: options.hostLossMs })
+  const hosts = createHostListPublisher(urls.hosts, allSupervisors().map(supervisor => supervisor.process), { clock, hostLossMs: options.hostLossMs })
 
-  const waitUp = async (supervisor: Supervisor): Promise<void> => {
+  const waitUntilRunning = async (supervisor: Supervisor): Promise<void> => {
     const { process: started } = supervisor
     const { starts } = started
     await waitFor(async () => {
@@ -63,23 +63,23 @@
 
   const start = async (supervisor: Supervisor): Promise<void> => {
     supervisor.spawn()
-    await waitUp(supervisor)
+    await waitUntilRunning(supervisor)
     if (supervisor.process.spec.hostEntry !== undefined) await hosts.set(supervisor.process.spec.name, 'live')
   }
 
   const stop = async (): Promise<void> => {
-    for (const supervisor of all()) supervisor.retire()
+    for (const supervisor of allSupervisors()) supervisor.disableRestart()
     const isDaemon = (supervisor: Supervisor): boolean => DAEMON_ROLES.includes(supervisor.process.spec.role)
-    await endAll(all().filter(isDaemon), STOP_DAEMONS_MS)
-    await endAll(all().filter(supervisor => !isDaemon(supervisor)), STOP_STANDINS_MS)
+    await terminateAll(allSupervisors().filter(isDaemon), STOP_DAEMONS_MS)
+    await terminateAll(allSupervisors().filter(supervisor => !isDaemon(supervisor)), STOP_STANDINS_MS)
   }
 
   const fleet: Fleet = {
     options,
     urls,
-    processes: role => all().map(supervisor => supervisor.process).filter(({ spec }) => role === undefined || spec.role === role),
+    processes: role => allSupervisors().map(supervisor => supervisor.process).filter(({ spec }) => role === undefined || spec.role === role),
     get: name => get(name).process,
-    callerUrls: () => all().flatMap(({ process: { spec } }) => spec.addresses.callers ?? []),
+    callerUrls: () => allSupervisors().flatMap(({ process: { spec } }) => spec.addresses.callers ?? []),
     spawn: async name => { await start(get(name)) },
     kill: (name, signal) => { get(name).kill(signal) },
     restart: async (name, signal = 'SIGTERM') => {
@@ -89,7 +89,7 @@
     },
     waitExit: async (name, timeoutMs) => await waitExit(get(name), timeoutMs),
     waitReady: async (names, timeoutMs = options.startTimeoutMs) => {
-      const wanted = names?.map(get) ?? all().filter(({ process: { spec } }) => DAEMON_ROLES.includes(spec.role))
+      const wanted = names?.map(get) ?? allSupervisors().filter(({ process: { spec } }) => DAEMON_ROLES.includes(spec.role))
       await Promise.all(wanted.map(async ({ process: { spec } }) => {
         await waitFor(async () => await respondsOk(spec.readyUrl), { clock, timeoutMs, what: `"${spec.name}" to be ready` })
       }))
@@ -101,11 +101,11 @@
 
   writeSettingsFiles(fleet.processes())
   try {
-    const standins = all().filter(({ process: { spec } }) => !DAEMON_ROLES.includes(spec.role))
-    await Promise.all(standins.map(async supervisor => { supervisor.spawn(); await waitUp(supervisor) }))
+    const standins = allSupervisors().filter(({ process: { spec } }) => !DAEMON_ROLES.includes(spec.role))
+    await Promise.all(standins.map(async supervisor => { supervisor.spawn(); await waitUntilRunning(supervisor) }))
     await hosts.publish()
-    const daemons = all().filter(({ process: { spec } }) => DAEMON_ROLES.includes(spec.role))
-    await Promise.all(daemons.map(async supervisor => { supervisor.spawn(); await waitUp(supervisor) }))
+    const daemons = allSupervisors().filter(({ process: { spec } }) => DAEMON_ROLES.includes(spec.role))
+    await Promise.all(daemons.map(async supervisor => { supervisor.spawn(); await waitUntilRunning(supervisor) }))
   } catch (error) {
     await stop()
     throw error
@@ -121,16 +121,16 @@
 }
 
 async function waitExit (supervisor: Supervisor, timeoutMs: number): Promise<ProcessExit> {
-  const bound = new AbortController()
-  const timeout = sleep(clock, timeoutMs, bound.signal).then(() => undefined)
-  const exit = await Promise.race([supervisor.ended(), timeout])
-  bound.abort()
+  const timeoutCanceller = new AbortController()
+  const timeout = sleep(clock, timeoutMs, timeoutCanceller.signal).then(() => undefined)
+  const exit = await Promise.race([supervisor.exited(), timeout])
+  timeoutCanceller.abort()
   if (exit !== undefined) return exit
   throw new AnvilarchError(`"${supervisor.process.spec.name}" did not exit within ${timeoutMs} ms`, { code: 'deadline_exceeded', step: 'fleet.waitExit', peer: supervisor.process.spec.name })
 }
 
 /** Terminates processes. A stopped process (SIGSTOP) can't handle SIGTERM, so each one is continued first; it is killed after the timeout. */
-async function endAll (supervisors: Supervisor[], timeoutMs: number): Promise<void> {
+async function terminateAll (supervisors: Supervisor[], timeoutMs: number): Promise<void> {
   await Promise.all(supervisors.map(async supervisor => {
     if (supervisor.process.processId === undefined) return
     supervisor.kill('SIGCONT')
@@ -139,7 +139,7 @@
       await waitExit(supervisor, timeoutMs)
     } catch {
       supervisor.kill('SIGKILL')
-      await supervisor.ended()
+      await supervisor.exited()
     }
   }))
 }
--- a/packages/anvilarch-standins/src/fleet/supervisor.ts
+++ b/packages/anvilarch-standins/src/fleet/supervisor.ts
@@ -20,9 +20,9 @@
   spawn: () => void
   kill: (signal: NodeJS.Signals) => void
   /** Disables automatic restarts. */
-  retire: () => void
+  disableRestart: () => void
   /** @returns a promise of the exit of the running process; resolves at once when none is running */
-  ended: () => Promise<ProcessExit>
+  exited: () => Promise<ProcessExit>
 }
 
 /** In the fleet, a daemon that detects the violation of an invariant exits immediately, so that the violation is noticed. */
@@ -39,20 +39,20 @@
   const state: FleetProcess = { spec, processId: undefined, starts: 0, lastExit: undefined, logFile: options.logFile }
   let child: ChildProcess | undefined
   let restartTimer: Timer | undefined
-  let retired = false
-  let ending: Promise<ProcessExit> = Promise.resolve(NEVER_STARTED)
+  let restartDisabled = false
+  let exitPromise: Promise<ProcessExit> = Promise.resolve(NEVER_STARTED)
 
   const onExit = (exit: ProcessExit): void => {
     child = undefined
     state.processId = undefined
     state.lastExit = exit
     options.onChange(state)
-    const delayMs = retired ? undefined : options.restartDelayMs(spec, exit)
+    const delayMs = restartDisabled ? undefined : options.restartDelayMs(spec, exit)
     if (delayMs !== undefined) restartTimer = options.clock.after(delayMs, start)
   }
 
   const start = (): void => {
-    if (retired || child !== undefined) return
+    if (restartDisabled || child !== undefined) return
     restartTimer?.cancel()
     const log = openSync(options.logFile, 'a')
     // A separate process group: an interrupt from the terminal reaches only the fleet, which then terminates its children in order.
@@ -61,7 +61,7 @@
     child = started
     state.processId = started.pid
     state.starts++
-    ending = new Promise(resolve => {
+    exitPromise = new Promise(resolve => {
       const finish = (exit: ProcessExit): void => {
         if (child !== started) return
         onExit(exit)
@@ -77,10 +77,10 @@
     process: state,
     spawn: start,
     kill: signal => { child?.kill(signal) },
-    retire: () => {
-      retired = true
+    disableRestart: () => {
+      restartDisabled = true
       restartTimer?.cancel()
     },
-    ended: () => ending
+    exited: () => exitPromise
   }
 }
--- a/packages/anvilarch-standins/src/fleet/types.ts
+++ b/packages/anvilarch-standins/src/fleet/types.ts
@@ -79,11 +79,11 @@
  * @throws AnvilarchError that names the option, when one is out of range
  */
 export function validateFleetOptions (options: FleetOptions): void {
-  const lowest: Array<[keyof FleetOptions, number]> = [['gateways', 1], ['modelEndpoints', 0], ['plainEndpoints', 0], ['endpointsPerAgent', 1], ['basePort', 0]]
-  for (const [name, from] of lowest) {
+  const minimums: Array<[keyof FleetOptions, number]> = [['gateways', 1], ['modelEndpoints', 0], ['plainEndpoints', 0], ['endpointsPerAgent', 1], ['basePort', 0]]
+  for (const [name, minimum] of minimums) {
     const value = options[name]
-    if (Number.isInteger(value) && (value as number) >= from) continue
-    throw new AnvilarchError(`fleet option "${name}" is ${String(value)}; expected a whole number from ${from}`, { code: 'bad_request', step: 'fleet.options' })
+    if (Number.isInteger(value) && (value as number) >= minimum) continue
+    throw new AnvilarchError(`fleet option "${name}" is ${String(value)}; expected a whole number from ${minimum}`, { code: 'bad_request', step: 'fleet.options' })
   }
   if (options.failureDomains.length === 0) throw new AnvilarchError('fleet option "failureDomains" is empty', { code: 'bad_request', step: 'fleet.options' })
 }
--- a/packages/anvilarch-standins/src/fleet/waits.ts
+++ b/packages/anvilarch-standins/src/fleet/waits.ts
@@ -25,11 +25,11 @@
  * @throws AnvilarchError of code `deadline_exceeded` that contains the description of the condition
  */
 export async function waitFor<Value> (condition: () => Promise<Value | undefined | false> | Value | undefined | false, options: WaitOptions): Promise<Value> {
-  const untilMs = options.clock.nowMs() + options.timeoutMs
+  const deadlineMs = options.clock.nowMs() + options.timeoutMs
   for (;;) {
     const value = await condition()
     if (value !== undefined && value !== false) return value
-    if (options.clock.nowMs() >= untilMs) {
+    if (options.clock.nowMs() >= deadlineMs) {
       throw new AnvilarchError(`timed out after ${options.timeoutMs} ms waiting for ${options.what}`, { code: 'deadline_exceeded', step: 'fleet.wait' })
     }
     await sleep(options.clock, options.intervalMs ?? DEFAULT_INTERVAL_MS)
@@ -57,7 +57,7 @@
  * @returns the parsed response
  * @throws AnvilarchError when the status of the response is not 200
  */
-export async function callJson<Answer> (method: 'GET' | 'PUT' | 'POST', url: string, body?: object): Promise<Answer> {
+export async function callJson<ResponseBody> (method: 'GET' | 'PUT' | 'POST', url: string, body?: object): Promise<ResponseBody> {
   const response = await request(url, {
     dispatcher,
     method,
@@ -66,6 +66,6 @@
     signal: AbortSignal.timeout(CALL_TIMEOUT_MS)
   })
   const text = await response.body.text()
-  if (response.statusCode === 200) return JSON.parse(text) as Answer
-  throw new AnvilarchError(`${method} ${url} answered ${response.statusCode}: ${text}`, { code: 'unavailable', step: 'fleet.call', peer: url })
+  if (response.statusCode === 200) return JSON.parse(text) as ResponseBody
+  throw new AnvilarchError(`${method} ${url} responded with ${response.statusCode}: ${text}`, { code: 'unavailable', step: 'fleet.call', peer: url })
 }
--- a/packages/anvilarch-standins/src/hosts/hostStandin.ts
+++ b/packages/anvilarch-standins/src/hosts/hostStandin.ts
@@ -1,7 +1,7 @@
 /** The stand-in of the platform's list of hosts, in which changes become visible after `lagMs`. */
 import type { HostEntry } from 'anvilarch-protocol'
 import { type Clock, createSystemClock } from 'anvilarch-utils'
-import { type Edge, type EdgeReply, type EdgeRequest, type StandinHandle, type StandinOptions, startEdge } from '../common/httpEdge'
+import { type HandlerRequest, type HandlerResult, type StandinHandle, type StandinOptions, type StandinServer, startStandinServer } from '../common/standinServer'
 
 /** Counts of served requests, and the current list. */
 export interface HostLedger {
@@ -35,24 +35,24 @@
 export async function startHostStandin (options: HostStandinOptions = {}): Promise<HostStandin> {
   const clock = options.clock ?? createSystemClock()
   const state: HostState = { history: [{ sinceMs: -Infinity, hosts: options.hosts ?? [] }], counts: { reads: 0, changes: 0 } }
-  const edge: Edge<HostLedger> = await startEdge<HostLedger>({
+  const server: StandinServer<HostLedger> = await startStandinServer<HostLedger>({
     routes: [
-      { method: 'GET', path: '/hosts', handle: () => readHosts(state, clock, edge.faults.get().lagMs) },
+      { method: 'GET', path: '/hosts', handle: () => readHosts(state, clock, server.faults.get().lagMs) },
       { method: 'PUT', path: '/hosts', handle: request => writeHosts(state, clock, request) }
     ],
-    ledger: () => ({ counts: { ...state.counts }, hosts: latest(state) })
+    ledger: () => ({ counts: { ...state.counts }, hosts: latestHosts(state) })
   }, options)
-  return { ...edge, setHosts: hosts => { changeHosts(state, clock, hosts) } }
+  return { ...server, setHosts: hosts => { changeHosts(state, clock, hosts) } }
 }
 
-function readHosts (state: HostState, clock: Clock, lagMs: number): EdgeReply {
+function readHosts (state: HostState, clock: Clock, lagMs: number): HandlerResult {
   state.counts.reads++
   const asOfMs = clock.nowMs() - lagMs
   const shown = state.history.findLast(({ sinceMs }) => sinceMs <= asOfMs) ?? state.history[0]
   return { status: 200, body: { hosts: shown.hosts } }
 }
 
-function writeHosts (state: HostState, clock: Clock, request: EdgeRequest): EdgeReply {
+function writeHosts (state: HostState, clock: Clock, request: HandlerRequest): HandlerResult {
   const { hosts } = JSON.parse(request.body.toString()) as { hosts: HostEntry[] }
   if (!Array.isArray(hosts)) return { status: 400, body: { error: { message: '"hosts" must be a list' } } }
   changeHosts(state, clock, hosts)
@@ -64,6 +64,6 @@
   state.history.push({ sinceMs: clock.nowMs(), hosts })
 }
 
-function latest (state: HostState): HostEntry[] {
+function latestHosts (state: HostState): HostEntry[] {
   return state.history[state.history.length - 1].hosts
 }
--- a/packages/anvilarch-standins/src/ledger/ledgerReporter.ts
+++ b/packages/anvilarch-standins/src/ledger/ledgerReporter.ts
@@ -13,14 +13,14 @@
   report: (execution: Execution) => Promise<void>
 }
 
-interface Pending {
+interface PendingReport {
   execution: Execution
   resolve: () => void
   reject: (error: Error) => void
 }
 
 const RETRY_DELAY_MS = 50
-const MAX_TRIES = 40
+const MAX_ATTEMPTS = 40
 
 /**
  * @param url - address of the collector, or undefined when there is none
@@ -29,7 +29,7 @@
  */
 export function createLedgerReporter (url: string | undefined, clock: Clock): LedgerReporter {
   if (url === undefined) return { report: async () => {} }
-  let queue: Pending[] = []
+  let queue: PendingReport[] = []
   let sending = false
 
   const sendAll = async (): Promise<void> => {
@@ -50,9 +50,9 @@
   }
 }
 
-async function sendBatch (url: string, batch: Pending[], clock: Clock): Promise<void> {
+async function sendBatch (url: string, batch: PendingReport[], clock: Clock): Promise<void> {
   const body = JSON.stringify({ executions: batch.map(({ execution }) => execution) })
-  for (let tries = 1; ; tries++) {
+  for (let attempt = 1; ; attempt++) {
     try {
       const response = await request(`${url}/executions`, { method: 'POST', headers: { 'content-type': 'application/json' }, body })
       await response.body.dump()
@@ -60,7 +60,7 @@
       for (const { resolve } of batch) resolve()
       return
     } catch (error) {
-      if (tries === MAX_TRIES) {
+      if (attempt === MAX_ATTEMPTS) {
         for (const { reject } of batch) reject(error as Error)
         return
       }
--- a/packages/anvilarch-standins/src/ledger/ledgerStandin.ts
+++ b/packages/anvilarch-standins/src/ledger/ledgerStandin.ts
@@ -1,5 +1,5 @@
 /** The collector of execution records. It keeps running when the endpoints that report to it end. */
-import { type EdgeReply, type EdgeRequest, type StandinHandle, type StandinOptions, startEdge } from '../common/httpEdge'
+import { type HandlerRequest, type HandlerResult, type StandinHandle, type StandinOptions, startStandinServer } from '../common/standinServer'
 import { createExecutionLog, type Execution, type ExecutionLog } from './executions'
 
 /** All executions of the fleet's endpoints. */
@@ -16,13 +16,13 @@
  */
 export async function startLedgerStandin (options: StandinOptions = {}): Promise<LedgerStandin> {
   const log = createExecutionLog()
-  return await startEdge<CollectedLedger>({
-    routes: [{ method: 'POST', path: '/executions', handle: request => takeExecutions(log, request) }],
+  return await startStandinServer<CollectedLedger>({
+    routes: [{ method: 'POST', path: '/executions', handle: request => recordExecutions(log, request) }],
     ledger: query => ({ executions: log.list(query?.get('request') ?? undefined) })
   }, options)
 }
 
-function takeExecutions (log: ExecutionLog, request: EdgeRequest): EdgeReply {
+function recordExecutions (log: ExecutionLog, request: HandlerRequest): HandlerResult {
   const { executions } = JSON.parse(request.body.toString()) as { executions: Execution[] }
   for (const execution of executions) log.start(execution)
   return { status: 200, body: {} }
--- a/packages/anvilarch-standins/src/objects/objectStandin.ts
+++ b/packages/anvilarch-standins/src/objects/objectStandin.ts
@@ -1,5 +1,5 @@
 /** The stand-in of the platform's object store. */
-import { type EdgeReply, type EdgeRequest, type StandinHandle, type StandinOptions, startEdge } from '../common/httpEdge'
+import { type HandlerRequest, type HandlerResult, type StandinHandle, type StandinOptions, startStandinServer } from '../common/standinServer'
 
 /** Counts of served requests, and the size of the store. */
 export interface ObjectLedger {
@@ -30,7 +30,7 @@
  */
 export async function startObjectStandin (options: StandinOptions = {}): Promise<ObjectStandin> {
   const state: ObjectState = { objects: new Map(), counts: { puts: 0, repeatedPuts: 0, gets: 0, lists: 0, removes: 0 } }
-  const edge = await startEdge<ObjectLedger>({
+  const server = await startStandinServer<ObjectLedger>({
     routes: [
       { method: 'PUT', path: '/objects/*', handle: request => putObject(state, request) },
       { method: 'GET', path: '/objects/*', handle: request => getObject(state, request) },
@@ -39,11 +39,11 @@
     ],
     ledger: () => ({ counts: { ...state.counts }, objectCount: state.objects.size, sizeBytes: totalBytes(state) })
   }, options)
-  return { ...edge, names: (prefix = '') => sortedNames(state, prefix), read: name => state.objects.get(name) }
+  return { ...server, names: (prefix = '') => sortedNames(state, prefix), read: name => state.objects.get(name) }
 }
 
 /** Stores an object unless it exists. Objects are immutable: every read of a name returns the same bytes. */
-function putObject (state: ObjectState, request: EdgeRequest): EdgeReply {
+function putObject (state: ObjectState, request: HandlerRequest): HandlerResult {
   const name = nameOf(request)
   if (state.objects.has(name)) {
     state.counts.repeatedPuts++
@@ -54,7 +54,7 @@
   return { status: 201, body: { outcome: 'created' } }
 }
 
-function getObject (state: ObjectState, request: EdgeRequest): EdgeReply {
+function getObject (state: ObjectState, request: HandlerRequest): HandlerResult {
   state.counts.gets++
   const body = state.objects.get(nameOf(request))
   if (body === undefined) return { status: 404, body: { error: { message: 'no such object' } } }
@@ -69,13 +69,13 @@
   return { status: 206, headers: { ...headers, 'content-range': `bytes ${from}-${to}/${body.length}` }, body: body.subarray(from, to + 1) }
 }
 
-function removeObject (state: ObjectState, request: EdgeRequest): EdgeReply {
+function removeObject (state: ObjectState, request: HandlerRequest): HandlerResult {
   state.counts.removes++
   state.objects.delete(nameOf(request))
   return { status: 204 }
 }
 
-function listObjects (state: ObjectState, request: EdgeRequest): EdgeReply {
+function listObjects (state: ObjectState, request: HandlerRequest): HandlerResult {
   state.counts.lists++
   const after = request.query.get('after') ?? ''
   const limit = Number(request.query.get('limit') ?? DEFAULT_LIST_LIMIT)
@@ -84,7 +84,7 @@
   return { status: 200, body: names.length > limit ? { names: page, next: page[page.length - 1] } : { names: page } }
 }
 
-function nameOf (request: EdgeRequest): string {
+function nameOf (request: HandlerRequest): string {
   return request.params['*'] ?? ''
 }
 
--- a/packages/anvilarch-standins/src/plain/__tests__/plainStandin.test.ts
+++ b/packages/anvilarch-standins/src/plain/__tests__/plainStandin.test.ts
@@ -5,8 +5,8 @@
 describe('startPlainStandin', () => {
   test('responds to any method and path, and records each execution', async () => {
     const plain = await startPlainStandin({ name: 'plain-1' })
-    const answer = await callForJson(`${plain.url}/orders?now=1`, { method: 'POST', body: 'text', headers: { 'x-request-id': 'r1', 'x-attempt-id': 'a1' } })
-    expect(answer).toEqual({ path: '/orders', requestId: 'r1', answer: expectedPlainAnswer('POST', '/orders', 'text') })
+    const response = await callForJson(`${plain.url}/orders?now=1`, { method: 'POST', body: 'text', headers: { 'x-request-id': 'r1', 'x-attempt-id': 'a1' } })
+    expect(response).toEqual({ path: '/orders', requestId: 'r1', answer: expectedPlainAnswer('POST', '/orders', 'text') })
     expect(plain.ledger().executions).toMatchObject([{ requestId: 'r1', attemptId: 'a1', state: 'completed', endpoint: 'plain-1' }])
     await plain.close()
   })
--- a/packages/anvilarch-standins/src/plain/plainStandin.ts
+++ b/packages/anvilarch-standins/src/plain/plainStandin.ts
@@ -1,7 +1,7 @@
 /** The stand-in of a plain service: responds to any method and path, and records its executions. */
 import { randomUUID } from 'node:crypto'
 import { type Clock, createSystemClock, sleep } from 'anvilarch-utils'
-import { contains, type Edge, type EdgeReply, type EdgeRequest, type StandinHandle, type StandinOptions, startEdge } from '../common/httpEdge'
+import { containsText, type HandlerRequest, type HandlerResult, type StandinHandle, type StandinOptions, type StandinServer, startStandinServer } from '../common/standinServer'
 import { hashText, wordAt } from '../common/text'
 import { createExecutionLog, type Execution, type ExecutionLog } from '../ledger/executions'
 import { createLedgerReporter, type LedgerReporter } from '../ledger/ledgerReporter'
@@ -53,18 +53,18 @@
     log: createExecutionLog(),
     reporter: createLedgerReporter(options.ledgerUrl, clock)
   }
-  const edge: Edge<PlainLedger> = await startEdge<PlainLedger>({
-    crashesItself: true,
+  const server: StandinServer<PlainLedger> = await startStandinServer<PlainLedger>({
+    crashesInHandler: true,
     routes: [
       { method: 'GET', path: '/health', handle: () => ({ status: 200, body: { status: 'ok' } }) },
-      { method: 'ANY', path: '/*', handle: request => run(state, edge, request) }
+      { method: 'ANY', path: '/*', handle: request => run(state, server, request) }
     ],
     ledger: query => ({ executions: state.log.list(query?.get('request') ?? undefined) })
   }, options)
-  return edge
+  return server
 }
 
-async function run (state: PlainState, edge: Edge<PlainLedger>, request: EdgeRequest): Promise<EdgeReply> {
+async function run (state: PlainState, server: StandinServer<PlainLedger>, request: HandlerRequest): Promise<HandlerResult> {
   const requestId = String(request.headers['x-request-id'] ?? randomUUID())
   const attemptId = String(request.headers['x-attempt-id'] ?? randomUUID())
   const executionId = randomUUID()
@@ -72,8 +72,8 @@
   await state.reporter.report(execution)
   state.log.start(execution)
   if (state.serviceMs > 0) await sleep(state.clock, state.serviceMs)
-  if (contains(request, edge.faults.get().crashOn)) {
-    edge.crash()
+  if (containsText(request, server.faults.get().crashOn)) {
+    server.crash()
     return { status: 500 }
   }
   const ended = state.log.end(executionId, 'completed', state.clock.wallMs())
--- a/packages/anvilarch-standins/src/table/tableState.ts
+++ b/packages/anvilarch-standins/src/table/tableState.ts
@@ -39,7 +39,7 @@
 export function scanRows (state: TableState, prefix: string, options: { after?: string, limit: number }): ScanPage {
   state.counts.scans++
   const rows: Row[] = []
-  const from = options.after !== undefined && options.after >= prefix ? firstAfter(state.keys, options.after) : firstAtOrAfter(state.keys, prefix)
+  const from = options.after !== undefined && options.after >= prefix ? indexAfter(state.keys, options.after) : indexAtOrAfter(state.keys, prefix)
   for (let index = from; index < state.keys.length; index++) {
     const key = state.keys[index]
     if (!key.startsWith(prefix)) break
@@ -57,17 +57,17 @@
  * @returns the outcome
  */
 export function commitWrites (state: TableState, commit: Commit): CommitResult {
-  const known = state.outcomes.get(commit.commitId)
-  if (known !== undefined) {
+  const previous = state.outcomes.get(commit.commitId)
+  if (previous !== undefined) {
     state.counts.repeatedCommits++
-    return known
+    return previous
   }
-  const result = commit.conditions.every(condition => holds(state, condition)) ? applyWrites(state, commit) : describeConflict(state, commit)
-  rememberOutcome(state, commit.commitId, result)
+  const result = commit.conditions.every(condition => isConditionMet(state, condition)) ? applyWrites(state, commit) : describeConflict(state, commit)
+  storeOutcome(state, commit.commitId, result)
   return result
 }
 
-function holds (state: TableState, condition: Condition): boolean {
+function isConditionMet (state: TableState, condition: Condition): boolean {
   return (state.rows.get(condition.key)?.version ?? 0) === condition.version
 }
 
@@ -92,7 +92,7 @@
   }
 }
 
-function rememberOutcome (state: TableState, commitId: string, result: CommitResult): void {
+function storeOutcome (state: TableState, commitId: string, result: CommitResult): void {
   state.outcomes.set(commitId, result)
   if (state.outcomes.size <= MAX_OUTCOMES) return
   const oldest = state.outcomes.keys().next().value as string
@@ -100,21 +100,21 @@
 }
 
 function putRow (state: TableState, row: Row): void {
-  if (!state.rows.has(row.key)) state.keys.splice(firstAtOrAfter(state.keys, row.key), 0, row.key)
+  if (!state.rows.has(row.key)) state.keys.splice(indexAtOrAfter(state.keys, row.key), 0, row.key)
   state.rows.set(row.key, row)
 }
 
 function removeRow (state: TableState, key: string): void {
   if (!state.rows.delete(key)) return
-  state.keys.splice(firstAtOrAfter(state.keys, key), 1)
+  state.keys.splice(indexAtOrAfter(state.keys, key), 1)
 }
 
-function firstAfter (keys: string[], key: string): number {
-  const index = firstAtOrAfter(keys, key)
+function indexAfter (keys: string[], key: string): number {
+  const index = indexAtOrAfter(keys, key)
   return keys[index] === key ? index + 1 : index
 }
 
-function firstAtOrAfter (keys: string[], key: string): number {
+function indexAtOrAfter (keys: string[], key: string): number {
   let low = 0
   let high = keys.length
   while (low < high) {
--- a/packages/anvilarch-standins/src/weights/__tests__/weightStandin.test.ts
+++ b/packages/anvilarch-standins/src/weights/__tests__/weightStandin.test.ts
@@ -9,9 +9,9 @@
     const calls = [call(`${weights.url}/weights/m/1`), call(`${weights.url}/weights/m/1`)]
     await Promise.race(calls)
     clock.advance(50)
-    const answers = await Promise.all(calls)
-    expect(answers.map(answer => answer.status).sort()).toEqual([200, 429])
-    expect(answers.find(answer => answer.status === 429)?.headers['retry-after']).toBe('1')
+    const responses = await Promise.all(calls)
+    expect(responses.map(response => response.status).sort()).toEqual([200, 429])
+    expect(responses.find(response => response.status === 429)?.headers['retry-after']).toBe('1')
     expect(weights.ledger()).toMatchObject({ refused: 1, mostConcurrent: 1 })
     await weights.close()
   })
--- a/packages/anvilarch-standins/src/weights/weightStandin.ts
+++ b/packages/anvilarch-standins/src/weights/weightStandin.ts
@@ -1,6 +1,6 @@
 /** The stand-in of the platform's rate-limited weight store. */
 import { type Clock, createSystemClock, sleep } from 'anvilarch-utils'
-import { type EdgeReply, type EdgeRequest, type StandinHandle, type StandinOptions, startEdge } from '../common/httpEdge'
+import { type HandlerRequest, type HandlerResult, type StandinHandle, type StandinOptions, startStandinServer } from '../common/standinServer'
 
 /** The transfers of the store, and the number of rejected ones. */
 export interface WeightLedger {
@@ -44,13 +44,13 @@
     maxConcurrent: options.maxConcurrent ?? DEFAULT_MAX_CONCURRENT_TRANSFERS,
     transferMs: options.transferMs ?? DEFAULT_TRANSFER_MS
   }
-  return await startEdge<WeightLedger>({
+  return await startStandinServer<WeightLedger>({
     routes: [{ method: 'GET', path: '/weights/:model/:version', handle: request => transfer(state, clock, request) }],
     ledger: () => ({ ...state.ledger, transfers: [...state.ledger.transfers] })
   }, options)
 }
 
-async function transfer (state: WeightState, clock: Clock, request: EdgeRequest): Promise<EdgeReply> {
+async function transfer (state: WeightState, clock: Clock, request: HandlerRequest): Promise<HandlerResult> {
   if (state.running >= state.maxConcurrent) {
     state.ledger.refused++
     return { status: 429, headers: { 'retry-after': '1' }, body: { error: { message: 'too many transfers' } } }
