--- a/packages/anvilarch-standins/src/demo/steps/configurationStep.ts
+++ b/packages/anvilarch-standins/src/demo/steps/configurationStep.ts
@@ -22,7 +22,7 @@
   }
 }
 
-/** Waits until the gateway has discovered all daemons. `config apply --wait` covers only discovered ones, which just after the start may not be all. */
+/** Waits until the gateway has discovered all daemons. `config apply --wait` covers only these, which just after the start may be a part. */
 async function waitForDiscovery (context: DemoContext, daemonCount: number): Promise<void> {
   await waitFor(async () => {
     const status = await runCommand<{ gateways: unknown[], agents: unknown[] }>(context, 'status')
@@ -30,7 +30,7 @@
   }, { clock: context.clock, timeoutMs: DISCOVERY_TIMEOUT_MS, what: `${daemonCount} daemons to discover each other` })
 }
 
-/** Waits until the models are loaded. The placement orders them once the document is in force; until then, requests are rejected with `Retry-After`. */
+/** Waits until the models are loaded, which the placement orders once the document is in force. Until then, callers get a `Retry-After`. */
 async function waitForModels ({ fleet, clock }: DemoContext): Promise<void> {
   await waitFor(async () => {
     const models = await Promise.all(fleet.processes('engine').map(async ({ spec }) => await callJson<{ models: Array<{ state: string }> }>('GET', `${spec.addresses.http}/models`)))
--- a/packages/anvilarch-standins/src/engine/types.ts
+++ b/packages/anvilarch-standins/src/engine/types.ts
@@ -13,7 +13,7 @@
   perThousandContextTokensMs: number
   /** Added for each prompt token that is not in the prefix cache. Prefill is compute-bound, so it grows with the number of tokens. */
   prefillPerTokenMs: number
-  /** Prompt tokens prefilled per step over all sequences. Longer prompts are split into chunks, as in real engines, to bound the duration of a step. */
+  /** Prompt tokens prefilled per step over all sequences. Like real engines, it splits longer prompts to bound the duration of a step. */
   prefillChunkTokens: number
   /** Capacity of the prefix cache in tokens; the least recently used blocks are evicted first. */
   cacheTokens: number
