--- a/packages/anvilarch-standins/src/demo/jobItems.ts
+++ b/packages/anvilarch-standins/src/demo/jobItems.ts
@@ -1,6 +1,6 @@
-/** The items of the demo's jobs, and the check of their results. */
+/** Creates the items of the demo's jobs and checks their results. */
 import { readFileSync, writeFileSync } from 'node:fs'
-import { expectedText } from '../engine/answers'
+import { expectedText } from '../engine/completionPlan'
 import { expectThat } from './types'
 
 const CHAT_PATH = '/v1/chat/completions'
@@ -8,10 +8,10 @@
 /** Options of the items. */
 export interface JobItemOptions {
   count: number
-  /** Told apart from other jobs, so that each is a job of its own. */
+  /** Unique per job: a job with the items of another one would be recognized as the same job. */
   label: string
-  shortestTokens: number
-  longestTokens: number
+  minTokens: number
+  maxTokens: number
 }
 
 interface Item {
@@ -22,7 +22,7 @@
 }
 
 function itemAt (options: JobItemOptions, index: number): Item {
-  const spread = options.longestTokens - options.shortestTokens + 1
+  const spread = options.maxTokens - options.minTokens + 1
   return {
     custom_id: `${options.label}-${index}`,
     method: 'POST',
@@ -30,14 +30,14 @@
     body: {
       model: 'assistant',
       messages: [{ role: 'user', content: `Review renewal ${index} of lot ${options.label}.` }],
-      max_tokens: options.shortestTokens + index % spread
+      max_tokens: options.minTokens + index % spread
     }
   }
 }
 
 /**
- * @param file - where to write
- * @param options - how many and how long
+ * @param file - file to write
+ * @param options - number, label and lengths of the items
  */
 export function writeItems (file: string, options: JobItemOptions): void {
   const lines = Array.from({ length: options.count }, (_, index) => JSON.stringify(itemAt(options, index)))
@@ -47,7 +47,7 @@
 /**
  * @param file - the results of the job
  * @param options - the items
- * @throws DemoFailure when an item has no result, or two, or another item's answer
+ * @throws DemoFailure when an item has no result, more than one, or the result of another item
  */
 export function checkResults (file: string, options: JobItemOptions): void {
   const results = readFileSync(file, 'utf8').split('\n').filter(line => line !== '').map(line => JSON.parse(line) as { custom_id: string, response: { body: { choices: Array<{ message: { content: string } }> } } })
--- a/packages/anvilarch-standins/src/demo/onlineLoad.ts
+++ b/packages/anvilarch-standins/src/demo/onlineLoad.ts
@@ -1,51 +1,51 @@
-/** Online requests that go on while something else happens. */
-import { askStreamed, type ChatAnswer } from './callers'
+/** Generates a constant load of online requests, in parallel to other steps. */
+import { streamCompletion, type StreamResult } from './callers'
 
-/** Running requests. */
+/** A running load. */
 export interface OnlineLoad {
-  /** Sends no more; resolves with all answers when those in progress have ended, and rejects if one was not whole. */
-  finish: () => Promise<ChatAnswer[]>
+  /** Stops sending; resolves with the results of all requests once those in progress have ended, and rejects if one failed. */
+  finish: () => Promise<StreamResult[]>
 }
 
 /** Options of `startOnlineLoad`. */
 export interface OnlineLoadOptions {
   gatewayUrls: string[]
-  /** Requests in progress at any time. */
+  /** Number of concurrent requests. */
   concurrency: number
   maxTokens: number
   label: string
 }
 
 /**
- * @param options - where to, how many and how long
+ * @param options - gateways, concurrency and length of the responses
  * @returns the running load
  */
 export function startOnlineLoad (options: OnlineLoadOptions): OnlineLoad {
-  const answers: ChatAnswer[] = []
+  const results: StreamResult[] = []
   const stopping = new AbortController()
   let sent = 0
-  const work = async (): Promise<void> => {
+  const runWorker = async (): Promise<void> => {
     while (!stopping.signal.aborted) {
       const index = sent++
       const gatewayUrl = options.gatewayUrls[index % options.gatewayUrls.length]
-      answers.push(await askStreamed(gatewayUrl, { prompt: `${options.label} ${index}`, maxTokens: options.maxTokens }))
+      results.push(await streamCompletion(gatewayUrl, { prompt: `${options.label} ${index}`, maxTokens: options.maxTokens }))
     }
   }
-  const workers = Promise.allSettled(Array.from({ length: options.concurrency }, work))
+  const workers = Promise.allSettled(Array.from({ length: options.concurrency }, runWorker))
   return {
     finish: async () => {
       stopping.abort()
       const failed = (await workers).find(worker => worker.status === 'rejected')
       if (failed !== undefined) throw failed.reason
-      return answers
+      return results
     }
   }
 }
 
 /**
  * @param values - measured values
- * @param percent - how many of them may be lower
- * @returns the value at that rank, 0 when there is none
+ * @param percent - percentage of values that may be lower
+ * @returns the value at that rank, 0 for an empty list
  */
 export function percentile (values: number[], percent: number): number {
   const sorted = [...values].sort((a, b) => a - b)
--- a/packages/anvilarch-standins/src/engine/models.ts
+++ b/packages/anvilarch-standins/src/engine/models.ts
@@ -1,9 +1,9 @@
-/** The models of an engine: orders to load and unload them, and their way from the weight store. */
+/** The models of an engine: orders to load and unload them, and the transfer of their weights from the weight store. */
 import { type Clock, sleep } from 'anvilarch-utils'
 import { request } from 'undici'
-import type { EdgeReply } from '../common/httpEdge'
+import type { HandlerResult } from '../common/standinServer'
 
-/** A model within the engine. */
+/** A model that the engine has loaded or is loading. */
 export interface EngineModel {
   model: string
   version: string
@@ -11,7 +11,7 @@
   state: 'loading' | 'ready'
 }
 
-/** An order as it comes over HTTP. */
+/** An order as received over HTTP. */
 export interface EngineOrder {
   action: 'load' | 'unload'
   model: string
@@ -20,44 +20,44 @@
   fencingToken: number
 }
 
-/** An order that was carried out or refused. */
+/** An order that was executed or rejected. */
 export interface RecordedOrder extends EngineOrder {
   accepted: boolean
   atMs: number
 }
 
 /** The models of one engine. */
-export interface ModelHolder {
+export interface ModelRegistry {
   list: () => EngineModel[]
   fencingToken: () => number
   orders: () => RecordedOrder[]
-  order: (order: EngineOrder) => EdgeReply
-  /** @returns whether a model under this name can answer */
+  order: (order: EngineOrder) => HandlerResult
+  /** @returns whether a request for a model of this name can be served */
   serves: (name: string | undefined) => boolean
   stop: () => void
 }
 
-/** Options of `createModelHolder`. */
-export interface ModelHolderOptions {
+/** Options of `createModelRegistry`. */
+export interface ModelRegistryOptions {
   clock: Clock
   /** Address of the weight store; without one, models are ready at once. */
   weightsUrl?: string
-  /** Whether an order with an old token is refused. */
+  /** Whether an order with an old token is rejected. */
   checksFencing: boolean
   /** Models that are ready from the start, as `model:version`. */
   preload: string[]
-  /** Whether a request must name a loaded model; otherwise any name is answered while one is ready. */
+  /** Whether a request must name a loaded model; otherwise any name is served while at least one model is ready. */
   strictModel: boolean
 }
 
-/** Wait after a transfer that failed without saying when to come back. */
+/** Delay before a failed transfer is retried, when the response has no `Retry-After`. */
 const RETRY_DELAY_MS = 300
 
 /**
- * @param options - weight store, fencing and models at the start
+ * @param options - weight store, fencing and initial models
  * @returns the models of an engine
  */
-export function createModelHolder (options: ModelHolderOptions): ModelHolder {
+export function createModelRegistry (options: ModelRegistryOptions): ModelRegistry {
   const models = new Map<string, EngineModel>()
   const orders: RecordedOrder[] = []
   const stopping = new AbortController()
@@ -67,13 +67,13 @@
     models.set(`${model}:${version}`, { model, version, adapters: [], state: 'ready' })
   }
 
-  const load = (order: EngineOrder): EdgeReply => {
+  const load = (order: EngineOrder): HandlerResult => {
     const key = `${order.model}:${order.version}`
     const adapters = order.adapters ?? []
-    const known = models.get(key)
-    if (known !== undefined) {
-      known.adapters = adapters
-      return { status: known.state === 'ready' ? 200 : 202, body: known }
+    const existing = models.get(key)
+    if (existing !== undefined) {
+      existing.adapters = adapters
+      return { status: existing.state === 'ready' ? 200 : 202, body: existing }
     }
     const added: EngineModel = { model: order.model, version: order.version, adapters, state: 'loading' }
     models.set(key, added)
@@ -83,7 +83,7 @@
     return { status: 202, body: added }
   }
 
-  const actions: Record<EngineOrder['action'], (order: EngineOrder) => EdgeReply> = {
+  const actions: Record<EngineOrder['action'], (order: EngineOrder) => HandlerResult> = {
     load,
     unload: order => {
       models.delete(`${order.model}:${order.version}`)
@@ -121,19 +121,19 @@
   return undefined
 }
 
-async function fetchWeights (model: EngineModel, stillWanted: () => boolean, options: ModelHolderOptions, signal: AbortSignal): Promise<void> {
+async function fetchWeights (model: EngineModel, isStillNeeded: () => boolean, options: ModelRegistryOptions, signal: AbortSignal): Promise<void> {
   if (options.weightsUrl === undefined) return
   const url = `${options.weightsUrl}/weights/${encodeURIComponent(model.model)}/${encodeURIComponent(model.version)}`
-  while (stillWanted()) {
-    const delayMs = await tryTransfer(url, signal)
+  while (isStillNeeded()) {
+    const delayMs = await attemptTransfer(url, signal)
     if (delayMs === undefined) return
     await sleep(options.clock, delayMs, signal)
   }
-  throw new Error('the model is not wanted any more')
+  throw new Error('the model is no longer needed')
 }
 
-/** @returns undefined when the weights have come, else when to try again */
-async function tryTransfer (url: string, signal: AbortSignal): Promise<number | undefined> {
+/** @returns undefined when the transfer is complete, else the delay before the next attempt */
+async function attemptTransfer (url: string, signal: AbortSignal): Promise<number | undefined> {
   try {
     const response = await request(url, { signal })
     await response.body.dump()
--- a/packages/anvilarch-standins/src/engine/streams.ts
+++ b/packages/anvilarch-standins/src/engine/streams.ts
@@ -1,6 +1,6 @@
-/** The streams of an engine: each keeps its state apart from the connections that read it, so that any can be read again. */
+/** The streams of an engine. The state of a stream is independent of the connections that read it, so that it can be read again. */
 import type { ServerResponse } from 'node:http'
-import type { EventSource, EventWriter } from './sseEvents'
+import type { CompletionSource, EventWriter } from './sseEvents'
 
 /** State of one stream. */
 export type StreamState = 'running' | 'completed' | 'cancelled'
@@ -9,25 +9,25 @@
 interface StreamReader {
   response: ServerResponse
   /** Index of the next token to write. */
-  next: number
+  nextToken: number
 }
 
-/** One request within the engine. */
+/** One completion request of the engine. */
 export interface EngineStream {
   attemptId: string
   requestId: string
   executionId: string
-  source: EventSource
+  source: CompletionSource
   writer: EventWriter
   producedTokens: number
   state: StreamState
-  /** False until the ledger knows of the execution, and again after a cancel. */
+  /** False until the ledger has recorded the execution, and again after the stream has ended. */
   submitted: boolean
-  /** The request ends the process at its first token. */
-  crashes: boolean
+  /** Whether the request crashes the engine at its first token. */
+  crashesEngine: boolean
   endedMs: number
   readers: Set<StreamReader>
-  /** Called when the stream ends, for answers that are not streamed. */
+  /** Called when the stream ends, for responses that are not streamed. */
   onEnd: Array<() => void>
 }
 
@@ -35,21 +35,21 @@
 export interface StreamRegistry {
   get: (attemptId: string) => EngineStream | undefined
   add: (stream: EngineStream) => void
-  /** Drops ended streams whose retention is over. */
-  sweep: (nowMs: number) => void
+  /** Removes ended streams whose retention period has elapsed. */
+  removeExpired: (nowMs: number) => void
   size: () => number
 }
 
 /**
- * @param retentionMs - how long an ended stream is kept
- * @returns a registry without streams
+ * @param retentionMs - retention period of an ended stream
+ * @returns an empty registry
  */
 export function createStreamRegistry (retentionMs: number): StreamRegistry {
   const streams = new Map<string, EngineStream>()
   return {
     get: attemptId => streams.get(attemptId),
     add: stream => { streams.set(stream.attemptId, stream) },
-    sweep: nowMs => {
+    removeExpired: nowMs => {
       for (const stream of streams.values()) {
         if (stream.state !== 'running' && nowMs - stream.endedMs > retentionMs) streams.delete(stream.attemptId)
       }
@@ -59,23 +59,23 @@
 }
 
 /**
- * Attaches a connection. It is sent what was produced already, then each token as it comes.
+ * Attaches a connection to a stream. The tokens produced so far are sent to it, then each new token.
  *
  * @param stream - the stream to read
- * @param response - the connection's answer, whose head is written
+ * @param response - the response of the connection, with its headers already written
  * @param offsetTokens - index of the first token to send
  */
 export function attachReader (stream: EngineStream, response: ServerResponse, offsetTokens: number): void {
-  const reader = { response, next: offsetTokens }
+  const reader = { response, nextToken: offsetTokens }
   stream.readers.add(reader)
   response.on('close', () => { stream.readers.delete(reader) })
-  response.on('drain', () => { pump(stream, reader) })
-  pump(stream, reader)
+  response.on('drain', () => { flushReader(stream, reader) })
+  flushReader(stream, reader)
 }
 
-/** Sends new tokens to all readers, and the end when the stream has ended. */
-export function pumpReaders (stream: EngineStream): void {
-  for (const reader of stream.readers) pump(stream, reader)
+/** Sends new tokens to all readers, and the final events when the stream has ended. */
+export function flushReaders (stream: EngineStream): void {
+  for (const reader of stream.readers) flushReader(stream, reader)
 }
 
 /**
@@ -83,27 +83,27 @@
  *
  * @param stream - the stream
  * @param state - how it ended
- * @param nowMs - start of its retention
+ * @param nowMs - start of its retention period
  */
 export function endStream (stream: EngineStream, state: 'completed' | 'cancelled', nowMs: number): void {
   stream.state = state
   stream.endedMs = nowMs
   stream.submitted = false
-  pumpReaders(stream)
+  flushReaders(stream)
   for (const onEnd of stream.onEnd.splice(0)) onEnd()
 }
 
-/** A reader that is slow holds back only itself: it goes on from its own position when its connection has drained. */
-function pump (stream: EngineStream, reader: StreamReader): void {
+/** A slow reader delays only itself: it continues from its own position when its connection has drained. */
+function flushReader (stream: EngineStream, reader: StreamReader): void {
   const { response } = reader
   if (response.writableNeedDrain) return
   let text = ''
-  for (; reader.next < stream.producedTokens; reader.next++) text += stream.writer.token(reader.next)
+  for (; reader.nextToken < stream.producedTokens; reader.nextToken++) text += stream.writer.token(reader.nextToken)
   if (stream.state === 'running') {
     if (text !== '') response.write(text)
     return
   }
   stream.readers.delete(reader)
-  // A cancelled stream ends without the last events, so that nobody takes it for a whole answer.
-  response.end(stream.state === 'completed' ? text + stream.writer.ending() : text)
+  // A cancelled stream ends without the final events, so that it cannot be mistaken for a complete response.
+  response.end(stream.state === 'completed' ? text + stream.writer.finalEvents() : text)
 }
--- a/packages/anvilarch-standins/src/fleet/__tests__/supervisor.test.ts
+++ b/packages/anvilarch-standins/src/fleet/__tests__/supervisor.test.ts
@@ -2,14 +2,14 @@
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
 import { createSystemClock } from 'anvilarch-utils'
-import { CRASH_EXIT_CODE } from '../../common/httpEdge'
+import { CRASH_EXIT_CODE } from '../../common/standinServer'
 import { createSupervisor, type Supervisor } from '../supervisor'
 import type { ProcessSpec } from '../types'
 import { waitFor } from '../waits'
 
 const clock = createSystemClock()
 
-/** A process that runs one line of script. */
+/** @returns the supervisor of a process that runs one line of script */
 function supervise (line: string): Supervisor {
   const spec: ProcessSpec = { name: 'child', role: 'engine', script: '-e', arguments: [line], addresses: {}, aliveUrl: '', readyUrl: '' }
   return createSupervisor(spec, {
@@ -23,26 +23,26 @@
 describe('createSupervisor', () => {
   let supervisor: Supervisor
 
-  // A child that is started again and again would outlive a test that fails.
+  // A child that is restarted repeatedly would outlive a test that fails.
   afterEach(async () => {
-    supervisor.retire()
+    supervisor.disableRestart()
     supervisor.kill('SIGKILL')
-    await supervisor.ended()
+    await supervisor.exited()
   })
 
-  test('starts a process again that a request has crashed, until it is retired', async () => {
+  test('restarts a process that was crashed by a request, until restarts are disabled', async () => {
     supervisor = supervise(`process.exit(${CRASH_EXIT_CODE})`)
     supervisor.spawn()
     await waitFor(() => supervisor.process.starts >= 3, { clock, timeoutMs: 20_000, what: 'three starts' })
-    supervisor.retire()
-    expect((await supervisor.ended()).code).toBe(CRASH_EXIT_CODE)
+    supervisor.disableRestart()
+    expect((await supervisor.exited()).code).toBe(CRASH_EXIT_CODE)
   })
 
-  test('leaves a process ended that ended otherwise', async () => {
+  test('does not restart a process that exited for another reason', async () => {
     supervisor = supervise('setInterval(() => {}, 1000)')
     supervisor.spawn()
     supervisor.kill('SIGKILL')
-    expect(await supervisor.ended()).toEqual({ code: null, signal: 'SIGKILL' })
+    expect(await supervisor.exited()).toEqual({ code: null, signal: 'SIGKILL' })
     expect(supervisor.process).toMatchObject({ processId: undefined, starts: 1 })
   })
 })
--- a/packages/anvilarch-standins/src/fleet/fleetFile.ts
+++ b/packages/anvilarch-standins/src/fleet/fleetFile.ts
@@ -1,14 +1,14 @@
-/** Writes `fleet.json`, from which a tester outside learns the addresses and process ids. */
+/** Writes the files of the fleet: the settings of the daemons, and `fleet.json` with the addresses and process ids for external tests. */
 import { existsSync, mkdirSync, readFileSync, renameSync, rmSync, writeFileSync } from 'node:fs'
 import { join } from 'node:path'
 import { AnvilarchError } from 'anvilarch-utils'
 import { DEFAULT_FAULTS } from '../common/faults'
 import type { FleetProcess } from './types'
 
-const SETTINGS_HEADER = '// Written by the fleet script at each start; the daemon reads it once.\n'
+const SETTINGS_HEADER = '// Written by the fleet script at each start; the daemon reads it once, when it starts.\n'
 
 /**
- * Writes the settings files of all daemons.
+ * Writes the settings file of each daemon.
  *
  * @param processes - the processes of the fleet
  */
@@ -20,19 +20,19 @@
 }
 
 /**
- * Creates the folders of the fleet.
+ * Creates the folders of the fleet, and removes the stored faults of an earlier one.
  *
  * @param directory - folder of the fleet
- * @throws AnvilarchError when another fleet runs there, whose file and settings would be lost
+ * @throws AnvilarchError when another fleet runs there, whose files would be overwritten
  */
 export function createFolders (directory: string): void {
-  const other = findRunningFleet(directory)
-  if (other !== undefined) {
-    throw new AnvilarchError(`a fleet runs in "${directory}" as process ${other}; end it first or give another --directory`, { code: 'conflict', step: 'fleet.start' })
+  const runningFleetPid = findRunningFleet(directory)
+  if (runningFleetPid !== undefined) {
+    throw new AnvilarchError(`a fleet is running in "${directory}" as process ${runningFleetPid}; stop it first or choose another --directory`, { code: 'conflict', step: 'fleet.start' })
   }
   mkdirSync(join(directory, 'settings'), { recursive: true })
   mkdirSync(join(directory, 'logs'), { recursive: true })
-  // What a crash in an earlier fleet left behind is no fault of this one.
+  // Faults that a crash in an earlier fleet has stored must not apply to this one.
   rmSync(join(directory, 'faults'), { recursive: true, force: true })
   mkdirSync(join(directory, 'faults'))
 }
@@ -51,10 +51,10 @@
 }
 
 /**
- * Writes the file whole under another name and then renames it, so that a reader never sees half of it.
+ * Writes the file under another name and then renames it, so that a reader never gets an incomplete file.
  *
  * @param directory - folder of the fleet
- * @param processes - the processes as they are now
+ * @param processes - the current state of the processes
  */
 export function writeFleetFile (directory: string, processes: FleetProcess[]): void {
   const file = join(directory, 'fleet.json')
@@ -67,21 +67,21 @@
     fleetPid: process.pid,
     processes: processes.map(describeProcess),
     faults: {
-      how: 'Each stand-in (every process but gateways and agents) serves GET and PUT /faults and GET /ledger at its http address. PUT merges the fields that it is given.',
+      how: 'Each stand-in (every process except gateways and agents) serves GET and PUT /faults and GET /ledger at its http address. PUT merges the given fields into the current faults.',
       example: 'curl -X PUT <http address>/faults -d \'{"latencyMs":200}\'',
       switches: DEFAULT_FAULTS,
       meaning: {
-        latencyMs: 'added to each request, half before the effect and half before the answer',
-        outage: '503 at once',
-        frozen: 'accepts requests and never answers; streams stand still',
-        loseReplies: 'share from 0 to 1 of requests that take effect and whose connection is then cut',
-        silence: 'true silences the connections open at that moment for good; new ones work',
-        lagMs: 'how late lists, load reports and cache events are',
-        crashOn: 'text in a request that ends the process with exit code 70 when the request runs; the fleet starts it again with the same faults',
-        failOn: 'text in a request that gives 500',
-        failShare: 'share from 0 to 1 of an engine\'s requests for work that are answered with 500 before they run; health stays good'
+        latencyMs: 'delay added to each request, half before it takes effect and half before the response',
+        outage: 'responds with 503 to every request without processing it',
+        frozen: 'accepts requests without ever responding; streams are paused',
+        loseReplies: 'share from 0 to 1 of requests that take effect and whose connection is then closed without a response',
+        silence: 'true permanently silences the connections that are open; new connections work',
+        lagMs: 'delay with which lists, load reports and cache events become visible',
+        crashOn: 'a request that contains this text ends the process with exit code 70 when it runs; the fleet restarts it with the same faults',
+        failOn: 'a request that contains this text fails with 500',
+        failShare: 'share from 0 to 1 of an engine\'s work requests that fail with 500 before they run; health checks still succeed'
       },
-      ledger: 'The process "ledger" collects the executions of all endpoints and outlives them: GET <http address>/ledger, or /ledger?request=ID.'
+      ledger: 'The process "ledger" collects the executions of all endpoints and keeps running when they end: GET <http address>/ledger, or /ledger?request=ID.'
     }
   }
 }
--- a/packages/anvilarch-standins/src/fleet/hostList.ts
+++ b/packages/anvilarch-standins/src/fleet/hostList.ts
@@ -1,24 +1,24 @@
-/** Keeps the stand-in's list of hosts in step with the daemons of the fleet, as the platform would. */
+/** Publishes the state of the fleet's daemons to the stand-in of the host list, as the platform would. */
 import type { HostEntry } from 'anvilarch-protocol'
 import { type Clock } from 'anvilarch-utils'
 import type { FleetProcess } from './types'
 import { callJson } from './waits'
 
-/** The list of hosts. */
-export interface HostListKeeper {
+/** Publishes the list of hosts. */
+export interface HostListPublisher {
   set: (daemon: string, state: HostEntry['state'] | 'gone') => Promise<void>
-  /** A daemon ended: it stays on the list for a while, as a host that was lost does. */
-  noteExit: (process: FleetProcess) => void
+  /** Records the exit of a daemon. Its host is removed from the list after a delay, as a lost host is. */
+  recordExit: (process: FleetProcess) => void
   publish: () => Promise<void>
 }
 
 /**
  * @param url - address of the stand-in
  * @param processes - all processes of the fleet
- * @param options - clock, and how long a lost host stays on the list
- * @returns the keeper; nothing is published yet
+ * @param options - clock, and the delay until a lost host is removed from the list
+ * @returns the publisher; nothing is published yet
  */
-export function createHostListKeeper (url: string, processes: FleetProcess[], options: { clock: Clock, hostLossMs: number }): HostListKeeper {
+export function createHostListPublisher (url: string, processes: FleetProcess[], options: { clock: Clock, hostLossMs: number }): HostListPublisher {
   const entries = new Map<string, HostEntry>()
   for (const { spec } of processes) {
     if (spec.hostEntry !== undefined) entries.set(spec.name, spec.hostEntry)
@@ -41,12 +41,12 @@
   return {
     set,
     publish,
-    noteExit: ended => {
-      const { name } = ended.spec
+    recordExit: exitedProcess => {
+      const { name } = exitedProcess.spec
       if (!entries.has(name)) return
-      const { starts } = ended
+      const { starts } = exitedProcess
       options.clock.after(options.hostLossMs, () => {
-        if (ended.processId !== undefined || ended.starts !== starts) return
+        if (exitedProcess.processId !== undefined || exitedProcess.starts !== starts) return
         set(name, 'gone').catch(() => {})
       })
     }
--- a/packages/anvilarch-standins/src/index.ts
+++ b/packages/anvilarch-standins/src/index.ts
@@ -1,6 +1,6 @@
-/** Stand-ins for the platform and the endpoints, each startable in process by a test or as a process of its own. */
+/** Stand-ins for the platform services and the endpoints. Each runs within the process of a test or as a separate process. */
 export * from './common/faults'
-export { CRASH_EXIT_CODE, type StandinHandle, type StandinOptions } from './common/httpEdge'
+export { CRASH_EXIT_CODE, type StandinHandle, type StandinOptions } from './common/standinServer'
 export * from './table/tableStandin'
 export * from './objects/objectStandin'
 export * from './hosts/hostStandin'
@@ -9,7 +9,7 @@
 export * from './ledger/ledgerStandin'
 export * from './plain/plainStandin'
 export * from './engine/types'
-export { type AnswerKind, type EngineRequestBody, expectedText, planAnswer } from './engine/answers'
+export { type CompletionKind, type EngineRequestBody, expectedText, planCompletion } from './engine/completionPlan'
 export * from './engine/scheduler'
 export * from './engine/engineLoop'
 export * from './engine/engineStandin'
--- a/packages/anvilarch-standins/src/ledger/ledgerStandin.ts
+++ b/packages/anvilarch-standins/src/ledger/ledgerStandin.ts
@@ -1,5 +1,5 @@
-/** The collector of execution records, which outlives the endpoints that report to it. */
-import { type EdgeReply, type EdgeRequest, type StandinHandle, type StandinOptions, startEdge } from '../common/httpEdge'
+/** The collector of execution records. It keeps running when the endpoints that report to it end. */
+import { type HandlerRequest, type HandlerResult, type StandinHandle, type StandinOptions, startStandinServer } from '../common/standinServer'
 import { createExecutionLog, type Execution, type ExecutionLog } from './executions'
 
 /** All executions of the fleet's endpoints. */
@@ -12,17 +12,17 @@
 
 /**
  * @param options - port, faults and clock
- * @returns the running collector; `GET /ledger?request=ID` gives the executions of one request
+ * @returns the running collector; `GET /ledger?request=ID` returns the executions of one request
  */
 export async function startLedgerStandin (options: StandinOptions = {}): Promise<LedgerStandin> {
   const log = createExecutionLog()
-  return await startEdge<CollectedLedger>({
-    routes: [{ method: 'POST', path: '/executions', handle: request => takeExecutions(log, request) }],
+  return await startStandinServer<CollectedLedger>({
+    routes: [{ method: 'POST', path: '/executions', handle: request => recordExecutions(log, request) }],
     ledger: query => ({ executions: log.list(query?.get('request') ?? undefined) })
   }, options)
 }
 
-function takeExecutions (log: ExecutionLog, request: EdgeRequest): EdgeReply {
+function recordExecutions (log: ExecutionLog, request: HandlerRequest): HandlerResult {
   const { executions } = JSON.parse(request.body.toString()) as { executions: Execution[] }
   for (const execution of executions) log.start(execution)
   return { status: 200, body: {} }
--- a/packages/anvilarch-standins/src/table/tableState.ts
+++ b/packages/anvilarch-standins/src/table/tableState.ts
@@ -1,21 +1,21 @@
-/** The state of the table service: rows in key order, and the first outcome of each commit id. */
+/** The state of the table service: rows in key order, and the outcome of each commit id, which makes commits idempotent. */
 import type { Commit, CommitResult, Condition, Row, ScanPage } from 'anvilarch-protocol'
 
-/** Rows and remembered commits of one table. */
+/** Rows and commit outcomes of one table. */
 export interface TableState {
   rows: Map<string, Row>
-  /** All keys, sorted, so that a scan of one prefix reads only that prefix. */
+  /** All keys, sorted, so that a scan reads only the keys of its prefix. */
   keys: string[]
-  /** Version of the latest write. One counter for all rows, so that a row written again after a delete never repeats a version. */
+  /** Version of the latest write. A single counter serves all rows, so that a row that is deleted and written again never repeats a version. */
   revision: number
   outcomes: Map<string, CommitResult>
   counts: { reads: number, scans: number, commits: number, conflicts: number, repeatedCommits: number }
 }
 
-/** Commit ids remembered; the oldest are forgotten first. */
+/** Maximum number of stored commit outcomes; the oldest are evicted first. */
 const MAX_OUTCOMES = 200_000
 
-/** @returns a table without rows */
+/** @returns an empty table */
 export function createTableState (): TableState {
   return { rows: new Map(), keys: [], revision: 0, outcomes: new Map(), counts: { reads: 0, scans: 0, commits: 0, conflicts: 0, repeatedCommits: 0 } }
 }
@@ -33,13 +33,13 @@
 /**
  * @param state - the table
  * @param prefix - only keys that start with it
- * @param options - where to read on and how many rows at most
+ * @param options - key after which to continue, and the maximum number of rows
  * @returns one page in key order
  */
 export function scanRows (state: TableState, prefix: string, options: { after?: string, limit: number }): ScanPage {
   state.counts.scans++
   const rows: Row[] = []
-  const from = options.after !== undefined && options.after >= prefix ? firstAfter(state.keys, options.after) : firstAtOrAfter(state.keys, prefix)
+  const from = options.after !== undefined && options.after >= prefix ? indexAfter(state.keys, options.after) : indexAtOrAfter(state.keys, prefix)
   for (let index = from; index < state.keys.length; index++) {
     const key = state.keys[index]
     if (!key.startsWith(prefix)) break
@@ -50,24 +50,24 @@
 }
 
 /**
- * Applies a transaction, or repeats its first outcome.
+ * Applies a transaction, or returns its first outcome when the commit id was already processed.
  *
  * @param state - the table
  * @param commit - conditions and writes
- * @returns what became of it
+ * @returns the outcome
  */
 export function commitWrites (state: TableState, commit: Commit): CommitResult {
-  const known = state.outcomes.get(commit.commitId)
-  if (known !== undefined) {
+  const previous = state.outcomes.get(commit.commitId)
+  if (previous !== undefined) {
     state.counts.repeatedCommits++
-    return known
+    return previous
   }
-  const result = commit.conditions.every(condition => holds(state, condition)) ? applyWrites(state, commit) : describeConflict(state, commit)
-  rememberOutcome(state, commit.commitId, result)
+  const result = commit.conditions.every(condition => isConditionMet(state, condition)) ? applyWrites(state, commit) : describeConflict(state, commit)
+  storeOutcome(state, commit.commitId, result)
   return result
 }
 
-function holds (state: TableState, condition: Condition): boolean {
+function isConditionMet (state: TableState, condition: Condition): boolean {
   return (state.rows.get(condition.key)?.version ?? 0) === condition.version
 }
 
@@ -83,7 +83,7 @@
   return { outcome: 'committed', versions }
 }
 
-/** Lists the rows of all conditions in their order, so that the loser needs no second read. */
+/** Returns the rows of all conditions in their order, so that the rejected writer needs no further read. */
 function describeConflict (state: TableState, commit: Commit): CommitResult {
   state.counts.conflicts++
   return {
@@ -92,7 +92,7 @@
   }
 }
 
-function rememberOutcome (state: TableState, commitId: string, result: CommitResult): void {
+function storeOutcome (state: TableState, commitId: string, result: CommitResult): void {
   state.outcomes.set(commitId, result)
   if (state.outcomes.size <= MAX_OUTCOMES) return
   const oldest = state.outcomes.keys().next().value as string
@@ -100,21 +100,21 @@
 }
 
 function putRow (state: TableState, row: Row): void {
-  if (!state.rows.has(row.key)) state.keys.splice(firstAtOrAfter(state.keys, row.key), 0, row.key)
+  if (!state.rows.has(row.key)) state.keys.splice(indexAtOrAfter(state.keys, row.key), 0, row.key)
   state.rows.set(row.key, row)
 }
 
 function removeRow (state: TableState, key: string): void {
   if (!state.rows.delete(key)) return
-  state.keys.splice(firstAtOrAfter(state.keys, key), 1)
+  state.keys.splice(indexAtOrAfter(state.keys, key), 1)
 }
 
-function firstAfter (keys: string[], key: string): number {
-  const index = firstAtOrAfter(keys, key)
+function indexAfter (keys: string[], key: string): number {
+  const index = indexAtOrAfter(keys, key)
   return keys[index] === key ? index + 1 : index
 }
 
-function firstAtOrAfter (keys: string[], key: string): number {
+function indexAtOrAfter (keys: string[], key: string): number {
   let low = 0
   let high = keys.length
   while (low < high) {
