--- a/packages/anvilarch-bench/src/soak/switchedOff/switches.ts
+++ b/packages/anvilarch-bench/src/soak/switchedOff/switches.ts
@@ -65,7 +65,7 @@
     mechanism: 'the agent bars an attempt id that it is asked for and does not know',
     replacements: [{
       file: `${DAEMON}/agent/attemptTable.ts`,
-      text: "return [refuse(event.id, bar(state, event.id, event.nowMs) ? 'barred' : 'wrong_incarnation')]",
+      text: "return [refuse(event.id, barId(state, event.id, event.nowMs) ? 'barred' : 'wrong_incarnation')]",
       by: "return [refuse(event.id, 'barred')]"
     }],
     faults: ['peer_delay'],
@@ -184,7 +184,7 @@
     mechanism: 'as agent_fencing, and a holder trusts its lease only as long as its own clock allows',
     replacements: [FENCING, {
       file: `${DAEMON}/leases/startSingleLease.ts`,
-      text: 'if (!heartbeat.holdsLease() || hold.lapses !== heartbeat.lapses()) return undefined',
+      text: 'if (!heartbeat.holdsLease() || held.lapses !== heartbeat.lapses()) return undefined',
       by: ''
     }],
     faults: ['pause_gateway', 'peer_delay'],
