--- a/packages/anvilarch-bench/src/soak/__fixtures__/evidence.ts
+++ b/packages/anvilarch-bench/src/soak/__fixtures__/evidence.ts
@@ -1,4 +1,4 @@
-/** Builds evidence for tests of the checks: each record is sound until a test plants a fault in it. */
+/** Builds evidence for tests of the checks: each record is valid unless a test adds a violation. */
 import type { Execution } from 'anvilarch-standins'
 import { emptyEvidence, type CallRecord, type Evidence, type ItemSpec, type JobAnswer, type SubmissionRecord } from '../types'
 
@@ -30,7 +30,7 @@
   return { gateway: 'gateway-1', sentAtMs: 1000, endedAtMs: 1100, told: 'whole', status: 200, code: '', ran: '', retryAfterMs: undefined, jobId: 'batch_1', ...changes }
 }
 
-/** A job of two items, both shown with the right text. */
+/** A job of two items, both with the expected text as result. */
 export function submission (changes: Partial<SubmissionRecord> = {}): SubmissionRecord {
   const items: ItemSpec[] = ['item-1', 'item-2'].map(customId => ({ customId, body: {}, expected: `text of ${customId}` }))
   return {
--- a/packages/anvilarch-bench/src/soak/checker/__tests__/checkEvidence.test.ts
+++ b/packages/anvilarch-bench/src/soak/checker/__tests__/checkEvidence.test.ts
@@ -3,7 +3,7 @@
 import { checkEvidence, CHECKS } from '../checkEvidence'
 import { DOWN_MS, RELOAD_BOUND_MS } from '../serviceChecks'
 
-/** Names of the checks that found something. */
+/** Names of the checks with a violation. */
 function found (planted: Partial<Evidence>): string[] {
   return checkEvidence(evidence(planted)).filter(({ count }) => count > 0).map(({ name }) => name)
 }
@@ -20,7 +20,7 @@
   call({ requestId: `call-${index}`, sentAtMs: 1000 + index, endedAtMs: 2000, told: 'refused', status: 503, code: 'unavailable', ran: 'not_run', retryAfterMs: 1000 }))
 const RUNNING = { state: 'running' as const, endedAtMs: undefined }
 
-/** A sound record of each kind, which no check may complain about. */
+/** A valid record of each kind, without a violation. */
 const SOUND: Partial<Evidence> = {
   calls: [call(), call({ requestId: 'call-2', told: 'refused', status: 503, code: 'overloaded', ran: 'not_run', retryAfterMs: 1000 })],
   executions: [execution()],
@@ -34,7 +34,7 @@
 
 const ONE_LINE = submission().lines.slice(0, 1)
 
-/** Evidence with one fault planted, by the check that must find it. */
+/** Evidence with one violation, by the name of the check that must find it. */
 const PLANTED: Record<string, Partial<Evidence>> = {
   'items lost': { submissions: [submission({ lines: ONE_LINE })] },
   'items doubled': { submissions: [submission({ lines: [...submission().lines, ...ONE_LINE] })] },
@@ -81,14 +81,14 @@
 }
 
 describe('checkEvidence', () => {
-  test('counts nothing in sound evidence, and says how much it looked at', () => {
+  test('counts nothing in valid evidence, and reports the number of cases examined', () => {
     expect(found(SOUND)).toEqual([])
     const trials = Object.fromEntries(checkEvidence(evidence(SOUND)).map(count => [count.name, count.trials]))
     expect(trials['items lost']).toBe(2)
     expect(trials['calls run after "not_run"']).toBe(1)
   })
 
-  test('has a planted fault for every check', () => {
+  test('has evidence with a violation for every check', () => {
     expect(Object.keys(PLANTED).sort()).toEqual(CHECKS.map(({ name }) => name).sort())
   })
 
@@ -96,13 +96,13 @@
     expect(found(planted)).toContain(name)
   })
 
-  test('does not blame a planned stop for calls that another fault touched', () => {
+  test('does not count calls against a planned stop that another fault may have interrupted', () => {
     const kill = { fault: 'kill_agent', target: 'agent-1', injectedAtMs: 5500, healedAtMs: 5600 }
     expect(found({ ...PLANTED['requests cut by a planned stop'], faults: [STOP_FAULT, kill] })).toEqual([])
   })
 
-  // Guards against this: a soak counts new work on a leaving endpoint (seed 317).
-  test('does not count work that waited in a frozen engine since before it began to leave', () => {
+  // Guards against a false count of new work on a leaving endpoint: a frozen engine starts an earlier request late (soak seed 317).
+  test('does not count work that was queued in a frozen engine before the endpoint began to leave', () => {
     const leave = ENGINE_LEAVE
     const endpoint = leave.endpoints[0]
     const frozen = { fault: 'engine_frozen', target: endpoint, injectedAtMs: leave.sinceMs - 700, healedAtMs: leave.sinceMs + 7000 }
@@ -116,8 +116,8 @@
     expect(found({ leaves: [leave], calls: [before], executions: [run], faults: [{ ...frozen, healedAtMs: leave.sinceMs + 1000 }] })).toEqual(counted)
   })
 
-  // Guards against this: a soak blames a planned stop for a keyed order (seed 42: `conflict`, "the call under Idempotency-Key is in progress").
-  test('does not blame a planned stop for a call whose key is in progress elsewhere, unless that call was cut too', () => {
+  // Guards against counting a keyed order against a planned stop when it got `conflict` ("the call under Idempotency-Key is in progress", soak seed 42).
+  test('does not count a call against a planned stop whose key is in progress elsewhere, unless that call was interrupted too', () => {
     const order = { kind: 'keyed_order', key: 'order-1', idempotent: false } as const
     const told = call({ ...order, requestId: 'order-1.0', sentAtMs: 4000, endedAtMs: 6000, told: 'failed', status: 409, code: 'conflict', ran: 'unknown' })
     const other = call({ ...order, requestId: 'order-1.1', gateway: 'gateway-2', sentAtMs: 4000, endedAtMs: 6100 })
@@ -131,16 +131,16 @@
     expect(found({ ...stopped, calls: [{ ...told, status: 502, code: 'outcome_unknown' }, other] })).toEqual(blamed)
   })
 
-  // Guards against this: a soak on a busy machine cannot tell a fault of the system from processes that got no time.
-  test('says which daemons stood still while a call was held to its deadline', () => {
+  // Guards against mistaking processes without CPU time on a busy computer for a fault of the system.
+  test('names the daemons whose process paused while a call was held up to its deadline', () => {
     const held = call({ told: 'failed', status: 504, code: 'deadline_exceeded', ran: 'unknown' })
     const pauses = [{ daemon: 'gateway-1', processId: 7, atMs: held.endedAtMs + 100, count: 2 }, { daemon: 'gateway-2', processId: 8, atMs: held.sentAtMs - 1, count: 1 }]
     const [{ examples }] = checkEvidence(evidence({ calls: [held], pauses })).filter(({ count }) => count > 0)
-    expect(examples).toEqual([expect.stringMatching(/; gateway-1 stood still \(2\)$/)])
+    expect(examples).toEqual([expect.stringMatching(/; process of gateway-1 paused \(2\)$/)])
   })
 
-  // Guards against this: a soak passes although an engine that crashed stands idle for a minute.
-  test('expects an order to load for each process of an engine, unless its agent was away or the placement could not act', () => {
+  // Guards against a pass although an engine stays without a model for a minute after a crash.
+  test('expects an order to load for each process of an engine, unless its agent was stopped or the placement could not act', () => {
     const name = 'engines that came back and got no order to load in time'
     const crashing = { fault: 'crashing_request', target: 'callers', injectedAtMs: 0, healedAtMs: 5000 }
     const away = { fault: 'stop_agent', target: 'agent-1', injectedAtMs: 500, healedAtMs: 3000 }
@@ -157,7 +157,7 @@
     expect(found({ engineProcesses: [{ ...IDLE_ENGINE, lastSeenMs: IDLE_ENGINE.lastSeenMs - 1 }] })).toEqual([])
   })
 
-  test('takes a service for down when a whole window of calls has no whole answer, and not for crashes alone', () => {
+  test('reports a service as down when no call in a window gets a complete response, even if only crashes were injected', () => {
     const name = 'ten seconds without a whole answer of the model service'
     const crashing = { fault: 'crashing_request', target: 'callers', injectedAtMs: 0, healedAtMs: 5000 }
     expect(found({ calls: REFUSED_CALLS, faults: [crashing] })).toEqual([name])
@@ -166,7 +166,7 @@
     expect(found({ calls: REFUSED_CALLS, faults: [{ ...crashing, fault: 'kill_engine', target: 'engine-1' }] })).toEqual([])
   })
 
-  test('does not expect the system to know what a lagging list of hosts does not show yet', () => {
+  test('does not expect the system to detect what a lagging host list does not show yet', () => {
     const leave = { ...ENGINE_LEAVE, by: 'host_list' as const }
     const lag = { fault: 'host_list_lag', target: 'hosts', injectedAtMs: 500, healedAtMs: 4000 }
     const executions = [execution({ startedAtMs: 8000 })]
--- a/packages/anvilarch-bench/src/soak/checker/__tests__/streamEnds.test.ts
+++ b/packages/anvilarch-bench/src/soak/checker/__tests__/streamEnds.test.ts
@@ -12,7 +12,7 @@
 const DONE = 'data: [DONE]\n\n'
 const SHORT = ['answers incomplete that were told as whole']
 
-/** Names of the checks that find something in a streamed answer to which "abc" is right. */
+/** Names of the checks that find a violation in a streamed response whose expected text is "abc". */
 function foundIn (events: string, cut?: Error, isGone = false): string[] {
   const reader = createChatReader(createFakeClock())
   reader.answer.status = 200
@@ -23,7 +23,7 @@
 }
 
 describe('a stream whose body ended cleanly', () => {
-  test('is sound with all pieces, or with the start and an error', () => {
+  test('is valid with all pieces, or with the first pieces and an error', () => {
     expect(foundIn(token('ab') + token('c') + REASON + USAGE + DONE)).toEqual([])
     expect(foundIn(token('ab') + ERROR)).toEqual([])
     expect(foundIn(ERROR + DONE)).toEqual([])
@@ -35,18 +35,18 @@
     ['text, reason and end', token('ab')],
     ['everything', ''],
     ['the reason', token('abc') + USAGE + DONE],
-    ['the usage that was asked for', token('abc') + REASON + DONE],
+    ['the requested usage', token('abc') + REASON + DONE],
     ['the end', token('abc') + REASON + USAGE]
-  ])('is found when it lacks %s', (_what, events) => {
+  ])('is reported when it lacks %s', (_what, events) => {
     expect(foundIn(events)).toEqual(SHORT)
   })
 })
 
-// Guards against this: pieces that come twice, or from another run, pass unseen when the stream then breaks.
+// Guards against missing duplicate pieces, or pieces of another execution, when the stream then breaks.
 describe('a stream that was not told as whole', () => {
   const CUT = Object.assign(new Error('other side closed'), { code: 'UND_ERR_SOCKET' })
 
-  test('is sound with the start of its answer', () => {
+  test('is valid with the first pieces of its response', () => {
     expect(foundIn(token('ab'), CUT)).toEqual([])
     expect(foundIn(token('ab'), CUT, true)).toEqual([])
     expect(foundIn('', CUT)).toEqual([])
@@ -56,14 +56,14 @@
     ['ended with an error', token('ab') + token('b') + ERROR, undefined, false],
     ['broke', token('ab') + token('b'), CUT, false],
     ['broke after half an event', 'data: {"choices":[\n\n' + token('a'), CUT, false],
-    ['was left by its caller', token('ab') + token('b'), CUT, true]
-  ])('is found with other pieces when it %s', (_what, events, cut, isGone) => {
+    ['was closed by its caller', token('ab') + token('b'), CUT, true]
+  ])('is reported with wrong pieces when it %s', (_what, events, cut, isGone) => {
     expect(foundIn(events, cut, isGone)).toEqual(['streams with other pieces that were not told as whole'])
   })
 })
 
-// Guards against this: a whole answer that was cut before its reason passes as right.
-test('a whole answer without a reason for its end is incomplete', () => {
+// Guards against accepting a response that was cut before its finish reason.
+test('a complete response without a finish reason is incomplete', () => {
   const body = (reason: string | null): string => JSON.stringify({ choices: [{ message: { content: 'abc' }, finish_reason: reason }] })
   expect(judgeText(body('stop'), 'abc')).toBeUndefined()
   expect(judgeText(body(null), 'abc')).toBe('incomplete')
--- a/packages/anvilarch-bench/src/soak/checker/callChecks.ts
+++ b/packages/anvilarch-bench/src/soak/checker/callChecks.ts
@@ -1,26 +1,26 @@
-/** Checks of single calls: what callers were told, against the ledger. */
+/** Checks of single calls: compares the responses to callers with the ledger of executions. */
 import type { CallRecord, Evidence } from '../types'
 import { CRASHING_FAULT, isDisturbed } from './disturbance'
 import { executionsOf } from './executionIndex'
 import type { Check, Finding } from './types'
 
-/** Statuses that ask the caller to come back. */
+/** Statuses after which the caller may retry later. */
 const COME_BACK_STATUSES = new Set([429, 503])
 
-/** Executions that a request which crashes endpoints may have over all resends: it is run beside others, then alone. */
+/** Endpoints that a crashing request may end over all resends: it runs along with other requests first, then alone. */
 export const MAX_ENDPOINTS_CRASHED = 3
 
-/** Code of a call that its caller gave up on, some time after its deadline. */
+/** Code of a call that the client aborted some time after the call's deadline. */
 export const TIMED_OUT = 'TimeoutError'
 
-/** Pauses are read this much later at the most, as long as the daemon runs. */
+/** Longest delay until a pause shows in the polled metrics, as long as the daemon runs. */
 const PAUSE_READ_MS = 2000
 
 const DEADLINE_PASSED = 'deadline_exceeded'
 
 const GATEWAY_FAULTS: ReadonlySet<string> = new Set(['kill_gateway', 'kill_acceptor', 'outage_after_apply', 'pause_gateway'])
 
-/** Codes that say that a request itself is at fault. */
+/** Error code of a request that is itself considered the cause of crashes. */
 const CONDEMNED = 'quarantined'
 
 export const CALL_CHECKS: Check[] = [
@@ -58,7 +58,7 @@
   return { trials: claims.length, wrong }
 }
 
-/** Calls under one key count together, over all gateways that they were sent through. */
+/** Calls with the same key count together, over all gateways that they were sent through. */
 function runsAboveOne (evidence: Evidence, kind: CallRecord['kind']): Finding {
   const groups = groupBy(evidence.calls.filter(call => call.kind === kind), call => call.key ?? call.requestId)
   const wrong: string[] = []
@@ -76,7 +76,7 @@
   return { trials: groups.length, wrong: wrong.map(([key, calls]) => `"${key}": ${describeCall(calls[0])}`) }
 }
 
-/** A gateway that was killed or paused can't answer; every other one must. */
+/** A gateway that was killed or paused can't respond; every other one must. */
 function leftWithoutAnswer (evidence: Evidence): Finding {
   const wrong = evidence.calls.filter(call => call.code === TIMED_OUT && !evidence.faults.some(fault =>
     GATEWAY_FAULTS.has(fault.fault) && fault.target.includes(call.gateway) && fault.injectedAtMs <= call.endedAtMs && fault.healedAtMs >= call.sentAtMs))
@@ -105,7 +105,7 @@
   return { trials: harmless.length, wrong: harmless.filter(call => call.code === CONDEMNED).map(describeCall) }
 }
 
-/** A request that crashes its engine must not cost those that ran beside it their answers; only calls that no other fault touched are judged. */
+/** Requests that ran along with one that crashed their engine must still complete. Only calls without another fault are checked. */
 function unfinishedBesideCrash (evidence: Evidence): Finding {
   const crashes = evidence.calls.filter(call => call.kind === 'crashing').flatMap(call => executionsOf(evidence.executions, call.requestId)).filter(run => run.state === 'running')
   const beside = evidence.calls.filter(call => call.kind !== 'crashing' && call.idempotent && call.told !== 'gone' &&
@@ -120,15 +120,15 @@
   return { trials: judged.length, wrong: judged.filter(call => call.code === DEADLINE_PASSED).map(call => describeCall(call) + describePauses(call, evidence)) }
 }
 
-/** A daemon that stands still answers nothing, whatever it was asked: without this, a busy machine looks like a fault of the system. */
+/** Names process pauses during a call: a paused daemon responds to nothing, so a busy computer would look like a fault of the system. */
 function describePauses (call: CallRecord, evidence: Evidence): string {
   const during = evidence.pauses.filter(({ atMs }) => atMs >= call.sentAtMs && atMs <= call.endedAtMs + PAUSE_READ_MS)
-  return during.map(({ daemon, count }) => `; ${daemon} stood still (${count})`).join('')
+  return during.map(({ daemon, count }) => `; process of ${daemon} paused (${count})`).join('')
 }
 
 /**
  * @param call - any call
- * @returns one line on it
+ * @returns a one-line description
  */
 export function describeCall (call: CallRecord): string {
   const error = call.code === '' ? '' : ` ${call.code}`
--- a/packages/anvilarch-bench/src/soak/checker/checkEvidence.ts
+++ b/packages/anvilarch-bench/src/soak/checker/checkEvidence.ts
@@ -6,7 +6,7 @@
 import { SERVICE_CHECKS } from './serviceChecks'
 import type { Check } from './types'
 
-/** One count of a run, which must be 0. */
+/** Result of one check; `count` must be 0. */
 export interface CheckCount {
   name: string
   count: number
--- a/packages/anvilarch-bench/src/soak/checker/daemonChecks.ts
+++ b/packages/anvilarch-bench/src/soak/checker/daemonChecks.ts
@@ -1,4 +1,4 @@
-/** Checks of the daemons: versions, leaving, planned stops, invariants and exits. */
+/** Checks of the daemons: configuration versions, fencing, draining, planned stops, invariants and exits. */
 import type { Execution } from 'anvilarch-standins'
 import type { CallRecord, Evidence, FaultRecord, LeaveRecord, StopRecord } from '../types'
 import { describeCall, groupBy } from './callChecks'
@@ -6,13 +6,13 @@
 import { executionsOf } from './executionIndex'
 import type { Check, Finding } from './types'
 
-/** An endpoint that leaves gets no new work later than this. */
+/** A leaving endpoint gets no new work later than this after the system can detect it. */
 export const LEAVE_BOUND_MS = 5000
 
-/** An engine that runs again reads what has waited within this time. */
+/** An engine that is no longer frozen starts its waiting requests within this time. */
 const THAW_MS = 4000
 
-/** A request that was sent this shortly before a stop may not have reached the gateway yet. */
+/** A request that was sent less than this before a stop may not have reached the gateway yet. */
 export const STOP_MARGIN_MS = 250
 
 const HOST_LIST_FAULTS: ReadonlySet<string> = new Set(['host_list_lag', 'host_list_outage'])
@@ -29,7 +29,7 @@
   { name: 'invariant violations', run: invariantViolations }
 ]
 
-/** A daemon that has just started shows version 0 until it found one; it is not ready then. */
+/** Ignores version 0: a daemon shows it between its start and its first configuration, and is not ready then. */
 function versionsGoneBack (evidence: Evidence): Finding {
   const wrong: string[] = []
   for (const [daemon, readings] of groupBy(evidence.versions.filter(reading => reading.version > 0), reading => reading.daemon)) {
@@ -42,7 +42,7 @@
   return { trials: evidence.versions.length, wrong }
 }
 
-/** Two accepted documents never share a version, and one that was sent after another was accepted has a higher one. */
+/** Two accepted documents never share a version, and one sent after another was accepted has a higher version. */
 function appliesNotNew (evidence: Evidence): Finding {
   const accepted = evidence.applies.filter(apply => apply.status === 200 && apply.version !== undefined)
   const wrong: string[] = []
@@ -63,7 +63,7 @@
   return { trials: last.length, wrong }
 }
 
-/** Also over a restart of the endpoint, and for endpoints that do not look at the token themselves. */
+/** Applies across restarts of the endpoint, and to endpoints that do not check the token themselves. */
 function oldTokensTaken (evidence: Evidence): Finding {
   const wrong: string[] = []
   for (const [endpoint, orders] of groupBy(evidence.orders, order => order.endpoint)) {
@@ -87,8 +87,8 @@
 }
 
 /**
- * An engine that is frozen reads a request only when it runs again. Work that its caller had sent before the endpoint began to leave, and
- * that ran nowhere else, was given to it before.
+ * A frozen engine starts a request only after it recovers. Work that its caller sent before the endpoint began to leave, and that ran
+ * nowhere else, was assigned to the engine before.
  */
 function waitedInFrozenEngine (run: Execution, sinceMs: number, evidence: Evidence): boolean {
   const call = evidence.calls.find(each => each.requestId === run.requestId)
@@ -97,14 +97,14 @@
     fault.injectedAtMs < sinceMs && fault.healedAtMs + THAW_MS >= run.startedAtMs)
 }
 
-/** While the list of hosts can't be read or lags more than usual, nobody can know what only it shows. */
+/** While the host list can't be read or lags more than usual, the system can't detect what only the list shows. */
 function knownSinceMs (leave: LeaveRecord, faults: readonly FaultRecord[]): number {
   if (leave.by === 'signal') return leave.sinceMs
   const hidden = faults.filter(fault => HOST_LIST_FAULTS.has(fault.fault) && fault.injectedAtMs < leave.untilMs && fault.healedAtMs > leave.sinceMs)
   return Math.max(leave.sinceMs, ...hidden.map(fault => fault.healedAtMs))
 }
 
-/** Only calls that no other fault touched are judged: what else cut them can't be told apart. */
+/** Checks only calls without another fault, because the cause of their interruption would be ambiguous. */
 function cutByStop (evidence: Evidence): Finding {
   const inProgress = evidence.calls.filter(call => call.told !== 'gone' && call.kind !== 'crashing' && evidence.stops.some(stop => crosses(call, stop)))
   const judged = inProgress.filter(call => !isDisturbed(call, evidence.faults))
@@ -113,8 +113,8 @@
 }
 
 /**
- * A call whose key is in progress through another gateway is answered at once, and truly, that its outcome is not known yet. No
- * stop has cut it, if the other call of its key, which was in progress then, got its whole answer.
+ * While a call of the same key is in progress through another gateway, the immediate response `conflict` is correct: the outcome is not
+ * known yet. The stop interrupted nothing if that other call, in progress at the same time, got its complete response.
  */
 function isAnsweredUnderItsKey (call: CallRecord, calls: readonly CallRecord[]): boolean {
   if (call.kind !== 'keyed_order' || call.status !== 409 || call.code !== 'conflict') return false
--- a/packages/anvilarch-bench/src/soak/checker/disturbance.ts
+++ b/packages/anvilarch-bench/src/soak/checker/disturbance.ts
@@ -1,7 +1,7 @@
-/** Which faults can cost a call its answer, so that a check of another cause does not judge it. */
+/** Finds the faults that can interrupt a call, so that a check for another cause excludes the call. */
 import type { CallRecord, FaultRecord } from '../types'
 
-/** Online calls need no part of the platform, so its faults excuse nothing. */
+/** Faults of the platform are not listed, because online calls do not depend on it. */
 const CUTTING_FAULTS: ReadonlySet<string> = new Set([
   'kill_agent', 'kill_gateway', 'kill_engine', 'kill_acceptor', 'outage_after_apply', 'pause_agent', 'pause_gateway', 'engine_frozen', 'failing_engine',
   'engine_silence', 'plain_silence', 'peer_silence', 'peer_delay', 'crashing_request'
@@ -12,14 +12,14 @@
 
 /** What a fault left behind may still end a call this long after it was healed. */
 const AFTERMATH_MS = 3000
-/** Calls may wait behind the suspects of a crash until their own deadline. */
+/** After a crash, calls may wait behind the suspected requests until their own deadline. */
 const CRASH_AFTERMATH_MS = 25_000
 
 /**
  * @param call - any call
  * @param faults - of the run
- * @param but - kind that is not counted
- * @returns whether a fault that can cut calls held during the call or shortly before
+ * @param but - kind of fault to ignore
+ * @returns whether a fault that can interrupt calls was active during the call or shortly before
  */
 export function isDisturbed (call: CallRecord, faults: readonly FaultRecord[], but?: string): boolean {
   return faults.some(fault => CUTTING_FAULTS.has(fault.fault) && fault.fault !== but &&
--- a/packages/anvilarch-bench/src/soak/checker/executionIndex.ts
+++ b/packages/anvilarch-bench/src/soak/checker/executionIndex.ts
@@ -1,4 +1,4 @@
-/** Looks up executions by the request that they belong to. */
+/** Looks up executions by request id. */
 import type { Execution } from 'anvilarch-standins'
 
 const indexes = new WeakMap<readonly Execution[], Map<string, Execution[]>>()
@@ -27,12 +27,12 @@
   return index
 }
 
-/** Ids of the runs of an item begin with the id of its job. */
+/** The request id of an item starts with the id of its job. */
 const ITEM_REQUEST_ID = /^(batch_[0-9a-z]+)\./
 
 /**
  * @param execution - of the ledger
- * @returns the job that it ran an item of
+ * @returns id of the job whose item was executed; undefined for an online call
  */
 export function jobOfExecution (execution: Execution): string | undefined {
   return ITEM_REQUEST_ID.exec(execution.requestId)?.[1]
--- a/packages/anvilarch-bench/src/soak/checker/jobChecks.ts
+++ b/packages/anvilarch-bench/src/soak/checker/jobChecks.ts
@@ -1,9 +1,9 @@
-/** Checks of jobs: each item of an accepted job has one right result, and a cancelled job stops. */
+/** Checks of jobs: each item of an accepted job has exactly one correct result, and a cancelled job stops. */
 import type { Evidence, SubmissionRecord } from '../types'
 import { jobOfExecution } from './executionIndex'
 import type { Check, Finding } from './types'
 
-/** A holder of a part learns of a cancellation by its polls; an item may start until then. */
+/** A gateway detects the cancellation of a part that it leases by polling; items may start until then. */
 export const CANCEL_BOUND_MS = 10_000
 
 const DELAYS_STOP = /^(table|platform|pause_gateway|outage)/
@@ -20,7 +20,7 @@
   { name: 'items started long after a cancellation', run: startedAfterCancel }
 ]
 
-/** A job that was accepted and not cancelled must end with all of its items. */
+/** A job that was accepted and not cancelled must finish with results for all of its items. */
 function mustComplete (submission: SubmissionRecord): boolean {
   return submission.cancelledAtMs === undefined && acceptedIds(submission).size > 0
 }
@@ -72,7 +72,7 @@
     .map(line => `${line.customId} failed as ${line.code ?? 'unnamed'}`)
 }
 
-/** After a cancellation the same content makes a new job, so only answers before it count. */
+/** After a cancellation the same content creates a new job, so only responses to requests sent before it count. */
 function doubledJobs (evidence: Evidence): Finding {
   const resent = evidence.submissions.filter(submission => submission.answers.length > 1)
   const wrong = resent.flatMap(submission => {
@@ -90,8 +90,8 @@
 }
 
 /**
- * A submission whose answer was lost may have made a job that its client never learned of; every other job that runs
- * must be known, else it was told `not_run` or runs twice.
+ * A submission whose response was lost may have created a job whose id its client never received. Every other job that runs
+ * must be known, else its submission was reported as `not_run`, or the job runs twice.
  */
 function unknownJobs (evidence: Evidence): Finding {
   const known = new Set(evidence.submissions.flatMap(submission => [...acceptedIds(submission)]))
@@ -112,7 +112,7 @@
   return { trials: cancelled.length, wrong }
 }
 
-/** What keeps a gateway from reading the table may delay its stop, so such a time after a cancellation is not judged. */
+/** Skips cancellations with a fault soon after that keeps gateways from reading the table, because it may delay the stop. */
 function startedAfterCancel (evidence: Evidence): Finding {
   const cancelled = new Map<string, number>()
   for (const submission of evidence.submissions) {
--- a/packages/anvilarch-bench/src/soak/checker/serviceChecks.ts
+++ b/packages/anvilarch-bench/src/soak/checker/serviceChecks.ts
@@ -1,25 +1,25 @@
-/** Checks of a service as a whole: whether its endpoints get their models back, and whether it answers at all. */
+/** Checks of a service as a whole: whether restarted endpoints get their models loaded, and whether any call succeeds. */
 import type { EngineProcess, Evidence, FaultRecord } from '../types'
 import { groupBy } from './callChecks'
 import { CRASHING_FAULT, isDisturbed } from './disturbance'
 import type { Check, Finding } from './types'
 
-/** An endpoint that is gone for longer than the placement's grace is replaced, so one that is back has its load ordered within it. */
+/** Grace period after which the placement replaces a missing endpoint; a restarted one gets its order to load within it. */
 const REPLACEMENT_GRACE_MS = 10_000
 
-/** A planned stop of the holder hands the placement to another gateway meanwhile. */
+/** Time for another gateway to take over the placement when the gateway that leases it stops. */
 const HANDOVER_MS = 10_000
 
-/** From when an endpoint is back to the order that loads its model. */
+/** Limit from the restart of an endpoint to the order that loads its model. */
 export const RELOAD_BOUND_MS = REPLACEMENT_GRACE_MS + HANDOVER_MS
 
-/** A service that answers nothing for this long is down. */
+/** A service with no complete response in a window of this length is down. */
 export const DOWN_MS = 10_000
 
-/** Fewer calls say little of a service. */
+/** Windows with fewer calls are not checked. */
 const LEAST_CALLS = 20
 
-/** Faults that keep no gateway from ordering a load. */
+/** Faults that do not keep gateways from ordering a load. */
 const HARMLESS_TO_ORDERS: ReadonlySet<string> = new Set([
   CRASHING_FAULT, 'stop_gateway', 'stop_agent', 'failing_item', 'slow_caller', 'gone_caller', 'flooding_caller', 'objects_outage', 'objects_slow', 'objects_lost_replies'
 ])
@@ -43,7 +43,7 @@
   return evidence.faults.some(fault => delays(fault) && fault.injectedAtMs <= untilMs && fault.healedAtMs + HANDOVER_MS >= engine.firstSeenMs)
 }
 
-/** Requests that crash engines are no excuse: each is bounded in how many it ends, and the engines come back. */
+/** Crashing requests do not exempt a window: each may end a limited number of engines, and the engines restart. */
 function secondsWithoutAnswer (evidence: Evidence): Finding {
   const calls = evidence.calls.filter(call => call.kind === 'chat' || call.kind === 'stream')
   const firstMs = Math.min(...calls.map(call => call.sentAtMs))
--- a/packages/anvilarch-bench/src/soak/checker/types.ts
+++ b/packages/anvilarch-bench/src/soak/checker/types.ts
@@ -1,15 +1,15 @@
-/** The form of a check. */
+/** Types of checks. */
 import type { Evidence } from '../types'
 
-/** What one check found. */
+/** Result of one check. */
 export interface Finding {
-  /** How often something was looked at that could have been wrong. */
+  /** Number of cases examined. */
   trials: number
-  /** What was wrong, one line each. */
+  /** Descriptions of the violations, one line each. */
   wrong: string[]
 }
 
-/** One thing that must never happen. */
+/** Check for one kind of violation. */
 export interface Check {
   name: string
   run: (evidence: Evidence) => Finding
--- a/packages/anvilarch-bench/src/soak/faults/__tests__/connectionFaults.test.ts
+++ b/packages/anvilarch-bench/src/soak/faults/__tests__/connectionFaults.test.ts
@@ -3,7 +3,7 @@
 import { FAILING_ENGINE } from '../connectionFaults'
 import type { FaultContext } from '../types'
 
-/** A run with one engine, which is away for the first calls of each change. */
+/** A run with one engine, which fails the first calls of each change with the given error. */
 function contextOf (refusals: number, error: Error): { context: FaultContext, taken: Array<Partial<Faults>> } {
   const taken: Array<Partial<Faults>> = []
   let left = refusals
@@ -22,8 +22,8 @@
 }
 
 describe('an engine that fails a share of its requests', () => {
-  // Guards against this: the soak ends without a verdict when a request has crashed the engine that is to be switched.
-  test('is switched, and back, once it is up again', async () => {
+  // Guards against a soak that ends without a report because a request has crashed the engine whose faults are to be set.
+  test('gets its faults set, and reset, once it has restarted', async () => {
     const { context, taken } = contextOf(2, Object.assign(new Error('connect'), { code: 'ECONNREFUSED' }))
     const injected = await FAILING_ENGINE.inject(context)
     await injected?.heal()
@@ -31,7 +31,7 @@
     expect(context.busy.size).toBe(0)
   })
 
-  test('is not asked again after another error', async () => {
+  test('gets no second request after another error', async () => {
     await expect(FAILING_ENGINE.inject(contextOf(1, new Error('unknown switch')).context)).rejects.toThrow('unknown switch')
   })
 })
--- a/packages/anvilarch-bench/src/soak/faults/__tests__/faultDeck.test.ts
+++ b/packages/anvilarch-bench/src/soak/faults/__tests__/faultDeck.test.ts
@@ -3,13 +3,13 @@
 import { FAULT_NAMES } from '../faultTable'
 
 describe('createFaultDeck', () => {
-  test('draws every kind once before any comes again', () => {
+  test('returns every kind once before any repeats', () => {
     const deck = createFaultDeck(FAULT_NAMES, createRandom(7))
     const drawn = FAULT_NAMES.map(() => deck.next()[0])
     expect(new Set(drawn)).toEqual(new Set(FAULT_NAMES))
   })
 
-  test('draws pairs of different kinds, and the same ones from the same seed', () => {
+  test('returns pairs of different kinds, and the same sequence for the same seed', () => {
     const draw = (): string[][] => {
       const deck = createFaultDeck(FAULT_NAMES, createRandom(3))
       return Array.from({ length: 100 }, () => deck.next())
@@ -21,7 +21,7 @@
     expect(draw()).toEqual(rounds)
   })
 
-  test('draws a single kind alone', () => {
+  test('returns a single kind alone', () => {
     const deck = createFaultDeck(['kill_agent'], createRandom(1))
     expect([deck.next(), deck.next()]).toEqual([['kill_agent'], ['kill_agent']])
   })
--- a/packages/anvilarch-bench/src/soak/faults/callerFaults.ts
+++ b/packages/anvilarch-bench/src/soak/faults/callerFaults.ts
@@ -1,4 +1,4 @@
-/** Faults that callers bring: requests that crash endpoints, items that can't be done, slow, vanishing and flooding callers. */
+/** Faults caused by callers: requests that crash endpoints, items that always fail, slow, disconnecting and flooding callers. */
 import type { FaultKind, SwitchName } from './types'
 
 const HOLD_FROM_MS = 4000
@@ -6,7 +6,7 @@
 
 /**
  * @param name - switch of the load
- * @returns a fault that turns the switch on for some seconds
+ * @returns a fault that turns on the switch for some seconds
  */
 export function callers (name: SwitchName): FaultKind {
   return {
--- a/packages/anvilarch-bench/src/soak/faults/connectionFaults.ts
+++ b/packages/anvilarch-bench/src/soak/faults/connectionFaults.ts
@@ -1,22 +1,22 @@
-/** Faults of connections and endpoints: frozen and failing engines, and open connections that go silent while new ones work. */
+/** Faults of connections and endpoints: frozen and failing engines, and open connections that stall while new ones work. */
 import { type Faults, waitFor } from 'anvilarch-standins'
 import type { SilentRelay } from '../relay/silentRelay'
 import { claimTarget, release } from './targets'
 import type { FaultContext, FaultKind } from './types'
 
-/** Longer than the silence after which a stream is opened anew, and shorter than the longest request. */
+/** Longer than the inactivity timeout after which a stream is reopened, and shorter than the longest request. */
 const ENGINE_FROM_MS = 3000
 const ENGINE_UNTIL_MS = 12_000
 const FAILING_SHARE = 0.5
-/** Longer than a crashed engine is away. */
+/** Longer than a crashed engine takes to restart. */
 const RESTART_BOUND_MS = 10_000
-/** Connections stay silent for good; the hold only keeps the next fault from following at once. */
+/** Stalled connections never recover; this only delays the next fault. */
 const SILENT_HOLD_MS = 3000
 
-/** An engine that accepts requests and answers none. */
+/** An engine that accepts requests and responds to none. */
 export const ENGINE_FROZEN = switchedEngine({ frozen: true }, { frozen: false })
 
-/** An engine that answers a share of its requests with a whole failure while its health is good. */
+/** An engine that responds to a share of its requests with an error while its health check succeeds. */
 export const FAILING_ENGINE = switchedEngine({ failShare: FAILING_SHARE }, { failShare: 0 })
 
 function switchedEngine (set: Partial<Faults>, back: Partial<Faults>): FaultKind {
@@ -37,7 +37,7 @@
   }
 }
 
-/** An engine that a request has crashed takes no call until it is back. */
+/** Retries while the connection is refused, because the engine may be restarting after a crash. */
 async function setFaultsOnceUp ({ fleet, clock }: FaultContext, target: string, changes: Partial<Faults>): Promise<void> {
   const isSet = async (): Promise<boolean> => {
     try {
@@ -53,7 +53,7 @@
 
 /**
  * @param role - of the endpoint
- * @returns a fault that makes its open connections silent
+ * @returns a fault that stalls its open connections
  */
 export function endpointSilence (role: 'engine' | 'plain'): FaultKind {
   return {
@@ -66,12 +66,12 @@
   }
 }
 
-/** Which relays a fault of connections acts on. */
+/** Group of relays on which a connection fault acts. */
 export type RelayPlace = 'agents' | 'platform'
 
 /**
- * @param place - between gateways and one agent, or between daemons and one part of the platform
- * @returns a fault that makes the open connections there silent
+ * @param place - relays between gateways and agents, or between daemons and the platform
+ * @returns a fault that stalls the open connections of one relay
  */
 export function connectionSilence (place: RelayPlace): FaultKind {
   return {
@@ -83,8 +83,8 @@
 }
 
 /**
- * @param place - as above
- * @returns a fault that holds back what passes there, so that it arrives after its sender gave it up
+ * @param place - relays between gateways and agents, or between daemons and the platform
+ * @returns a fault that delays the data on the open connections of one relay, so that it arrives after its sender has timed out
  */
 export function connectionDelay (place: RelayPlace): FaultKind {
   return {
@@ -100,7 +100,7 @@
   }
 }
 
-/** Longer than the silence after which a gateway asks for an attempt over another connection. */
+/** Longer than the inactivity timeout after which a gateway requests an attempt over another connection. */
 const DELAY_FROM_MS = 2000
 const DELAY_UNTIL_MS = 7000
 
--- a/packages/anvilarch-bench/src/soak/faults/faultDeck.ts
+++ b/packages/anvilarch-bench/src/soak/faults/faultDeck.ts
@@ -1,20 +1,20 @@
-/** Draws the faults of a run from the seed: each kind alone once before any comes again, and pairs in between. */
+/** Chooses the faults of a run from the seed: every kind once, in random order, before any repeats; every other round adds a second kind. */
 import type { Random } from 'anvilarch-utils'
 import type { FaultName } from './faultTable'
 
-/** Every other round injects a pair. */
+/** Every second round injects a pair. */
 const ROUNDS_PER_PAIR = 2
 
-/** Draws faults. */
+/** Random sequence of faults. */
 export interface FaultDeck {
-  /** @returns the kinds that the next round injects together */
+  /** @returns the kinds of faults that the next round injects together */
   next: () => FaultName[]
 }
 
 /**
- * @param names - kinds to draw from
- * @param random - the same source gives the same draws
- * @returns a deck
+ * @param names - kinds to choose from
+ * @param random - determines the sequence
+ * @returns the sequence of faults
  */
 export function createFaultDeck (names: readonly FaultName[], random: Random): FaultDeck {
   let deck: FaultName[] = []
--- a/packages/anvilarch-bench/src/soak/faults/faultTable.ts
+++ b/packages/anvilarch-bench/src/soak/faults/faultTable.ts
@@ -1,4 +1,4 @@
-/** All kinds of faults that a soak injects. */
+/** Kinds of faults that a soak can inject. */
 import { callers } from './callerFaults'
 import { connectionDelay, connectionSilence, endpointSilence, ENGINE_FROZEN, FAILING_ENGINE } from './connectionFaults'
 import { KILL_ACCEPTOR, OUTAGE_AFTER_APPLY } from './momentFaults'
@@ -6,17 +6,17 @@
 import { kill, LEAVING_FLAG, pause, stop } from './processFaults'
 import type { FaultKind } from './types'
 
-/** Lag of the fleet's host list without a fault. */
+/** Lag of the fleet's host list when no fault is active. */
 export const HOST_LIST_LAG_MS = 500
 
-/** A lag that is longer than an agent takes to drain and to come back. */
+/** Longer than an agent takes to drain and restart. */
 const LONG_LAG_MS = 8000
-/** Slow, but within the time limit of a call; and slower than it. */
+/** `SLOW_MS` is within the timeout of a call; `TOO_SLOW_MS` exceeds it. */
 const SLOW_MS = 800
 const TOO_SLOW_MS = 6000
 const LOST_SHARE = 0.3
 
-/** Kinds by the name under which `--faults` and `--without` take them. */
+/** Kinds of faults by the names that `--faults` and `--without` accept. */
 export const FAULT_TABLE = {
   kill_agent: kill(['agent']),
   kill_gateway: kill(['gateway']),
@@ -52,8 +52,6 @@
   flooding_caller: callers('flood')
 } satisfies Record<string, FaultKind>
 
-/** Name of a kind of fault. */
 export type FaultName = keyof typeof FAULT_TABLE
 
-/** All names. */
 export const FAULT_NAMES = Object.keys(FAULT_TABLE) as FaultName[]
--- a/packages/anvilarch-bench/src/soak/faults/momentFaults.ts
+++ b/packages/anvilarch-bench/src/soak/faults/momentFaults.ts
@@ -1,15 +1,15 @@
-/** Faults that strike at the moment at which the system has just promised something. */
+/** Faults injected right after a gateway has accepted a job or a configuration document. */
 import { sleep } from 'anvilarch-utils'
 import { killAndStartLater } from './processFaults'
 import { claim, claimTarget, release } from './targets'
 import type { FaultContext, FaultKind, Injected, Promised } from './types'
 
-/** Longest wait for the load to bring the moment about. */
+/** Longest wait until a gateway accepts something of the load. */
 const WAIT_MS = 20_000
 const OUTAGE_FROM_MS = 5000
 const OUTAGE_UNTIL_MS = 10_000
 
-/** The gateway that has accepted a job is killed right after its answer. */
+/** Kills a gateway right after its response that accepts a job. */
 export const KILL_ACCEPTOR: FaultKind = {
   inject: async context => {
     const gateway = await nextPromise(context, 'job')
@@ -18,8 +18,8 @@
 }
 
 /**
- * The table has an outage right after a document was accepted; meanwhile the gateway that accepted it and an agent are
- * started anew, so that they can learn the version only from others.
+ * Starts a table outage right after a document was accepted, and restarts the gateway that accepted it and an agent
+ * meanwhile, so that they can receive the version only from other daemons.
  */
 export const OUTAGE_AFTER_APPLY: FaultKind = {
   inject: async (context): Promise<Injected | undefined> => {
@@ -46,7 +46,7 @@
 
 const TABLE = 'table'
 
-/** @returns the gateway that made the next promise of a kind, or undefined when none did in time */
+/** @returns the gateway that accepts the next job or document, or undefined if none does in time */
 async function nextPromise (context: FaultContext, kind: Promised['kind']): Promise<string | undefined> {
   const bound = new AbortController()
   const promised = new Promise<string>(resolve => {
--- a/packages/anvilarch-bench/src/soak/faults/platformFaults.ts
+++ b/packages/anvilarch-bench/src/soak/faults/platformFaults.ts
@@ -1,12 +1,12 @@
-/** Faults of the platform: outage, slowness and lost replies of its stores, and a host list that lags more. */
+/** Faults of the platform: outages, latency and lost replies of its stores, and a higher lag of the host list. */
 import type { Faults } from 'anvilarch-standins'
 import { claim, release } from './targets'
 import type { FaultKind } from './types'
 
-/** Stand-ins whose switches these faults set. */
+/** Stand-ins of the platform. */
 export type PlatformName = 'table' | 'objects' | 'hosts'
 
-/** What a fault sets, and to what it is set back. */
+/** Settings of a stand-in during and after a fault. */
 export interface SwitchedFault {
   standin: PlatformName
   set: Partial<Faults>
@@ -17,8 +17,8 @@
 const HOLD_UNTIL_MS = 20_000
 
 /**
- * @param fault - the switches
- * @returns a fault that holds them for some seconds
+ * @param fault - settings of a stand-in
+ * @returns a fault that applies them for some seconds
  */
 export function switched (fault: SwitchedFault): FaultKind {
   return {
--- a/packages/anvilarch-bench/src/soak/faults/processFaults.ts
+++ b/packages/anvilarch-bench/src/soak/faults/processFaults.ts
@@ -1,20 +1,20 @@
-/** Faults of processes: killed, paused past their leases, and stopped as planned. */
+/** Faults of processes: killed, paused until their leases expire, and stopped as planned. */
 import type { ProcessRole } from 'anvilarch-standins'
 import { sleep } from 'anvilarch-utils'
 import { claimTarget, release } from './targets'
 import type { FaultContext, FaultKind, Injected } from './types'
 
-/** Longer than a lease of the soak's fleet, with the margin of observers. */
+/** Longer than a lease of the soak's fleet plus the margin after which other daemons treat it as expired. */
 const PAUSE_FROM_MS = 6000
 const PAUSE_UNTIL_MS = 9000
 const KILLED_FROM_MS = 500
 const KILLED_UNTIL_MS = 6000
-/** A drain may wait for the longest request of the load, not longer. */
+/** A drain may take as long as the longest request of the load, not longer. */
 const DRAIN_TIMEOUT_MS = 45_000
 
 /**
  * @param roles - of the processes to kill
- * @returns a fault that ends one at once and starts it again later
+ * @returns a fault that kills one of them and restarts it later
  */
 export function kill (roles: ProcessRole[]): FaultKind {
   return {
@@ -27,8 +27,8 @@
 
 /**
  * @param context - of the run
- * @param target - a running process that the fault holds
- * @returns the fault, healed by a new start
+ * @param target - a running process that the fault has claimed
+ * @returns the fault, healed by a restart
  */
 export async function killAndStartLater (context: FaultContext, target: string): Promise<Injected> {
   context.fleet.kill(target, 'SIGKILL')
@@ -42,7 +42,7 @@
 
 /**
  * @param role - of the process to pause
- * @returns a fault that stops one past its leases and then lets it go on where it was
+ * @returns a fault that suspends one until its leases have expired, and then resumes it
  */
 export function pause (role: ProcessRole): FaultKind {
   return {
@@ -64,7 +64,7 @@
 
 /**
  * @param role - of the daemon to stop
- * @returns a planned stop: the daemon drains, ends by itself and is started again
+ * @returns a planned stop: the daemon drains, exits and is restarted
  */
 export function stop (role: 'agent' | 'gateway'): FaultKind {
   return {
@@ -84,7 +84,7 @@
   }
 }
 
-/** The platform shows a host as leaving before it powers it down, and the agent learns of it from the signal. */
+/** Sends the signal by which an agent detects that the platform will power down its host, and records the exit. */
 async function stopAndRecord (context: FaultContext, target: string): Promise<void> {
   const { clock, fleet } = context
   const toldAtMs = clock.wallMs()
@@ -99,7 +99,7 @@
   await fleet.waitExit(target, DRAIN_TIMEOUT_MS)
 }
 
-/** Shows the host of an agent as leaving while the agent itself is not told. */
+/** Lists the host of an agent as leaving without a signal to the agent. */
 export const LEAVING_FLAG: FaultKind = {
   inject: async (context): Promise<Injected | undefined> => {
     const { clock, fleet, random } = context
@@ -120,11 +120,11 @@
   }
 }
 
-/** Longer than the bound for new work on a leaving endpoint, so that late work would be seen. */
+/** Longer than the limit for new work on a leaving endpoint, so that late work is detected. */
 const LEAVING_FROM_MS = 8000
 const LEAVING_UNTIL_MS = 12_000
 
-/** An endpoint that crashed may have been started by its supervisor already. */
+/** Restarts a process, unless it is an endpoint that its supervisor has already restarted after a crash. */
 async function startAgain (context: FaultContext, target: string): Promise<void> {
   const { fleet } = context
   const { spec, processId } = fleet.get(target)
@@ -132,7 +132,7 @@
     try {
       await fleet.spawn(target)
     } catch (error) {
-      // The process may be up although the list of hosts could not be told, because that has an outage too.
+      // The process may be running although the host list could not be updated during an outage of its own.
       if (fleet.get(target).processId === undefined) throw error
     }
   }
@@ -140,7 +140,7 @@
   release(context, target)
 }
 
-/** Tries until the stand-in takes the change, since an outage of the list may hold at the same time. */
+/** Retries until the stand-in accepts the change, since an outage of the host list may be active at the same time. */
 async function showHost (context: FaultContext, daemon: string, state: 'live' | 'leaving'): Promise<void> {
   for (;;) {
     try {
--- a/packages/anvilarch-bench/src/soak/faults/runFaults.ts
+++ b/packages/anvilarch-bench/src/soak/faults/runFaults.ts
@@ -1,4 +1,4 @@
-/** Injects faults one round after the other until the time is over, and heals each. */
+/** Injects faults in rounds until a given time, and heals each. */
 import { type Clock, type Random, sleep } from 'anvilarch-utils'
 import type { FaultRecord } from '../types'
 import { createFaultDeck } from './faultDeck'
@@ -9,7 +9,7 @@
 export interface RunFaultsOptions {
   context: FaultContext
   names: readonly FaultName[]
-  /** When to inject no more, on the clock's monotonic scale. */
+  /** No round starts after this monotonic time. */
   untilMs: number
   records: FaultRecord[]
   /** Waits until the fleet has recovered between two rounds. */
@@ -18,15 +18,15 @@
   signal: AbortSignal
 }
 
-/** The second fault of a pair comes this much later at most, so that it may hit the recovery from the first. */
+/** Longest delay of the second fault of a pair, which may thus occur during the recovery from the first. */
 const PAIR_DELAY_MS = 3000
-/** A quiet time after each round, in which calls are judged that no fault touched. */
+/** Time without faults after each round, so that some calls run undisturbed. */
 const QUIET_FROM_MS = 1000
 const QUIET_UNTIL_MS = 4000
 
 /**
  * @param options - what to inject and until when
- * @returns a promise of the end, when all faults are healed
+ * @returns a promise that resolves when all faults are healed
  */
 export async function runFaults (options: RunFaultsOptions): Promise<void> {
   const { context, signal } = options
@@ -52,7 +52,7 @@
   const { clock } = context
   const kind: FaultKind = FAULT_TABLE[name]
   const record: FaultRecord = { fault: name, target: '', injectedAtMs: clock.wallMs(), healedAtMs: Infinity }
-  // On record before it is injected: the checker must not judge a call that ended in between as undisturbed.
+  // Recorded before it is injected: the checks must not treat a call that ended in between as undisturbed.
   records.push(record)
   const injected = await kind.inject(context)
   if (injected === undefined) {
--- a/packages/anvilarch-bench/src/soak/faults/targets.ts
+++ b/packages/anvilarch-bench/src/soak/faults/targets.ts
@@ -1,18 +1,18 @@
-/** Chooses what a fault hits and keeps two faults of a pair apart. */
+/** Picks and claims the targets of faults, so that the faults of a pair act on different ones. */
 import type { ProcessRole } from 'anvilarch-standins'
 import type { FaultContext } from './types'
 
 /**
  * @param context - of the run
- * @param roles - of processes that the fault can hit
- * @returns a running process that no other fault holds, which is held from now on; undefined when there is none
+ * @param roles - of possible target processes
+ * @returns a running process that was not claimed, now claimed; undefined if there is none
  */
 export function claimTarget (context: FaultContext, roles: ProcessRole[]): string | undefined {
   const free = roles
     .flatMap(role => context.fleet.processes(role))
     .filter(({ spec, processId }) => processId !== undefined && !context.busy.has(spec.name))
     .map(({ spec }) => spec.name)
-  // One gateway is left alone, as a platform would not take all entry hosts away at once.
+  // One gateway is never claimed, because a platform would not remove all entry hosts at once.
   const heldGateways = context.fleet.processes('gateway').filter(({ spec }) => context.busy.has(spec.name)).length
   const lastGateway = heldGateways >= context.fleet.processes('gateway').length - 1
   const allowed = lastGateway ? free.filter(name => context.fleet.get(name).spec.role !== 'gateway') : free
@@ -24,8 +24,8 @@
 
 /**
  * @param context - of the run
- * @param name - of a process or of a place that a fault holds
- * @returns whether it was free; it is held from now on
+ * @param name - of a process or a stand-in
+ * @returns whether the claim succeeded; false if another fault has claimed it
  */
 export function claim (context: FaultContext, name: string): boolean {
   if (context.busy.has(name)) return false
@@ -35,7 +35,7 @@
 
 /**
  * @param context - of the run
- * @param name - held before
+ * @param name - claimed before
  */
 export function release (context: FaultContext, name: string): void {
   context.busy.delete(name)
--- a/packages/anvilarch-bench/src/soak/faults/types.ts
+++ b/packages/anvilarch-bench/src/soak/faults/types.ts
@@ -1,35 +1,38 @@
-/** The form of the rows of the fault table. */
+/** Types of kinds of faults and of what they act on. */
 import type { Fleet } from 'anvilarch-standins'
 import type { Clock, Random } from 'anvilarch-utils'
 import type { SilentRelay } from '../relay/silentRelay'
 import type { LeaveRecord, StopRecord } from '../types'
 
-/** What an injected fault is undone by. */
+/** An active fault, with the function that ends it. */
 export interface Injected {
-  /** What was hit, for the record. */
+  /** Description of the target, for the record. */
   target: string
-  /** How long the fault holds; drawn with the fault. */
+  /** How long the fault stays active. */
   holdMs: number
   heal: () => Promise<void>
 }
 
-/** Switches of the load that faults of callers turn on. */
+/** Switches of the load, which faults of callers turn on. */
 export interface LoadSwitches {
-  /** Streams of callers that read slowly, that go away in the middle, that flood, and requests that crash endpoints. */
+  /** Callers that read their streams slowly. */
   slowCallers: boolean
+  /** Callers that disconnect before the response ends. */
   goneCallers: boolean
+  /** A caller that exceeds its rate limit. */
   flood: boolean
+  /** Requests that crash endpoints. */
   crashingCalls: boolean
-  /** Jobs get an item that can never be done. */
+  /** Jobs with an item that always fails. */
   failingItems: boolean
-  /** Told at the moment at which a gateway has promised something. */
+  /** Called when a gateway has accepted a job or a document. */
   onPromise?: (promise: Promised) => void
 }
 
-/** Switches that are on or off. */
+/** Name of a switch that is on or off. */
 export type SwitchName = Exclude<keyof LoadSwitches, 'onPromise'>
 
-/** What a gateway has just told a caller that it accepted. */
+/** A job or document that a gateway has just accepted. */
 export interface Promised {
   kind: 'job' | 'document'
   gateway: string
@@ -37,27 +40,27 @@
 
 /** Relays between the processes of the fleet. */
 export interface FleetRelays {
-  /** In front of the agents' addresses for gateways, by agent. */
+  /** Between gateways and agents, by agent. */
   agents: Map<string, SilentRelay>
   /** Between daemons and the platform, by stand-in. */
   platform: Map<'table' | 'objects' | 'hosts', SilentRelay>
 }
 
-/** What faults act on. */
+/** Dependencies of faults. */
 export interface FaultContext {
   fleet: Fleet
   clock: Clock
   random: Random
   relays: FleetRelays
   load: LoadSwitches
-  /** Daemons and endpoints that a fault holds already, so that two faults of a pair do not undo each other. */
+  /** Names of the processes and stand-ins claimed by active faults, so that two faults of a pair do not undo each other. */
   busy: Set<string>
   recordStop: (stop: StopRecord) => void
   recordLeave: (leave: LeaveRecord) => void
 }
 
-/** One row: a kind of fault. */
+/** A kind of fault. */
 export interface FaultKind {
-  /** Injects the fault, or returns undefined when everything that it could hit is held by another fault. */
+  /** Injects the fault, or returns undefined if other faults have claimed all possible targets. */
   inject: (context: FaultContext) => Promise<Injected | undefined>
 }
--- a/packages/anvilarch-bench/src/soak/load/jobCalls.ts
+++ b/packages/anvilarch-bench/src/soak/load/jobCalls.ts
@@ -1,9 +1,9 @@
-/** Calls of the batch routes, with what the client was told. */
+/** Calls of the batch routes, with the responses as the client received them. */
 import type { ItemSpec, JobAnswer, ResultLine } from '../types'
 import { sendWhole, type WholeAnswer } from './sendWhole'
 import type { GatewayAddress, LoadContext } from './types'
 
-/** A batch as the routes show it. */
+/** A batch as returned by the routes. */
 export interface ShownBatch {
   id: string
   status: string
@@ -19,7 +19,7 @@
  * @param context - of the load
  * @param gateway - to upload to
  * @param items - of the file
- * @returns how it ended; `text` is the file as JSON
+ * @returns the result of the call; `text` is the file object as JSON
  */
 export async function uploadItems (context: LoadContext, gateway: GatewayAddress, items: readonly ItemSpec[]): Promise<WholeAnswer> {
   const lines = items.map(({ customId, body }) => JSON.stringify({ custom_id: customId, method: 'POST', url: ITEM_PATH, body }) + '\n').join('')
@@ -34,10 +34,10 @@
 
 /**
  * @param context - of the load
- * @param gateway - to ask
+ * @param gateway - to call
  * @param fileId - of an uploaded file
  * @param key - `Idempotency-Key`, if any
- * @returns what the client was told
+ * @returns the response to the client
  */
 export async function createBatch (context: LoadContext, gateway: GatewayAddress, fileId: string, key: string | undefined): Promise<JobAnswer> {
   const answer = await sendWhole(context, gateway, {
@@ -51,15 +51,15 @@
 
 /**
  * @param context - of the load
- * @param gateway - to ask
+ * @param gateway - to call
  * @param jobId - of the job
- * @returns what the client was told
+ * @returns the response to the client
  */
 export async function cancelBatch (context: LoadContext, gateway: GatewayAddress, jobId: string): Promise<JobAnswer> {
   return toJobAnswer(gateway, await sendWhole(context, gateway, { method: 'POST', path: `/v1/batches/${jobId}/cancel` }))
 }
 
-/** @returns the batch, or undefined when the gateway could not say */
+/** @returns the batch, or undefined if the call failed */
 export async function showBatch (context: LoadContext, gateway: GatewayAddress, jobId: string): Promise<ShownBatch | undefined> {
   const { told, text } = await sendWhole(context, gateway, { method: 'GET', path: `/v1/batches/${jobId}` })
   return told === 'whole' ? JSON.parse(text) as ShownBatch : undefined
--- a/packages/anvilarch-bench/src/soak/load/modelCalls.ts
+++ b/packages/anvilarch-bench/src/soak/load/modelCalls.ts
@@ -1,4 +1,4 @@
-/** Online requests: streamed and plain chat completions. */
+/** Online requests: streamed and non-streamed chat completions. */
 import { expectedText } from 'anvilarch-standins'
 import { promptText } from '../../harness/fleetLoad'
 import type { Answer } from '../../clients/answer'
@@ -17,7 +17,7 @@
   gateway: GatewayAddress
   key?: string
   headers?: Record<string, string>
-  /** Aborted when the caller goes away. */
+  /** Aborted when the caller disconnects. */
   signal?: AbortSignal
 }
 
@@ -27,7 +27,7 @@
 
 /**
  * @param context - random numbers
- * @param requestId - makes the prompt unlike every other one, so that a crossed answer is seen
+ * @param requestId - makes the prompt unique, so that a response to another request is detected
  * @returns a prompt
  */
 export function drawPrompt ({ random }: LoadContext, requestId: string): string {
@@ -36,8 +36,8 @@
 
 /**
  * @param context - of the load
- * @param call - what to ask
- * @returns the record, which is part of the evidence already
+ * @param call - the request
+ * @returns the record, already added to the evidence
  */
 export async function callModel (context: LoadContext, call: ModelCall): Promise<CallRecord> {
   const record = call.kind === 'stream' ? await callStreamed(context, call) : await callPlain(context, call)
@@ -66,12 +66,12 @@
 }
 
 /**
- * A stream that ended without an error was told as whole, even if its last event is missing. Whatever its end, its pieces
- * must be the start of the right answer.
+ * A stream that ended without an error counts as complete, even if its last event is missing. However it ended, its pieces
+ * must be the start of the expected response.
  *
  * @param answer - as the client read it
- * @param isGone - whether the caller went away before its end
- * @returns what the caller was told
+ * @param isGone - whether the caller disconnected before the end
+ * @returns the outcome as the caller saw it, and the fault in the content
  */
 export function judgeStream (answer: Answer, isGone: boolean): { told: Told, fault: AnswerFault | undefined } {
   const crossed = answer.isCrossed ? 'crossed' : undefined
@@ -102,9 +102,9 @@
 }
 
 /**
- * @param text - JSON body of an answer that was told as whole
- * @param expected - text of the right answer
- * @returns what is wrong with it
+ * @param text - JSON body of a complete response
+ * @param expected - text of the expected response
+ * @returns the fault in the body, if any
  */
 export function judgeText (text: string, expected: string): AnswerFault | undefined {
   try {
--- a/packages/anvilarch-bench/src/soak/load/oddCallers.ts
+++ b/packages/anvilarch-bench/src/soak/load/oddCallers.ts
@@ -1,4 +1,4 @@
-/** Callers that faults turn on: slow, vanishing and flooding ones, and those whose requests crash engines. */
+/** Misbehaving callers that faults turn on: slow, disconnecting and flooding ones, and those whose requests crash engines. */
 import { sleep } from 'anvilarch-utils'
 import type { SwitchName } from '../faults/types'
 import { callModel, drawPrompt } from './modelCalls'
@@ -13,7 +13,7 @@
 const GONE_UNTIL_MS = 400
 const GONE_TOKENS = 60
 
-/** What is done for one tick of a switch that is on. */
+/** Interval and action of each switch while it is on. */
 export const ODD_CALLERS = {
   crashingCalls: { everyMs: 4000, run: sendCrashing },
   goneCallers: { everyMs: 150, run: goAway },
@@ -21,7 +21,7 @@
   flood: { everyMs: 8, run: flood }
 } satisfies Partial<Record<SwitchName, { everyMs: number, run: (context: LoadContext, name: string) => Promise<void> }>>
 
-/** A caller sends a request that crashes engines again and again until it is told that it won't be run. */
+/** Sends a request that crashes engines, and resends it until it is quarantined or completes, at most `CRASH_RESENDS` times. */
 async function sendCrashing (context: LoadContext, name: string): Promise<void> {
   const { gateways } = context
   const prompt = `${name} ${CRASH_MARKER}`
--- a/packages/anvilarch-bench/src/soak/load/operators.ts
+++ b/packages/anvilarch-bench/src/soak/load/operators.ts
@@ -3,9 +3,9 @@
 import { soakDocument } from './soakDocument'
 import type { LoadContext } from './types'
 
-/** Two operators race as a rule, and five now and then. */
+/** Numbers of concurrent operators to choose from: usually two, sometimes five. */
 const OPERATORS = [2, 2, 5]
-/** Share of operators who name the version that they have seen. */
+/** Share of operators who make the change conditional on the highest version they have seen. */
 const IF_VERSION_SHARE = 0.5
 
 /**
--- a/packages/anvilarch-bench/src/soak/load/plainCalls.ts
+++ b/packages/anvilarch-bench/src/soak/load/plainCalls.ts
@@ -1,4 +1,4 @@
-/** Calls of the plain service: lookups, and orders that may run once only, with and without a key. */
+/** Calls of the plain service: lookups, and orders, which may be executed only once, with and without a key. */
 import { expectedPlainAnswer } from 'anvilarch-standins'
 import { sleep } from 'anvilarch-utils'
 import { sendLookup } from '../../clients/lookupClient'
@@ -11,9 +11,11 @@
 const MAX_RESENDS = 6
 const RESEND_FROM_MS = 50
 const RESEND_UNTIL_MS = 1500
-/** Shares of keyed orders that are sent through two gateways at once, and whose key comes again with another body. */
+/** Share of keyed orders that are sent through two gateways at once. */
 const AT_ONCE_SHARE = 0.4
+/** Share of keyed orders whose key is reused with another body. */
 const OTHER_BODY_SHARE = 0.1
+/** Share of keyed orders that are sent once more after the outcome. */
 const AGAIN_SHARE = 0.3
 
 /**
@@ -57,14 +59,14 @@
 /**
  * @param context - of the load
  * @param name - unique; becomes the request id
- * @param signal - of a caller that goes away
+ * @param signal - aborted when the caller disconnects
  */
 export async function callOrder (context: LoadContext, name: string, signal?: AbortSignal): Promise<void> {
   await sendOrder(context, { kind: 'order', requestId: name, key: undefined, body: orderBody(name), gateway: context.gateways.pick(), signal })
 }
 
 /**
- * Sends an order under a key, as a careful client would: through another gateway again until it knows the outcome.
+ * Sends an order with a key, and resends it through another gateway until the outcome is known, as a careful client would.
  *
  * @param context - of the load
  * @param name - unique; becomes the key
@@ -89,7 +91,7 @@
   if (random.next() < OTHER_BODY_SHARE) await sendOnce(gateways.pick(), orderBody(`${name}-other`))
 }
 
-/** The outcome of a call is open, or the same key is in progress elsewhere. */
+/** The outcome of the call is unknown, or a call with the same key is in progress elsewhere. */
 function mustResend (record: CallRecord): boolean {
   return record.told === 'broken' || record.told === 'refused' || (record.told === 'failed' && record.ran !== 'ran')
 }
@@ -118,7 +120,7 @@
   return record
 }
 
-/** An answer that was recorded for an earlier call of the key names that call, so only path and text are compared. */
+/** Compares only path and text, because a response recorded for an earlier call of the key contains the id of that call. */
 function judgeOrder (text: string, body: string): AnswerFault | undefined {
   try {
     const { path, answer } = JSON.parse(text) as { path?: string, answer?: string }
--- a/packages/anvilarch-bench/src/soak/load/runJob.ts
+++ b/packages/anvilarch-bench/src/soak/load/runJob.ts
@@ -1,4 +1,4 @@
-/** One client with one job: uploads, submits in one of several ways, and may cancel. */
+/** One client with one job: uploads its items, submits it in one of several modes, and may cancel it. */
 import { expectedText } from 'anvilarch-standins'
 import { sleep } from 'anvilarch-utils'
 import { promptText } from '../../harness/fleetLoad'
@@ -6,7 +6,6 @@
 import { cancelBatch, createBatch, ITEM_PATH, showBatch, uploadItems } from './jobCalls'
 import { FAIL_MARKER, type LoadContext, MODEL } from './types'
 
-/** Ways in which a client submits. */
 type SubmitWay = 'once' | 'with_key' | 'two_gateways_at_once' | 'upload_again' | 'other_body'
 
 const WAYS: readonly SubmitWay[] = ['once', 'with_key', 'two_gateways_at_once', 'upload_again', 'other_body']
@@ -17,16 +16,16 @@
 const CANCEL_SHARE = 0.2
 const CANCEL_FROM_MS = 300
 const CANCEL_UNTIL_MS = 4000
-/** A client tries for this long, with these waits. */
+/** A client retries for this long, with random delays in this range. */
 const TRY_FOR_MS = 90_000
 const RETRY_FROM_MS = 200
 const RETRY_UNTIL_MS = 2000
-/** When the finished items of a cancelled job are looked at again. */
+/** When the number of finished items of a cancelled job is read again. */
 const LOOKS_AFTER_CANCEL_MS = [0, 2500, 6000]
 
 /**
  * @param context - of the load
- * @param name - unique; becomes the key where there is one
+ * @param name - unique; used as the key in modes with a key
  */
 export async function runJob (context: LoadContext, name: string): Promise<void> {
   const { evidence, random } = context
@@ -79,7 +78,7 @@
   })
 }
 
-/** @returns id of the file, or undefined when no gateway took it in time */
+/** @returns id of the file, or undefined if no gateway accepted it in time */
 async function upload (context: LoadContext, items: ItemSpec[]): Promise<string | undefined> {
   const answer = await tryUntil(context, async gateway => await uploadItems(context, gateway, items), ({ told }) => told === 'whole')
   return answer === undefined ? undefined : (JSON.parse(answer.text) as { id: string }).id
@@ -121,12 +120,12 @@
   record.shownAfterCancel.push({ atMs: context.clock.wallMs(), items: completed + failed })
 }
 
-/** The client knows what became of its request: done, or refused for good. */
+/** Whether the request succeeded or was permanently rejected. */
 function isFinal (answer: JobAnswer): boolean {
   return answer.told === 'whole' || (answer.status >= 400 && answer.status < 500 && answer.status !== 429 && answer.retryAfterMs === undefined)
 }
 
-/** Tries through one gateway after the other, even after the load has ended, so that every client learns its outcome. */
+/** Retries through alternating gateways, even after the load has ended, so that every client gets its outcome. */
 async function tryUntil<Answer> (context: LoadContext, attempt: (gateway: ReturnType<LoadContext['gateways']['pick']>) => Promise<Answer>, isDone: (answer: Answer) => boolean): Promise<Answer | undefined> {
   const { clock, gateways, random } = context
   const untilMs = clock.nowMs() + TRY_FOR_MS
--- a/packages/anvilarch-bench/src/soak/load/sendWhole.ts
+++ b/packages/anvilarch-bench/src/soak/load/sendWhole.ts
@@ -1,10 +1,9 @@
-/** One HTTP call whose answer is read whole. */
+/** Sends an HTTP request and reads its complete response. */
 import type { RunStatus } from 'anvilarch-utils'
 import { errorAnswer } from '../../clients/answer'
 import type { Told } from '../types'
 import type { GatewayAddress, LoadContext } from './types'
 
-/** One call. */
 export interface WholeCall {
   method: 'GET' | 'POST'
   path: string
@@ -14,7 +13,7 @@
   signal?: AbortSignal
 }
 
-/** How it ended. */
+/** Outcome and response of a call. */
 export interface WholeAnswer {
   told: Told
   status: number
@@ -27,14 +26,14 @@
   endedAtMs: number
 }
 
-/** Longer than every deadline of the soak, so that a call that hangs is told from one that was given up on. */
+/** Longer than every deadline of the soak, so that an unanswered call is distinguished from one that exceeded its deadline. */
 export const CALL_TIMEOUT_MS = 45_000
 
 /**
  * @param context - clock and connections
  * @param gateway - to call
  * @param call - what to send
- * @returns how it ended; never rejects
+ * @returns outcome and response; never rejects
  */
 export async function sendWhole (context: LoadContext, gateway: GatewayAddress, call: WholeCall): Promise<WholeAnswer> {
   const { clock, dispatcher } = context
--- a/packages/anvilarch-bench/src/soak/load/slowStream.ts
+++ b/packages/anvilarch-bench/src/soak/load/slowStream.ts
@@ -11,7 +11,6 @@
 
 const CHAT_PATH = '/v1/chat/completions'
 const TOKENS = 120
-/** Wait after each chunk. */
 const CHUNK_DELAY_MS = 80
 
 /**
--- a/packages/anvilarch-bench/src/soak/load/soakDocument.ts
+++ b/packages/anvilarch-bench/src/soak/load/soakDocument.ts
@@ -1,21 +1,21 @@
-/** The document of the soak's fleet. */
+/** Configuration document of the soak's fleet. */
 import { createHash } from 'node:crypto'
 import { MODEL, PLAIN_SERVICE } from './types'
 
 /** Options of `soakDocument`. */
 export interface SoakDocumentOptions {
-  /** Makes documents differ in fields that change nothing for the load; each has another adapter than its neighbours, which takes orders to the engines. */
+  /** Number of the variant. Variants differ in fields without effect on the load; consecutive ones have different adapters, which causes orders to the engines. */
   mark: number
 }
 
-/** Key of the account that floods. */
+/** API key of the flooding caller. */
 export const FLOODER_KEY = 'soak-flooder'
 
 const ADAPTERS = ['disputes', 'transfers', 'renewals', 'listings', 'audits', 'notes', 'holds']
 const LEAST_REQUESTS_PER_SECOND = 5000
 
 /**
- * @param options - what makes it differ from others
+ * @param options - variant of the document
  * @returns the document, to be applied as JSON
  */
 export function soakDocument ({ mark }: SoakDocumentOptions): object {
--- a/packages/anvilarch-bench/src/soak/load/types.ts
+++ b/packages/anvilarch-bench/src/soak/load/types.ts
@@ -1,4 +1,4 @@
-/** What all parts of the load share. */
+/** Types and names shared by all parts of the load. */
 import type { Clock, Random } from 'anvilarch-utils'
 import type { Dispatcher } from 'undici'
 import type { LoadSwitches } from '../faults/types'
@@ -10,15 +10,15 @@
   origin: string
 }
 
-/** Chooses gateways as the platform's balancer would. */
+/** Picks gateways as the platform's load balancer would. */
 export interface GatewayPool {
-  /** @returns a gateway that was ready when it was asked last, and any other one when none was */
+  /** @returns a gateway that was ready at its last poll, or any gateway if none was */
   pick: () => GatewayAddress
-  /** @returns as `pick`, but another one than the named one where there is one */
+  /** @returns a gateway as `pick` does, but not the named one */
   pickOther: (name: string) => GatewayAddress
 }
 
-/** What every part of the load gets. */
+/** Dependencies of every part of the load. */
 export interface LoadContext {
   clock: Clock
   random: Random
@@ -26,18 +26,18 @@
   gateways: GatewayPool
   evidence: Evidence
   switches: LoadSwitches
-  /** Makes names unique over runs. */
+  /** Part of names, which makes them unique across runs. */
   seed: number
-  /** Aborted when no more work is to be sent. */
+  /** Aborted when no more requests are to be sent. */
   signal: AbortSignal
 }
 
-/** Text in a request that ends the engine which runs it. */
+/** Text in a request that crashes the engine that runs it. */
 export const CRASH_MARKER = 'soak-marker-crash'
 
-/** Text in a request that the engine answers with an error. */
+/** Text in a request to which the engine responds with an error. */
 export const FAIL_MARKER = 'soak-marker-fail'
 
-/** Names in the document of the soak. */
+/** Names in the configuration document of the soak. */
 export const MODEL = 'registrar-small'
 export const PLAIN_SERVICE = 'lookup'
--- a/packages/anvilarch-bench/src/soak/relay/__tests__/silentRelay.test.ts
+++ b/packages/anvilarch-bench/src/soak/relay/__tests__/silentRelay.test.ts
@@ -2,7 +2,7 @@
 import { once } from 'node:events'
 import { type SilentRelay, startSilentRelay } from '../silentRelay'
 
-/** The tests end after 30 s. */
+/** Shorter than the timeout of a test, which is 30 s. */
 const GIVE_UP_MS = 20_000
 
 describe('startSilentRelay', () => {
@@ -25,11 +25,11 @@
     sink?.close()
   })
 
-  /** Ends with the test when the condition never comes true, instead of keeping the event loop busy for good. */
+  /** Rejects if the condition stays false, instead of occupying the event loop forever. */
   const until = async (condition: () => boolean): Promise<void> => {
     const giveUpMs = performance.now() + GIVE_UP_MS
     while (!condition()) {
-      if (performance.now() > giveUpMs) throw new Error(`never came true: ${String(condition)}`)
+      if (performance.now() > giveUpMs) throw new Error(`condition stayed false: ${String(condition)}`)
       await new Promise(resolve => { setImmediate(resolve) })
     }
   }
@@ -47,11 +47,11 @@
     return String((await answer)[0])
   }
 
-  test('passes bytes both ways', async () => {
+  test('forwards bytes in both directions', async () => {
     expect(await ask(open(), 'one')).toBe('one')
   })
 
-  test('holds silent connections open without a byte while new ones work', async () => {
+  test('keeps stalled connections open without forwarding a byte while new ones work', async () => {
     const old = open()
     await ask(old, 'before')
     const seen: string[] = []
@@ -64,7 +64,7 @@
     expect(seen).toEqual([])
   })
 
-  test('passes on late what it held back, also when its sender has gone meanwhile', async () => {
+  test('forwards delayed data on release, even if its sender has closed the connection meanwhile', async () => {
     const received: string[] = []
     const receiver = createServer(socket => { socket.on('data', data => { received.push(String(data)) }) })
     sink = receiver
--- a/packages/anvilarch-bench/src/soak/relay/silentRelay.ts
+++ b/packages/anvilarch-bench/src/soak/relay/silentRelay.ts
@@ -1,27 +1,27 @@
 /**
- * A TCP relay on loopback whose open connections can go silent, or be late: they stay open at both ends, nothing passes
- * any more, or only some time later, and connections that are opened meanwhile work. So a test meets what a device
- * between two hosts does that has lost track of a connection, and messages that arrive after their sender gave them up.
+ * A TCP relay on loopback that can stall or delay its open connections: they stay open at both ends, but data is discarded,
+ * or forwarded only later, while new connections work. It simulates a device between two hosts that has lost the state of a
+ * connection, and messages that arrive after their sender has timed out.
  */
 import { connect, createServer, type AddressInfo, type Socket } from 'node:net'
 
 /** A running relay. */
 export interface SilentRelay {
-  /** IP number and port to connect to. */
+  /** IP address and port to connect to. */
   address: string
-  /** Where new connections are passed on to, as IP number and port. */
+  /** Sets the IP address and port to which new connections are forwarded. */
   setTarget: (address: string) => void
-  /** Makes all open connections silent for good. Returns how many there were. */
+  /** Stalls all open connections permanently and returns their number. */
   silence: () => number
-  /** Holds back what passes over the connections that are open now. */
+  /** Buffers all data on the connections that are open now, until it is released. */
   hold: () => HeldConnections
   close: () => Promise<void>
 }
 
-/** Connections whose bytes are held back. */
+/** Connections whose data is buffered. */
 export interface HeldConnections {
   connections: number
-  /** Passes on what was held back, the ends of connections included. */
+  /** Forwards the buffered data and the ends of connections. */
   release: () => void
 }
 
@@ -32,7 +32,7 @@
   from: Socket
   to: Socket
   held: Buffer[]
-  /** How `from` ended while it was held. */
+  /** How `from` ended while its data was buffered. */
   ended: 'no' | 'end' | 'reset'
 }
 
@@ -44,7 +44,7 @@
 
 const LOOPBACK = '127.0.0.1'
 
-/** @returns the relay, listening on a free loopback port; it passes nothing on before it has a target */
+/** @returns the relay, listening on a free loopback port; it closes connections until its target is set */
 export async function startSilentRelay (): Promise<SilentRelay> {
   const pairs = new Set<Pair>()
   let target: { host: string, port: number } | undefined
@@ -88,7 +88,7 @@
     from.setNoDelay(true)
     from.on('data', (data: Buffer) => { PASS[pair.mode](direction, data) })
     from.on('end', () => { END[pair.mode](direction, 'end') })
-    // A reset must reach the other end, or it would look like a connection that went silent.
+    // A reset must reach the other end, else the connection would seem stalled.
     from.on('error', () => { END[pair.mode](direction, 'reset') })
   }
   return pair
@@ -98,7 +98,7 @@
   return { from, to, held: [], ended: 'no' }
 }
 
-/** A silent connection is read on, so that the kernel goes on acknowledging bytes and neither end learns anything. */
+/** A stalled connection is still read, so that the kernel acknowledges its data and neither end detects the fault. */
 const PASS: Record<PairMode, (direction: Direction, data: Buffer) => void> = {
   moving: ({ from, to }, data) => {
     if (to.write(data)) return
@@ -125,7 +125,7 @@
   pair.mode = 'moving'
   for (const direction of pair.directions) {
     for (const data of direction.held.splice(0)) direction.to.write(data)
-    // What was sent before a reset must arrive, since the point is that it arrives late.
+    // After a reset too, the data sent before it must arrive late, so the connection ends normally.
     if (direction.ended !== 'no') direction.to.end()
   }
 }
--- a/packages/anvilarch-bench/src/soak/run/__tests__/readViolations.test.ts
+++ b/packages/anvilarch-bench/src/soak/run/__tests__/readViolations.test.ts
@@ -4,7 +4,7 @@
 import { readViolations } from '../readViolations'
 
 describe('readViolations', () => {
-  test('counts violations by daemon and name, but for those that the metrics have shown', () => {
+  test('counts violations by daemon and name, except those found in the metrics', () => {
     const directory = mkdtempSync(join(tmpdir(), 'violations-'))
     const line = (name: string): string => JSON.stringify({ level: 'error', message: 'an invariant does not hold', name, found: 'x' }) + '\n'
     writeFileSync(join(directory, 'agent-1.log'), line('a') + '{"message":"started"}\n' + line('a') + line('b'))
--- a/packages/anvilarch-bench/src/soak/run/collectResults.ts
+++ b/packages/anvilarch-bench/src/soak/run/collectResults.ts
@@ -1,4 +1,4 @@
-/** Waits for all jobs to end, reads their results back, and fetches the ledger of executions. */
+/** Waits for all jobs to finish, reads their results, and fetches the ledger of executions. */
 import type { CollectedLedger, Execution, Fleet } from 'anvilarch-standins'
 import { sleep } from 'anvilarch-utils'
 import { readResultFile, showBatch, type ShownBatch } from '../load/jobCalls'
@@ -13,13 +13,13 @@
 
 /**
  * @param context - of the load, which has ended
- * @param timeoutMs - bound of the wait over all jobs
- * @param log - told of the progress
+ * @param timeoutMs - limit of the wait for all jobs together
+ * @param log - receives progress messages
  */
 export async function collectJobs (context: LoadContext, timeoutMs: number, log: (line: string) => void): Promise<void> {
   const untilMs = context.clock.nowMs() + timeoutMs
   const accepted = context.evidence.submissions.filter(submission => submission.answers.some(answer => answer.jobId !== undefined))
-  log(`${accepted.length} jobs were accepted; waiting for their ends`)
+  log(`${accepted.length} jobs were accepted; waiting for them to finish`)
   for (const submission of accepted) {
     for (const jobId of new Set(submission.answers.flatMap(answer => answer.jobId ?? []))) {
       await collectJob(context, submission, jobId, untilMs)
@@ -38,7 +38,7 @@
   }
   submission.endState = batch === undefined ? 'not shown' : `${batch.status} ${JSON.stringify(batch.request_counts)}`
   if (batch === undefined) return
-  // A client whose cancellation was never acknowledged still sees that it took effect.
+  // Covers a cancellation that took effect although its response was lost.
   if (batch.status === 'cancelled') submission.cancelledAtMs ??= clock.wallMs()
   if (submission.cancelledAtMs !== undefined) await lookAtCounts(context, submission, jobId)
   const files = [{ id: batch.output_file_id, kind: 'output' }, { id: batch.error_file_id, kind: 'error' }] as const
@@ -62,8 +62,8 @@
 
 /**
  * @param context - connections and clock
- * @param fleet - whose ledger
- * @returns all executions, once reports in progress have arrived
+ * @param fleet - runs the ledger
+ * @returns all executions, read after a delay in which pending execution reports arrive
  */
 export async function readExecutions (context: LoadContext, fleet: Fleet): Promise<Execution[]> {
   await sleep(context.clock, SETTLE_MS)
--- a/packages/anvilarch-bench/src/soak/run/gatewayPool.ts
+++ b/packages/anvilarch-bench/src/soak/run/gatewayPool.ts
@@ -1,9 +1,9 @@
-/** Asks gateways whether they are ready, as the platform's balancer does, and chooses among those that are. */
+/** Polls the readiness of gateways, as the platform's load balancer does, and picks among the ready ones. */
 import { answersOk, type Fleet } from 'anvilarch-standins'
 import { type Clock, type Random, sleep } from 'anvilarch-utils'
 import type { GatewayAddress, GatewayPool } from '../load/types'
 
-/** A pool that goes on asking until it is stopped. */
+/** A gateway pool that polls until it is stopped. */
 export interface WatchedGatewayPool extends GatewayPool {
   stop: () => void
 }
@@ -11,9 +11,9 @@
 const ASK_INTERVAL_MS = 200
 
 /**
- * @param fleet - whose gateways
- * @param clock - paces the questions
- * @param random - chooses
+ * @param fleet - runs the gateways
+ * @param clock - paces the polls
+ * @param random - picks among ready gateways
  * @returns the pool
  */
 export function createGatewayPool (fleet: Fleet, clock: Clock, random: Random): WatchedGatewayPool {
--- a/packages/anvilarch-bench/src/soak/run/openSoakFleet.ts
+++ b/packages/anvilarch-bench/src/soak/run/openSoakFleet.ts
@@ -1,4 +1,4 @@
-/** Starts the fleet of a soak, with relays where connections are to go silent. */
+/** Starts the fleet of a soak, with relays on the connections that can be stalled or delayed. */
 import { type Fleet, type FleetDaemonSettings, startFleet } from 'anvilarch-standins'
 import type { FleetRelays } from '../faults/types'
 import { HOST_LIST_LAG_MS } from '../faults/faultTable'
@@ -15,7 +15,7 @@
 /** Options of `openSoakFleet`. */
 export interface SoakFleetOptions {
   directory: string
-  /** Whether engines refuse orders with an old fencing token. */
+  /** Whether engines reject orders with a stale fencing token. */
   checksFencing: boolean
 }
 
@@ -23,14 +23,14 @@
 const MODEL_ENDPOINTS = 3
 const PLAIN_ENDPOINTS = 2
 const PLATFORM = ['table', 'objects', 'hosts'] as const
-/** Short, so that a paused holder outlives its lease within a few seconds. */
+/** Short, so that the lease of a paused process expires within a few seconds. */
 const LEASE_MS = 4000
 const POLL_INTERVAL_MS = 1000
 const PART_ITEMS = 40
 
 /**
- * @param options - where to write settings and logs, and whether engines check fencing
- * @returns the fleet; its daemons are up, but have no document yet
+ * @param options - where to write settings and logs, and whether engines check fencing tokens
+ * @returns the fleet; its daemons are running, but have no configuration document yet
  */
 export async function openSoakFleet (options: SoakFleetOptions): Promise<SoakFleet> {
   const agentNames = Array.from({ length: MODEL_ENDPOINTS + PLAIN_ENDPOINTS }, (_, index) => `agent-${index + 1}`)
@@ -80,7 +80,7 @@
   }
 }
 
-/** An engine that was started again must know the marker from its start, else the same request would run on it. */
+/** Passes the markers as arguments too: a restarted engine without them would complete the request that crashed it before. */
 async function markEngines (fleet: Fleet): Promise<void> {
   const faults = { crashOn: CRASH_MARKER, failOn: FAIL_MARKER }
   for (const { spec } of fleet.processes('engine')) {
--- a/packages/anvilarch-bench/src/soak/run/readViolations.ts
+++ b/packages/anvilarch-bench/src/soak/run/readViolations.ts
@@ -1,21 +1,21 @@
 /**
- * Finds invariant violations in the logs of the daemons. Under test a violation ends its process at once, so that the
- * metric that counts it can't be read any more.
+ * Finds invariant violations in the logs of the daemons. Under test a violation ends its process at once, so the metric
+ * that counts it can often no longer be read.
  */
 import { readdirSync, readFileSync } from 'node:fs'
 import { join } from 'node:path'
 import type { ViolationReading } from '../types'
 
-/** Message of the line that a daemon logs. */
+/** Message that daemons log for a violation. */
 const MESSAGE = 'an invariant does not hold'
 const LOG_SUFFIX = '.log'
-/** The logs do not say which process of a daemon wrote a line. */
+/** Log lines do not contain the process id. */
 const ANY_PROCESS = 0
 
 /**
  * @param directory - folder of the fleet's logs
- * @param known - violations that the metrics showed
- * @returns those that only the logs show
+ * @param known - violations found in the metrics
+ * @returns the violations that only the logs contain
  */
 export function readViolations (directory: string, known: readonly ViolationReading[]): ViolationReading[] {
   const found = new Map<string, ViolationReading>()
--- a/packages/anvilarch-bench/src/soak/run/report.ts
+++ b/packages/anvilarch-bench/src/soak/run/report.ts
@@ -1,4 +1,4 @@
-/** Prints what a soak found. */
+/** Formats the report of a soak. */
 import Table from 'cli-table3'
 import type { CheckCount } from '../checker/checkEvidence'
 import { groupBy } from '../checker/callChecks'
@@ -9,8 +9,8 @@
 /**
  * @param evidence - of a run
  * @param counts - of its checks
- * @param selected - kinds of faults that were to be injected
- * @returns the report, as lines for a terminal
+ * @param selected - kinds of faults selected for injection
+ * @returns the report as text for a terminal
  */
 export function formatReport (evidence: Evidence, counts: readonly CheckCount[], selected: readonly string[]): string {
   return [callTable(evidence), faultTable(evidence, selected), pauseLine(evidence), countTable(evidence, counts), ...examples(counts)].join('\n')
@@ -18,8 +18,8 @@
 
 /**
  * @param evidence - of a run
- * @param selected - kinds of faults that were to be injected
- * @returns those that never were
+ * @param selected - kinds of faults selected for injection
+ * @returns those that were never injected
  */
 export function notInjected (evidence: Evidence, selected: readonly string[]): string[] {
   const injected = new Set(evidence.faults.map(fault => fault.fault))
@@ -54,7 +54,7 @@
 function pauseLine (evidence: Evidence): string {
   const daemons = [...groupBy(evidence.pauses, ({ daemon }) => daemon)]
   const counts = daemons.map(([daemon, readings]) => `${daemon} ${readings.reduce((sum, { count }) => sum + count, 0)}`)
-  return `daemons that stood still while they listened, times: ${counts.length === 0 ? 'none' : counts.join(', ')}`
+  return `process pauses of daemons while they waited for a peer: ${counts.length === 0 ? 'none' : counts.join(', ')}`
 }
 
 function countTable (evidence: Evidence, counts: readonly CheckCount[]): string {
--- a/packages/anvilarch-bench/src/soak/run/runSoak.ts
+++ b/packages/anvilarch-bench/src/soak/run/runSoak.ts
@@ -1,4 +1,4 @@
-/** One soak: a fleet of real processes under load and faults, then the check of what was told against what happened. */
+/** Runs one soak: puts a fleet of real processes under load and faults, and collects the evidence for the checks. */
 import { setMaxListeners } from 'node:events'
 import { join } from 'node:path'
 import { createRandom, createSystemClock, sleep, type Clock } from 'anvilarch-utils'
@@ -30,21 +30,21 @@
 }
 
 const READY_TIMEOUT_MS = 60_000
-/** Bound of the wait for jobs after all faults are healed. */
+/** Limit of the wait for jobs after all faults have ended. */
 const JOBS_TIMEOUT_MS = 120_000
-/** Faults begin when the load runs evenly, and end before it does. */
+/** Faults start this long after the load, once its rate is steady, and none is injected in the last part of the load. */
 const LEAD_MS = 3000
-/** Time for the last configuration to reach every daemon after the last fault. */
+/** Time for the last configuration to propagate to every daemon after the last fault. */
 const SPREAD_MS = 8000
 
 /**
- * @param options - length, seed and faults
+ * @param options - duration, seed and faults
  * @returns the evidence of the whole run
  */
 export async function runSoak (options: SoakOptions): Promise<Evidence> {
   const clock = createSystemClock()
   const soakFleet = await openSoakFleet({ directory: options.directory, checksFencing: options.checksFencing })
-  // The system clock's timers do not keep a process alive, and nothing else might during a wait.
+  // The timers of the system clock are unreferenced, so the process could exit during a wait.
   const alive = setInterval(() => {}, 1000)
   try {
     return await runOn(soakFleet, clock, options)
@@ -54,7 +54,7 @@
   }
 }
 
-/** A fleet that has just begun loads its models; what is refused until then says nothing of faults. */
+/** Waits until the new fleet has loaded its models, because refusals before that are not caused by faults. */
 async function waitForServices (fleet: Fleet, clock: Clock): Promise<void> {
   await waitFor(async () => {
     const { services } = await callJson<{ services: Array<{ replicas: number, ready: number }> }>('GET', `${fleet.callerUrls()[0]}/admin/v1/services`)
@@ -75,12 +75,12 @@
   const switches: LoadSwitches = { slowCallers: false, goneCallers: false, flood: false, crashingCalls: false, failingItems: false }
   const busy = new Set<string>()
   const ending = new AbortController()
-  // One listener for each wait of the load.
+  // Each wait of the load adds a listener.
   setMaxListeners(0, ending.signal)
   const gateways = createGatewayPool(fleet, clock, createRandom(seed + 1))
   const watch = watchDaemons({ fleet, clock, evidence, isHeld: name => busy.has(name), log })
   const orders = watchOrders(fleet, clock, evidence)
-  // A connection for each call, since a kept one that the gateway closes at that moment looks like a call that was cut.
+  // One connection per call: a kept-alive connection that the gateway closes just then would look like an interrupted call.
   const dispatcher = new Agent({ pipelining: 0, headersTimeout: 0, bodyTimeout: 0 })
   const load: LoadContext = { clock, random: createRandom(seed + 2), dispatcher, gateways, evidence, switches, seed, signal: ending.signal }
   const faultContext: FaultContext = {
--- a/packages/anvilarch-bench/src/soak/run/startLoad.ts
+++ b/packages/anvilarch-bench/src/soak/run/startLoad.ts
@@ -1,4 +1,4 @@
-/** The mixed load of a soak: online requests, lookups, orders, jobs, operators, and odd callers when a fault asks for them. */
+/** Mixed load of a soak: online requests, lookups, orders, jobs, operators, and misbehaving callers while a fault enables them. */
 import { createRandom, sleep } from 'anvilarch-utils'
 import { createArrivals, steadyArrivals } from '../../load/arrivals'
 import { runOpenLoop } from '../../load/openLoop'
@@ -9,7 +9,7 @@
 import { runJob } from '../load/runJob'
 import type { LoadContext } from '../load/types'
 
-/** Mean rates of the parts of the load, each a second. */
+/** Mean rates of the parts of the load, per second. */
 export interface LoadRates {
   streams: number
   chats: number
@@ -20,7 +20,7 @@
   operatorRaces: number
 }
 
-/** Moderate: the machine is shared, and the fleet's engines are modelled. */
+/** Moderate, because all processes of the fleet share one computer and its engines are simulated. */
 export const DEFAULT_RATES: LoadRates = {
   streams: 12,
   chats: 8,
@@ -33,7 +33,7 @@
 
 const TOKENS_FROM = 4
 const TOKENS_UNTIL = 80
-/** Requests of the load that have not ended this long after the last one was sent are left to their own time limits. */
+/** Wait for requests in progress after the last one was sent; later ones count as unfinished. */
 const DRAIN_MS = 120_000
 
 const SEND: Record<keyof LoadRates, (context: LoadContext, name: string, index: number) => Promise<void>> = {
@@ -50,11 +50,11 @@
  * @param context - of the load
  * @param durationMs - how long to send
  * @param rates - of each part
- * @returns a promise that resolves when everything that was sent has ended
+ * @returns a promise that resolves when all requests have ended
  */
 export async function runMixedLoad (context: LoadContext, durationMs: number, rates: LoadRates): Promise<void> {
   const parts = (Object.keys(rates) as Array<keyof LoadRates>).map(async part => {
-    // A source of its own for each part, so that the draws of one do not depend on how fast another one is answered.
+    // A random source per part, so that the values of one do not depend on the response times of another.
     const random = createRandom(context.random.between(0, MAX_SEED))
     const own = { ...context, random }
     const { timesMs } = createArrivals(steadyArrivals(rates[part], durationMs), random)
@@ -66,7 +66,7 @@
       signal: context.signal,
       send: async ({ index }) => { await SEND[part](own, `${part}-${context.seed}-${index}`, index) }
     })
-    if (clientErrors > 0 || unfinished > 0) throw new Error(`the soak's own load "${part}" had ${clientErrors} errors and ${unfinished} calls without an end`)
+    if (clientErrors > 0 || unfinished > 0) throw new Error(`load generator "${part}" had ${clientErrors} client errors and ${unfinished} unfinished calls`)
   })
   await Promise.all([...parts, ...oddCallers(context)])
 }
@@ -78,7 +78,7 @@
   await callModel(context, { requestId: name, kind, prompt: drawPrompt(context, name), maxTokens: random.between(TOKENS_FROM, TOKENS_UNTIL), gateway: gateways.pick() })
 }
 
-/** Each kind looks at its switch at every tick; what it began goes on when the switch is turned off. */
+/** Each kind reads its switch at every tick. Calls in progress continue after the switch is turned off. */
 function oddCallers (context: LoadContext): Array<Promise<void>> {
   return (Object.keys(ODD_CALLERS) as Array<keyof typeof ODD_CALLERS>).map(async name => {
     const { everyMs, run } = ODD_CALLERS[name]
@@ -92,5 +92,5 @@
   })
 }
 
-/** How often a switch that is off is looked at. */
+/** Polling interval of a switch that is off. */
 const IDLE_MS = 100
--- a/packages/anvilarch-bench/src/soak/run/watchDaemons.ts
+++ b/packages/anvilarch-bench/src/soak/run/watchDaemons.ts
@@ -1,4 +1,4 @@
-/** Polls the metrics of all daemons for configuration versions and invariant violations, and notices daemons that end. */
+/** Polls the metrics of all daemons for configuration versions, process pauses and invariant violations, and restarts daemons that exited unexpectedly. */
 import type { Fleet, FleetProcess } from 'anvilarch-standins'
 import { type Clock, sleep } from 'anvilarch-utils'
 import { Agent } from 'undici'
@@ -10,7 +10,7 @@
   fleet: Fleet
   clock: Clock
   evidence: Evidence
-  /** Whether a fault holds this process now, so that its end was meant. */
+  /** Whether a fault has claimed this process, so that its exit is expected. */
   isHeld: (name: string) => boolean
   log: (line: string) => void
 }
@@ -29,8 +29,8 @@
 const PAUSE_METRIC = 'anvilarch_own_pauses_total'
 
 /**
- * @param options - whose daemons, and where to record
- * @returns the watch, which goes on until it is stopped
+ * @param options - the fleet, and where to record
+ * @returns the watch, which runs until it is stopped
  */
 export function watchDaemons (options: WatchOptions): Watch {
   const { fleet, clock } = options
@@ -42,7 +42,7 @@
     const { processId } = daemon
     if (processId === undefined) return
     const samples = await readSamples(daemon.spec.addresses.operations, dispatcher)
-    // The process may have been replaced meanwhile, and the page may be of either.
+    // The process may have been replaced during the read, and the metrics may be of either one.
     if (samples === undefined || daemon.processId !== processId) return
     record(options, daemon.spec.name, processId, samples)
   }
@@ -53,7 +53,7 @@
       await sleep(clock, POLL_INTERVAL_MS, stopping.signal)
     }
   }
-  for (const daemon of daemons) watch(daemon).catch(error => { options.log(`the watch of ${daemon.spec.name} failed: ${String(error)}`) })
+  for (const daemon of daemons) watch(daemon).catch(error => { options.log(`watching ${daemon.spec.name} failed: ${String(error)}`) })
   return {
     readNow: async () => { await Promise.all(daemons.map(read)) },
     stop: () => { stopping.abort() }
@@ -69,7 +69,7 @@
     const known = evidence.violations.find(reading => reading.processId === processId && reading.name === labels.name)
     if (known === undefined) {
       evidence.violations.push({ daemon, processId, name: labels.name, count: value })
-      log(`invariant "${labels.name}" is broken at ${daemon}`)
+      log(`invariant "${labels.name}" is violated at ${daemon}`)
     } else {
       known.count = value
     }
@@ -80,8 +80,8 @@
   const { code, signal } = daemon.lastExit ?? { code: null, signal: null }
   const { name } = daemon.spec
   evidence.unplannedExits.push({ daemon: name, atMs: clock.wallMs(), exit: `code ${String(code)}, signal ${String(signal)}` })
-  log(`${name} ended by itself with code ${String(code)}, signal ${String(signal)}; it is started again`)
-  await fleet.spawn(name).catch((error: Error) => { log(`${name} did not come up: ${error.message}`) })
+  log(`${name} exited unexpectedly with code ${String(code)}, signal ${String(signal)}; restarting it`)
+  await fleet.spawn(name).catch((error: Error) => { log(`${name} did not start: ${error.message}`) })
 }
 
 function pausesSoFar (evidence: Evidence, processId: number): number {
--- a/packages/anvilarch-bench/src/soak/run/watchOrders.ts
+++ b/packages/anvilarch-bench/src/soak/run/watchOrders.ts
@@ -1,4 +1,4 @@
-/** Reads the orders that the engines have taken, again and again, since an engine that ends takes its list along, and notes their processes. */
+/** Polls the engines for the orders that they accepted, since the list is lost when an engine exits, and records their processes. */
 import { type EngineLedger, type Fleet, type FleetProcess } from 'anvilarch-standins'
 import { type Clock, sleep } from 'anvilarch-utils'
 import { Agent } from 'undici'
@@ -6,21 +6,21 @@
 
 /** A running watch. */
 export interface OrderWatch {
-  /** Reads all engines once more. */
+  /** Polls all engines once more. */
   readNow: () => Promise<void>
   stop: () => void
 }
 
 const POLL_INTERVAL_MS = 500
 const READ_TIMEOUT_MS = 1500
-/** Asks for the executions of no request, so that the answer holds the orders alone. */
+/** Selects the executions of no request, so that the response contains only the orders. */
 const ORDERS_PATH = '/ledger?request=none'
 
 /**
- * @param fleet - whose engines
- * @param clock - paces the reads
+ * @param fleet - runs the engines
+ * @param clock - paces the polls
  * @param evidence - to record in
- * @returns the watch, which goes on until it is stopped
+ * @returns the watch, which runs until it is stopped
  */
 export function watchOrders (fleet: Fleet, clock: Clock, evidence: Evidence): OrderWatch {
   const stopping = new AbortController()
--- a/packages/anvilarch-bench/src/soak/switchedOff/__tests__/scratchCopy.test.ts
+++ b/packages/anvilarch-bench/src/soak/switchedOff/__tests__/scratchCopy.test.ts
@@ -7,8 +7,8 @@
   const directory = mkdtempSync(join(tmpdir(), 'anvilarch-scratch-copy-'))
   afterAll(() => { rmSync(directory, { recursive: true }) })
 
-  // Guards against this: the copy does not build, since a package outside "packages" is not found.
-  test('links each package of the repository to that of the copy, wherever it lies, and libraries to the original', () => {
+  // Guards against a failing build of the copy because a package outside "packages" is not found.
+  test('links each package of the repository to that of the copy, whatever its folder, and libraries to the original', () => {
     const [root, copy] = [join(directory, 'root'), join(directory, 'copy')]
     for (const folder of ['root/node_modules/library', 'root/packages/anvilarch-a', 'root/platform', 'copy']) mkdirSync(join(directory, folder), { recursive: true })
     symlinkSync('../packages/anvilarch-a', join(root, 'node_modules/anvilarch-a'))
--- a/packages/anvilarch-bench/src/soak/switchedOff/main.ts
+++ b/packages/anvilarch-bench/src/soak/switchedOff/main.ts
@@ -1,4 +1,4 @@
-/** Runs the soak on a scratch copy without one mechanism: `node lib/soak/switchedOff/main.js --switch NAME --directory DIR`. */
+/** Runs the soak on a scratch copy with one mechanism disabled: `node lib/soak/switchedOff/main.js --switch NAME --directory DIR`. */
 import { spawnSync } from 'node:child_process'
 import { join, resolve } from 'node:path'
 import { command, number, oneOf, option, optional, run, string } from 'cmd-ts'
@@ -9,12 +9,12 @@
 
 const main = command({
   name: 'switchedOff',
-  description: 'Shows that the soak can fail: builds a scratch copy without one mechanism and runs the soak on it.',
+  description: 'Shows that the soak detects a missing mechanism: builds a scratch copy without it and runs the soak on the copy.',
   args: {
     name: option({ type: oneOf(Object.keys(SWITCHES)), long: 'switch', description: `mechanism: ${Object.keys(SWITCHES).join(', ')}` }),
-    directory: option({ type: string, long: 'directory', description: 'folder for the copy; what is there is removed' }),
-    minutes: option({ type: optional(number), long: 'minutes', description: 'length; that of the table by default' }),
-    seed: option({ type: optional(number), long: 'seed', description: 'seed; that of the table by default' })
+    directory: option({ type: string, long: 'directory', description: 'folder for the copy; existing content is removed' }),
+    minutes: option({ type: optional(number), long: 'minutes', description: 'duration; by default that of the mechanism' }),
+    seed: option({ type: optional(number), long: 'seed', description: 'seed; by default that of the mechanism' })
   },
   handler: ({ name, directory, minutes, seed }) => {
     const { faults, mechanism, replacements, racesPerSecond, ...defaults } = SWITCHES[name]
--- a/packages/anvilarch-bench/src/soak/switchedOff/scratchCopy.ts
+++ b/packages/anvilarch-bench/src/soak/switchedOff/scratchCopy.ts
@@ -4,15 +4,15 @@
 import { basename, join } from 'node:path'
 import type { Replacement } from './switches'
 
-/** Not copied: what the build makes, what is linked, and what belongs to the original alone. */
+/** Not copied: build output, linked modules, and data that belongs only to the original. */
 const LEFT_OUT: ReadonlySet<string> = new Set(['node_modules', 'lib', '.git', '.fleet'])
 const LEFT_OUT_SUFFIX = '.tsbuildinfo'
 const OWN_PACKAGE = /^anvilarch/
 
 /**
  * @param root - of the repository
- * @param directory - of the copy; what is there is removed
- * @param replacements - made in the copy before it is built
+ * @param directory - of the copy; existing content is removed
+ * @param replacements - applied to the copy before the build
  */
 export function makeScratchCopy (root: string, directory: string, replacements: readonly Replacement[]): void {
   rmSync(directory, { recursive: true, force: true })
@@ -23,7 +23,7 @@
 }
 
 /**
- * Libraries are those of the original; the packages of the repository must be those of the copy.
+ * Links libraries to those of the original, and the packages of the repository to those of the copy.
  *
  * @param root - of the repository
  * @param directory - of the copy
@@ -42,12 +42,12 @@
 
 /**
  * @param directory - of the copy
- * @param replacement - to make
- * @throws Error when the text is not there exactly once: the source has changed, and the table must follow it
+ * @param replacement - to apply
+ * @throws Error if the file does not contain the text exactly once: the source has changed, and `SWITCHES` must be updated
  */
 export function applyReplacement (directory: string, { file, text, by }: Replacement): void {
   const path = join(directory, file)
   const parts = readFileSync(path, 'utf8').split(text)
-  if (parts.length !== 2) throw new Error(`${file} holds ${parts.length - 1} times: ${text}`)
+  if (parts.length !== 2) throw new Error(`${file} contains ${parts.length - 1} times instead of once: ${text}`)
   writeFileSync(path, parts.join(by))
 }
--- a/packages/anvilarch-bench/src/soak/switchedOff/switches.ts
+++ b/packages/anvilarch-bench/src/soak/switchedOff/switches.ts
@@ -1,28 +1,28 @@
 /**
- * Mechanisms that a scratch copy of the repository runs without, to show that the soak notices. Nothing here is part of
- * what ships: each row replaces one line of the sources, and only of the copy.
+ * Mechanisms that can be disabled in a scratch copy of the repository, to show that the soak detects their absence. The
+ * replacements change source lines of the copy only, never the shipped code.
  */
 import type { FaultName } from '../faults/faultTable'
 
-/** One text of a source file and what stands there when its mechanism is off. */
+/** A text of a source file, and the text that replaces it when its mechanism is disabled. */
 export interface Replacement {
-  /** From the root of the repository. */
+  /** Path relative to the root of the repository. */
   file: string
-  /** Must occur once. */
+  /** Must occur exactly once. */
   text: string
   by: string
 }
 
-/** A mechanism and how a soak runs without it. */
+/** A mechanism, how to disable it, and the soak that detects its absence. */
 export interface MechanismSwitch {
-  /** What the mechanism keeps from happening. */
+  /** Rule that the mechanism enforces. */
   mechanism: string
   replacements: Replacement[]
   faults: FaultName[]
-  /** Rate of racing operators, where it is not the usual one. */
+  /** Rate of concurrent operators, if not the default. */
   racesPerSecond?: number
   minutes: number
-  /** Even seeds have engines that do not check fencing tokens. */
+  /** With an even seed, engines do not check fencing tokens. */
   seed: number
 }
 
@@ -55,14 +55,14 @@
 /** Mechanisms by name. */
 export const SWITCHES: Record<string, MechanismSwitch> = {
   none: {
-    mechanism: 'nothing is switched off',
+    mechanism: 'nothing is disabled',
     replacements: [],
     faults: ['stop_agent', 'kill_agent', 'pause_gateway', 'peer_delay'],
     minutes: 1.5,
     seed: 2
   },
   bar_unknown_ids: {
-    mechanism: 'the agent bars an attempt id that it is asked for and does not know',
+    mechanism: 'the agent bars an unknown attempt id whose resumption is requested',
     replacements: [{
       file: `${DAEMON}/agent/attemptTable.ts`,
       text: "return [refuse(event.id, barId(state, event.id, event.nowMs) ? 'barred' : 'wrong_incarnation')]",
@@ -73,7 +73,7 @@
     seed: 2
   },
   single_send: {
-    mechanism: 'a non-idempotent call whose outcome is open is not sent again',
+    mechanism: 'a non-idempotent call whose outcome is unknown is not sent again',
     replacements: [SINGLE_SEND],
     faults: ['kill_agent', 'kill_engine', 'peer_silence', 'pause_agent'],
     minutes: 1.5,
@@ -116,7 +116,7 @@
     seed: 2
   },
   both_row_conditions_and_lease_clock: {
-    mechanism: 'as part_row_condition and job_row_condition, and a holder commits nothing once its own clock says that its lease lapsed',
+    mechanism: 'as part_row_condition and job_row_condition, and a gateway commits nothing once its lease has expired by its own clock',
     replacements: [PART_ROW, JOB_ROW, {
       file: `${DAEMON}/jobs/partCommits.ts`,
       text: 'heartbeat.holdsLease() && heartbeat.lapses() === confirmedLapses && !state.isLeaseUncertain',
@@ -146,7 +146,7 @@
     seed: 2
   },
   configuration_version: {
-    mechanism: 'a daemon takes no lower configuration version than it has',
+    mechanism: 'a daemon accepts no lower configuration version than its own',
     replacements: [{
       file: `${DAEMON}/configuration/createConfigurationHolder.ts`,
       text: "if (offered.version <= (current?.version ?? 0)) return 'not_newer'",
@@ -173,7 +173,7 @@
     seed: 2
   },
   agent_fencing: {
-    mechanism: 'the agent refuses an order with a lower fencing token than it has seen',
+    mechanism: 'the agent rejects an order with a lower fencing token than the highest so far',
     replacements: [FENCING],
     faults: ['pause_gateway', 'peer_delay'],
     racesPerSecond: 0.7,
@@ -181,7 +181,7 @@
     seed: 2
   },
   agent_fencing_and_lease_clock: {
-    mechanism: 'as agent_fencing, and a holder trusts its lease only as long as its own clock allows',
+    mechanism: 'as agent_fencing, and a gateway uses its lease only until it expires by its own clock',
     replacements: [FENCING, {
       file: `${DAEMON}/leases/startSingleLease.ts`,
       text: 'if (!heartbeat.holdsLease() || held.lapses !== heartbeat.lapses()) return undefined',
@@ -193,7 +193,7 @@
     seed: 2
   },
   answer_that_goes_on: {
-    mechanism: 'a whole failure is not taken for the rest of a stream that has begun',
+    mechanism: 'an error response is not accepted as the continuation of a stream',
     replacements: [{
       file: `${DAEMON}/attempts/output/streamCollector.ts`,
       text: 'if (delivered) return newStatus === status && isEvents ? undefined :',
@@ -204,7 +204,7 @@
     seed: 2
   },
   drain_refusal: {
-    mechanism: 'an agent that drains refuses new work',
+    mechanism: 'a draining agent refuses new work',
     replacements: [{
       file: `${DAEMON}/agent/attemptRegistry.ts`,
       text: "if (deps.isDraining()) return refuse('draining')",
--- a/packages/anvilarch-bench/src/soak/types.ts
+++ b/packages/anvilarch-bench/src/soak/types.ts
@@ -1,26 +1,25 @@
-/** What a soak run records: what callers were told, what was done to the system, and what the daemons showed. */
+/** Records of a soak run: responses to callers, injected faults and operator actions, and metrics of the daemons. */
 import type { Execution } from 'anvilarch-standins'
 import type { RunStatus } from 'anvilarch-utils'
 
-/** Kinds of calls that the load makes. */
+/** Kinds of calls in the load. */
 export type CallKind = 'stream' | 'chat' | 'lookup' | 'order' | 'keyed_order' | 'crashing'
 
 /**
- * What a caller was told. `whole`: a complete answer. `refused` and `failed`: a typed error. `broken`: the connection
- * ended or timed out before either. `gone`: the caller went away by itself.
+ * Outcome of a call as the caller saw it. `whole`: a complete response. `refused` and `failed`: a typed error. `broken`: the
+ * connection ended or timed out before either. `gone`: the caller itself disconnected.
  */
 export type Told = 'whole' | 'refused' | 'failed' | 'broken' | 'gone'
 
-/** What is wrong with an answer: it was told as whole and came short, or its pieces are not those of the right answer. */
+/** Fault in the content of a response: it ended as complete but lacks something, or its content is not that of the expected response. */
 export type AnswerFault = 'incomplete' | 'crossed'
 
-/** One call and its end. Times are wall times, since the ledgers of other processes are held against them. */
+/** One call and its outcome. Times are wall-clock times, because they are compared with the ledgers of other processes. */
 export interface CallRecord {
   requestId: string
   kind: CallKind
-  /** Name of the gateway that was called. */
   gateway: string
-  /** Calls of one key, or of one body that a caller sends again, run at most once together. */
+  /** Calls that share a key, or that resend one body, are executed at most once in total. */
   key: string | undefined
   idempotent: boolean
   sentAtMs: number
@@ -38,11 +37,11 @@
 export interface ItemSpec {
   customId: string
   body: object
-  /** Text of the right answer; undefined for an item that can't be done. */
+  /** Text of the expected response; undefined for an item that always fails. */
   expected: string | undefined
 }
 
-/** One answer to a request that makes or cancels a job. */
+/** One response to a request that creates or cancels a job. */
 export interface JobAnswer {
   gateway: string
   sentAtMs: number
@@ -63,26 +62,26 @@
   code: string | undefined
 }
 
-/** Finished items of a cancelled job as shown at one time. */
+/** Number of finished items that a cancelled job reported at one time. */
 export interface ShownCount {
   atMs: number
   items: number
 }
 
-/** One job with everything that its client was told. */
+/** One job with all responses that its client received. */
 export interface SubmissionRecord {
   name: string
   items: ItemSpec[]
-  /** Requests to make the job, all with the same content. */
+  /** Responses to the requests that create the job, all with the same content. */
   answers: JobAnswer[]
-  /** Requests with the same key and another body. */
+  /** Responses to requests with the same key and another body. */
   otherBodyAnswers: JobAnswer[]
   /** When the cancellation was acknowledged. */
   cancelledAtMs: number | undefined
   shownAfterCancel: ShownCount[]
   endState: string | undefined
   lines: ResultLine[]
-  /** Why the results could not be read; empty when they were. */
+  /** Why the results could not be read; empty if they were read. */
   readError: string
 }
 
@@ -97,7 +96,7 @@
   hash: string | undefined
 }
 
-/** The configuration version that one daemon showed. */
+/** The configuration version in the metrics of one daemon. */
 export interface VersionReading {
   daemon: string
   processId: number
@@ -105,7 +104,7 @@
   version: number
 }
 
-/** Invariant violations that one process counted. */
+/** Number of violations of one invariant in one process. */
 export interface ViolationReading {
   daemon: string
   processId: number
@@ -113,7 +112,7 @@
   count: number
 }
 
-/** Times that a daemon's process stood still while it listened to a peer, between two readings. */
+/** Number of process pauses that a daemon detected while waiting for a peer, between two readings. */
 export interface PauseReading {
   daemon: string
   processId: number
@@ -121,44 +120,44 @@
   count: number
 }
 
-/** One fault that was injected. */
+/** One injected fault. */
 export interface FaultRecord {
   fault: string
   target: string
   injectedAtMs: number
-  /** Infinity while it holds. */
+  /** Infinity while the fault is active. */
   healedAtMs: number
 }
 
-/** An agent that leaves. */
+/** A period in which an agent must get no new work, since it is draining or its host is listed as leaving. */
 export interface LeaveRecord {
   agent: string
   endpoints: string[]
-  /** Whether the agent itself was told, or only the list of hosts shows it. */
+  /** Whether the agent received a signal, or only the host list shows its host as leaving. */
   by: 'signal' | 'host_list'
-  /** From when on the system can know. */
+  /** When the system can first detect it. */
   sinceMs: number
-  /** When the agent was gone, or back. */
+  /** When the agent had exited, or its host was listed as live again. */
   untilMs: number
 }
 
-/** A daemon that was told to stop, with the way it ended. */
+/** A planned stop of a daemon, with its exit. */
 export interface StopRecord {
   daemon: string
   toldAtMs: number
   endedAtMs: number
-  /** Null when it did not end by itself. */
+  /** Null if it did not exit by itself in time. */
   exitCode: number | null
 }
 
-/** A daemon that ended without being told to. */
+/** A daemon that exited without a planned stop or an injected fault. */
 export interface UnplannedExit {
   daemon: string
   atMs: number
   exit: string
 }
 
-/** An order that an endpoint has taken. */
+/** An order that an endpoint accepted. */
 export interface OrderRecord {
   endpoint: string
   /** Process of the endpoint. */
@@ -168,7 +167,7 @@
   fencingToken: number
 }
 
-/** A process of a model endpoint, and when it was seen. */
+/** A process of a model endpoint, with the time span in which it responded. */
 export interface EngineProcess {
   endpoint: string
   processId: number
@@ -176,7 +175,7 @@
   lastSeenMs: number
 }
 
-/** Everything that the checker reads. */
+/** Input of the checks. */
 export interface Evidence {
   calls: CallRecord[]
   submissions: SubmissionRecord[]
@@ -193,7 +192,7 @@
   executions: Execution[]
 }
 
-/** @returns evidence of a run in which nothing happened */
+/** @returns evidence without any records */
 export function emptyEvidence (): Evidence {
   return {
     calls: [],
