--- a/packages/anvilarch-bench/src/soak/__fixtures__/evidence.ts
+++ b/packages/anvilarch-bench/src/soak/__fixtures__/evidence.ts
@@ -1,6 +1,6 @@
 /** Builds evidence for tests of the checks: each record is valid unless a test adds a violation. */
 import type { Execution } from 'anvilarch-standins'
-import { emptyEvidence, type CallRecord, type Evidence, type ItemSpec, type JobAnswer, type SubmissionRecord } from '../types'
+import { emptyEvidence, type CallRecord, type Evidence, type ItemSpec, type JobResponse, type SubmissionRecord } from '../types'
 
 export function call (changes: Partial<CallRecord> = {}): CallRecord {
   return {
@@ -26,7 +26,7 @@
   return { executionId: 'execution-1', requestId: 'call-1', attemptId: 'attempt-1', startedAtMs: 1100, endedAtMs: 1900, state: 'completed', endpoint: 'engine-1', incarnation: 'a', ...changes }
 }
 
-export function jobAnswer (changes: Partial<JobAnswer> = {}): JobAnswer {
+export function jobResponse (changes: Partial<JobResponse> = {}): JobResponse {
   return { gateway: 'gateway-1', sentAtMs: 1000, endedAtMs: 1100, told: 'whole', status: 200, code: '', ran: '', retryAfterMs: undefined, jobId: 'batch_1', ...changes }
 }
 
@@ -36,7 +36,7 @@
   return {
     name: 'job-1',
     items,
-    answers: [jobAnswer()],
+    answers: [jobResponse()],
     otherBodyAnswers: [],
     cancelledAtMs: undefined,
     shownAfterCancel: [],
--- a/packages/anvilarch-bench/src/soak/checker/__tests__/checkEvidence.test.ts
+++ b/packages/anvilarch-bench/src/soak/checker/__tests__/checkEvidence.test.ts
@@ -1,14 +1,14 @@
-import { call, evidence, execution, jobAnswer, submission } from '../../__fixtures__/evidence'
+import { call, evidence, execution, jobResponse, submission } from '../../__fixtures__/evidence'
 import type { Evidence } from '../../types'
 import { checkEvidence, CHECKS } from '../checkEvidence'
-import { DOWN_MS, RELOAD_BOUND_MS } from '../serviceChecks'
+import { DOWN_WINDOW_MS, RELOAD_BOUND_MS } from '../serviceChecks'
 
 /** Names of the checks with a violation. */
-function found (planted: Partial<Evidence>): string[] {
-  return checkEvidence(evidence(planted)).filter(({ count }) => count > 0).map(({ name }) => name)
+function failedChecks (changes: Partial<Evidence>): string[] {
+  return checkEvidence(evidence(changes)).filter(({ count }) => count > 0).map(({ name }) => name)
 }
 
-const ENGINE_LEAVE = { agent: 'agent-1', endpoints: ['engine-1'], by: 'signal' as const, sinceMs: 1000, untilMs: 20_000 }
+const ENGINE_DRAIN = { agent: 'agent-1', endpoints: ['engine-1'], by: 'signal' as const, sinceMs: 1000, untilMs: 20_000 }
 const STOP = { daemon: 'gateway-1', toldAtMs: 5000, endedAtMs: 9000, exitCode: 0 }
 const STOP_FAULT = { fault: 'stop_gateway', target: 'gateway-1', injectedAtMs: 5000, healedAtMs: 10_000 }
 const ORDER = { kind: 'order' as const, idempotent: false }
@@ -21,27 +21,27 @@
 const RUNNING = { state: 'running' as const, endedAtMs: undefined }
 
 /** A valid record of each kind, without a violation. */
-const SOUND: Partial<Evidence> = {
+const VALID: Partial<Evidence> = {
   calls: [call(), call({ requestId: 'call-2', told: 'refused', status: 503, code: 'overloaded', ran: 'not_run', retryAfterMs: 1000 })],
   executions: [execution()],
   submissions: [submission()],
   versions: [VERSION, { ...VERSION, version: 5 }],
   applies: [APPLY],
   stops: [STOP],
-  leaves: [ENGINE_LEAVE],
+  leaves: [ENGINE_DRAIN],
   faults: [STOP_FAULT]
 }
 
 const ONE_LINE = submission().lines.slice(0, 1)
 
 /** Evidence with one violation, by the name of the check that must find it. */
-const PLANTED: Record<string, Partial<Evidence>> = {
+const VIOLATIONS: Record<string, Partial<Evidence>> = {
   'items lost': { submissions: [submission({ lines: ONE_LINE })] },
   'items doubled': { submissions: [submission({ lines: [...submission().lines, ...ONE_LINE] })] },
   'items shown wrong': { submissions: [submission({ lines: submission().lines.map(line => ({ ...line, text: 'other' })) })] },
   'items that can be done shown as failed': { submissions: [submission({ lines: submission().lines.map(line => ({ ...line, kind: 'error', text: undefined })) })] },
-  'submissions that became two jobs': { submissions: [submission({ answers: [jobAnswer(), jobAnswer({ jobId: 'batch_2' })] })] },
-  'same key with another body accepted': { submissions: [submission({ otherBodyAnswers: [jobAnswer()] })] },
+  'submissions that became two jobs': { submissions: [submission({ answers: [jobResponse(), jobResponse({ jobId: 'batch_2' })] })] },
+  'same key with another body accepted': { submissions: [submission({ otherBodyAnswers: [jobResponse()] })] },
   'jobs run that nobody was told of': { submissions: [submission()], executions: [execution({ requestId: 'batch_9.0.0.1.0.0' })] },
   'results that grew after a cancellation': { submissions: [submission({ cancelledAtMs: 1500, shownAfterCancel: [{ atMs: 1500, items: 1 }, { atMs: 1600, items: 2 }] })] },
   'items started long after a cancellation': { submissions: [submission({ cancelledAtMs: 1500 })], executions: [execution({ requestId: 'batch_1.0.0.1.0.0', startedAtMs: 12_000 })] },
@@ -71,7 +71,7 @@
   'applied versions that were not new': { applies: [APPLY, { ...APPLY, sentAtMs: 2000, endedAtMs: 2100, version: 4, hash: 'y' }] },
   'daemons behind the last accepted version at the end': { applies: [APPLY], versions: [VERSION] },
   'orders taken with an old fencing token': { orders: [{ ...ORDERED, fencingToken: 2 }, { ...ORDERED, atMs: 1100, fencingToken: 1 }] },
-  'new work on a leaving endpoint after the bound': { leaves: [ENGINE_LEAVE], executions: [execution({ startedAtMs: 6001 })] },
+  'new work on a leaving endpoint after the bound': { leaves: [ENGINE_DRAIN], executions: [execution({ startedAtMs: 6001 })] },
   'requests cut by a planned stop': { stops: [STOP], faults: [STOP_FAULT], calls: [call({ sentAtMs: 4000, endedAtMs: 6000, told: 'broken', code: 'UND_ERR_SOCKET' })] },
   'planned stops that did not end by themselves': { stops: [{ ...STOP, exitCode: null }] },
   'daemons that ended without being told to': { unplannedExits: [{ daemon: 'agent-1', atMs: 1000, exit: 'code 1' }] },
@@ -82,60 +82,60 @@
 
 describe('checkEvidence', () => {
   test('counts nothing in valid evidence, and reports the number of cases examined', () => {
-    expect(found(SOUND)).toEqual([])
-    const trials = Object.fromEntries(checkEvidence(evidence(SOUND)).map(count => [count.name, count.trials]))
+    expect(failedChecks(VALID)).toEqual([])
+    const trials = Object.fromEntries(checkEvidence(evidence(VALID)).map(count => [count.name, count.trials]))
     expect(trials['items lost']).toBe(2)
     expect(trials['calls run after "not_run"']).toBe(1)
   })
 
   test('has evidence with a violation for every check', () => {
-    expect(Object.keys(PLANTED).sort()).toEqual(CHECKS.map(({ name }) => name).sort())
+    expect(Object.keys(VIOLATIONS).sort()).toEqual(CHECKS.map(({ name }) => name).sort())
   })
 
-  test.each(Object.entries(PLANTED))('finds %s', (name, planted) => {
-    expect(found(planted)).toContain(name)
+  test.each(Object.entries(VIOLATIONS))('finds %s', (name, changes) => {
+    expect(failedChecks(changes)).toContain(name)
   })
 
   test('does not count calls against a planned stop that another fault may have interrupted', () => {
     const kill = { fault: 'kill_agent', target: 'agent-1', injectedAtMs: 5500, healedAtMs: 5600 }
-    expect(found({ ...PLANTED['requests cut by a planned stop'], faults: [STOP_FAULT, kill] })).toEqual([])
+    expect(failedChecks({ ...VIOLATIONS['requests cut by a planned stop'], faults: [STOP_FAULT, kill] })).toEqual([])
   })
 
   // Guards against a false count of new work on a leaving endpoint: a frozen engine starts an earlier request late (soak seed 317).
   test('does not count work that was queued in a frozen engine before the endpoint began to leave', () => {
-    const leave = ENGINE_LEAVE
-    const endpoint = leave.endpoints[0]
-    const frozen = { fault: 'engine_frozen', target: endpoint, injectedAtMs: leave.sinceMs - 700, healedAtMs: leave.sinceMs + 7000 }
-    const before = call({ sentAtMs: leave.sinceMs - 100, endedAtMs: leave.sinceMs + 8000 })
-    const run = execution({ endpoint, startedAtMs: leave.sinceMs + 7100, endedAtMs: leave.sinceMs + 7900 })
+    const drain = ENGINE_DRAIN
+    const endpoint = drain.endpoints[0]
+    const frozen = { fault: 'engine_frozen', target: endpoint, injectedAtMs: drain.sinceMs - 700, healedAtMs: drain.sinceMs + 7000 }
+    const before = call({ sentAtMs: drain.sinceMs - 100, endedAtMs: drain.sinceMs + 8000 })
+    const run = execution({ endpoint, startedAtMs: drain.sinceMs + 7100, endedAtMs: drain.sinceMs + 7900 })
     const counted = ['new work on a leaving endpoint after the bound']
-    expect(found({ leaves: [leave], calls: [before], executions: [run], faults: [frozen] })).toEqual([])
-    expect(found({ leaves: [leave], calls: [before], executions: [run] })).toEqual(counted)
-    expect(found({ leaves: [leave], calls: [{ ...before, sentAtMs: leave.sinceMs + 10 }], executions: [run], faults: [frozen] })).toEqual(counted)
-    expect(found({ leaves: [leave], calls: [before], executions: [run], faults: [{ ...frozen, target: 'engine-9' }] })).toEqual(counted)
-    expect(found({ leaves: [leave], calls: [before], executions: [run], faults: [{ ...frozen, healedAtMs: leave.sinceMs + 1000 }] })).toEqual(counted)
+    expect(failedChecks({ leaves: [drain], calls: [before], executions: [run], faults: [frozen] })).toEqual([])
+    expect(failedChecks({ leaves: [drain], calls: [before], executions: [run] })).toEqual(counted)
+    expect(failedChecks({ leaves: [drain], calls: [{ ...before, sentAtMs: drain.sinceMs + 10 }], executions: [run], faults: [frozen] })).toEqual(counted)
+    expect(failedChecks({ leaves: [drain], calls: [before], executions: [run], faults: [{ ...frozen, target: 'engine-9' }] })).toEqual(counted)
+    expect(failedChecks({ leaves: [drain], calls: [before], executions: [run], faults: [{ ...frozen, healedAtMs: drain.sinceMs + 1000 }] })).toEqual(counted)
   })
 
   // Guards against counting a keyed order against a planned stop when it got `conflict` ("the call under Idempotency-Key is in progress", soak seed 42).
   test('does not count a call against a planned stop whose key is in progress elsewhere, unless that call was interrupted too', () => {
     const order = { kind: 'keyed_order', key: 'order-1', idempotent: false } as const
-    const told = call({ ...order, requestId: 'order-1.0', sentAtMs: 4000, endedAtMs: 6000, told: 'failed', status: 409, code: 'conflict', ran: 'unknown' })
+    const conflicting = call({ ...order, requestId: 'order-1.0', sentAtMs: 4000, endedAtMs: 6000, told: 'failed', status: 409, code: 'conflict', ran: 'unknown' })
     const other = call({ ...order, requestId: 'order-1.1', gateway: 'gateway-2', sentAtMs: 4000, endedAtMs: 6100 })
-    const blamed = ['requests cut by a planned stop']
-    const soundOrder = [execution({ requestId: 'order-1.1', startedAtMs: 4100, endedAtMs: 6000, endpoint: 'plain-1' })]
-    const stopped = { stops: [STOP], faults: [STOP_FAULT], executions: soundOrder }
-    expect(found({ ...stopped, calls: [told, other] })).toEqual([])
-    expect(found({ ...stopped, calls: [told] })).toEqual(blamed)
-    expect(found({ ...stopped, calls: [told, { ...other, told: 'broken', code: 'UND_ERR_SOCKET' }] })).toEqual(blamed)
-    expect(found({ ...stopped, calls: [told, { ...other, sentAtMs: 1000, endedAtMs: 2000 }] })).toEqual(blamed)
-    expect(found({ ...stopped, calls: [{ ...told, status: 502, code: 'outcome_unknown' }, other] })).toEqual(blamed)
+    const counted = ['requests cut by a planned stop']
+    const validExecutions = [execution({ requestId: 'order-1.1', startedAtMs: 4100, endedAtMs: 6000, endpoint: 'plain-1' })]
+    const stopped = { stops: [STOP], faults: [STOP_FAULT], executions: validExecutions }
+    expect(failedChecks({ ...stopped, calls: [conflicting, other] })).toEqual([])
+    expect(failedChecks({ ...stopped, calls: [conflicting] })).toEqual(counted)
+    expect(failedChecks({ ...stopped, calls: [conflicting, { ...other, told: 'broken', code: 'UND_ERR_SOCKET' }] })).toEqual(counted)
+    expect(failedChecks({ ...stopped, calls: [conflicting, { ...other, sentAtMs: 1000, endedAtMs: 2000 }] })).toEqual(counted)
+    expect(failedChecks({ ...stopped, calls: [{ ...conflicting, status: 502, code: 'outcome_unknown' }, other] })).toEqual(counted)
   })
 
   // Guards against mistaking processes without CPU time on a busy computer for a fault of the system.
   test('names the daemons whose process paused while a call was held up to its deadline', () => {
-    const held = call({ told: 'failed', status: 504, code: 'deadline_exceeded', ran: 'unknown' })
-    const pauses = [{ daemon: 'gateway-1', processId: 7, atMs: held.endedAtMs + 100, count: 2 }, { daemon: 'gateway-2', processId: 8, atMs: held.sentAtMs - 1, count: 1 }]
-    const [{ examples }] = checkEvidence(evidence({ calls: [held], pauses })).filter(({ count }) => count > 0)
+    const timedOut = call({ told: 'failed', status: 504, code: 'deadline_exceeded', ran: 'unknown' })
+    const pauses = [{ daemon: 'gateway-1', processId: 7, atMs: timedOut.endedAtMs + 100, count: 2 }, { daemon: 'gateway-2', processId: 8, atMs: timedOut.sentAtMs - 1, count: 1 }]
+    const [{ examples }] = checkEvidence(evidence({ calls: [timedOut], pauses })).filter(({ count }) => count > 0)
     expect(examples).toEqual([expect.stringMatching(/; process of gateway-1 paused \(2\)$/)])
   })
 
@@ -143,34 +143,34 @@
   test('expects an order to load for each process of an engine, unless its agent was stopped or the placement could not act', () => {
     const name = 'engines that came back and got no order to load in time'
     const crashing = { fault: 'crashing_request', target: 'callers', injectedAtMs: 0, healedAtMs: 5000 }
-    const away = { fault: 'stop_agent', target: 'agent-1', injectedAtMs: 500, healedAtMs: 3000 }
+    const agentStop = { fault: 'stop_agent', target: 'agent-1', injectedAtMs: 500, healedAtMs: 3000 }
     const outage = { fault: 'table_outage', target: 'table', injectedAtMs: 500, healedAtMs: 3000 }
     const loaded = { ...ORDERED, atMs: IDLE_ENGINE.firstSeenMs + RELOAD_BOUND_MS, fencingToken: 1 }
     const engineProcesses = [IDLE_ENGINE]
-    expect(found({ engineProcesses, orders: [loaded], faults: [crashing] })).toEqual([])
-    expect(found({ engineProcesses, faults: [crashing] })).toEqual([name])
-    expect(found({ engineProcesses, orders: [{ ...loaded, processId: 8 }] })).toEqual([name])
-    expect(found({ engineProcesses, faults: [STOP_FAULT] })).toEqual([name])
-    expect(found({ engineProcesses, faults: [away] })).toEqual([name])
-    expect(found({ engineProcesses, faults: [away], leaves: [{ ...ENGINE_LEAVE, untilMs: 2000 }] })).toEqual([])
-    expect(found({ engineProcesses, faults: [outage] })).toEqual([])
-    expect(found({ engineProcesses: [{ ...IDLE_ENGINE, lastSeenMs: IDLE_ENGINE.lastSeenMs - 1 }] })).toEqual([])
+    expect(failedChecks({ engineProcesses, orders: [loaded], faults: [crashing] })).toEqual([])
+    expect(failedChecks({ engineProcesses, faults: [crashing] })).toEqual([name])
+    expect(failedChecks({ engineProcesses, orders: [{ ...loaded, processId: 8 }] })).toEqual([name])
+    expect(failedChecks({ engineProcesses, faults: [STOP_FAULT] })).toEqual([name])
+    expect(failedChecks({ engineProcesses, faults: [agentStop] })).toEqual([name])
+    expect(failedChecks({ engineProcesses, faults: [agentStop], leaves: [{ ...ENGINE_DRAIN, untilMs: 2000 }] })).toEqual([])
+    expect(failedChecks({ engineProcesses, faults: [outage] })).toEqual([])
+    expect(failedChecks({ engineProcesses: [{ ...IDLE_ENGINE, lastSeenMs: IDLE_ENGINE.lastSeenMs - 1 }] })).toEqual([])
   })
 
   test('reports a service as down when no call in a window gets a complete response, even if only crashes were injected', () => {
     const name = 'ten seconds without a whole answer of the model service'
     const crashing = { fault: 'crashing_request', target: 'callers', injectedAtMs: 0, healedAtMs: 5000 }
-    expect(found({ calls: REFUSED_CALLS, faults: [crashing] })).toEqual([name])
-    expect(found({ calls: [...REFUSED_CALLS, call({ sentAtMs: 1000 + DOWN_MS - 1, endedAtMs: 1000 + DOWN_MS })] })).toEqual([])
-    expect(found({ calls: REFUSED_CALLS.slice(1) })).toEqual([])
-    expect(found({ calls: REFUSED_CALLS, faults: [{ ...crashing, fault: 'kill_engine', target: 'engine-1' }] })).toEqual([])
+    expect(failedChecks({ calls: REFUSED_CALLS, faults: [crashing] })).toEqual([name])
+    expect(failedChecks({ calls: [...REFUSED_CALLS, call({ sentAtMs: 1000 + DOWN_WINDOW_MS - 1, endedAtMs: 1000 + DOWN_WINDOW_MS })] })).toEqual([])
+    expect(failedChecks({ calls: REFUSED_CALLS.slice(1) })).toEqual([])
+    expect(failedChecks({ calls: REFUSED_CALLS, faults: [{ ...crashing, fault: 'kill_engine', target: 'engine-1' }] })).toEqual([])
   })
 
   test('does not expect the system to detect what a lagging host list does not show yet', () => {
-    const leave = { ...ENGINE_LEAVE, by: 'host_list' as const }
+    const drain = { ...ENGINE_DRAIN, by: 'host_list' as const }
     const lag = { fault: 'host_list_lag', target: 'hosts', injectedAtMs: 500, healedAtMs: 4000 }
     const executions = [execution({ startedAtMs: 8000 })]
-    expect(found({ leaves: [leave], executions, faults: [lag] })).toEqual([])
-    expect(found({ leaves: [leave], executions })).toEqual(['new work on a leaving endpoint after the bound'])
+    expect(failedChecks({ leaves: [drain], executions, faults: [lag] })).toEqual([])
+    expect(failedChecks({ leaves: [drain], executions })).toEqual(['new work on a leaving endpoint after the bound'])
   })
 })
--- a/packages/anvilarch-bench/src/soak/checker/daemonChecks.ts
+++ b/packages/anvilarch-bench/src/soak/checker/daemonChecks.ts
@@ -1,16 +1,16 @@
 /** Checks of the daemons: configuration versions, fencing, draining, planned stops, invariants and exits. */
 import type { Execution } from 'anvilarch-standins'
-import type { CallRecord, Evidence, FaultRecord, LeaveRecord, StopRecord } from '../types'
+import type { CallRecord, Evidence, FaultRecord, DrainRecord, StopRecord } from '../types'
 import { describeCall, groupBy } from './callChecks'
 import { isDisturbed } from './disturbance'
 import { executionsOf } from './executionIndex'
 import type { Check, Finding } from './types'
 
 /** A leaving endpoint gets no new work later than this after the system can detect it. */
-export const LEAVE_BOUND_MS = 5000
+export const NEW_WORK_BOUND_MS = 5000
 
 /** An engine that is no longer frozen starts its waiting requests within this time. */
-const THAW_MS = 4000
+const ENGINE_RECOVERY_MS = 4000
 
 /** A request that was sent less than this before a stop may not have reached the gateway yet. */
 export const STOP_MARGIN_MS = 250
@@ -18,19 +18,19 @@
 const HOST_LIST_FAULTS: ReadonlySet<string> = new Set(['host_list_lag', 'host_list_outage'])
 
 export const DAEMON_CHECKS: Check[] = [
-  { name: 'configuration versions gone back at a daemon', run: versionsGoneBack },
-  { name: 'applied versions that were not new', run: appliesNotNew },
-  { name: 'daemons behind the last accepted version at the end', run: behindAtEnd },
-  { name: 'orders taken with an old fencing token', run: oldTokensTaken },
-  { name: 'new work on a leaving endpoint after the bound', run: workOnLeaving },
-  { name: 'requests cut by a planned stop', run: cutByStop },
-  { name: 'planned stops that did not end by themselves', run: stopsNotEnded },
+  { name: 'configuration versions gone back at a daemon', run: versionRegressions },
+  { name: 'applied versions that were not new', run: nonIncreasingVersions },
+  { name: 'daemons behind the last accepted version at the end', run: daemonsBehindAtEnd },
+  { name: 'orders taken with an old fencing token', run: staleTokensAccepted },
+  { name: 'new work on a leaving endpoint after the bound', run: newWorkWhileDraining },
+  { name: 'requests cut by a planned stop', run: interruptedByStop },
+  { name: 'planned stops that did not end by themselves', run: stopsWithoutCleanExit },
   { name: 'daemons that ended without being told to', run: unplannedExits },
   { name: 'invariant violations', run: invariantViolations }
 ]
 
 /** Ignores version 0: a daemon shows it between its start and its first configuration, and is not ready then. */
-function versionsGoneBack (evidence: Evidence): Finding {
+function versionRegressions (evidence: Evidence): Finding {
   const wrong: string[] = []
   for (const [daemon, readings] of groupBy(evidence.versions.filter(reading => reading.version > 0), reading => reading.daemon)) {
     let highest = 0
@@ -43,7 +43,7 @@
 }
 
 /** Two accepted documents never share a version, and one sent after another was accepted has a higher version. */
-function appliesNotNew (evidence: Evidence): Finding {
+function nonIncreasingVersions (evidence: Evidence): Finding {
   const accepted = evidence.applies.filter(apply => apply.status === 200 && apply.version !== undefined)
   const wrong: string[] = []
   for (const [version, applies] of groupBy(accepted, apply => String(apply.version))) {
@@ -56,7 +56,7 @@
   return { trials: evidence.applies.length, wrong }
 }
 
-function behindAtEnd (evidence: Evidence): Finding {
+function daemonsBehindAtEnd (evidence: Evidence): Finding {
   const highest = evidence.applies.reduce((version, apply) => apply.status === 200 ? Math.max(version, apply.version ?? 0) : version, 0)
   const last = [...groupBy(evidence.versions, reading => reading.daemon)].map(([, readings]) => readings[readings.length - 1])
   const wrong = last.filter(reading => reading.version < highest).map(reading => `${reading.daemon} showed ${reading.version} at ${reading.atMs}; ${highest} was accepted`)
@@ -64,7 +64,7 @@
 }
 
 /** Applies across restarts of the endpoint, and to endpoints that do not check the token themselves. */
-function oldTokensTaken (evidence: Evidence): Finding {
+function staleTokensAccepted (evidence: Evidence): Finding {
   const wrong: string[] = []
   for (const [endpoint, orders] of groupBy(evidence.orders, order => order.endpoint)) {
     let highest = 0
@@ -76,12 +76,12 @@
   return { trials: evidence.orders.length, wrong }
 }
 
-function workOnLeaving (evidence: Evidence): Finding {
-  const wrong = evidence.leaves.flatMap(leave => {
-    const sinceMs = knownSinceMs(leave, evidence.faults)
-    const late = evidence.executions.filter(run => leave.endpoints.includes(run.endpoint) && run.startedAtMs > sinceMs + LEAVE_BOUND_MS &&
-      run.startedAtMs < leave.untilMs && !waitedInFrozenEngine(run, sinceMs, evidence))
-    return late.map(run => `${run.requestId} started at ${run.endpoint} ${run.startedAtMs - sinceMs} ms after ${leave.agent} began to leave, by ${leave.by}`)
+function newWorkWhileDraining (evidence: Evidence): Finding {
+  const wrong = evidence.leaves.flatMap(drain => {
+    const sinceMs = visibleSinceMs(drain, evidence.faults)
+    const late = evidence.executions.filter(run => drain.endpoints.includes(run.endpoint) && run.startedAtMs > sinceMs + NEW_WORK_BOUND_MS &&
+      run.startedAtMs < drain.untilMs && !wasQueuedInFrozenEngine(run, sinceMs, evidence))
+    return late.map(run => `${run.requestId} started at ${run.endpoint} ${run.startedAtMs - sinceMs} ms after ${drain.agent} began to leave, by ${drain.by}`)
   })
   return { trials: evidence.leaves.length, wrong }
 }
@@ -90,48 +90,48 @@
  * A frozen engine starts a request only after it recovers. Work that its caller sent before the endpoint began to leave, and that ran
  * nowhere else, was assigned to the engine before.
  */
-function waitedInFrozenEngine (run: Execution, sinceMs: number, evidence: Evidence): boolean {
+function wasQueuedInFrozenEngine (run: Execution, sinceMs: number, evidence: Evidence): boolean {
   const call = evidence.calls.find(each => each.requestId === run.requestId)
   if (call === undefined || call.sentAtMs >= sinceMs || executionsOf(evidence.executions, run.requestId).length > 1) return false
   return evidence.faults.some(fault => fault.fault === 'engine_frozen' && fault.target === run.endpoint &&
-    fault.injectedAtMs < sinceMs && fault.healedAtMs + THAW_MS >= run.startedAtMs)
+    fault.injectedAtMs < sinceMs && fault.healedAtMs + ENGINE_RECOVERY_MS >= run.startedAtMs)
 }
 
 /** While the host list can't be read or lags more than usual, the system can't detect what only the list shows. */
-function knownSinceMs (leave: LeaveRecord, faults: readonly FaultRecord[]): number {
-  if (leave.by === 'signal') return leave.sinceMs
-  const hidden = faults.filter(fault => HOST_LIST_FAULTS.has(fault.fault) && fault.injectedAtMs < leave.untilMs && fault.healedAtMs > leave.sinceMs)
-  return Math.max(leave.sinceMs, ...hidden.map(fault => fault.healedAtMs))
+function visibleSinceMs (drain: DrainRecord, faults: readonly FaultRecord[]): number {
+  if (drain.by === 'signal') return drain.sinceMs
+  const hidden = faults.filter(fault => HOST_LIST_FAULTS.has(fault.fault) && fault.injectedAtMs < drain.untilMs && fault.healedAtMs > drain.sinceMs)
+  return Math.max(drain.sinceMs, ...hidden.map(fault => fault.healedAtMs))
 }
 
 /** Checks only calls without another fault, because the cause of their interruption would be ambiguous. */
-function cutByStop (evidence: Evidence): Finding {
-  const inProgress = evidence.calls.filter(call => call.told !== 'gone' && call.kind !== 'crashing' && evidence.stops.some(stop => crosses(call, stop)))
-  const judged = inProgress.filter(call => !isDisturbed(call, evidence.faults))
-  const wrong = judged.filter(call => wasCut(call) && !isAnsweredUnderItsKey(call, evidence.calls))
-  return { trials: judged.length, wrong: wrong.map(describeCall) }
+function interruptedByStop (evidence: Evidence): Finding {
+  const inProgress = evidence.calls.filter(call => call.told !== 'gone' && call.kind !== 'crashing' && evidence.stops.some(stop => wasInProgressAtStop(call, stop)))
+  const checked = inProgress.filter(call => !isDisturbed(call, evidence.faults))
+  const wrong = checked.filter(call => wasInterrupted(call) && !isConflictWithCompletedCall(call, evidence.calls))
+  return { trials: checked.length, wrong: wrong.map(describeCall) }
 }
 
 /**
  * While a call of the same key is in progress through another gateway, the immediate response `conflict` is correct: the outcome is not
  * known yet. The stop interrupted nothing if that other call, in progress at the same time, got its complete response.
  */
-function isAnsweredUnderItsKey (call: CallRecord, calls: readonly CallRecord[]): boolean {
+function isConflictWithCompletedCall (call: CallRecord, calls: readonly CallRecord[]): boolean {
   if (call.kind !== 'keyed_order' || call.status !== 409 || call.code !== 'conflict') return false
   return calls.some(other => other !== call && other.key === call.key && other.told === 'whole' &&
     other.sentAtMs <= call.endedAtMs && other.endedAtMs >= call.sentAtMs)
 }
 
-function crosses (call: CallRecord, stop: StopRecord): boolean {
+function wasInProgressAtStop (call: CallRecord, stop: StopRecord): boolean {
   return call.sentAtMs < stop.toldAtMs - STOP_MARGIN_MS && call.endedAtMs > stop.toldAtMs && call.sentAtMs < stop.endedAtMs
 }
 
-function wasCut (call: CallRecord): boolean {
+function wasInterrupted (call: CallRecord): boolean {
   if (call.told === 'broken') return true
   return call.told === 'failed' && (call.ran === 'unknown' || call.ran === 'ran')
 }
 
-function stopsNotEnded (evidence: Evidence): Finding {
+function stopsWithoutCleanExit (evidence: Evidence): Finding {
   const wrong = evidence.stops.filter(stop => stop.exitCode !== 0)
   return { trials: evidence.stops.length, wrong: wrong.map(stop => `${stop.daemon}, told at ${stop.toldAtMs}, exit code ${String(stop.exitCode)}`) }
 }
--- a/packages/anvilarch-bench/src/soak/checker/disturbance.ts
+++ b/packages/anvilarch-bench/src/soak/checker/disturbance.ts
@@ -2,7 +2,7 @@
 import type { CallRecord, FaultRecord } from '../types'
 
 /** Faults of the platform are not listed, because online calls do not depend on it. */
-const CUTTING_FAULTS: ReadonlySet<string> = new Set([
+const INTERRUPTING_FAULTS: ReadonlySet<string> = new Set([
   'kill_agent', 'kill_gateway', 'kill_engine', 'kill_acceptor', 'outage_after_apply', 'pause_agent', 'pause_gateway', 'engine_frozen', 'failing_engine',
   'engine_silence', 'plain_silence', 'peer_silence', 'peer_delay', 'crashing_request'
 ])
@@ -11,21 +11,21 @@
 export const CRASHING_FAULT = 'crashing_request'
 
 /** What a fault left behind may still end a call this long after it was healed. */
-const AFTERMATH_MS = 3000
+const RECOVERY_MS = 3000
 /** After a crash, calls may wait behind the suspected requests until their own deadline. */
-const CRASH_AFTERMATH_MS = 25_000
+const CRASH_RECOVERY_MS = 25_000
 
 /**
  * @param call - any call
  * @param faults - of the run
- * @param but - kind of fault to ignore
+ * @param ignoredFault - kind of fault to ignore
  * @returns whether a fault that can interrupt calls was active during the call or shortly before
  */
-export function isDisturbed (call: CallRecord, faults: readonly FaultRecord[], but?: string): boolean {
-  return faults.some(fault => CUTTING_FAULTS.has(fault.fault) && fault.fault !== but &&
-    fault.injectedAtMs <= call.endedAtMs && fault.healedAtMs + aftermathMs(fault) >= call.sentAtMs)
+export function isDisturbed (call: CallRecord, faults: readonly FaultRecord[], ignoredFault?: string): boolean {
+  return faults.some(fault => INTERRUPTING_FAULTS.has(fault.fault) && fault.fault !== ignoredFault &&
+    fault.injectedAtMs <= call.endedAtMs && fault.healedAtMs + recoveryMs(fault) >= call.sentAtMs)
 }
 
-function aftermathMs (fault: FaultRecord): number {
-  return fault.fault === CRASHING_FAULT ? CRASH_AFTERMATH_MS : AFTERMATH_MS
+function recoveryMs (fault: FaultRecord): number {
+  return fault.fault === CRASHING_FAULT ? CRASH_RECOVERY_MS : RECOVERY_MS
 }
--- a/packages/anvilarch-bench/src/soak/checker/jobChecks.ts
+++ b/packages/anvilarch-bench/src/soak/checker/jobChecks.ts
@@ -6,18 +6,18 @@
 /** A gateway detects the cancellation of a part that it leases by polling; items may start until then. */
 export const CANCEL_BOUND_MS = 10_000
 
-const DELAYS_STOP = /^(table|platform|pause_gateway|outage)/
+const STOP_DELAYING_FAULTS = /^(table|platform|pause_gateway|outage)/
 
 export const JOB_CHECKS: Check[] = [
-  { name: 'items lost', run: evidence => overItems(evidence, lostItems) },
-  { name: 'items doubled', run: evidence => overItems(evidence, doubledItems) },
-  { name: 'items shown wrong', run: evidence => overItems(evidence, wrongItems) },
-  { name: 'items that can be done shown as failed', run: evidence => overItems(evidence, falselyFailed) },
-  { name: 'submissions that became two jobs', run: doubledJobs },
+  { name: 'items lost', run: evidence => checkItems(evidence, lostItems) },
+  { name: 'items doubled', run: evidence => checkItems(evidence, duplicatedItems) },
+  { name: 'items shown wrong', run: evidence => checkItems(evidence, wrongItems) },
+  { name: 'items that can be done shown as failed', run: evidence => checkItems(evidence, validItemsFailed) },
+  { name: 'submissions that became two jobs', run: duplicateJobs },
   { name: 'same key with another body accepted', run: otherBodyAccepted },
   { name: 'jobs run that nobody was told of', run: unknownJobs },
-  { name: 'results that grew after a cancellation', run: grownAfterCancel },
-  { name: 'items started long after a cancellation', run: startedAfterCancel }
+  { name: 'results that grew after a cancellation', run: resultsGrownAfterCancel },
+  { name: 'items started long after a cancellation', run: itemsStartedAfterCancel }
 ]
 
 /** A job that was accepted and not cancelled must finish with results for all of its items. */
@@ -26,10 +26,10 @@
 }
 
 function acceptedIds (submission: SubmissionRecord): Set<string> {
-  return new Set(submission.answers.flatMap(answer => answer.jobId ?? []))
+  return new Set(submission.answers.flatMap(response => response.jobId ?? []))
 }
 
-function overItems (evidence: Evidence, find: (submission: SubmissionRecord) => string[]): Finding {
+function checkItems (evidence: Evidence, find: (submission: SubmissionRecord) => string[]): Finding {
   const accepted = evidence.submissions.filter(submission => acceptedIds(submission).size > 0)
   return {
     trials: accepted.reduce((sum, submission) => sum + submission.items.length, 0),
@@ -44,7 +44,7 @@
   return submission.items.filter(item => !shown.has(item.customId)).map(item => `${item.customId} has no result; ${reason}`)
 }
 
-function doubledItems (submission: SubmissionRecord): string[] {
+function duplicatedItems (submission: SubmissionRecord): string[] {
   const seen = new Set<string>()
   return submission.lines.flatMap(line => {
     if (!seen.has(line.customId)) {
@@ -65,28 +65,28 @@
   })
 }
 
-function falselyFailed (submission: SubmissionRecord): string[] {
-  const doable = new Set(submission.items.filter(item => item.expected !== undefined).map(item => item.customId))
+function validItemsFailed (submission: SubmissionRecord): string[] {
+  const valid = new Set(submission.items.filter(item => item.expected !== undefined).map(item => item.customId))
   return submission.lines
-    .filter(line => line.kind === 'error' && doable.has(line.customId))
+    .filter(line => line.kind === 'error' && valid.has(line.customId))
     .map(line => `${line.customId} failed as ${line.code ?? 'unnamed'}`)
 }
 
 /** After a cancellation the same content creates a new job, so only responses to requests sent before it count. */
-function doubledJobs (evidence: Evidence): Finding {
+function duplicateJobs (evidence: Evidence): Finding {
   const resent = evidence.submissions.filter(submission => submission.answers.length > 1)
   const wrong = resent.flatMap(submission => {
-    const before = submission.answers.filter(answer => submission.cancelledAtMs === undefined || answer.sentAtMs < submission.cancelledAtMs)
-    const ids = new Set(before.flatMap(answer => answer.jobId ?? []))
+    const before = submission.answers.filter(response => submission.cancelledAtMs === undefined || response.sentAtMs < submission.cancelledAtMs)
+    const ids = new Set(before.flatMap(response => response.jobId ?? []))
     return ids.size > 1 ? [`${submission.name} became ${[...ids].join(', ')}`] : []
   })
   return { trials: resent.length, wrong }
 }
 
 function otherBodyAccepted (evidence: Evidence): Finding {
-  const answers = evidence.submissions.flatMap(submission => submission.otherBodyAnswers.map(answer => ({ submission, answer })))
-  const wrong = answers.filter(({ answer }) => answer.told === 'whole')
-  return { trials: answers.length, wrong: wrong.map(({ submission, answer }) => `${submission.name} at ${answer.gateway}: ${answer.jobId ?? answer.status}`) }
+  const responses = evidence.submissions.flatMap(submission => submission.otherBodyAnswers.map(response => ({ submission, response })))
+  const wrong = responses.filter(({ response }) => response.told === 'whole')
+  return { trials: responses.length, wrong: wrong.map(({ submission, response }) => `${submission.name} at ${response.gateway}: ${response.jobId ?? response.status}`) }
 }
 
 /**
@@ -95,14 +95,14 @@
  */
 function unknownJobs (evidence: Evidence): Finding {
   const known = new Set(evidence.submissions.flatMap(submission => [...acceptedIds(submission)]))
-  const unsettled = evidence.submissions.filter(submission => acceptedIds(submission).size === 0 && submission.answers.some(answer => answer.ran !== 'not_run')).length
+  const withUnknownOutcome = evidence.submissions.filter(submission => acceptedIds(submission).size === 0 && submission.answers.some(answer => answer.ran !== 'not_run')).length
   const ran = new Set(evidence.executions.flatMap(execution => jobOfExecution(execution) ?? []))
   const unknown = [...ran].filter(jobId => !known.has(jobId))
-  const wrong = unknown.length > unsettled ? unknown.map(jobId => `${jobId} ran; ${unsettled} submissions were left without an answer`) : []
+  const wrong = unknown.length > withUnknownOutcome ? unknown.map(jobId => `${jobId} ran; ${withUnknownOutcome} submissions were left without an answer`) : []
   return { trials: evidence.submissions.length, wrong }
 }
 
-function grownAfterCancel (evidence: Evidence): Finding {
+function resultsGrownAfterCancel (evidence: Evidence): Finding {
   const cancelled = evidence.submissions.filter(submission => submission.cancelledAtMs !== undefined)
   const wrong = cancelled.flatMap(submission => {
     const [first, ...later] = submission.shownAfterCancel
@@ -113,11 +113,11 @@
 }
 
 /** Skips cancellations with a fault soon after that keeps gateways from reading the table, because it may delay the stop. */
-function startedAfterCancel (evidence: Evidence): Finding {
+function itemsStartedAfterCancel (evidence: Evidence): Finding {
   const cancelled = new Map<string, number>()
   for (const submission of evidence.submissions) {
     const { cancelledAtMs } = submission
-    if (cancelledAtMs === undefined || evidence.faults.some(fault => DELAYS_STOP.test(fault.fault) && overlaps(fault, cancelledAtMs, cancelledAtMs + CANCEL_BOUND_MS))) continue
+    if (cancelledAtMs === undefined || evidence.faults.some(fault => STOP_DELAYING_FAULTS.test(fault.fault) && overlaps(fault, cancelledAtMs, cancelledAtMs + CANCEL_BOUND_MS))) continue
     for (const id of acceptedIds(submission)) cancelled.set(id, cancelledAtMs)
   }
   const wrong = evidence.executions.flatMap(execution => {
--- a/packages/anvilarch-bench/src/soak/checker/serviceChecks.ts
+++ b/packages/anvilarch-bench/src/soak/checker/serviceChecks.ts
@@ -14,41 +14,41 @@
 export const RELOAD_BOUND_MS = REPLACEMENT_GRACE_MS + HANDOVER_MS
 
 /** A service with no complete response in a window of this length is down. */
-export const DOWN_MS = 10_000
+export const DOWN_WINDOW_MS = 10_000
 
 /** Windows with fewer calls are not checked. */
-const LEAST_CALLS = 20
+const MIN_CALLS_PER_WINDOW = 20
 
 /** Faults that do not keep gateways from ordering a load. */
-const HARMLESS_TO_ORDERS: ReadonlySet<string> = new Set([
+const FAULTS_NOT_DELAYING_ORDERS: ReadonlySet<string> = new Set([
   CRASHING_FAULT, 'stop_gateway', 'stop_agent', 'failing_item', 'slow_caller', 'gone_caller', 'flooding_caller', 'objects_outage', 'objects_slow', 'objects_lost_replies'
 ])
 
 export const SERVICE_CHECKS: Check[] = [
   { name: 'engines that came back and got no order to load in time', run: enginesWithoutLoad },
-  { name: 'ten seconds without a whole answer of the model service', run: secondsWithoutAnswer }
+  { name: 'ten seconds without a whole answer of the model service', run: windowsWithoutResponse }
 ]
 
 function enginesWithoutLoad (evidence: Evidence): Finding {
-  const judged = evidence.engineProcesses.filter(engine => engine.lastSeenMs - engine.firstSeenMs >= RELOAD_BOUND_MS && !mayLackOrders(engine, evidence))
-  const wrong = judged.filter(engine => !evidence.orders.some(order =>
+  const checked = evidence.engineProcesses.filter(engine => engine.lastSeenMs - engine.firstSeenMs >= RELOAD_BOUND_MS && !mayMissOrders(engine, evidence))
+  const wrong = checked.filter(engine => !evidence.orders.some(order =>
     order.endpoint === engine.endpoint && order.processId === engine.processId && order.action === 'load' && order.atMs <= engine.firstSeenMs + RELOAD_BOUND_MS))
-  return { trials: judged.length, wrong: wrong.map(engine => `${engine.endpoint} (process ${engine.processId}) was back at ${engine.firstSeenMs} and had no order until ${engine.firstSeenMs + RELOAD_BOUND_MS}`) }
+  return { trials: checked.length, wrong: wrong.map(engine => `${engine.endpoint} (process ${engine.processId}) was back at ${engine.firstSeenMs} and had no order until ${engine.firstSeenMs + RELOAD_BOUND_MS}`) }
 }
 
-function mayLackOrders (engine: EngineProcess, evidence: Evidence): boolean {
+function mayMissOrders (engine: EngineProcess, evidence: Evidence): boolean {
   const untilMs = engine.firstSeenMs + RELOAD_BOUND_MS
-  const agents = evidence.leaves.filter(leave => leave.endpoints.includes(engine.endpoint)).map(leave => leave.agent)
-  const delays = (fault: FaultRecord): boolean => !HARMLESS_TO_ORDERS.has(fault.fault) || agents.includes(fault.target)
+  const agents = evidence.leaves.filter(drain => drain.endpoints.includes(engine.endpoint)).map(drain => drain.agent)
+  const delays = (fault: FaultRecord): boolean => !FAULTS_NOT_DELAYING_ORDERS.has(fault.fault) || agents.includes(fault.target)
   return evidence.faults.some(fault => delays(fault) && fault.injectedAtMs <= untilMs && fault.healedAtMs + HANDOVER_MS >= engine.firstSeenMs)
 }
 
 /** Crashing requests do not exempt a window: each may end a limited number of engines, and the engines restart. */
-function secondsWithoutAnswer (evidence: Evidence): Finding {
+function windowsWithoutResponse (evidence: Evidence): Finding {
   const calls = evidence.calls.filter(call => call.kind === 'chat' || call.kind === 'stream')
   const firstMs = Math.min(...calls.map(call => call.sentAtMs))
-  const windows = groupBy(calls, call => String(Math.floor((call.sentAtMs - firstMs) / DOWN_MS)))
-  const judged = [...windows.values()].filter(sent => sent.length >= LEAST_CALLS && !sent.some(call => isDisturbed(call, evidence.faults, CRASHING_FAULT)))
-  const wrong = judged.filter(sent => !sent.some(call => call.told === 'whole'))
-  return { trials: judged.length, wrong: wrong.map(sent => `none of ${sent.length} calls from ${sent[0].sentAtMs} on got its whole answer`) }
+  const windows = groupBy(calls, call => String(Math.floor((call.sentAtMs - firstMs) / DOWN_WINDOW_MS)))
+  const checked = [...windows.values()].filter(sent => sent.length >= MIN_CALLS_PER_WINDOW && !sent.some(call => isDisturbed(call, evidence.faults, CRASHING_FAULT)))
+  const wrong = checked.filter(sent => !sent.some(call => call.told === 'whole'))
+  return { trials: checked.length, wrong: wrong.map(sent => `none of ${sent.length} calls from ${sent[0].sentAtMs} on got its whole answer`) }
 }
--- a/packages/anvilarch-bench/src/soak/faults/momentFaults.ts
+++ b/packages/anvilarch-bench/src/soak/faults/acceptanceFaults.ts
@@ -1,19 +1,19 @@
 /** Faults injected right after a gateway has accepted a job or a configuration document. */
 import { sleep } from 'anvilarch-utils'
-import { killAndStartLater } from './processFaults'
+import { killAndRestartLater } from './processFaults'
 import { claim, claimTarget, release } from './targets'
-import type { FaultContext, FaultKind, Injected, Promised } from './types'
+import type { FaultContext, FaultKind, InjectedFault, Acceptance } from './types'
 
 /** Longest wait until a gateway accepts something of the load. */
-const WAIT_MS = 20_000
-const OUTAGE_FROM_MS = 5000
-const OUTAGE_UNTIL_MS = 10_000
+const ACCEPTANCE_TIMEOUT_MS = 20_000
+const MIN_OUTAGE_MS = 5000
+const MAX_OUTAGE_MS = 10_000
 
 /** Kills a gateway right after its response that accepts a job. */
 export const KILL_ACCEPTOR: FaultKind = {
   inject: async context => {
-    const gateway = await nextPromise(context, 'job')
-    return gateway !== undefined && claim(context, gateway) ? await killAndStartLater(context, gateway) : undefined
+    const gateway = await nextAcceptance(context, 'job')
+    return gateway !== undefined && claim(context, gateway) ? await killAndRestartLater(context, gateway) : undefined
   }
 }
 
@@ -22,20 +22,20 @@
  * meanwhile, so that they can receive the version only from other daemons.
  */
 export const OUTAGE_AFTER_APPLY: FaultKind = {
-  inject: async (context): Promise<Injected | undefined> => {
+  inject: async (context): Promise<InjectedFault | undefined> => {
     if (!claim(context, TABLE)) return undefined
-    const gateway = await nextPromise(context, 'document')
+    const gateway = await nextAcceptance(context, 'document')
     if (gateway === undefined || !claim(context, gateway)) {
       release(context, TABLE)
       return undefined
     }
     await context.fleet.setFaults(TABLE, { outage: true })
     const agent = claimTarget(context, ['agent'])
-    const restarts = await Promise.all([gateway, agent].flatMap(name => name === undefined ? [] : [killAndStartLater(context, name)]))
+    const restarts = await Promise.all([gateway, agent].flatMap(name => name === undefined ? [] : [killAndRestartLater(context, name)]))
     await Promise.all(restarts.map(async restart => { await restart.heal() }))
     return {
       target: `table, ${gateway}, ${agent ?? 'no agent'}`,
-      holdMs: context.random.between(OUTAGE_FROM_MS, OUTAGE_UNTIL_MS),
+      durationMs: context.random.between(MIN_OUTAGE_MS, MAX_OUTAGE_MS),
       heal: async () => {
         await context.fleet.setFaults(TABLE, { outage: false })
         release(context, TABLE)
@@ -47,15 +47,15 @@
 const TABLE = 'table'
 
 /** @returns the gateway that accepts the next job or document, or undefined if none does in time */
-async function nextPromise (context: FaultContext, kind: Promised['kind']): Promise<string | undefined> {
-  const bound = new AbortController()
-  const promised = new Promise<string>(resolve => {
-    context.load.onPromise = promise => {
-      if (promise.kind === kind) resolve(promise.gateway)
+async function nextAcceptance (context: FaultContext, kind: Acceptance['kind']): Promise<string | undefined> {
+  const timeout = new AbortController()
+  const accepted = new Promise<string>(resolve => {
+    context.load.onAccepted = acceptance => {
+      if (acceptance.kind === kind) resolve(acceptance.gateway)
     }
   })
-  const gateway = await Promise.race([promised, sleep(context.clock, WAIT_MS, bound.signal).then(() => undefined)])
-  context.load.onPromise = undefined
-  bound.abort()
+  const gateway = await Promise.race([accepted, sleep(context.clock, ACCEPTANCE_TIMEOUT_MS, timeout.signal).then(() => undefined)])
+  context.load.onAccepted = undefined
+  timeout.abort()
   return gateway
 }
--- a/packages/anvilarch-bench/src/soak/faults/faultDeck.ts
+++ b/packages/anvilarch-bench/src/soak/faults/faultSchedule.ts
@@ -6,7 +6,7 @@
 const ROUNDS_PER_PAIR = 2
 
 /** Random sequence of faults. */
-export interface FaultDeck {
+export interface FaultSchedule {
   /** @returns the kinds of faults that the next round injects together */
   next: () => FaultName[]
 }
@@ -16,22 +16,22 @@
  * @param random - determines the sequence
  * @returns the sequence of faults
  */
-export function createFaultDeck (names: readonly FaultName[], random: Random): FaultDeck {
-  let deck: FaultName[] = []
+export function createFaultSchedule (names: readonly FaultName[], random: Random): FaultSchedule {
+  let remaining: FaultName[] = []
   let round = 0
-  const drawOne = (): FaultName => {
-    if (deck.length === 0) deck = shuffle(names, random)
-    return deck.pop() as FaultName
+  const nextKind = (): FaultName => {
+    if (remaining.length === 0) remaining = shuffle(names, random)
+    return remaining.pop() as FaultName
   }
-  const drawOther = (first: FaultName): FaultName[] => {
+  const otherKind = (first: FaultName): FaultName[] => {
     const others = names.filter(name => name !== first)
     return others.length === 0 ? [] : [random.pick(others)]
   }
   return {
     next: () => {
-      const first = drawOne()
+      const first = nextKind()
       round++
-      return round % ROUNDS_PER_PAIR === 0 ? [first, ...drawOther(first)] : [first]
+      return round % ROUNDS_PER_PAIR === 0 ? [first, ...otherKind(first)] : [first]
     }
   }
 }
--- a/packages/anvilarch-bench/src/soak/faults/faultTable.ts
+++ b/packages/anvilarch-bench/src/soak/faults/faultTable.ts
@@ -1,8 +1,8 @@
 /** Kinds of faults that a soak can inject. */
-import { callers } from './callerFaults'
-import { connectionDelay, connectionSilence, endpointSilence, ENGINE_FROZEN, FAILING_ENGINE } from './connectionFaults'
-import { KILL_ACCEPTOR, OUTAGE_AFTER_APPLY } from './momentFaults'
-import { switched } from './platformFaults'
+import { callerFault } from './callerFaults'
+import { connectionDelay, connectionStall, endpointStall, ENGINE_FROZEN, FAILING_ENGINE } from './connectionFaults'
+import { KILL_ACCEPTOR, OUTAGE_AFTER_APPLY } from './acceptanceFaults'
+import { standinFault } from './platformFaults'
 import { kill, LEAVING_FLAG, pause, stop } from './processFaults'
 import type { FaultKind } from './types'
 
@@ -27,29 +27,29 @@
   pause_gateway: pause('gateway'),
   stop_agent: stop('agent'),
   stop_gateway: stop('gateway'),
-  table_outage: switched({ standin: 'table', set: { outage: true }, back: { outage: false } }),
-  table_slow: switched({ standin: 'table', set: { latencyMs: SLOW_MS }, back: { latencyMs: 0 } }),
-  table_too_slow: switched({ standin: 'table', set: { latencyMs: TOO_SLOW_MS }, back: { latencyMs: 0 } }),
-  table_lost_replies: switched({ standin: 'table', set: { loseReplies: LOST_SHARE }, back: { loseReplies: 0 } }),
-  objects_outage: switched({ standin: 'objects', set: { outage: true }, back: { outage: false } }),
-  objects_slow: switched({ standin: 'objects', set: { latencyMs: SLOW_MS }, back: { latencyMs: 0 } }),
-  objects_lost_replies: switched({ standin: 'objects', set: { loseReplies: LOST_SHARE }, back: { loseReplies: 0 } }),
-  host_list_lag: switched({ standin: 'hosts', set: { lagMs: LONG_LAG_MS }, back: { lagMs: HOST_LIST_LAG_MS } }),
-  host_list_outage: switched({ standin: 'hosts', set: { outage: true }, back: { outage: false } }),
+  table_outage: standinFault({ standin: 'table', set: { outage: true }, restore: { outage: false } }),
+  table_slow: standinFault({ standin: 'table', set: { latencyMs: SLOW_MS }, restore: { latencyMs: 0 } }),
+  table_too_slow: standinFault({ standin: 'table', set: { latencyMs: TOO_SLOW_MS }, restore: { latencyMs: 0 } }),
+  table_lost_replies: standinFault({ standin: 'table', set: { loseReplies: LOST_SHARE }, restore: { loseReplies: 0 } }),
+  objects_outage: standinFault({ standin: 'objects', set: { outage: true }, restore: { outage: false } }),
+  objects_slow: standinFault({ standin: 'objects', set: { latencyMs: SLOW_MS }, restore: { latencyMs: 0 } }),
+  objects_lost_replies: standinFault({ standin: 'objects', set: { loseReplies: LOST_SHARE }, restore: { loseReplies: 0 } }),
+  host_list_lag: standinFault({ standin: 'hosts', set: { lagMs: LONG_LAG_MS }, restore: { lagMs: HOST_LIST_LAG_MS } }),
+  host_list_outage: standinFault({ standin: 'hosts', set: { outage: true }, restore: { outage: false } }),
   engine_frozen: ENGINE_FROZEN,
   failing_engine: FAILING_ENGINE,
-  engine_silence: endpointSilence('engine'),
-  plain_silence: endpointSilence('plain'),
-  peer_silence: connectionSilence('agents'),
+  engine_silence: endpointStall('engine'),
+  plain_silence: endpointStall('plain'),
+  peer_silence: connectionStall('agents'),
   peer_delay: connectionDelay('agents'),
-  platform_silence: connectionSilence('platform'),
+  platform_silence: connectionStall('platform'),
   platform_delay: connectionDelay('platform'),
   leaving_flag: LEAVING_FLAG,
-  crashing_request: callers('crashingCalls'),
-  failing_item: callers('failingItems'),
-  slow_caller: callers('slowCallers'),
-  gone_caller: callers('goneCallers'),
-  flooding_caller: callers('flood')
+  crashing_request: callerFault('crashingCalls'),
+  failing_item: callerFault('failingItems'),
+  slow_caller: callerFault('slowCallers'),
+  gone_caller: callerFault('goneCallers'),
+  flooding_caller: callerFault('flood')
 } satisfies Record<string, FaultKind>
 
 export type FaultName = keyof typeof FAULT_TABLE
--- a/packages/anvilarch-bench/src/soak/faults/platformFaults.ts
+++ b/packages/anvilarch-bench/src/soak/faults/platformFaults.ts
@@ -7,29 +7,29 @@
 export type PlatformName = 'table' | 'objects' | 'hosts'
 
 /** Settings of a stand-in during and after a fault. */
-export interface SwitchedFault {
+export interface StandinFault {
   standin: PlatformName
   set: Partial<Faults>
-  back: Partial<Faults>
+  restore: Partial<Faults>
 }
 
-const HOLD_FROM_MS = 5000
-const HOLD_UNTIL_MS = 20_000
+const MIN_DURATION_MS = 5000
+const MAX_DURATION_MS = 20_000
 
 /**
  * @param fault - settings of a stand-in
  * @returns a fault that applies them for some seconds
  */
-export function switched (fault: SwitchedFault): FaultKind {
+export function standinFault (fault: StandinFault): FaultKind {
   return {
     inject: async context => {
       if (!claim(context, fault.standin)) return undefined
       await context.fleet.setFaults(fault.standin, fault.set)
       return {
         target: fault.standin,
-        holdMs: context.random.between(HOLD_FROM_MS, HOLD_UNTIL_MS),
+        durationMs: context.random.between(MIN_DURATION_MS, MAX_DURATION_MS),
         heal: async () => {
-          await context.fleet.setFaults(fault.standin, fault.back)
+          await context.fleet.setFaults(fault.standin, fault.restore)
           release(context, fault.standin)
         }
       }
--- a/packages/anvilarch-bench/src/soak/faults/processFaults.ts
+++ b/packages/anvilarch-bench/src/soak/faults/processFaults.ts
@@ -2,13 +2,13 @@
 import type { ProcessRole } from 'anvilarch-standins'
 import { sleep } from 'anvilarch-utils'
 import { claimTarget, release } from './targets'
-import type { FaultContext, FaultKind, Injected } from './types'
+import type { FaultContext, FaultKind, InjectedFault } from './types'
 
 /** Longer than a lease of the soak's fleet plus the margin after which other daemons treat it as expired. */
-const PAUSE_FROM_MS = 6000
-const PAUSE_UNTIL_MS = 9000
-const KILLED_FROM_MS = 500
-const KILLED_UNTIL_MS = 6000
+const MIN_PAUSE_MS = 6000
+const MAX_PAUSE_MS = 9000
+const MIN_DOWNTIME_MS = 500
+const MAX_DOWNTIME_MS = 6000
 /** A drain may take as long as the longest request of the load, not longer. */
 const DRAIN_TIMEOUT_MS = 45_000
 
@@ -20,7 +20,7 @@
   return {
     inject: async context => {
       const target = claimTarget(context, roles)
-      return target === undefined ? undefined : await killAndStartLater(context, target)
+      return target === undefined ? undefined : await killAndRestartLater(context, target)
     }
   }
 }
@@ -30,13 +30,13 @@
  * @param target - a running process that the fault has claimed
  * @returns the fault, healed by a restart
  */
-export async function killAndStartLater (context: FaultContext, target: string): Promise<Injected> {
+export async function killAndRestartLater (context: FaultContext, target: string): Promise<InjectedFault> {
   context.fleet.kill(target, 'SIGKILL')
   await context.fleet.waitExit(target, DRAIN_TIMEOUT_MS)
   return {
     target,
-    holdMs: context.random.between(KILLED_FROM_MS, KILLED_UNTIL_MS),
-    heal: async () => { await startAgain(context, target) }
+    durationMs: context.random.between(MIN_DOWNTIME_MS, MAX_DOWNTIME_MS),
+    heal: async () => { await restart(context, target) }
   }
 }
 
@@ -52,7 +52,7 @@
       context.fleet.kill(target, 'SIGSTOP')
       return {
         target,
-        holdMs: context.random.between(PAUSE_FROM_MS, PAUSE_UNTIL_MS),
+        durationMs: context.random.between(MIN_PAUSE_MS, MAX_PAUSE_MS),
         heal: async () => {
           context.fleet.kill(target, 'SIGCONT')
           release(context, target)
@@ -71,13 +71,13 @@
     inject: async context => {
       const target = claimTarget(context, [role])
       if (target === undefined) return undefined
-      const ended = stopAndRecord(context, target)
+      const exited = stopAndRecord(context, target)
       return {
         target,
-        holdMs: context.random.between(KILLED_FROM_MS, KILLED_UNTIL_MS),
+        durationMs: context.random.between(MIN_DOWNTIME_MS, MAX_DOWNTIME_MS),
         heal: async () => {
-          await ended
-          await startAgain(context, target)
+          await exited
+          await restart(context, target)
         }
       }
     }
@@ -93,7 +93,7 @@
   const endedAtMs = clock.wallMs()
   context.recordStop({ daemon: target, toldAtMs, endedAtMs, exitCode: exit?.code ?? null })
   const { spec } = fleet.get(target)
-  if (spec.fronts !== undefined) context.recordLeave({ agent: target, endpoints: spec.fronts, by: 'signal', sinceMs: toldAtMs, untilMs: endedAtMs })
+  if (spec.fronts !== undefined) context.recordDrain({ agent: target, endpoints: spec.fronts, by: 'signal', sinceMs: toldAtMs, untilMs: endedAtMs })
   if (exit !== undefined) return
   fleet.kill(target, 'SIGKILL')
   await fleet.waitExit(target, DRAIN_TIMEOUT_MS)
@@ -101,19 +101,19 @@
 
 /** Lists the host of an agent as leaving without a signal to the agent. */
 export const LEAVING_FLAG: FaultKind = {
-  inject: async (context): Promise<Injected | undefined> => {
+  inject: async (context): Promise<InjectedFault | undefined> => {
     const { clock, fleet, random } = context
     const target = claimTarget(context, ['agent'])
     if (target === undefined) return undefined
-    await showHost(context, target, 'leaving')
+    await setHostState(context, target, 'leaving')
     const { lagMs } = await fleet.setFaults('hosts', {})
     const sinceMs = clock.wallMs() + lagMs
     return {
       target,
-      holdMs: lagMs + random.between(LEAVING_FROM_MS, LEAVING_UNTIL_MS),
+      durationMs: lagMs + random.between(MIN_LEAVING_MS, MAX_LEAVING_MS),
       heal: async () => {
-        context.recordLeave({ agent: target, endpoints: fleet.get(target).spec.fronts ?? [], by: 'host_list', sinceMs, untilMs: clock.wallMs() })
-        await showHost(context, target, 'live')
+        context.recordDrain({ agent: target, endpoints: fleet.get(target).spec.fronts ?? [], by: 'host_list', sinceMs, untilMs: clock.wallMs() })
+        await setHostState(context, target, 'live')
         release(context, target)
       }
     }
@@ -121,11 +121,11 @@
 }
 
 /** Longer than the limit for new work on a leaving endpoint, so that late work is detected. */
-const LEAVING_FROM_MS = 8000
-const LEAVING_UNTIL_MS = 12_000
+const MIN_LEAVING_MS = 8000
+const MAX_LEAVING_MS = 12_000
 
 /** Restarts a process, unless it is an endpoint that its supervisor has already restarted after a crash. */
-async function startAgain (context: FaultContext, target: string): Promise<void> {
+async function restart (context: FaultContext, target: string): Promise<void> {
   const { fleet } = context
   const { spec, processId } = fleet.get(target)
   if (processId === undefined) {
@@ -136,12 +136,12 @@
       if (fleet.get(target).processId === undefined) throw error
     }
   }
-  if (spec.hostEntry !== undefined) await showHost(context, target, 'live')
+  if (spec.hostEntry !== undefined) await setHostState(context, target, 'live')
   release(context, target)
 }
 
 /** Retries until the stand-in accepts the change, since an outage of the host list may be active at the same time. */
-async function showHost (context: FaultContext, daemon: string, state: 'live' | 'leaving'): Promise<void> {
+async function setHostState (context: FaultContext, daemon: string, state: 'live' | 'leaving'): Promise<void> {
   for (;;) {
     try {
       await context.fleet.setHostState(daemon, state)
--- a/packages/anvilarch-bench/src/soak/faults/runFaults.ts
+++ b/packages/anvilarch-bench/src/soak/faults/runFaults.ts
@@ -1,7 +1,7 @@
 /** Injects faults in rounds until a given time, and heals each. */
 import { type Clock, type Random, sleep } from 'anvilarch-utils'
 import type { FaultRecord } from '../types'
-import { createFaultDeck } from './faultDeck'
+import { createFaultSchedule } from './faultSchedule'
 import { FAULT_TABLE, type FaultName } from './faultTable'
 import type { FaultContext, FaultKind } from './types'
 
@@ -13,16 +13,16 @@
   untilMs: number
   records: FaultRecord[]
   /** Waits until the fleet has recovered between two rounds. */
-  settle: () => Promise<void>
+  waitForRecovery: () => Promise<void>
   log: (line: string) => void
   signal: AbortSignal
 }
 
 /** Longest delay of the second fault of a pair, which may thus occur during the recovery from the first. */
-const PAIR_DELAY_MS = 3000
+const MAX_PAIR_DELAY_MS = 3000
 /** Time without faults after each round, so that some calls run undisturbed. */
-const QUIET_FROM_MS = 1000
-const QUIET_UNTIL_MS = 4000
+const MIN_UNDISTURBED_MS = 1000
+const MAX_UNDISTURBED_MS = 4000
 
 /**
  * @param options - what to inject and until when
@@ -31,23 +31,23 @@
 export async function runFaults (options: RunFaultsOptions): Promise<void> {
   const { context, signal } = options
   const { clock, random } = context
-  const deck = createFaultDeck(options.names, random)
+  const schedule = createFaultSchedule(options.names, random)
   while (clock.nowMs() < options.untilMs && !signal.aborted) {
-    const names = deck.next()
+    const names = schedule.next()
     await Promise.all(names.map(async (name, index) => {
-      await sleep(clock, index === 0 ? 0 : random.between(0, PAIR_DELAY_MS), signal)
-      await holdFault(options, name)
+      await sleep(clock, index === 0 ? 0 : random.between(0, MAX_PAIR_DELAY_MS), signal)
+      await applyFault(options, name)
     }))
-    await options.settle()
-    await sleep(clock, quietMs(clock, random, options.untilMs), signal)
+    await options.waitForRecovery()
+    await sleep(clock, undisturbedMs(clock, random, options.untilMs), signal)
   }
 }
 
-function quietMs (clock: Clock, random: Random, untilMs: number): number {
-  return Math.min(random.between(QUIET_FROM_MS, QUIET_UNTIL_MS), Math.max(0, untilMs - clock.nowMs()))
+function undisturbedMs (clock: Clock, random: Random, untilMs: number): number {
+  return Math.min(random.between(MIN_UNDISTURBED_MS, MAX_UNDISTURBED_MS), Math.max(0, untilMs - clock.nowMs()))
 }
 
-async function holdFault (options: RunFaultsOptions, name: FaultName): Promise<void> {
+async function applyFault (options: RunFaultsOptions, name: FaultName): Promise<void> {
   const { context, records, log, signal } = options
   const { clock } = context
   const kind: FaultKind = FAULT_TABLE[name]
@@ -60,8 +60,8 @@
     return
   }
   record.target = injected.target
-  log(`${name} on ${injected.target} for ${injected.holdMs} ms`)
-  await sleep(clock, injected.holdMs, signal)
+  log(`${name} on ${injected.target} for ${injected.durationMs} ms`)
+  await sleep(clock, injected.durationMs, signal)
   await injected.heal()
   record.healedAtMs = clock.wallMs()
   log(`${name} healed`)
--- a/packages/anvilarch-bench/src/soak/faults/targets.ts
+++ b/packages/anvilarch-bench/src/soak/faults/targets.ts
@@ -8,17 +8,17 @@
  * @returns a running process that was not claimed, now claimed; undefined if there is none
  */
 export function claimTarget (context: FaultContext, roles: ProcessRole[]): string | undefined {
-  const free = roles
+  const available = roles
     .flatMap(role => context.fleet.processes(role))
-    .filter(({ spec, processId }) => processId !== undefined && !context.busy.has(spec.name))
+    .filter(({ spec, processId }) => processId !== undefined && !context.claimed.has(spec.name))
     .map(({ spec }) => spec.name)
   // One gateway is never claimed, because a platform would not remove all entry hosts at once.
-  const heldGateways = context.fleet.processes('gateway').filter(({ spec }) => context.busy.has(spec.name)).length
-  const lastGateway = heldGateways >= context.fleet.processes('gateway').length - 1
-  const allowed = lastGateway ? free.filter(name => context.fleet.get(name).spec.role !== 'gateway') : free
+  const claimedGateways = context.fleet.processes('gateway').filter(({ spec }) => context.claimed.has(spec.name)).length
+  const isLastGateway = claimedGateways >= context.fleet.processes('gateway').length - 1
+  const allowed = isLastGateway ? available.filter(name => context.fleet.get(name).spec.role !== 'gateway') : available
   if (allowed.length === 0) return undefined
   const target = context.random.pick(allowed)
-  context.busy.add(target)
+  context.claimed.add(target)
   return target
 }
 
@@ -28,8 +28,8 @@
  * @returns whether the claim succeeded; false if another fault has claimed it
  */
 export function claim (context: FaultContext, name: string): boolean {
-  if (context.busy.has(name)) return false
-  context.busy.add(name)
+  if (context.claimed.has(name)) return false
+  context.claimed.add(name)
   return true
 }
 
@@ -38,5 +38,5 @@
  * @param name - claimed before
  */
 export function release (context: FaultContext, name: string): void {
-  context.busy.delete(name)
+  context.claimed.delete(name)
 }
--- a/packages/anvilarch-bench/src/soak/faults/types.ts
+++ b/packages/anvilarch-bench/src/soak/faults/types.ts
@@ -1,15 +1,15 @@
 /** Types of kinds of faults and of what they act on. */
 import type { Fleet } from 'anvilarch-standins'
 import type { Clock, Random } from 'anvilarch-utils'
-import type { SilentRelay } from '../relay/silentRelay'
-import type { LeaveRecord, StopRecord } from '../types'
+import type { FaultRelay } from '../relay/faultRelay'
+import type { DrainRecord, StopRecord } from '../types'
 
 /** An active fault, with the function that ends it. */
-export interface Injected {
+export interface InjectedFault {
   /** Description of the target, for the record. */
   target: string
   /** How long the fault stays active. */
-  holdMs: number
+  durationMs: number
   heal: () => Promise<void>
 }
 
@@ -26,14 +26,14 @@
   /** Jobs with an item that always fails. */
   failingItems: boolean
   /** Called when a gateway has accepted a job or a document. */
-  onPromise?: (promise: Promised) => void
+  onAccepted?: (acceptance: Acceptance) => void
 }
 
 /** Name of a switch that is on or off. */
-export type SwitchName = Exclude<keyof LoadSwitches, 'onPromise'>
+export type CallerSwitch = Exclude<keyof LoadSwitches, 'onAccepted'>
 
 /** A job or document that a gateway has just accepted. */
-export interface Promised {
+export interface Acceptance {
   kind: 'job' | 'document'
   gateway: string
 }
@@ -41,9 +41,9 @@
 /** Relays between the processes of the fleet. */
 export interface FleetRelays {
   /** Between gateways and agents, by agent. */
-  agents: Map<string, SilentRelay>
+  agents: Map<string, FaultRelay>
   /** Between daemons and the platform, by stand-in. */
-  platform: Map<'table' | 'objects' | 'hosts', SilentRelay>
+  platform: Map<'table' | 'objects' | 'hosts', FaultRelay>
 }
 
 /** Dependencies of faults. */
@@ -54,13 +54,13 @@
   relays: FleetRelays
   load: LoadSwitches
   /** Names of the processes and stand-ins claimed by active faults, so that two faults of a pair do not undo each other. */
-  busy: Set<string>
+  claimed: Set<string>
   recordStop: (stop: StopRecord) => void
-  recordLeave: (leave: LeaveRecord) => void
+  recordDrain: (drain: DrainRecord) => void
 }
 
 /** A kind of fault. */
 export interface FaultKind {
   /** Injects the fault, or returns undefined if other faults have claimed all possible targets. */
-  inject: (context: FaultContext) => Promise<Injected | undefined>
+  inject: (context: FaultContext) => Promise<InjectedFault | undefined>
 }
--- a/packages/anvilarch-bench/src/soak/load/jobCalls.ts
+++ b/packages/anvilarch-bench/src/soak/load/jobCalls.ts
@@ -1,10 +1,10 @@
 /** Calls of the batch routes, with the responses as the client received them. */
-import type { ItemSpec, JobAnswer, ResultLine } from '../types'
-import { sendWhole, type WholeAnswer } from './sendWhole'
+import type { ItemSpec, JobResponse, ResultLine } from '../types'
+import { sendRequest, type HttpCallResult } from './sendRequest'
 import type { GatewayAddress, LoadContext } from './types'
 
 /** A batch as returned by the routes. */
-export interface ShownBatch {
+export interface Batch {
   id: string
   status: string
   output_file_id: string | null
@@ -21,7 +21,7 @@
  * @param items - of the file
  * @returns the result of the call; `text` is the file object as JSON
  */
-export async function uploadItems (context: LoadContext, gateway: GatewayAddress, items: readonly ItemSpec[]): Promise<WholeAnswer> {
+export async function uploadItems (context: LoadContext, gateway: GatewayAddress, items: readonly ItemSpec[]): Promise<HttpCallResult> {
   const lines = items.map(({ customId, body }) => JSON.stringify({ custom_id: customId, method: 'POST', url: ITEM_PATH, body }) + '\n').join('')
   const body = [
     `--${BOUNDARY}\r\ncontent-disposition: form-data; name="purpose"\r\n\r\nbatch\r\n`,
@@ -29,7 +29,7 @@
     lines,
     `\r\n--${BOUNDARY}--\r\n`
   ].join('')
-  return await sendWhole(context, gateway, { method: 'POST', path: '/v1/files', headers: { 'content-type': `multipart/form-data; boundary=${BOUNDARY}` }, body })
+  return await sendRequest(context, gateway, { method: 'POST', path: '/v1/files', headers: { 'content-type': `multipart/form-data; boundary=${BOUNDARY}` }, body })
 }
 
 /**
@@ -39,14 +39,14 @@
  * @param key - `Idempotency-Key`, if any
  * @returns the response to the client
  */
-export async function createBatch (context: LoadContext, gateway: GatewayAddress, fileId: string, key: string | undefined): Promise<JobAnswer> {
-  const answer = await sendWhole(context, gateway, {
+export async function createBatch (context: LoadContext, gateway: GatewayAddress, fileId: string, key: string | undefined): Promise<JobResponse> {
+  const result = await sendRequest(context, gateway, {
     method: 'POST',
     path: '/v1/batches',
     headers: { 'content-type': 'application/json', ...(key === undefined ? {} : { 'idempotency-key': key }) },
     body: JSON.stringify({ input_file_id: fileId, endpoint: ITEM_PATH, completion_window: '24h' })
   })
-  return toJobAnswer(gateway, answer)
+  return toJobResponse(gateway, result)
 }
 
 /**
@@ -55,35 +55,35 @@
  * @param jobId - of the job
  * @returns the response to the client
  */
-export async function cancelBatch (context: LoadContext, gateway: GatewayAddress, jobId: string): Promise<JobAnswer> {
-  return toJobAnswer(gateway, await sendWhole(context, gateway, { method: 'POST', path: `/v1/batches/${jobId}/cancel` }))
+export async function cancelBatch (context: LoadContext, gateway: GatewayAddress, jobId: string): Promise<JobResponse> {
+  return toJobResponse(gateway, await sendRequest(context, gateway, { method: 'POST', path: `/v1/batches/${jobId}/cancel` }))
 }
 
 /** @returns the batch, or undefined if the call failed */
-export async function showBatch (context: LoadContext, gateway: GatewayAddress, jobId: string): Promise<ShownBatch | undefined> {
-  const { told, text } = await sendWhole(context, gateway, { method: 'GET', path: `/v1/batches/${jobId}` })
-  return told === 'whole' ? JSON.parse(text) as ShownBatch : undefined
+export async function getBatch (context: LoadContext, gateway: GatewayAddress, jobId: string): Promise<Batch | undefined> {
+  const { told, text } = await sendRequest(context, gateway, { method: 'GET', path: `/v1/batches/${jobId}` })
+  return told === 'whole' ? JSON.parse(text) as Batch : undefined
 }
 
 /** @returns the lines of a file of results, or why they could not be read */
 export async function readResultFile (context: LoadContext, gateway: GatewayAddress, fileId: string, kind: ResultLine['kind']): Promise<ResultLine[] | string> {
-  const { told, status, text, code, detail } = await sendWhole(context, gateway, { method: 'GET', path: `/v1/files/${fileId}/content` })
+  const { told, status, text, code, detail } = await sendRequest(context, gateway, { method: 'GET', path: `/v1/files/${fileId}/content` })
   if (told !== 'whole') return `${fileId}: ${told} ${status} ${code} ${detail}`
   return text.split('\n').filter(line => line !== '').map(line => toResultLine(line, kind))
 }
 
-interface ShownLine {
+interface ResultFileLine {
   custom_id: string
   response: { body?: { choices?: Array<{ message?: { content?: string } }> } } | null
   error: { code?: string } | null
 }
 
 function toResultLine (line: string, kind: ResultLine['kind']): ResultLine {
-  const shown = JSON.parse(line) as ShownLine
+  const shown = JSON.parse(line) as ResultFileLine
   return { customId: shown.custom_id, kind, text: shown.response?.body?.choices?.[0]?.message?.content, code: shown.error?.code }
 }
 
-function toJobAnswer (gateway: GatewayAddress, { text, detail, ...answer }: WholeAnswer): JobAnswer {
-  const jobId = answer.told === 'whole' ? (JSON.parse(text) as { id: string }).id : undefined
-  return { gateway: gateway.name, ...answer, jobId }
+function toJobResponse (gateway: GatewayAddress, { text, detail, ...result }: HttpCallResult): JobResponse {
+  const jobId = result.told === 'whole' ? (JSON.parse(text) as { id: string }).id : undefined
+  return { gateway: gateway.name, ...result, jobId }
 }
--- a/packages/anvilarch-bench/src/soak/load/modelCalls.ts
+++ b/packages/anvilarch-bench/src/soak/load/modelCalls.ts
@@ -3,9 +3,9 @@
 import { promptText } from '../../harness/fleetLoad'
 import type { Answer } from '../../clients/answer'
 import { chatBody, sendChat } from '../../clients/chatClient'
-import { TIMED_OUT } from '../checker/callChecks'
-import type { AnswerFault, CallKind, CallRecord, Told } from '../types'
-import { CALL_TIMEOUT_MS, sendWhole } from './sendWhole'
+import { CLIENT_TIMEOUT_CODE } from '../checker/callChecks'
+import type { ResponseFault, CallKind, CallRecord, CallOutcome } from '../types'
+import { CALL_TIMEOUT_MS, sendRequest } from './sendRequest'
 import { type GatewayAddress, type LoadContext, MODEL } from './types'
 
 /** One online request. */
@@ -30,7 +30,7 @@
  * @param requestId - makes the prompt unique, so that a response to another request is detected
  * @returns a prompt
  */
-export function drawPrompt ({ random }: LoadContext, requestId: string): string {
+export function randomPrompt ({ random }: LoadContext, requestId: string): string {
   return promptText(random, random.between(PROMPT_FROM, PROMPT_UNTIL), `${requestId} `)
 }
 
@@ -51,17 +51,17 @@
   const timeout = AbortSignal.timeout(CALL_TIMEOUT_MS)
   const signal = call.signal === undefined ? timeout : AbortSignal.any([timeout, call.signal])
   const { requestId, prompt, maxTokens, headers } = call
-  const answer = await sendChat(call.gateway.origin, { requestId, model: MODEL, prompt, maxTokens, headers }, { clock, dispatcher, expectedText, signal })
+  const response = await sendChat(call.gateway.origin, { requestId, model: MODEL, prompt, maxTokens, headers }, { clock, dispatcher, expectedText, signal })
   return {
     ...baseRecord(call),
     sentAtMs,
     endedAtMs: clock.wallMs(),
-    status: answer.status,
-    code: timeout.aborted ? TIMED_OUT : answer.code,
-    ran: answer.ran,
-    retryAfterMs: answer.retryAfterMs,
-    detail: answer.detail,
-    ...judgeStream(answer, call.signal?.aborted === true)
+    status: response.status,
+    code: timeout.aborted ? CLIENT_TIMEOUT_CODE : response.code,
+    ran: response.ran,
+    retryAfterMs: response.retryAfterMs,
+    detail: response.detail,
+    ...classifyStream(response, call.signal?.aborted === true)
   }
 }
 
@@ -69,15 +69,15 @@
  * A stream that ended without an error counts as complete, even if its last event is missing. However it ended, its pieces
  * must be the start of the expected response.
  *
- * @param answer - as the client read it
- * @param isGone - whether the caller disconnected before the end
+ * @param response - as the client read it
+ * @param hasDisconnected - whether the caller disconnected before the end
  * @returns the outcome as the caller saw it, and the fault in the content
  */
-export function judgeStream (answer: Answer, isGone: boolean): { told: Told, fault: AnswerFault | undefined } {
-  const crossed = answer.isCrossed ? 'crossed' : undefined
-  if (isGone) return { told: 'gone', fault: crossed }
-  const ended = answer.code === ''
-  const verdicts: Record<Answer['outcome'], { told: Told, fault: AnswerFault | undefined }> = {
+export function classifyStream (response: Answer, hasDisconnected: boolean): { told: CallOutcome, fault: ResponseFault | undefined } {
+  const crossed = response.isCrossed ? 'crossed' : undefined
+  if (hasDisconnected) return { told: 'gone', fault: crossed }
+  const ended = response.code === ''
+  const results: Record<Answer['outcome'], { told: CallOutcome, fault: ResponseFault | undefined }> = {
     completed: { told: 'whole', fault: undefined },
     refused: { told: 'refused', fault: undefined },
     failed: { told: 'failed', fault: crossed },
@@ -85,20 +85,20 @@
     wrong: { told: 'whole', fault: 'crossed' },
     unreachable: { told: 'broken', fault: undefined }
   }
-  return verdicts[answer.outcome]
+  return results[response.outcome]
 }
 
 async function callPlain (context: LoadContext, call: ModelCall): Promise<CallRecord> {
   const body = chatBody({ model: MODEL, prompt: call.prompt, maxTokens: call.maxTokens }, false)
-  const { text, ...answer } = await sendWhole(context, call.gateway, {
+  const { text, ...result } = await sendRequest(context, call.gateway, {
     method: 'POST',
     path: CHAT_PATH,
     headers: { 'content-type': 'application/json', 'x-request-id': call.requestId, ...call.headers },
     body: JSON.stringify(body),
     signal: call.signal
   })
-  const fault = answer.told === 'whole' ? judgeText(text, expectedText(CHAT_PATH, body)) : undefined
-  return { ...baseRecord(call), ...answer, fault }
+  const fault = result.told === 'whole' ? findTextFault(text, expectedText(CHAT_PATH, body)) : undefined
+  return { ...baseRecord(call), ...result, fault }
 }
 
 /**
@@ -106,7 +106,7 @@
  * @param expected - text of the expected response
  * @returns the fault in the body, if any
  */
-export function judgeText (text: string, expected: string): AnswerFault | undefined {
+export function findTextFault (text: string, expected: string): ResponseFault | undefined {
   try {
     const { choices } = JSON.parse(text) as { choices?: Array<{ message?: { content?: string }, finish_reason?: string | null }> }
     const found = choices?.[0]?.message?.content ?? ''
--- a/packages/anvilarch-bench/src/soak/load/plainCalls.ts
+++ b/packages/anvilarch-bench/src/soak/load/plainCalls.ts
@@ -2,21 +2,21 @@
 import { expectedPlainAnswer } from 'anvilarch-standins'
 import { sleep } from 'anvilarch-utils'
 import { sendLookup } from '../../clients/lookupClient'
-import { TIMED_OUT } from '../checker/callChecks'
-import type { AnswerFault, CallRecord } from '../types'
-import { CALL_TIMEOUT_MS, sendWhole } from './sendWhole'
+import { CLIENT_TIMEOUT_CODE } from '../checker/callChecks'
+import type { ResponseFault, CallRecord } from '../types'
+import { CALL_TIMEOUT_MS, sendRequest } from './sendRequest'
 import { type GatewayAddress, type LoadContext, PLAIN_SERVICE } from './types'
 
 const ORDER_PATH = '/orders'
 const MAX_RESENDS = 6
-const RESEND_FROM_MS = 50
-const RESEND_UNTIL_MS = 1500
+const MIN_RESEND_DELAY_MS = 50
+const MAX_RESEND_DELAY_MS = 1500
 /** Share of keyed orders that are sent through two gateways at once. */
-const AT_ONCE_SHARE = 0.4
+const CONCURRENT_SHARE = 0.4
 /** Share of keyed orders whose key is reused with another body. */
 const OTHER_BODY_SHARE = 0.1
 /** Share of keyed orders that are sent once more after the outcome. */
-const AGAIN_SHARE = 0.3
+const REPEAT_SHARE = 0.3
 
 /**
  * @param context - of the load
@@ -28,8 +28,8 @@
   const endpointPath = `/names/${requestId}`
   const sentAtMs = clock.wallMs()
   const timeout = AbortSignal.timeout(CALL_TIMEOUT_MS)
-  const answer = await sendLookup(gateway.origin, { requestId, path: `/services/${PLAIN_SERVICE}${endpointPath}`, endpointPath }, { clock, dispatcher, signal: timeout })
-  const { status, ran, retryAfterMs, detail, outcome } = answer
+  const response = await sendLookup(gateway.origin, { requestId, path: `/services/${PLAIN_SERVICE}${endpointPath}`, endpointPath }, { clock, dispatcher, signal: timeout })
+  const { status, ran, retryAfterMs, detail, outcome } = response
   evidence.calls.push({
     requestId,
     kind: 'lookup',
@@ -39,15 +39,15 @@
     sentAtMs,
     endedAtMs: clock.wallMs(),
     status,
-    code: timeout.aborted ? TIMED_OUT : answer.code,
+    code: timeout.aborted ? CLIENT_TIMEOUT_CODE : response.code,
     ran,
     retryAfterMs,
     detail,
-    ...LOOKUP_VERDICTS[outcome]
+    ...LOOKUP_RESULTS[outcome]
   })
 }
 
-const LOOKUP_VERDICTS: Record<Awaited<ReturnType<typeof sendLookup>>['outcome'], Pick<CallRecord, 'told' | 'fault'>> = {
+const LOOKUP_RESULTS: Record<Awaited<ReturnType<typeof sendLookup>>['outcome'], Pick<CallRecord, 'told' | 'fault'>> = {
   completed: { told: 'whole', fault: undefined },
   refused: { told: 'refused', fault: undefined },
   failed: { told: 'failed', fault: undefined },
@@ -80,14 +80,14 @@
 
   let gateway = gateways.pick()
   const first = sendOnce(gateway)
-  if (random.next() < AT_ONCE_SHARE) await sendOnce(gateways.pickOther(gateway.name))
+  if (random.next() < CONCURRENT_SHARE) await sendOnce(gateways.pickOther(gateway.name))
   let last = await first
   for (let resends = 0; resends < MAX_RESENDS && mustResend(last); resends++) {
-    await sleep(context.clock, random.between(RESEND_FROM_MS, RESEND_UNTIL_MS))
+    await sleep(context.clock, random.between(MIN_RESEND_DELAY_MS, MAX_RESEND_DELAY_MS))
     gateway = gateways.pickOther(gateway.name)
     last = await sendOnce(gateway)
   }
-  if (random.next() < AGAIN_SHARE) await sendOnce(gateways.pick())
+  if (random.next() < REPEAT_SHARE) await sendOnce(gateways.pick())
   if (random.next() < OTHER_BODY_SHARE) await sendOnce(gateways.pick(), orderBody(`${name}-other`))
 }
 
@@ -107,21 +107,21 @@
 
 async function sendOrder (context: LoadContext, order: Order): Promise<CallRecord> {
   const { requestId, kind, key, body, gateway } = order
-  const { text, ...answer } = await sendWhole(context, gateway, {
+  const { text, ...result } = await sendRequest(context, gateway, {
     method: 'POST',
     path: `/services/${PLAIN_SERVICE}${ORDER_PATH}`,
     headers: { 'content-type': 'application/json', 'x-request-id': requestId, ...(key === undefined ? {} : { 'idempotency-key': key }) },
     body,
     signal: order.signal
   })
-  const fault = answer.told === 'whole' ? judgeOrder(text, body) : undefined
-  const record: CallRecord = { requestId, kind, gateway: gateway.name, key, idempotent: false, ...answer, fault }
+  const fault = result.told === 'whole' ? findOrderFault(text, body) : undefined
+  const record: CallRecord = { requestId, kind, gateway: gateway.name, key, idempotent: false, ...result, fault }
   context.evidence.calls.push(record)
   return record
 }
 
 /** Compares only path and text, because a response recorded for an earlier call of the key contains the id of that call. */
-function judgeOrder (text: string, body: string): AnswerFault | undefined {
+function findOrderFault (text: string, body: string): ResponseFault | undefined {
   try {
     const { path, answer } = JSON.parse(text) as { path?: string, answer?: string }
     return path === ORDER_PATH && answer === expectedPlainAnswer('POST', ORDER_PATH, body) ? undefined : 'crossed'
--- a/packages/anvilarch-bench/src/soak/load/sendWhole.ts
+++ b/packages/anvilarch-bench/src/soak/load/sendRequest.ts
@@ -1,10 +1,10 @@
 /** Sends an HTTP request and reads its complete response. */
 import type { RunStatus } from 'anvilarch-utils'
 import { errorAnswer } from '../../clients/answer'
-import type { Told } from '../types'
+import type { CallOutcome } from '../types'
 import type { GatewayAddress, LoadContext } from './types'
 
-export interface WholeCall {
+export interface HttpCall {
   method: 'GET' | 'POST'
   path: string
   headers?: Record<string, string>
@@ -14,8 +14,8 @@
 }
 
 /** Outcome and response of a call. */
-export interface WholeAnswer {
-  told: Told
+export interface HttpCallResult {
+  told: CallOutcome
   status: number
   code: string
   ran: RunStatus | ''
@@ -35,25 +35,25 @@
  * @param call - what to send
  * @returns outcome and response; never rejects
  */
-export async function sendWhole (context: LoadContext, gateway: GatewayAddress, call: WholeCall): Promise<WholeAnswer> {
+export async function sendRequest (context: LoadContext, gateway: GatewayAddress, call: HttpCall): Promise<HttpCallResult> {
   const { clock, dispatcher } = context
-  const answer: WholeAnswer = { told: 'broken', status: 0, code: '', ran: '', retryAfterMs: undefined, text: '', detail: '', sentAtMs: clock.wallMs(), endedAtMs: 0 }
+  const result: HttpCallResult = { told: 'broken', status: 0, code: '', ran: '', retryAfterMs: undefined, text: '', detail: '', sentAtMs: clock.wallMs(), endedAtMs: 0 }
   const timeout = AbortSignal.timeout(call.timeoutMs ?? CALL_TIMEOUT_MS)
   const signal = call.signal === undefined ? timeout : AbortSignal.any([timeout, call.signal])
   try {
     const response = await dispatcher.request({ origin: gateway.origin, path: call.path, method: call.method, headers: call.headers, body: call.body, signal })
-    answer.status = response.statusCode
-    answer.text = await response.body.text()
-    answer.endedAtMs = clock.wallMs()
-    if (response.statusCode < 400) return { ...answer, told: 'whole' }
-    return { ...answer, ...describeError(response.statusCode, response.headers['retry-after'], answer.text) }
+    result.status = response.statusCode
+    result.text = await response.body.text()
+    result.endedAtMs = clock.wallMs()
+    if (response.statusCode < 400) return { ...result, told: 'whole' }
+    return { ...result, ...describeError(response.statusCode, response.headers['retry-after'], result.text) }
   } catch (error) {
     const { name, message, code } = error as Error & { code?: string }
-    return { ...answer, told: call.signal?.aborted === true ? 'gone' : 'broken', code: timeout.aborted ? 'TimeoutError' : code ?? name, detail: message, endedAtMs: clock.wallMs() }
+    return { ...result, told: call.signal?.aborted === true ? 'gone' : 'broken', code: timeout.aborted ? 'TimeoutError' : code ?? name, detail: message, endedAtMs: clock.wallMs() }
   }
 }
 
-function describeError (status: number, retryAfter: string | string[] | undefined, text: string): Pick<WholeAnswer, 'told' | 'code' | 'ran' | 'retryAfterMs' | 'detail'> {
+function describeError (status: number, retryAfter: string | string[] | undefined, text: string): Pick<HttpCallResult, 'told' | 'code' | 'ran' | 'retryAfterMs' | 'detail'> {
   const { outcome, code, ran, retryAfterMs, detail } = errorAnswer(status, retryAfter, text, 0)
   return { told: outcome === 'refused' ? 'refused' : 'failed', code, ran, retryAfterMs, detail }
 }
--- a/packages/anvilarch-bench/src/soak/load/slowStream.ts
+++ b/packages/anvilarch-bench/src/soak/load/slowStream.ts
@@ -5,8 +5,8 @@
 import { type Answer, errorAnswer } from '../../clients/answer'
 import { chatBody, createChatReader } from '../../clients/chatClient'
 import type { CallRecord } from '../types'
-import { judgeStream, drawPrompt } from './modelCalls'
-import { CALL_TIMEOUT_MS } from './sendWhole'
+import { classifyStream, randomPrompt } from './modelCalls'
+import { CALL_TIMEOUT_MS } from './sendRequest'
 import { type LoadContext, MODEL } from './types'
 
 const CHAT_PATH = '/v1/chat/completions'
@@ -21,9 +21,9 @@
   const { clock, dispatcher, evidence, gateways } = context
   const gateway = gateways.pick()
   const sentAtMs = clock.wallMs()
-  const body = chatBody({ model: MODEL, prompt: drawPrompt(context, requestId), maxTokens: TOKENS }, true)
+  const body = chatBody({ model: MODEL, prompt: randomPrompt(context, requestId), maxTokens: TOKENS }, true)
   const timeout = AbortSignal.timeout(CALL_TIMEOUT_MS)
-  const answer = await readSlowly(clock, dispatcher, {
+  const response = await readSlowly(clock, dispatcher, {
     origin: gateway.origin,
     path: CHAT_PATH,
     method: 'POST',
@@ -31,7 +31,7 @@
     body: JSON.stringify(body),
     signal: timeout
   }, expectedText(CHAT_PATH, body))
-  const { status, ran, retryAfterMs, detail } = answer
+  const { status, ran, retryAfterMs, detail } = response
   const record: CallRecord = {
     requestId,
     kind: 'stream',
@@ -41,11 +41,11 @@
     sentAtMs,
     endedAtMs: clock.wallMs(),
     status,
-    code: timeout.aborted ? 'TimeoutError' : answer.code,
+    code: timeout.aborted ? 'TimeoutError' : response.code,
     ran,
     retryAfterMs,
     detail,
-    ...judgeStream(answer, false)
+    ...classifyStream(response, false)
   }
   evidence.calls.push(record)
 }
--- a/packages/anvilarch-bench/src/soak/relay/__tests__/silentRelay.test.ts
+++ b/packages/anvilarch-bench/src/soak/relay/__tests__/faultRelay.test.ts
@@ -1,20 +1,20 @@
 import { createServer, type AddressInfo, connect, type Server, type Socket } from 'node:net'
 import { once } from 'node:events'
-import { type SilentRelay, startSilentRelay } from '../silentRelay'
+import { type FaultRelay, startFaultRelay } from '../faultRelay'
 
 /** Shorter than the timeout of a test, which is 30 s. */
-const GIVE_UP_MS = 20_000
+const CONDITION_TIMEOUT_MS = 20_000
 
-describe('startSilentRelay', () => {
+describe('startFaultRelay', () => {
   let echo: Server
-  let relay: SilentRelay
+  let relay: FaultRelay
   let sink: Server | undefined
   const clients: Socket[] = []
 
   beforeEach(async () => {
     echo = createServer(socket => { socket.on('error', () => {}).pipe(socket) })
     await new Promise<void>(resolve => { echo.listen(0, '127.0.0.1', resolve) })
-    relay = await startSilentRelay()
+    relay = await startFaultRelay()
     relay.setTarget(`127.0.0.1:${(echo.address() as AddressInfo).port}`)
   })
 
@@ -26,10 +26,10 @@
   })
 
   /** Rejects if the condition stays false, instead of occupying the event loop forever. */
-  const until = async (condition: () => boolean): Promise<void> => {
-    const giveUpMs = performance.now() + GIVE_UP_MS
+  const waitUntil = async (condition: () => boolean): Promise<void> => {
+    const deadlineMs = performance.now() + CONDITION_TIMEOUT_MS
     while (!condition()) {
-      if (performance.now() > giveUpMs) throw new Error(`condition stayed false: ${String(condition)}`)
+      if (performance.now() > deadlineMs) throw new Error(`condition stayed false: ${String(condition)}`)
       await new Promise(resolve => { setImmediate(resolve) })
     }
   }
@@ -41,26 +41,26 @@
     return client
   }
 
-  const ask = async (client: Socket, text: string): Promise<string> => {
-    const answer = once(client, 'data')
+  const exchange = async (client: Socket, text: string): Promise<string> => {
+    const reply = once(client, 'data')
     client.write(text)
-    return String((await answer)[0])
+    return String((await reply)[0])
   }
 
   test('forwards bytes in both directions', async () => {
-    expect(await ask(open(), 'one')).toBe('one')
+    expect(await exchange(open(), 'one')).toBe('one')
   })
 
   test('keeps stalled connections open without forwarding a byte while new ones work', async () => {
     const old = open()
-    await ask(old, 'before')
+    await exchange(old, 'before')
     const seen: string[] = []
     old.on('data', data => { seen.push(String(data)) })
     old.on('close', () => { seen.push('closed') })
-    expect(relay.silence()).toBe(1)
+    expect(relay.stall()).toBe(1)
     old.write('after')
-    expect(await ask(open(), 'new')).toBe('new')
-    expect(await ask(open(), 'newer')).toBe('newer')
+    expect(await exchange(open(), 'new')).toBe('new')
+    expect(await exchange(open(), 'newer')).toBe('newer')
     expect(seen).toEqual([])
   })
 
@@ -72,15 +72,15 @@
     relay.setTarget(`127.0.0.1:${(receiver.address() as AddressInfo).port}`)
     const old = open()
     old.write('early')
-    await until(() => received.length >= 1)
-    const held = relay.hold()
-    expect(held.connections).toBe(1)
+    await waitUntil(() => received.length >= 1)
+    const delayed = relay.delay()
+    expect(delayed.connections).toBe(1)
     old.end('late')
     await once(old, 'finish')
     open().write('new')
-    await until(() => received.length >= 2)
-    held.release()
-    await until(() => received.length >= 3)
+    await waitUntil(() => received.length >= 2)
+    delayed.release()
+    await waitUntil(() => received.length >= 3)
     expect(received).toEqual(['early', 'new', 'late'])
   })
 })
--- a/packages/anvilarch-bench/src/soak/relay/silentRelay.ts
+++ b/packages/anvilarch-bench/src/soak/relay/faultRelay.ts
@@ -6,32 +6,32 @@
 import { connect, createServer, type AddressInfo, type Socket } from 'node:net'
 
 /** A running relay. */
-export interface SilentRelay {
+export interface FaultRelay {
   /** IP address and port to connect to. */
   address: string
   /** Sets the IP address and port to which new connections are forwarded. */
   setTarget: (address: string) => void
   /** Stalls all open connections permanently and returns their number. */
-  silence: () => number
+  stall: () => number
   /** Buffers all data on the connections that are open now, until it is released. */
-  hold: () => HeldConnections
+  delay: () => DelayedConnections
   close: () => Promise<void>
 }
 
 /** Connections whose data is buffered. */
-export interface HeldConnections {
+export interface DelayedConnections {
   connections: number
   /** Forwards the buffered data and the ends of connections. */
   release: () => void
 }
 
-type PairMode = 'moving' | 'held' | 'silent'
+type PairMode = 'forwarding' | 'delayed' | 'stalled'
 
 /** One direction of a connection. */
 interface Direction {
   from: Socket
   to: Socket
-  held: Buffer[]
+  buffered: Buffer[]
   /** How `from` ended while its data was buffered. */
   ended: 'no' | 'end' | 'reset'
 }
@@ -45,7 +45,7 @@
 const LOOPBACK = '127.0.0.1'
 
 /** @returns the relay, listening on a free loopback port; it closes connections until its target is set */
-export async function startSilentRelay (): Promise<SilentRelay> {
+export async function startFaultRelay (): Promise<FaultRelay> {
   const pairs = new Set<Pair>()
   let target: { host: string, port: number } | undefined
 
@@ -59,20 +59,20 @@
     for (const { from } of pair.directions) from.on('close', () => { if (isClosed(pair)) pairs.delete(pair) })
   })
   await new Promise<void>(resolve => { server.listen(0, LOOPBACK, resolve) })
-  const moving = (): Pair[] => [...pairs].filter(pair => pair.mode === 'moving')
+  const forwardingPairs = (): Pair[] => [...pairs].filter(pair => pair.mode === 'forwarding')
 
   return {
     address: `${LOOPBACK}:${(server.address() as AddressInfo).port}`,
     setTarget: address => { target = splitAddress(address) },
-    silence: () => {
-      const silenced = moving()
-      for (const pair of silenced) pair.mode = 'silent'
-      return silenced.length
+    stall: () => {
+      const stalled = forwardingPairs()
+      for (const pair of stalled) pair.mode = 'stalled'
+      return stalled.length
     },
-    hold: () => {
-      const held = moving()
-      for (const pair of held) pair.mode = 'held'
-      return { connections: held.length, release: () => { for (const pair of held) releasePair(pair) } }
+    delay: () => {
+      const delayed = forwardingPairs()
+      for (const pair of delayed) pair.mode = 'delayed'
+      return { connections: delayed.length, release: () => { for (const pair of delayed) releasePair(pair) } }
     },
     close: () => new Promise(resolve => {
       for (const { directions } of pairs) for (const { from } of directions) from.destroy()
@@ -82,11 +82,11 @@
 }
 
 function joinSockets (incoming: Socket, outgoing: Socket): Pair {
-  const pair: Pair = { mode: 'moving', directions: [createDirection(incoming, outgoing), createDirection(outgoing, incoming)] }
+  const pair: Pair = { mode: 'forwarding', directions: [createDirection(incoming, outgoing), createDirection(outgoing, incoming)] }
   for (const direction of pair.directions) {
     const { from } = direction
     from.setNoDelay(true)
-    from.on('data', (data: Buffer) => { PASS[pair.mode](direction, data) })
+    from.on('data', (data: Buffer) => { FORWARD[pair.mode](direction, data) })
     from.on('end', () => { END[pair.mode](direction, 'end') })
     // A reset must reach the other end, else the connection would seem stalled.
     from.on('error', () => { END[pair.mode](direction, 'reset') })
@@ -95,36 +95,36 @@
 }
 
 function createDirection (from: Socket, to: Socket): Direction {
-  return { from, to, held: [], ended: 'no' }
+  return { from, to, buffered: [], ended: 'no' }
 }
 
 /** A stalled connection is still read, so that the kernel acknowledges its data and neither end detects the fault. */
-const PASS: Record<PairMode, (direction: Direction, data: Buffer) => void> = {
-  moving: ({ from, to }, data) => {
+const FORWARD: Record<PairMode, (direction: Direction, data: Buffer) => void> = {
+  forwarding: ({ from, to }, data) => {
     if (to.write(data)) return
     from.pause()
     to.once('drain', () => { from.resume() })
   },
-  held: ({ held }, data) => { held.push(data) },
-  silent: () => {}
+  delayed: ({ buffered }, data) => { buffered.push(data) },
+  stalled: () => {}
 }
 
 const END: Record<PairMode, (direction: Direction, how: 'end' | 'reset') => void> = {
-  moving: passEnd,
-  held: (direction, how) => { direction.ended = how },
-  silent: () => {}
+  forwarding: forwardEnd,
+  delayed: (direction, how) => { direction.ended = how },
+  stalled: () => {}
 }
 
-function passEnd ({ to }: Direction, how: 'end' | 'reset'): void {
+function forwardEnd ({ to }: Direction, how: 'end' | 'reset'): void {
   if (how === 'end') to.end()
   else to.destroy()
 }
 
 function releasePair (pair: Pair): void {
-  if (pair.mode !== 'held') return
-  pair.mode = 'moving'
+  if (pair.mode !== 'delayed') return
+  pair.mode = 'forwarding'
   for (const direction of pair.directions) {
-    for (const data of direction.held.splice(0)) direction.to.write(data)
+    for (const data of direction.buffered.splice(0)) direction.to.write(data)
     // After a reset too, the data sent before it must arrive late, so the connection ends normally.
     if (direction.ended !== 'no') direction.to.end()
   }
--- a/packages/anvilarch-bench/src/soak/run/gatewayPool.ts
+++ b/packages/anvilarch-bench/src/soak/run/gatewayPool.ts
@@ -4,11 +4,11 @@
 import type { GatewayAddress, GatewayPool } from '../load/types'
 
 /** A gateway pool that polls until it is stopped. */
-export interface WatchedGatewayPool extends GatewayPool {
+export interface PollingGatewayPool extends GatewayPool {
   stop: () => void
 }
 
-const ASK_INTERVAL_MS = 200
+const READINESS_POLL_MS = 200
 
 /**
  * @param fleet - runs the gateways
@@ -16,14 +16,14 @@
  * @param random - picks among ready gateways
  * @returns the pool
  */
-export function createGatewayPool (fleet: Fleet, clock: Clock, random: Random): WatchedGatewayPool {
+export function createGatewayPool (fleet: Fleet, clock: Clock, random: Random): PollingGatewayPool {
   const stopping = new AbortController()
   const gateways = fleet.processes('gateway').map(({ spec }) => ({ name: spec.name, origin: spec.addresses.callers, readyUrl: spec.readyUrl, isReady: true }))
 
   const watch = async (gateway: typeof gateways[number]): Promise<void> => {
     while (!stopping.signal.aborted) {
       gateway.isReady = await answersOk(gateway.readyUrl)
-      await sleep(clock, ASK_INTERVAL_MS, stopping.signal)
+      await sleep(clock, READINESS_POLL_MS, stopping.signal)
     }
   }
   for (const gateway of gateways) watch(gateway).catch(() => {})
--- a/packages/anvilarch-bench/src/soak/run/openSoakFleet.ts
+++ b/packages/anvilarch-bench/src/soak/run/openSoakFleet.ts
@@ -3,7 +3,7 @@
 import type { FleetRelays } from '../faults/types'
 import { HOST_LIST_LAG_MS } from '../faults/faultTable'
 import { CRASH_MARKER, FAIL_MARKER, PLAIN_SERVICE } from '../load/types'
-import { startSilentRelay } from '../relay/silentRelay'
+import { startFaultRelay } from '../relay/faultRelay'
 
 /** A running fleet with its relays. */
 export interface SoakFleet {
@@ -35,8 +35,8 @@
 export async function openSoakFleet (options: SoakFleetOptions): Promise<SoakFleet> {
   const agentNames = Array.from({ length: MODEL_ENDPOINTS + PLAIN_ENDPOINTS }, (_, index) => `agent-${index + 1}`)
   const relays: FleetRelays = {
-    agents: new Map(await Promise.all(agentNames.map(async name => [name, await startSilentRelay()] as const))),
-    platform: new Map(await Promise.all(PLATFORM.map(async name => [name, await startSilentRelay()] as const)))
+    agents: new Map(await Promise.all(agentNames.map(async name => [name, await startFaultRelay()] as const))),
+    platform: new Map(await Promise.all(PLATFORM.map(async name => [name, await startFaultRelay()] as const)))
   }
   const all = [...relays.agents.values(), ...relays.platform.values()]
   const fleet = await startFleet({
@@ -49,10 +49,10 @@
     hostListLagMs: HOST_LIST_LAG_MS,
     gatewaySettings: { leaseMs: LEASE_MS, pollIntervalMs: POLL_INTERVAL_MS, partItems: PART_ITEMS, drainTimeoutMs: DRAIN_TIMEOUT_MS },
     agentSettings: { drainTimeoutMs: DRAIN_TIMEOUT_MS },
-    adjustSettings: settings => throughRelays(settings, relays),
+    adjustSettings: settings => routeThroughRelays(settings, relays),
     hostAddress: ({ name, listen }) => relays.agents.get(name)?.address ?? listen.peers
   })
-  await markEngines(fleet)
+  await setEngineMarkers(fleet)
   return {
     fleet,
     relays,
@@ -65,7 +65,7 @@
 
 const DRAIN_TIMEOUT_MS = 40_000
 
-function throughRelays (settings: FleetDaemonSettings, relays: FleetRelays): FleetDaemonSettings {
+function routeThroughRelays (settings: FleetDaemonSettings, relays: FleetRelays): FleetDaemonSettings {
   const { tableUrl, objectsUrl, hostsUrl } = settings.platform
   const through = (name: typeof PLATFORM[number], url: string): string => {
     const relay = relays.platform.get(name)
@@ -81,7 +81,7 @@
 }
 
 /** Passes the markers as arguments too: a restarted engine without them would complete the request that crashed it before. */
-async function markEngines (fleet: Fleet): Promise<void> {
+async function setEngineMarkers (fleet: Fleet): Promise<void> {
   const faults = { crashOn: CRASH_MARKER, failOn: FAIL_MARKER }
   for (const { spec } of fleet.processes('engine')) {
     spec.arguments.push('--faults', JSON.stringify(faults))
--- a/packages/anvilarch-bench/src/soak/run/readViolations.ts
+++ b/packages/anvilarch-bench/src/soak/run/readViolations.ts
@@ -10,7 +10,7 @@
 const MESSAGE = 'an invariant does not hold'
 const LOG_SUFFIX = '.log'
 /** Log lines do not contain the process id. */
-const ANY_PROCESS = 0
+const UNKNOWN_PROCESS_ID = 0
 
 /**
  * @param directory - folder of the fleet's logs
@@ -23,7 +23,7 @@
     const daemon = file.slice(0, -LOG_SUFFIX.length)
     for (const name of violationNames(readFileSync(join(directory, file), 'utf8'))) {
       if (known.some(reading => reading.daemon === daemon && reading.name === name)) continue
-      const reading = found.get(`${daemon} ${name}`) ?? { daemon, processId: ANY_PROCESS, name, count: 0 }
+      const reading = found.get(`${daemon} ${name}`) ?? { daemon, processId: UNKNOWN_PROCESS_ID, name, count: 0 }
       reading.count++
       found.set(`${daemon} ${name}`, reading)
     }
--- a/packages/anvilarch-bench/src/soak/run/report.ts
+++ b/packages/anvilarch-bench/src/soak/run/report.ts
@@ -29,8 +29,8 @@
 function callTable (evidence: Evidence): string {
   const table = createTable(['calls', 'sent', 'whole', 'refused', 'failed', 'broken', 'gone', 'codes'])
   for (const [kind, calls] of groupBy(evidence.calls, call => call.kind)) {
-    const told = (name: string): number => calls.filter(call => call.told === name).length
-    table.push([kind, calls.length, told('whole'), told('refused'), told('failed'), told('broken'), told('gone'), codesOf(calls)])
+    const countOutcome = (name: string): number => calls.filter(call => call.told === name).length
+    table.push([kind, calls.length, countOutcome('whole'), countOutcome('refused'), countOutcome('failed'), countOutcome('broken'), countOutcome('gone'), codesOf(calls)])
   }
   const jobs = evidence.submissions.length
   const items = evidence.submissions.reduce((sum, submission) => sum + submission.items.length, 0)
--- a/packages/anvilarch-bench/src/soak/run/runSoak.ts
+++ b/packages/anvilarch-bench/src/soak/run/runSoak.ts
@@ -33,9 +33,9 @@
 /** Limit of the wait for jobs after all faults have ended. */
 const JOBS_TIMEOUT_MS = 120_000
 /** Faults start this long after the load, once its rate is steady, and none is injected in the last part of the load. */
-const LEAD_MS = 3000
+const LOAD_MARGIN_MS = 3000
 /** Time for the last configuration to propagate to every daemon after the last fault. */
-const SPREAD_MS = 8000
+const PROPAGATION_MS = 8000
 
 /**
  * @param options - duration, seed and faults
@@ -45,12 +45,12 @@
   const clock = createSystemClock()
   const soakFleet = await openSoakFleet({ directory: options.directory, checksFencing: options.checksFencing })
   // The timers of the system clock are unreferenced, so the process could exit during a wait.
-  const alive = setInterval(() => {}, 1000)
+  const keepAlive = setInterval(() => {}, 1000)
   try {
-    return await runOn(soakFleet, clock, options)
+    return await runOnFleet(soakFleet, clock, options)
   } finally {
     await soakFleet.stop()
-    clearInterval(alive)
+    clearInterval(keepAlive)
   }
 }
 
@@ -62,62 +62,62 @@
   }, { clock, timeoutMs: READY_TIMEOUT_MS, what: 'all services to have their replicas' })
 }
 
-async function runOn (soakFleet: SoakFleet, clock: Clock, options: SoakOptions): Promise<Evidence> {
+async function runOnFleet (soakFleet: SoakFleet, clock: Clock, options: SoakOptions): Promise<Evidence> {
   const { fleet, relays } = soakFleet
   const { log, seed } = options
   const random = createRandom(seed)
   const evidence = emptyEvidence()
-  const { version } = await applyDocument(fleet.callerUrls()[0], 'soak.jsonc', JSON.stringify(soakDocument({ mark: 0 })))
+  const { version } = await applyDocument(fleet.callerUrls()[0], 'soak.jsonc', JSON.stringify(soakDocument({ variant: 0 })))
   await fleet.waitReady(undefined, READY_TIMEOUT_MS)
   await waitForServices(fleet, clock)
   log(`the fleet is ready with version ${version}`)
 
   const switches: LoadSwitches = { slowCallers: false, goneCallers: false, flood: false, crashingCalls: false, failingItems: false }
-  const busy = new Set<string>()
-  const ending = new AbortController()
+  const claimed = new Set<string>()
+  const stopping = new AbortController()
   // Each wait of the load adds a listener.
-  setMaxListeners(0, ending.signal)
+  setMaxListeners(0, stopping.signal)
   const gateways = createGatewayPool(fleet, clock, createRandom(seed + 1))
-  const watch = watchDaemons({ fleet, clock, evidence, isHeld: name => busy.has(name), log })
+  const watch = watchDaemons({ fleet, clock, evidence, isUnderFault: name => claimed.has(name), log })
   const orders = watchOrders(fleet, clock, evidence)
   // One connection per call: a kept-alive connection that the gateway closes just then would look like an interrupted call.
   const dispatcher = new Agent({ pipelining: 0, headersTimeout: 0, bodyTimeout: 0 })
-  const load: LoadContext = { clock, random: createRandom(seed + 2), dispatcher, gateways, evidence, switches, seed, signal: ending.signal }
+  const load: LoadContext = { clock, random: createRandom(seed + 2), dispatcher, gateways, evidence, switches, seed, signal: stopping.signal }
   const faultContext: FaultContext = {
     fleet,
     clock,
     random,
     relays,
     load: switches,
-    busy,
+    claimed,
     recordStop: stop => { evidence.stops.push(stop) },
-    recordLeave: leave => { evidence.leaves.push(leave) }
+    recordDrain: drain => { evidence.leaves.push(drain) }
   }
 
   const sending = runMixedLoad(load, options.durationMs, options.rates)
-  const untilMs = clock.nowMs() + options.durationMs - LEAD_MS
-  await sleep(clock, LEAD_MS)
+  const untilMs = clock.nowMs() + options.durationMs - LOAD_MARGIN_MS
+  await sleep(clock, LOAD_MARGIN_MS)
   try {
     await runFaults({
       context: faultContext,
       names: options.faults,
       untilMs,
       records: evidence.faults,
-      settle: async () => { await fleet.waitReady(undefined, READY_TIMEOUT_MS).catch((error: Error) => { log(`not ready: ${error.message}`) }) },
+      waitForRecovery: async () => { await fleet.waitReady(undefined, READY_TIMEOUT_MS).catch((error: Error) => { log(`not ready: ${error.message}`) }) },
       log,
-      signal: ending.signal
+      signal: stopping.signal
     })
-    await sleep(clock, untilMs + LEAD_MS - clock.nowMs())
-    ending.abort()
+    await sleep(clock, untilMs + LOAD_MARGIN_MS - clock.nowMs())
+    stopping.abort()
     await sending
     await collectJobs(load, JOBS_TIMEOUT_MS, log)
-    await sleep(clock, SPREAD_MS)
+    await sleep(clock, PROPAGATION_MS)
     await watch.readNow()
     await orders.readNow()
     evidence.violations.push(...readViolations(join(options.directory, 'logs'), evidence.violations))
     evidence.executions = await readExecutions(load, fleet)
   } finally {
-    ending.abort()
+    stopping.abort()
     gateways.stop()
     watch.stop()
     orders.stop()
--- a/packages/anvilarch-bench/src/soak/run/startLoad.ts
+++ b/packages/anvilarch-bench/src/soak/run/startLoad.ts
@@ -2,8 +2,8 @@
 import { createRandom, sleep } from 'anvilarch-utils'
 import { createArrivals, steadyArrivals } from '../../load/arrivals'
 import { runOpenLoop } from '../../load/openLoop'
-import { callModel, drawPrompt } from '../load/modelCalls'
-import { ODD_CALLERS } from '../load/oddCallers'
+import { callModel, randomPrompt } from '../load/modelCalls'
+import { MISBEHAVING_CALLERS } from '../load/misbehavingCallers'
 import { raceOperators } from '../load/operators'
 import { callKeyedOrder, callLookup, callOrder } from '../load/plainCalls'
 import { runJob } from '../load/runJob'
@@ -31,8 +31,8 @@
   operatorRaces: 0.15
 }
 
-const TOKENS_FROM = 4
-const TOKENS_UNTIL = 80
+const MIN_TOKENS = 4
+const MAX_TOKENS = 80
 /** Wait for requests in progress after the last one was sent; later ones count as unfinished. */
 const DRAIN_MS = 120_000
 
@@ -56,7 +56,7 @@
   const parts = (Object.keys(rates) as Array<keyof LoadRates>).map(async part => {
     // A random source per part, so that the values of one do not depend on the response times of another.
     const random = createRandom(context.random.between(0, MAX_SEED))
-    const own = { ...context, random }
+    const partContext = { ...context, random }
     const { timesMs } = createArrivals(steadyArrivals(rates[part], durationMs), random)
     const { clientErrors, unfinished } = await runOpenLoop({
       clock: context.clock,
@@ -64,33 +64,33 @@
       warmUpMs: 0,
       drainMs: DRAIN_MS,
       signal: context.signal,
-      send: async ({ index }) => { await SEND[part](own, `${part}-${context.seed}-${index}`, index) }
+      send: async ({ index }) => { await SEND[part](partContext, `${part}-${context.seed}-${index}`, index) }
     })
     if (clientErrors > 0 || unfinished > 0) throw new Error(`load generator "${part}" had ${clientErrors} client errors and ${unfinished} unfinished calls`)
   })
-  await Promise.all([...parts, ...oddCallers(context)])
+  await Promise.all([...parts, ...runMisbehavingCallers(context)])
 }
 
 const MAX_SEED = 0x7fffffff
 
 async function sendModel (context: LoadContext, name: string, kind: 'stream' | 'chat'): Promise<void> {
   const { gateways, random } = context
-  await callModel(context, { requestId: name, kind, prompt: drawPrompt(context, name), maxTokens: random.between(TOKENS_FROM, TOKENS_UNTIL), gateway: gateways.pick() })
+  await callModel(context, { requestId: name, kind, prompt: randomPrompt(context, name), maxTokens: random.between(MIN_TOKENS, MAX_TOKENS), gateway: gateways.pick() })
 }
 
 /** Each kind reads its switch at every tick. Calls in progress continue after the switch is turned off. */
-function oddCallers (context: LoadContext): Array<Promise<void>> {
-  return (Object.keys(ODD_CALLERS) as Array<keyof typeof ODD_CALLERS>).map(async name => {
-    const { everyMs, run } = ODD_CALLERS[name]
-    const own = { ...context, random: createRandom(context.random.between(0, MAX_SEED)) }
+function runMisbehavingCallers (context: LoadContext): Array<Promise<void>> {
+  return (Object.keys(MISBEHAVING_CALLERS) as Array<keyof typeof MISBEHAVING_CALLERS>).map(async name => {
+    const { everyMs, run } = MISBEHAVING_CALLERS[name]
+    const callerContext = { ...context, random: createRandom(context.random.between(0, MAX_SEED)) }
     const started: Array<Promise<void>> = []
     for (let index = 0; !context.signal.aborted; index++) {
-      if (context.switches[name]) started.push(run(own, `${name}-${context.seed}-${index}`))
-      await sleep(context.clock, context.switches[name] ? everyMs : IDLE_MS, context.signal)
+      if (context.switches[name]) started.push(run(callerContext, `${name}-${context.seed}-${index}`))
+      await sleep(context.clock, context.switches[name] ? everyMs : SWITCH_POLL_MS, context.signal)
     }
     await Promise.all(started)
   })
 }
 
 /** Polling interval of a switch that is off. */
-const IDLE_MS = 100
+const SWITCH_POLL_MS = 100
--- a/packages/anvilarch-bench/src/soak/run/watchDaemons.ts
+++ b/packages/anvilarch-bench/src/soak/run/watchDaemons.ts
@@ -11,12 +11,12 @@
   clock: Clock
   evidence: Evidence
   /** Whether a fault has claimed this process, so that its exit is expected. */
-  isHeld: (name: string) => boolean
+  isUnderFault: (name: string) => boolean
   log: (line: string) => void
 }
 
 /** A running watch. */
-export interface Watch {
+export interface DaemonWatch {
   /** Reads all daemons once more. */
   readNow: () => Promise<void>
   stop: () => void
@@ -32,7 +32,7 @@
  * @param options - the fleet, and where to record
  * @returns the watch, which runs until it is stopped
  */
-export function watchDaemons (options: WatchOptions): Watch {
+export function watchDaemons (options: WatchOptions): DaemonWatch {
   const { fleet, clock } = options
   const stopping = new AbortController()
   const dispatcher = new Agent({ pipelining: 0 })
@@ -48,7 +48,7 @@
   }
   const watch = async (daemon: FleetProcess): Promise<void> => {
     while (!stopping.signal.aborted) {
-      if (daemon.processId === undefined && !options.isHeld(daemon.spec.name)) await startAgain(options, daemon)
+      if (daemon.processId === undefined && !options.isUnderFault(daemon.spec.name)) await restart(options, daemon)
       await read(daemon)
       await sleep(clock, POLL_INTERVAL_MS, stopping.signal)
     }
@@ -76,7 +76,7 @@
   }
 }
 
-async function startAgain ({ clock, evidence, fleet, log }: WatchOptions, daemon: FleetProcess): Promise<void> {
+async function restart ({ clock, evidence, fleet, log }: WatchOptions, daemon: FleetProcess): Promise<void> {
   const { code, signal } = daemon.lastExit ?? { code: null, signal: null }
   const { name } = daemon.spec
   evidence.unplannedExits.push({ daemon: name, atMs: clock.wallMs(), exit: `code ${String(code)}, signal ${String(signal)}` })
--- a/packages/anvilarch-bench/src/soak/run/watchOrders.ts
+++ b/packages/anvilarch-bench/src/soak/run/watchOrders.ts
@@ -31,13 +31,13 @@
     if (processId === undefined) return
     const orders = await readOrders(spec.addresses.http, dispatcher)
     if (orders === undefined || engine.processId !== processId) return
-    noteSeen(spec.name, processId)
+    recordProcess(spec.name, processId)
     evidence.orders = evidence.orders.filter(order => order.endpoint !== spec.name || order.processId !== processId)
     for (const { action, accepted, atMs, fencingToken } of orders) {
       if (accepted) evidence.orders.push({ endpoint: spec.name, processId, atMs, action, fencingToken })
     }
   }
-  const noteSeen = (endpoint: string, processId: number): void => {
+  const recordProcess = (endpoint: string, processId: number): void => {
     const nowMs = clock.wallMs()
     const known = evidence.engineProcesses.find(found => found.endpoint === endpoint && found.processId === processId)
     if (known === undefined) evidence.engineProcesses.push({ endpoint, processId, firstSeenMs: nowMs, lastSeenMs: nowMs })
--- a/packages/anvilarch-bench/src/soak/switchedOff/main.ts
+++ b/packages/anvilarch-bench/src/soak/switchedOff/main.ts
@@ -22,11 +22,11 @@
     process.stdout.write(`${name}: without "${mechanism}"\n`)
     makeScratchCopy(ROOT, copy, replacements)
     const soak = join(copy, 'packages/anvilarch-bench/lib/bin/soak.js')
-    const ended = spawnSync(process.execPath, [
+    const result = spawnSync(process.execPath, [
       soak, '--minutes', String(minutes ?? defaults.minutes), '--seed', String(seed ?? defaults.seed), '--faults', faults.join(','), '--directory', join(copy, 'soak'),
       ...(racesPerSecond === undefined ? [] : ['--races-per-second', String(racesPerSecond)])
     ], { stdio: 'inherit' })
-    process.exitCode = ended.status ?? 1
+    process.exitCode = result.status ?? 1
   }
 })
 
--- a/packages/anvilarch-bench/src/soak/switchedOff/scratchCopy.ts
+++ b/packages/anvilarch-bench/src/soak/switchedOff/scratchCopy.ts
@@ -5,8 +5,8 @@
 import type { Replacement } from './switches'
 
 /** Not copied: build output, linked modules, and data that belongs only to the original. */
-const LEFT_OUT: ReadonlySet<string> = new Set(['node_modules', 'lib', '.git', '.fleet'])
-const LEFT_OUT_SUFFIX = '.tsbuildinfo'
+const EXCLUDED_NAMES: ReadonlySet<string> = new Set(['node_modules', 'lib', '.git', '.fleet'])
+const EXCLUDED_SUFFIX = '.tsbuildinfo'
 const OWN_PACKAGE = /^anvilarch/
 
 /**
@@ -16,7 +16,7 @@
  */
 export function makeScratchCopy (root: string, directory: string, replacements: readonly Replacement[]): void {
   rmSync(directory, { recursive: true, force: true })
-  cpSync(root, directory, { recursive: true, filter: source => !LEFT_OUT.has(basename(source)) && !source.endsWith(LEFT_OUT_SUFFIX) })
+  cpSync(root, directory, { recursive: true, filter: source => !EXCLUDED_NAMES.has(basename(source)) && !source.endsWith(EXCLUDED_SUFFIX) })
   linkModules(root, directory)
   for (const replacement of replacements) applyReplacement(directory, replacement)
   execFileSync('npm', ['run', 'build'], { cwd: directory, stdio: 'inherit' })
--- a/packages/anvilarch-bench/src/soak/types.ts
+++ b/packages/anvilarch-bench/src/soak/types.ts
@@ -9,10 +9,10 @@
  * Outcome of a call as the caller saw it. `whole`: a complete response. `refused` and `failed`: a typed error. `broken`: the
  * connection ended or timed out before either. `gone`: the caller itself disconnected.
  */
-export type Told = 'whole' | 'refused' | 'failed' | 'broken' | 'gone'
+export type CallOutcome = 'whole' | 'refused' | 'failed' | 'broken' | 'gone'
 
 /** Fault in the content of a response: it ended as complete but lacks something, or its content is not that of the expected response. */
-export type AnswerFault = 'incomplete' | 'crossed'
+export type ResponseFault = 'incomplete' | 'crossed'
 
 /** One call and its outcome. Times are wall-clock times, because they are compared with the ledgers of other processes. */
 export interface CallRecord {
@@ -24,12 +24,12 @@
   idempotent: boolean
   sentAtMs: number
   endedAtMs: number
-  told: Told
+  told: CallOutcome
   status: number
   code: string
   ran: RunStatus | ''
   retryAfterMs: number | undefined
-  fault: AnswerFault | undefined
+  fault: ResponseFault | undefined
   detail: string
 }
 
@@ -42,11 +42,11 @@
 }
 
 /** One response to a request that creates or cancels a job. */
-export interface JobAnswer {
+export interface JobResponse {
   gateway: string
   sentAtMs: number
   endedAtMs: number
-  told: Told
+  told: CallOutcome
   status: number
   code: string
   ran: RunStatus | ''
@@ -63,7 +63,7 @@
 }
 
 /** Number of finished items that a cancelled job reported at one time. */
-export interface ShownCount {
+export interface ItemCountReading {
   atMs: number
   items: number
 }
@@ -73,12 +73,12 @@
   name: string
   items: ItemSpec[]
   /** Responses to the requests that create the job, all with the same content. */
-  answers: JobAnswer[]
+  answers: JobResponse[]
   /** Responses to requests with the same key and another body. */
-  otherBodyAnswers: JobAnswer[]
+  otherBodyAnswers: JobResponse[]
   /** When the cancellation was acknowledged. */
   cancelledAtMs: number | undefined
-  shownAfterCancel: ShownCount[]
+  shownAfterCancel: ItemCountReading[]
   endState: string | undefined
   lines: ResultLine[]
   /** Why the results could not be read; empty if they were read. */
@@ -130,7 +130,7 @@
 }
 
 /** A period in which an agent must get no new work, since it is draining or its host is listed as leaving. */
-export interface LeaveRecord {
+export interface DrainRecord {
   agent: string
   endpoints: string[]
   /** Whether the agent received a signal, or only the host list shows its host as leaving. */
@@ -184,7 +184,7 @@
   violations: ViolationReading[]
   pauses: PauseReading[]
   faults: FaultRecord[]
-  leaves: LeaveRecord[]
+  leaves: DrainRecord[]
   stops: StopRecord[]
   unplannedExits: UnplannedExit[]
   orders: OrderRecord[]
