--- a/packages/anvilarch-bench/src/soak/checker/__tests__/streamEnds.test.ts
+++ b/packages/anvilarch-bench/src/soak/checker/__tests__/streamEnds.test.ts
@@ -22,7 +22,7 @@
   return checkEvidence(evidence({ calls: [record] })).filter(({ count }) => count > 0).map(({ name }) => name)
 }
 
-describe('a stream whose body ended cleanly', () => {
+describe('a stream whose body ended normally', () => {
   test('is valid with all pieces, or with the first pieces and an error', () => {
     expect(failedChecks(token('ab') + token('c') + FINISH_REASON + USAGE + DONE)).toEqual([])
     expect(failedChecks(token('ab') + ERROR)).toEqual([])
@@ -43,7 +43,7 @@
 })
 
 // Guards against missing duplicate pieces, or pieces of another execution, when the stream then breaks.
-describe('a stream that was not told as whole', () => {
+describe('a stream without a complete response', () => {
   const CUT = Object.assign(new Error('other side closed'), { code: 'UND_ERR_SOCKET' })
 
   test('is valid with the first pieces of its response', () => {
--- a/packages/anvilarch-bench/src/soak/checker/callChecks.ts
+++ b/packages/anvilarch-bench/src/soak/checker/callChecks.ts
@@ -95,7 +95,7 @@
   const wrong: string[] = []
   for (const [key, calls] of groups) {
     const crashed = calls.flatMap(call => executionsOf(evidence.executions, call.requestId)).filter(run => run.state === 'running')
-    if (crashed.length > MAX_ENDPOINTS_CRASHED) wrong.push(`"${key}" ended ${crashed.length} endpoints: ${crashed.map(run => `${run.endpoint} at ${run.startedAtMs}`).join(', ')}`)
+    if (crashed.length > MAX_ENDPOINTS_CRASHED) wrong.push(`"${key}" crashed ${crashed.length} endpoints: ${crashed.map(run => `${run.endpoint} at ${run.startedAtMs}`).join(', ')}`)
   }
   return { trials: groups.size, wrong }
 }
@@ -114,7 +114,7 @@
   return { trials: alongside.length, wrong: alongside.filter(call => call.told !== 'whole').map(describeCall) }
 }
 
-/** A call that can't be done in time is to be refused at once; with the endpoints up, none should wait its time away. */
+/** Calls that can't finish in time must be refused at once, so with running endpoints none may wait until its deadline. */
 function exceededDeadline (evidence: Evidence): Finding {
   const checked = evidence.calls.filter(call => call.idempotent && call.kind !== 'crashing' && !isDisturbed(call, evidence.faults, CRASHING_FAULT))
   return { trials: checked.length, wrong: checked.filter(call => call.code === DEADLINE_EXCEEDED_CODE).map(call => describeCall(call) + describePauses(call, evidence)) }
--- a/packages/anvilarch-bench/src/soak/checker/daemonChecks.ts
+++ b/packages/anvilarch-bench/src/soak/checker/daemonChecks.ts
@@ -47,7 +47,7 @@
   const accepted = evidence.applies.filter(apply => apply.status === 200 && apply.version !== undefined)
   const wrong: string[] = []
   for (const [version, applies] of groupBy(accepted, apply => String(apply.version))) {
-    if (new Set(applies.map(apply => apply.hash)).size > 1) wrong.push(`version ${version} was given to ${applies.length} documents`)
+    if (new Set(applies.map(apply => apply.hash)).size > 1) wrong.push(`version ${version} was assigned to ${applies.length} documents`)
   }
   for (const apply of accepted) {
     const before = accepted.find(other => other.endedAtMs < apply.sentAtMs && (other.version as number) > (apply.version as number))
@@ -69,7 +69,7 @@
   for (const [endpoint, orders] of groupBy(evidence.orders, order => order.endpoint)) {
     let highest = 0
     for (const { fencingToken, action, atMs } of orders.toSorted((left, right) => left.atMs - right.atMs)) {
-      if (fencingToken < highest) wrong.push(`${endpoint} took "${action}" with token ${fencingToken} after ${highest}, at ${atMs}`)
+      if (fencingToken < highest) wrong.push(`${endpoint} accepted "${action}" with token ${fencingToken} after ${highest}, at ${atMs}`)
       highest = Math.max(highest, fencingToken)
     }
   }
@@ -133,7 +133,7 @@
 
 function stopsWithoutCleanExit (evidence: Evidence): Finding {
   const wrong = evidence.stops.filter(stop => stop.exitCode !== 0)
-  return { trials: evidence.stops.length, wrong: wrong.map(stop => `${stop.daemon}, told at ${stop.toldAtMs}, exit code ${String(stop.exitCode)}`) }
+  return { trials: evidence.stops.length, wrong: wrong.map(stop => `${stop.daemon}, signalled at ${stop.toldAtMs}, exit code ${String(stop.exitCode)}`) }
 }
 
 function unplannedExits (evidence: Evidence): Finding {
--- a/packages/anvilarch-bench/src/soak/checker/disturbance.ts
+++ b/packages/anvilarch-bench/src/soak/checker/disturbance.ts
@@ -10,7 +10,7 @@
 /** Callers whose requests crash the engines that run them. */
 export const CRASHING_FAULT = 'crashing_request'
 
-/** What a fault left behind may still end a call this long after it was healed. */
+/** The effects of a fault may still interrupt calls for this long after it was healed. */
 const RECOVERY_MS = 3000
 /** After a crash, calls may wait behind the suspected requests until their own deadline. */
 const CRASH_RECOVERY_MS = 25_000
--- a/packages/anvilarch-bench/src/soak/checker/jobChecks.ts
+++ b/packages/anvilarch-bench/src/soak/checker/jobChecks.ts
@@ -98,7 +98,7 @@
   const withUnknownOutcome = evidence.submissions.filter(submission => acceptedIds(submission).size === 0 && submission.answers.some(answer => answer.ran !== 'not_run')).length
   const ran = new Set(evidence.executions.flatMap(execution => jobOfExecution(execution) ?? []))
   const unknown = [...ran].filter(jobId => !known.has(jobId))
-  const wrong = unknown.length > withUnknownOutcome ? unknown.map(jobId => `${jobId} ran; ${withUnknownOutcome} submissions were left without an answer`) : []
+  const wrong = unknown.length > withUnknownOutcome ? unknown.map(jobId => `${jobId} ran; ${withUnknownOutcome} submissions have an unknown outcome`) : []
   return { trials: evidence.submissions.length, wrong }
 }
 
--- a/packages/anvilarch-bench/src/soak/checker/serviceChecks.ts
+++ b/packages/anvilarch-bench/src/soak/checker/serviceChecks.ts
@@ -16,7 +16,7 @@
 /** A service with no complete response in a window of this length is down. */
 export const DOWN_WINDOW_MS = 10_000
 
-/** Windows with fewer calls are not checked. */
+/** Windows with fewer calls are not checked, because they are not representative of the service. */
 const MIN_CALLS_PER_WINDOW = 20
 
 /** Faults that do not keep gateways from ordering a load. */
@@ -33,7 +33,7 @@
   const checked = evidence.engineProcesses.filter(engine => engine.lastSeenMs - engine.firstSeenMs >= RELOAD_BOUND_MS && !mayMissOrders(engine, evidence))
   const wrong = checked.filter(engine => !evidence.orders.some(order =>
     order.endpoint === engine.endpoint && order.processId === engine.processId && order.action === 'load' && order.atMs <= engine.firstSeenMs + RELOAD_BOUND_MS))
-  return { trials: checked.length, wrong: wrong.map(engine => `${engine.endpoint} (process ${engine.processId}) was back at ${engine.firstSeenMs} and had no order until ${engine.firstSeenMs + RELOAD_BOUND_MS}`) }
+  return { trials: checked.length, wrong: wrong.map(engine => `${engine.endpoint} (process ${engine.processId}) was first seen at ${engine.firstSeenMs} and got no order to load until ${engine.firstSeenMs + RELOAD_BOUND_MS}`) }
 }
 
 function mayMissOrders (engine: EngineProcess, evidence: Evidence): boolean {
@@ -50,5 +50,5 @@
   const windows = groupBy(calls, call => String(Math.floor((call.sentAtMs - firstMs) / DOWN_WINDOW_MS)))
   const checked = [...windows.values()].filter(sent => sent.length >= MIN_CALLS_PER_WINDOW && !sent.some(call => isDisturbed(call, evidence.faults, CRASHING_FAULT)))
   const wrong = checked.filter(sent => !sent.some(call => call.told === 'whole'))
-  return { trials: checked.length, wrong: wrong.map(sent => `none of ${sent.length} calls from ${sent[0].sentAtMs} on got its whole answer`) }
+  return { trials: checked.length, wrong: wrong.map(sent => `none of ${sent.length} calls from ${sent[0].sentAtMs} on got a complete response`) }
 }
--- a/packages/anvilarch-bench/src/soak/faults/targets.ts
+++ b/packages/anvilarch-bench/src/soak/faults/targets.ts
@@ -12,7 +12,7 @@
     .flatMap(role => context.fleet.processes(role))
     .filter(({ spec, processId }) => processId !== undefined && !context.claimed.has(spec.name))
     .map(({ spec }) => spec.name)
-  // One gateway is never claimed, because a platform would not remove all entry hosts at once.
+  // The last unclaimed gateway is not picked, because a platform would not remove all entry hosts at once.
   const claimedGateways = context.fleet.processes('gateway').filter(({ spec }) => context.claimed.has(spec.name)).length
   const isLastGateway = claimedGateways >= context.fleet.processes('gateway').length - 1
   const allowed = isLastGateway ? available.filter(name => context.fleet.get(name).spec.role !== 'gateway') : available
--- a/packages/anvilarch-bench/src/soak/load/operators.ts
+++ b/packages/anvilarch-bench/src/soak/load/operators.ts
@@ -10,7 +10,7 @@
 
 /**
  * @param context - of the load
- * @param round - number of this race
+ * @param round - number of the round
  */
 export async function raceOperators (context: LoadContext, round: number): Promise<void> {
   const { evidence, gateways, random, switches } = context
--- a/packages/anvilarch-bench/src/soak/load/plainCalls.ts
+++ b/packages/anvilarch-bench/src/soak/load/plainCalls.ts
@@ -58,7 +58,7 @@
 
 /**
  * @param context - of the load
- * @param name - unique; becomes the request id
+ * @param name - unique; used as the request id
  * @param signal - aborted when the caller disconnects
  */
 export async function callOrder (context: LoadContext, name: string, signal?: AbortSignal): Promise<void> {
@@ -69,7 +69,7 @@
  * Sends an order with a key, and resends it through another gateway until the outcome is known, as a careful client would.
  *
  * @param context - of the load
- * @param name - unique; becomes the key
+ * @param name - unique; used as the key
  */
 export async function callKeyedOrder (context: LoadContext, name: string): Promise<void> {
   const { gateways, random } = context
--- a/packages/anvilarch-bench/src/soak/run/readViolations.ts
+++ b/packages/anvilarch-bench/src/soak/run/readViolations.ts
@@ -1,6 +1,6 @@
 /**
  * Finds invariant violations in the logs of the daemons. Under test a violation ends its process at once, so the metric
- * that counts it can often no longer be read.
+ * that counts it can no longer be read.
  */
 import { readdirSync, readFileSync } from 'node:fs'
 import { join } from 'node:path'
--- a/packages/anvilarch-bench/src/soak/run/runSoak.ts
+++ b/packages/anvilarch-bench/src/soak/run/runSoak.ts
@@ -32,7 +32,7 @@
 const READY_TIMEOUT_MS = 60_000
 /** Limit of the wait for jobs after all faults have ended. */
 const JOBS_TIMEOUT_MS = 120_000
-/** Faults start this long after the load, once its rate is steady, and none is injected in the last part of the load. */
+/** Delay from the start of the load to the first fault, so that its rate is steady; none is injected this long before its end. */
 const LOAD_MARGIN_MS = 3000
 /** Time for the last configuration to propagate to every daemon after the last fault. */
 const PROPAGATION_MS = 8000
