--- a/packages/anvilarch-bench/src/soak/checker/disturbance.ts
+++ b/packages/anvilarch-bench/src/soak/checker/disturbance.ts
@@ -1,8 +1,8 @@
-/** Which faults can cost a call its answer, so that a check of another cause does not judge it. */
+/** Finds the faults that can interrupt a call, so that a check for another cause excludes the call. */
 import type { CallRecord, FaultRecord } from '../types'
 
-/** Online calls need no part of the platform, so its faults excuse nothing. */
-const CUTTING_FAULTS: ReadonlySet<string> = new Set([
+/** Faults of the platform are not listed, because online calls do not depend on it. */
+const INTERRUPTING_FAULTS: ReadonlySet<string> = new Set([
   'kill_agent', 'kill_gateway', 'kill_engine', 'kill_acceptor', 'outage_after_apply', 'pause_agent', 'pause_gateway', 'engine_frozen', 'failing_engine',
   'engine_silence', 'plain_silence', 'peer_silence', 'peer_delay', 'crashing_request'
 ])
@@ -10,22 +10,22 @@
 /** Callers whose requests crash the engines that run them. */
 export const CRASHING_FAULT = 'crashing_request'
 
-/** What a fault left behind may still end a call this long after it was healed. */
-const AFTERMATH_MS = 3000
-/** Calls may wait behind the suspects of a crash until their own deadline. */
-const CRASH_AFTERMATH_MS = 25_000
+/** The effects of a fault may still interrupt calls for this long after it was healed. */
+const RECOVERY_MS = 3000
+/** After a crash, calls may wait behind the suspected requests until their own deadline. */
+const CRASH_RECOVERY_MS = 25_000
 
 /**
  * @param call - any call
  * @param faults - of the run
- * @param but - kind that is not counted
- * @returns whether a fault that can cut calls held during the call or shortly before
+ * @param ignoredFault - kind of fault to ignore
+ * @returns whether a fault that can interrupt calls was active during the call or shortly before
  */
-export function isDisturbed (call: CallRecord, faults: readonly FaultRecord[], but?: string): boolean {
-  return faults.some(fault => CUTTING_FAULTS.has(fault.fault) && fault.fault !== but &&
-    fault.injectedAtMs <= call.endedAtMs && fault.healedAtMs + aftermathMs(fault) >= call.sentAtMs)
+export function isDisturbed (call: CallRecord, faults: readonly FaultRecord[], ignoredFault?: string): boolean {
+  return faults.some(fault => INTERRUPTING_FAULTS.has(fault.fault) && fault.fault !== ignoredFault &&
+    fault.injectedAtMs <= call.endedAtMs && fault.healedAtMs + recoveryMs(fault) >= call.sentAtMs)
 }
 
-function aftermathMs (fault: FaultRecord): number {
-  return fault.fault === CRASHING_FAULT ? CRASH_AFTERMATH_MS : AFTERMATH_MS
+function recoveryMs (fault: FaultRecord): number {
+  return fault.fault === CRASHING_FAULT ? CRASH_RECOVERY_MS : RECOVERY_MS
 }
--- a/packages/anvilarch-bench/src/soak/faults/processFaults.ts
+++ b/packages/anvilarch-bench/src/soak/faults/processFaults.ts
@@ -1,48 +1,48 @@
-/** Faults of processes: killed, paused past their leases, and stopped as planned. */
+/** Faults of processes: killed, paused until their leases expire, and stopped as planned. */
 import type { ProcessRole } from 'anvilarch-standins'
 import { sleep } from 'anvilarch-utils'
 import { claimTarget, release } from './targets'
-import type { FaultContext, FaultKind, Injected } from './types'
+import type { FaultContext, FaultKind, InjectedFault } from './types'
 
-/** Longer than a lease of the soak's fleet, with the margin of observers. */
-const PAUSE_FROM_MS = 6000
-const PAUSE_UNTIL_MS = 9000
-const KILLED_FROM_MS = 500
-const KILLED_UNTIL_MS = 6000
-/** A drain may wait for the longest request of the load, not longer. */
+/** Longer than a lease of the soak's fleet plus the margin after which other daemons treat it as expired. */
+const MIN_PAUSE_MS = 6000
+const MAX_PAUSE_MS = 9000
+const MIN_DOWNTIME_MS = 500
+const MAX_DOWNTIME_MS = 6000
+/** A drain may take as long as the longest request of the load, not longer. */
 const DRAIN_TIMEOUT_MS = 45_000
 
 /**
  * @param roles - of the processes to kill
- * @returns a fault that ends one at once and starts it again later
+ * @returns a fault that kills one of them and restarts it later
  */
 export function kill (roles: ProcessRole[]): FaultKind {
   return {
     inject: async context => {
       const target = claimTarget(context, roles)
-      return target === undefined ? undefined : await killAndStartLater(context, target)
+      return target === undefined ? undefined : await killAndRestartLater(context, target)
     }
   }
 }
 
 /**
  * @param context - of the run
- * @param target - a running process that the fault holds
- * @returns the fault, healed by a new start
+ * @param target - a running process that the fault has claimed
+ * @returns the fault, healed by a restart
  */
-export async function killAndStartLater (context: FaultContext, target: string): Promise<Injected> {
+export async function killAndRestartLater (context: FaultContext, target: string): Promise<InjectedFault> {
   context.fleet.kill(target, 'SIGKILL')
   await context.fleet.waitExit(target, DRAIN_TIMEOUT_MS)
   return {
     target,
-    holdMs: context.random.between(KILLED_FROM_MS, KILLED_UNTIL_MS),
-    heal: async () => { await startAgain(context, target) }
+    durationMs: context.random.between(MIN_DOWNTIME_MS, MAX_DOWNTIME_MS),
+    heal: async () => { await restart(context, target) }
   }
 }
 
 /**
  * @param role - of the process to pause
- * @returns a fault that stops one past its leases and then lets it go on where it was
+ * @returns a fault that suspends one until its leases have expired, and then resumes it
  */
 export function pause (role: ProcessRole): FaultKind {
   return {
@@ -52,7 +52,7 @@
       context.fleet.kill(target, 'SIGSTOP')
       return {
         target,
-        holdMs: context.random.between(PAUSE_FROM_MS, PAUSE_UNTIL_MS),
+        durationMs: context.random.between(MIN_PAUSE_MS, MAX_PAUSE_MS),
         heal: async () => {
           context.fleet.kill(target, 'SIGCONT')
           release(context, target)
@@ -64,27 +64,27 @@
 
 /**
  * @param role - of the daemon to stop
- * @returns a planned stop: the daemon drains, ends by itself and is started again
+ * @returns a planned stop: the daemon drains, exits and is restarted
  */
 export function stop (role: 'agent' | 'gateway'): FaultKind {
   return {
     inject: async context => {
       const target = claimTarget(context, [role])
       if (target === undefined) return undefined
-      const ended = stopAndRecord(context, target)
+      const exited = stopAndRecord(context, target)
       return {
         target,
-        holdMs: context.random.between(KILLED_FROM_MS, KILLED_UNTIL_MS),
+        durationMs: context.random.between(MIN_DOWNTIME_MS, MAX_DOWNTIME_MS),
         heal: async () => {
-          await ended
-          await startAgain(context, target)
+          await exited
+          await restart(context, target)
         }
       }
     }
   }
 }
 
-/** The platform shows a host as leaving before it powers it down, and the agent learns of it from the signal. */
+/** Sends the signal by which an agent detects that the platform will power down its host, and records the exit. */
 async function stopAndRecord (context: FaultContext, target: string): Promise<void> {
   const { clock, fleet } = context
   const toldAtMs = clock.wallMs()
@@ -93,55 +93,55 @@
   const endedAtMs = clock.wallMs()
   context.recordStop({ daemon: target, toldAtMs, endedAtMs, exitCode: exit?.code ?? null })
   const { spec } = fleet.get(target)
-  if (spec.fronts !== undefined) context.recordLeave({ agent: target, endpoints: spec.fronts, by: 'signal', sinceMs: toldAtMs, untilMs: endedAtMs })
+  if (spec.fronts !== undefined) context.recordDrain({ agent: target, endpoints: spec.fronts, by: 'signal', sinceMs: toldAtMs, untilMs: endedAtMs })
   if (exit !== undefined) return
   fleet.kill(target, 'SIGKILL')
   await fleet.waitExit(target, DRAIN_TIMEOUT_MS)
 }
 
-/** Shows the host of an agent as leaving while the agent itself is not told. */
+/** Lists the host of an agent as leaving without a signal to the agent. */
 export const LEAVING_FLAG: FaultKind = {
-  inject: async (context): Promise<Injected | undefined> => {
+  inject: async (context): Promise<InjectedFault | undefined> => {
     const { clock, fleet, random } = context
     const target = claimTarget(context, ['agent'])
     if (target === undefined) return undefined
-    await showHost(context, target, 'leaving')
+    await setHostState(context, target, 'leaving')
     const { lagMs } = await fleet.setFaults('hosts', {})
     const sinceMs = clock.wallMs() + lagMs
     return {
       target,
-      holdMs: lagMs + random.between(LEAVING_FROM_MS, LEAVING_UNTIL_MS),
+      durationMs: lagMs + random.between(MIN_LEAVING_MS, MAX_LEAVING_MS),
       heal: async () => {
-        context.recordLeave({ agent: target, endpoints: fleet.get(target).spec.fronts ?? [], by: 'host_list', sinceMs, untilMs: clock.wallMs() })
-        await showHost(context, target, 'live')
+        context.recordDrain({ agent: target, endpoints: fleet.get(target).spec.fronts ?? [], by: 'host_list', sinceMs, untilMs: clock.wallMs() })
+        await setHostState(context, target, 'live')
         release(context, target)
       }
     }
   }
 }
 
-/** Longer than the bound for new work on a leaving endpoint, so that late work would be seen. */
-const LEAVING_FROM_MS = 8000
-const LEAVING_UNTIL_MS = 12_000
+/** Longer than the limit for new work on a leaving endpoint, so that late work is detected. */
+const MIN_LEAVING_MS = 8000
+const MAX_LEAVING_MS = 12_000
 
-/** An endpoint that crashed may have been started by its supervisor already. */
-async function startAgain (context: FaultContext, target: string): Promise<void> {
+/** Restarts a process, unless it is an endpoint that its supervisor has already restarted after a crash. */
+async function restart (context: FaultContext, target: string): Promise<void> {
   const { fleet } = context
   const { spec, processId } = fleet.get(target)
   if (processId === undefined) {
     try {
       await fleet.spawn(target)
     } catch (error) {
-      // The process may be up although the list of hosts could not be told, because that has an outage too.
+      // The process may be running although the host list could not be updated during an outage of its own.
       if (fleet.get(target).processId === undefined) throw error
     }
   }
-  if (spec.hostEntry !== undefined) await showHost(context, target, 'live')
+  if (spec.hostEntry !== undefined) await setHostState(context, target, 'live')
   release(context, target)
 }
 
-/** Tries until the stand-in takes the change, since an outage of the list may hold at the same time. */
-async function showHost (context: FaultContext, daemon: string, state: 'live' | 'leaving'): Promise<void> {
+/** Retries until the stand-in accepts the change, since an outage of the host list may be active at the same time. */
+async function setHostState (context: FaultContext, daemon: string, state: 'live' | 'leaving'): Promise<void> {
   for (;;) {
     try {
       await context.fleet.setHostState(daemon, state)
--- a/packages/anvilarch-bench/src/soak/load/plainCalls.ts
+++ b/packages/anvilarch-bench/src/soak/load/plainCalls.ts
@@ -1,20 +1,22 @@
-/** Calls of the plain service: lookups, and orders that may run once only, with and without a key. */
+/** Calls of the plain service: lookups, and orders, which may be executed only once, with and without a key. */
 import { expectedPlainAnswer } from 'anvilarch-standins'
 import { sleep } from 'anvilarch-utils'
 import { sendLookup } from '../../clients/lookupClient'
-import { TIMED_OUT } from '../checker/callChecks'
-import type { AnswerFault, CallRecord } from '../types'
-import { CALL_TIMEOUT_MS, sendWhole } from './sendWhole'
+import { CLIENT_TIMEOUT_CODE } from '../checker/callChecks'
+import type { ResponseFault, CallRecord } from '../types'
+import { CALL_TIMEOUT_MS, sendRequest } from './sendRequest'
 import { type GatewayAddress, type LoadContext, PLAIN_SERVICE } from './types'
 
 const ORDER_PATH = '/orders'
 const MAX_RESENDS = 6
-const RESEND_FROM_MS = 50
-const RESEND_UNTIL_MS = 1500
-/** Shares of keyed orders that are sent through two gateways at once, and whose key comes again with another body. */
-const AT_ONCE_SHARE = 0.4
+const MIN_RESEND_DELAY_MS = 50
+const MAX_RESEND_DELAY_MS = 1500
+/** Share of keyed orders that are sent through two gateways at once. */
+const CONCURRENT_SHARE = 0.4
+/** Share of keyed orders whose key is reused with another body. */
 const OTHER_BODY_SHARE = 0.1
-const AGAIN_SHARE = 0.3
+/** Share of keyed orders that are sent once more after the outcome. */
+const REPEAT_SHARE = 0.3
 
 /**
  * @param context - of the load
@@ -26,8 +28,8 @@
   const endpointPath = `/names/${requestId}`
   const sentAtMs = clock.wallMs()
   const timeout = AbortSignal.timeout(CALL_TIMEOUT_MS)
-  const answer = await sendLookup(gateway.origin, { requestId, path: `/services/${PLAIN_SERVICE}${endpointPath}`, endpointPath }, { clock, dispatcher, signal: timeout })
-  const { status, ran, retryAfterMs, detail, outcome } = answer
+  const response = await sendLookup(gateway.origin, { requestId, path: `/services/${PLAIN_SERVICE}${endpointPath}`, endpointPath }, { clock, dispatcher, signal: timeout })
+  const { status, ran, retryAfterMs, detail, outcome } = response
   evidence.calls.push({
     requestId,
     kind: 'lookup',
@@ -37,15 +39,15 @@
     sentAtMs,
     endedAtMs: clock.wallMs(),
     status,
-    code: timeout.aborted ? TIMED_OUT : answer.code,
+    code: timeout.aborted ? CLIENT_TIMEOUT_CODE : response.code,
     ran,
     retryAfterMs,
     detail,
-    ...LOOKUP_VERDICTS[outcome]
+    ...LOOKUP_RESULTS[outcome]
   })
 }
 
-const LOOKUP_VERDICTS: Record<Awaited<ReturnType<typeof sendLookup>>['outcome'], Pick<CallRecord, 'told' | 'fault'>> = {
+const LOOKUP_RESULTS: Record<Awaited<ReturnType<typeof sendLookup>>['outcome'], Pick<CallRecord, 'told' | 'fault'>> = {
   completed: { told: 'whole', fault: undefined },
   refused: { told: 'refused', fault: undefined },
   failed: { told: 'failed', fault: undefined },
@@ -56,18 +58,18 @@
 
 /**
  * @param context - of the load
- * @param name - unique; becomes the request id
- * @param signal - of a caller that goes away
+ * @param name - unique; used as the request id
+ * @param signal - aborted when the caller disconnects
  */
 export async function callOrder (context: LoadContext, name: string, signal?: AbortSignal): Promise<void> {
   await sendOrder(context, { kind: 'order', requestId: name, key: undefined, body: orderBody(name), gateway: context.gateways.pick(), signal })
 }
 
 /**
- * Sends an order under a key, as a careful client would: through another gateway again until it knows the outcome.
+ * Sends an order with a key, and resends it through another gateway until the outcome is known, as a careful client would.
  *
  * @param context - of the load
- * @param name - unique; becomes the key
+ * @param name - unique; used as the key
  */
 export async function callKeyedOrder (context: LoadContext, name: string): Promise<void> {
   const { gateways, random } = context
@@ -78,18 +80,18 @@
 
   let gateway = gateways.pick()
   const first = sendOnce(gateway)
-  if (random.next() < AT_ONCE_SHARE) await sendOnce(gateways.pickOther(gateway.name))
+  if (random.next() < CONCURRENT_SHARE) await sendOnce(gateways.pickOther(gateway.name))
   let last = await first
   for (let resends = 0; resends < MAX_RESENDS && mustResend(last); resends++) {
-    await sleep(context.clock, random.between(RESEND_FROM_MS, RESEND_UNTIL_MS))
+    await sleep(context.clock, random.between(MIN_RESEND_DELAY_MS, MAX_RESEND_DELAY_MS))
     gateway = gateways.pickOther(gateway.name)
     last = await sendOnce(gateway)
   }
-  if (random.next() < AGAIN_SHARE) await sendOnce(gateways.pick())
+  if (random.next() < REPEAT_SHARE) await sendOnce(gateways.pick())
   if (random.next() < OTHER_BODY_SHARE) await sendOnce(gateways.pick(), orderBody(`${name}-other`))
 }
 
-/** The outcome of a call is open, or the same key is in progress elsewhere. */
+/** The outcome of the call is unknown, or a call with the same key is in progress elsewhere. */
 function mustResend (record: CallRecord): boolean {
   return record.told === 'broken' || record.told === 'refused' || (record.told === 'failed' && record.ran !== 'ran')
 }
@@ -105,21 +107,21 @@
 
 async function sendOrder (context: LoadContext, order: Order): Promise<CallRecord> {
   const { requestId, kind, key, body, gateway } = order
-  const { text, ...answer } = await sendWhole(context, gateway, {
+  const { text, ...result } = await sendRequest(context, gateway, {
     method: 'POST',
     path: `/services/${PLAIN_SERVICE}${ORDER_PATH}`,
     headers: { 'content-type': 'application/json', 'x-request-id': requestId, ...(key === undefined ? {} : { 'idempotency-key': key }) },
     body,
     signal: order.signal
   })
-  const fault = answer.told === 'whole' ? judgeOrder(text, body) : undefined
-  const record: CallRecord = { requestId, kind, gateway: gateway.name, key, idempotent: false, ...answer, fault }
+  const fault = result.told === 'whole' ? findOrderFault(text, body) : undefined
+  const record: CallRecord = { requestId, kind, gateway: gateway.name, key, idempotent: false, ...result, fault }
   context.evidence.calls.push(record)
   return record
 }
 
-/** An answer that was recorded for an earlier call of the key names that call, so only path and text are compared. */
-function judgeOrder (text: string, body: string): AnswerFault | undefined {
+/** Compares only path and text, because a response recorded for an earlier call of the key contains the id of that call. */
+function findOrderFault (text: string, body: string): ResponseFault | undefined {
   try {
     const { path, answer } = JSON.parse(text) as { path?: string, answer?: string }
     return path === ORDER_PATH && answer === expectedPlainAnswer('POST', ORDER_PATH, body) ? undefined : 'crossed'
--- a/packages/anvilarch-bench/src/soak/run/gatewayPool.ts
+++ b/packages/anvilarch-bench/src/soak/run/gatewayPool.ts
@@ -1,29 +1,29 @@
-/** Asks gateways whether they are ready, as the platform's balancer does, and chooses among those that are. */
+/** Polls the readiness of gateways, as the platform's load balancer does, and picks among the ready ones. */
 import { respondsOk, type Fleet } from 'anvilarch-standins'
 import { type Clock, type Random, sleep } from 'anvilarch-utils'
 import type { GatewayAddress, GatewayPool } from '../load/types'
 
-/** A pool that goes on asking until it is stopped. */
-export interface WatchedGatewayPool extends GatewayPool {
+/** A gateway pool that polls until it is stopped. */
+export interface PollingGatewayPool extends GatewayPool {
   stop: () => void
 }
 
-const ASK_INTERVAL_MS = 200
+const READINESS_POLL_MS = 200
 
 /**
- * @param fleet - whose gateways
- * @param clock - paces the questions
- * @param random - chooses
+ * @param fleet - runs the gateways
+ * @param clock - paces the polls
+ * @param random - picks among ready gateways
  * @returns the pool
  */
-export function createGatewayPool (fleet: Fleet, clock: Clock, random: Random): WatchedGatewayPool {
+export function createGatewayPool (fleet: Fleet, clock: Clock, random: Random): PollingGatewayPool {
   const stopping = new AbortController()
   const gateways = fleet.processes('gateway').map(({ spec }) => ({ name: spec.name, origin: spec.addresses.callers, readyUrl: spec.readyUrl, isReady: true }))
 
   const watch = async (gateway: typeof gateways[number]): Promise<void> => {
     while (!stopping.signal.aborted) {
       gateway.isReady = await respondsOk(gateway.readyUrl)
-      await sleep(clock, ASK_INTERVAL_MS, stopping.signal)
+      await sleep(clock, READINESS_POLL_MS, stopping.signal)
     }
   }
   for (const gateway of gateways) watch(gateway).catch(() => {})
--- a/packages/anvilarch-bench/src/soak/run/readViolations.ts
+++ b/packages/anvilarch-bench/src/soak/run/readViolations.ts
@@ -1,21 +1,21 @@
 /**
- * Finds invariant violations in the logs of the daemons. Under test a violation ends its process at once, so that the
- * metric that counts it can't be read any more.
+ * Finds invariant violations in the logs of the daemons. Under test a violation ends its process at once, so the metric
+ * that counts it can no longer be read.
  */
 import { readdirSync, readFileSync } from 'node:fs'
 import { join } from 'node:path'
 import type { ViolationReading } from '../types'
 
-/** Message of the line that a daemon logs. */
+/** Message that daemons log for a violation. */
 const MESSAGE = 'an invariant does not hold'
 const LOG_SUFFIX = '.log'
-/** The logs do not say which process of a daemon wrote a line. */
-const ANY_PROCESS = 0
+/** Log lines do not contain the process id. */
+const UNKNOWN_PROCESS_ID = 0
 
 /**
  * @param directory - folder of the fleet's logs
- * @param known - violations that the metrics showed
- * @returns those that only the logs show
+ * @param known - violations found in the metrics
+ * @returns the violations that only the logs contain
  */
 export function readViolations (directory: string, known: readonly ViolationReading[]): ViolationReading[] {
   const found = new Map<string, ViolationReading>()
@@ -23,7 +23,7 @@
     const daemon = file.slice(0, -LOG_SUFFIX.length)
     for (const name of violationNames(readFileSync(join(directory, file), 'utf8'))) {
       if (known.some(reading => reading.daemon === daemon && reading.name === name)) continue
-      const reading = found.get(`${daemon} ${name}`) ?? { daemon, processId: ANY_PROCESS, name, count: 0 }
+      const reading = found.get(`${daemon} ${name}`) ?? { daemon, processId: UNKNOWN_PROCESS_ID, name, count: 0 }
       reading.count++
       found.set(`${daemon} ${name}`, reading)
     }
