--- a/packages/anvilarch-bench/src/bin/bench.ts
+++ b/packages/anvilarch-bench/src/bin/bench.ts
@@ -1,4 +1,4 @@
-/** `npm run bench -- EXPERIMENT`: runs an experiment against its baselines and keeps the result. */
+/** `npm run bench -- EXPERIMENT`: runs the variants of an experiment and writes the result. */
 import { execFileSync } from 'node:child_process'
 import { mkdtempSync, rmSync } from 'node:fs'
 import { tmpdir } from 'node:os'
@@ -90,7 +90,7 @@
   }
 }
 
-/** A result of some variants names them in its command, so that it can't pass for a whole one. */
+/** Restricts an experiment to the named variants. The command in the result lists them, so that it is not mistaken for a complete one. */
 function chooseVariants (experiment: Experiment, names: string | undefined): Experiment {
   if (names === undefined) return experiment
   const wanted = names.split(',').map(name => name.trim())
@@ -105,7 +105,7 @@
   }
 }
 
-/** Results name the code that was measured; a change that is not committed yet shows as a plus sign. */
+/** @returns the short hash of the measured commit, followed by a plus sign if there are uncommitted changes */
 function currentCommit (): string {
   try {
     const commit = execFileSync('git', ['rev-parse', '--short', 'HEAD'], { encoding: 'utf8' }).trim()
@@ -123,7 +123,7 @@
 const breakOff = (): void => { stopOpenFleets().finally(() => { process.exit(130) }) }
 process.once('SIGINT', breakOff)
 process.once('SIGTERM', breakOff)
-// The timers of the system clock do not keep a process alive; between two runs nothing else would.
+// The timers of the system clock do not keep the process running, and between two runs nothing else does.
 const keepAlive = setInterval(() => {}, KEEP_ALIVE_MS)
 run(bench, process.argv.slice(2))
   .catch((error: Error) => {
--- a/packages/anvilarch-bench/src/bin/closestName.ts
+++ b/packages/anvilarch-bench/src/bin/closestName.ts
@@ -1,10 +1,10 @@
-/** Suggests a name for one that is not known. */
+/** Suggests a known name for an unknown one. */
 import { distance } from 'fastest-levenshtein'
 
 /**
- * @param found - what was given
- * @param known - names that exist; at least one
- * @returns the known name that is most alike
+ * @param found - unknown name
+ * @param known - known names; at least one
+ * @returns the known name with the smallest edit distance
  */
 export function closestName (found: string, known: readonly string[]): string {
   return known.reduce((best, name) => distance(found, name) < distance(found, best) ? name : best)
--- a/packages/anvilarch-bench/src/bin/lightAgents.ts
+++ b/packages/anvilarch-bench/src/bin/lightAgents.ts
@@ -1,4 +1,4 @@
-/** Process with many light agents; the bench starts it. */
+/** Child process of the bench that runs many light agents. */
 import { createSystemClock } from 'anvilarch-utils'
 import { reportReady } from '../peers/childProcess'
 import { type LightAgentsOptions, startLightAgents } from '../peers/lightAgents'
--- a/packages/anvilarch-bench/src/bin/lightGateways.ts
+++ b/packages/anvilarch-bench/src/bin/lightGateways.ts
@@ -1,4 +1,4 @@
-/** Process with many light gateways; the bench starts it. */
+/** Child process of the bench that runs many light gateways. */
 import { createRandom, createSystemClock } from 'anvilarch-utils'
 import { reportReady } from '../peers/childProcess'
 import { type LightGatewaysOptions, startLightGateways } from '../peers/lightGateways'
--- a/packages/anvilarch-bench/src/bin/report.ts
+++ b/packages/anvilarch-bench/src/bin/report.ts
@@ -1,4 +1,4 @@
-/** `npm run report`: writes one page with the latest results. */
+/** `npm run report`: writes one HTML page with the latest results. */
 import { command, option, run, string } from 'cmd-ts'
 import { EXPERIMENTS } from '../experiments/registry'
 import { DEFAULT_RESULT_DIRECTORY } from '../harness/resultStore'
--- a/packages/anvilarch-bench/src/bin/soak.ts
+++ b/packages/anvilarch-bench/src/bin/soak.ts
@@ -11,7 +11,10 @@
 import { runSoak } from '../soak/run/runSoak'
 import { DEFAULT_RATES } from '../soak/run/startLoad'
 
-/** Exit codes: all counts are 0 and every kind was injected; some count is not; some kind was not injected; the run itself failed. */
+/**
+ * Exit codes. `passed`: all counts of violations are 0 and every kind of fault was injected. `violated`: some count is not 0.
+ * `partial`: some kind was not injected. `failed`: the run itself failed.
+ */
 const EXIT = { passed: 0, violated: 1, partial: 2, failed: 3 } as const
 
 const MS_PER_MINUTE = 60_000
--- a/packages/anvilarch-bench/src/capacity/__tests__/capacity.test.ts
+++ b/packages/anvilarch-bench/src/capacity/__tests__/capacity.test.ts
@@ -20,17 +20,17 @@
 ])
 
 describe('lineAt', () => {
-  test('reads the line at a size that was not measured', () => {
+  test('estimates a figure at a size that was not measured', () => {
     expect(lineAt(results, 'control', 'peers', 'gatewayIdleCpuShare', 305).value).toBeCloseTo(0.04)
   })
 
-  test('gives nothing from a single size', () => {
+  test('is undefined with a single measured size', () => {
     expect(lineAt(results, 'overhead', 'peers', 'gatewayCpuPerLookupMs', 3).value).toBeUndefined()
   })
 })
 
 describe('sum', () => {
-  test('is not measured when a part of it is not', () => {
+  test('is undefined when one of the values is', () => {
     const known = measured(results, 'overhead', 'through', 'gatewayCpuPerLookupMs')
     expect(times(sum(known, known), 2).value).toBe(8)
     expect(sum(known, measured(results, 'overhead', 'through', 'absent')).value).toBeUndefined()
@@ -38,7 +38,7 @@
 })
 
 describe('capacityText', () => {
-  test('names the source of each figure, marks what is assumed or not measured and says where a budget is broken', () => {
+  test('states the source of each figure and marks assumed and missing values and exceeded budgets', () => {
     const text = capacityText(results)
     expect(text).toContain('**1.9: broken** | control: gatewayIdleCpuShare, line over 5, 105 peers')
     expect(text).toContain('| assumed |')
--- a/packages/anvilarch-bench/src/capacity/badDays.ts
+++ b/packages/anvilarch-bench/src/capacity/badDays.ts
@@ -1,4 +1,4 @@
-/** Days that go wrong, worked out from the same slopes. */
+/** Capacity tables of failure scenarios, calculated from the same measurements as the tables of the roles. */
 import { type CapacityTable, largestJob, streamsInProgress } from './roleTables'
 import { AGENTS, ASSUMED, BUDGETS, ITEMS_PER_SECOND, SECONDS_PER_DAY, SIZES } from './sizes'
 import { assumed, measured, type Results, type Slope, times } from './slopes'
@@ -8,12 +8,12 @@
 const MS_PER_SECOND = 1000
 const PER_THOUSAND = 1000
 const MEBIBYTE = 1024 * 1024
-/** Defaults of the daemon that bound the recovery. */
+/** Default limits of the daemon that determine how fast the system recovers. */
 const DAEMON_LIMITS = { retryBudgetSaved: 200, retryBudgetShare: 0.1, firstExchangesPerSecond: 100, resultBufferBytes: 16 * MEBIBYTE, resultBufferItems: 8000 } as const
 
 /**
  * @param results - latest results
- * @returns a table for each kind of day
+ * @returns a table for each scenario
  */
 export function badDayTables (results: Results): CapacityTable[] {
   return [failureDomainLost(results), tableDown(results), regionsApart(results), gatewaysReplaced(results)]
--- a/packages/anvilarch-bench/src/capacity/capacityText.ts
+++ b/packages/anvilarch-bench/src/capacity/capacityText.ts
@@ -1,4 +1,4 @@
-/** Writes the tables for docs/CAPACITY.md. */
+/** Renders the capacity tables of docs/CAPACITY.md as Markdown. */
 import { formatFigure } from '../harness/formatFigure'
 import { badDayTables } from './badDays'
 import { type CapacityRow, type CapacityTable, roleTables } from './roleTables'
@@ -8,7 +8,7 @@
 
 /**
  * @param results - latest results
- * @returns Markdown: a table for each role, the platform and each kind of day that goes wrong
+ * @returns Markdown with a table for each role, the platform and each failure scenario
  */
 export function capacityText (results: Results): string {
   const runs = [...results.values()].map(result => `- ${result.experiment}: \`${result.command}\`, ${result.environment.startedAt}, commit ${result.environment.commit}, load average ${formatFigure(result.environment.loadAverageBefore)}`)
--- a/packages/anvilarch-bench/src/capacity/roleTables.ts
+++ b/packages/anvilarch-bench/src/capacity/roleTables.ts
@@ -1,16 +1,16 @@
-/** What each role and the platform carry at the size to design for. */
+/** Capacity tables: the load of each role and of the platform at the size that the system is designed for. */
 import { AGENTS, ASSUMED, BUDGETS, ITEMS_PER_SECOND, SECONDS_PER_DAY, SIZES } from './sizes'
 import { assumed, lineAt, measured, type Results, type Slope, sum, times } from './slopes'
 
-/** One line of a table. */
+/** A row of a capacity table. */
 export interface CapacityRow {
   what: string
-  /** How the size enters, in words. */
+  /** The size that the value refers to, in words. */
   size: string
   value: Slope
   unit: string
   budget?: number
-  /** What carries it. */
+  /** What bounds or reduces the value. */
   mechanism: string
 }
 
@@ -113,7 +113,7 @@
   return { what: `processor, ${what}`, size, value: scaled(millisecondsPerSecond, 1 / MS_PER_SECOND), unit: 'cores', mechanism }
 }
 
-/** Bytes between gateways and agents for short answers; tokens of streams come on top. */
+/** Traffic between gateways and agents for short responses; streamed tokens are not included. */
 function bytesRow (results: Results, role: 'gateway' | 'agent', ratePerSecond: number, size: string): CapacityRow {
   const value = scaled(times(measured(results, 'control', '320 peers', `${role}BytesPerLookup`), ratePerSecond), 1 / KIBIBYTE)
   return { what: 'network, requests', size, value, unit: 'KiB a second', mechanism: 'frames of one turn in one message' }
@@ -123,13 +123,13 @@
   return times(slope, factor)
 }
 
-/** Requests in progress at the peak: each takes its tokens at the pace that the users ask for. */
+/** @returns the streams in progress at the peak if tokens are sent at the required inter-token time */
 export function streamsInProgress (): number {
   const tokensPerRequest = SIZES.tokensPerSecond * ASSUMED.onlineTokenShare / SIZES.requestsPerSecond
   return SIZES.requestsPerSecond * tokensPerRequest * SIZES.interTokenMs / MS_PER_SECOND
 }
 
-/** Name of the variant with the most items, where the share of the start-up is the smallest. */
+/** @returns the name of the variant with the most items, in which the start-up has the smallest share */
 export function largestJob (results: Results): string {
   const variants = (results.get('jobs')?.variants ?? []).filter(variant => LARGE_JOB.test(variant.name))
   return variants.sort((left, right) => Number(right.settings.items) - Number(left.settings.items))[0]?.name ?? 'one gateway'
--- a/packages/anvilarch-bench/src/capacity/sizes.ts
+++ b/packages/anvilarch-bench/src/capacity/sizes.ts
@@ -1,6 +1,6 @@
-/** The size to design for, as the users gave it, and what had to be assumed beside it. */
+/** The size that the system is designed for: the requirements of the users, and assumptions where they state none. */
 
-/** Given sizes. */
+/** Sizes that the users require. */
 export const SIZES = {
   daemons: 340,
   replicas: 1300,
@@ -18,7 +18,7 @@
   configurationLimitMs: 13_000
 } as const
 
-/** Budgets for control, of one daemon, and what the platform takes. */
+/** Budgets of one daemon for control, and the request rates that the platform supports. */
 export const BUDGETS = {
   cpuShare: 0.019,
   memoryBytes: 64 * 1024 * 1024,
@@ -29,11 +29,11 @@
   objectReadsPerSecond: 2000
 } as const
 
-/** Not given and not measured; each is marked so in the tables. */
+/** Values that are neither required nor measured; the tables mark them as assumed. */
 export const ASSUMED = {
-  /** Entry hosts among the daemons; the others are agents. */
+  /** Daemons that are gateways; the others are agents. */
   gateways: 40,
-  /** Share of tokens that go to online callers token by token; batch items travel whole. */
+  /** Share of tokens that are streamed to online callers; the output of a batch item is sent whole. */
   onlineTokenShare: 0.5,
   /** Bytes of one batch result. */
   resultBytes: 2000,
@@ -43,8 +43,8 @@
 
 export const SECONDS_PER_DAY = 86_400
 
-/** Batch items a second, in the mean over the day. */
+/** Mean rate of batch items over the day. */
 export const ITEMS_PER_SECOND = SIZES.batchItemsPerDay / SECONDS_PER_DAY
 
-/** Agents beside the gateways. */
+/** Daemons that are agents. */
 export const AGENTS = SIZES.daemons - ASSUMED.gateways
--- a/packages/anvilarch-bench/src/capacity/slopes.ts
+++ b/packages/anvilarch-bench/src/capacity/slopes.ts
@@ -1,8 +1,8 @@
-/** Slopes read from the latest results. A slope that was not measured stays undefined and is shown so. */
+/** Values read from the latest results. A value that was not measured is undefined and shown as such. */
 import type { ExperimentResult } from '../harness/types'
 import { fitLine } from '../statistics/spread'
 
-/** A number and where it is from. */
+/** A value with its source. */
 export interface Slope {
   value: number | undefined
   /** Experiment and figure, or `assumed`. */
@@ -17,7 +17,7 @@
  * @param experiment - which one
  * @param variant - which variant
  * @param figure - which figure
- * @returns its median
+ * @returns the median of the figure
  */
 export function measured (results: Results, experiment: string, variant: string, figure: string): Slope {
   const value = results.get(experiment)?.variants.find(candidate => candidate.name === variant)?.figures[figure]
@@ -25,14 +25,14 @@
 }
 
 /**
- * Reads a figure at a size through the least-squares line over the measured sizes.
+ * Estimates a figure at any size by a least-squares line through the measured sizes.
  *
  * @param results - latest results
  * @param experiment - which one
  * @param setting - numeric setting that is the size
  * @param figure - which figure
- * @param size - where to read the line
- * @returns the value at that size
+ * @param size - size to estimate the figure for
+ * @returns the value of the line at that size, at least 0
  */
 export function lineAt (results: Results, experiment: string, setting: string, figure: string, size: number): Slope {
   const points = (results.get(experiment)?.variants ?? [])
@@ -45,8 +45,8 @@
 }
 
 /**
- * @param value - a number that was neither given nor measured
- * @returns it, marked
+ * @param value - a value that is neither required nor measured
+ * @returns the value with the source `assumed`
  */
 export function assumed (value: number): Slope {
   return { value, source: 'assumed' }
@@ -63,7 +63,7 @@
 
 /**
  * @param slopes - of the same unit
- * @returns their sum; not measured if one of them is not
+ * @returns their sum; undefined if one of them is
  */
 export function sum (...slopes: Slope[]): Slope {
   const missing = slopes.some(slope => slope.value === undefined)
--- a/packages/anvilarch-bench/src/clients/__tests__/clients.test.ts
+++ b/packages/anvilarch-bench/src/clients/__tests__/clients.test.ts
@@ -8,7 +8,7 @@
 const ENDING = `data: ${JSON.stringify({ choices: [{ delta: {}, finish_reason: 'stop' }] })}\n\ndata: ${JSON.stringify({ choices: [], usage: {} })}\n\n${DONE}`
 
 describe('createChatReader', () => {
-  test('stamps the first token and the gaps between tokens', () => {
+  test('records the time of the first token and the gaps between tokens', () => {
     const clock = createFakeClock(100)
     const reader = createChatReader(clock)
     reader.feed(token('a'))
@@ -19,7 +19,7 @@
     expect(reader.finish('ab')).toMatchObject({ outcome: 'completed', firstTokenAtMs: 100, gapsMs: [25], tokens: 2, endedAtMs: 125 })
   })
 
-  test('tells a short answer from a wrong one', () => {
+  test('distinguishes an incomplete response from a wrong one', () => {
     const read = (events: string): string => {
       const reader = createChatReader(createFakeClock())
       reader.feed(events)
@@ -30,7 +30,7 @@
     expect(read(token('abd') + DONE)).toBe('wrong')
   })
 
-  test('takes an error event as a failure with its code', () => {
+  test('reports an error event as a failure with its code', () => {
     const reader = createChatReader(createFakeClock())
     reader.feed(token('a') + 'data: {"error":{"code":"outcome_unknown","ran":"unknown"}}\n\n')
     expect(reader.finish('ab')).toMatchObject({ outcome: 'failed', code: 'outcome_unknown', ran: 'unknown' })
@@ -38,12 +38,12 @@
 })
 
 describe('errorAnswer', () => {
-  test('reads code, proof and time to come back', () => {
+  test('reads the code, whether the request ran and the time to retry after', () => {
     const answer = errorAnswer(503, '2', '{"error":{"code":"overloaded","ran":"not_run"}}', 5)
     expect(answer).toMatchObject({ outcome: 'refused', code: 'overloaded', ran: 'not_run', retryAfterMs: 2000 })
   })
 
-  test('does not call an unknown outcome a refusal', () => {
+  test('does not report an unknown outcome as a refusal', () => {
     expect(errorAnswer(503, undefined, '{"error":{"code":"outcome_unknown","ran":"unknown"}}', 5).outcome).toBe('failed')
     expect(errorAnswer(502, undefined, 'no JSON', 5)).toMatchObject({ outcome: 'failed', code: 'http_502', retryAfterMs: undefined })
   })
@@ -52,7 +52,7 @@
 describe('checkResults', () => {
   const line = (customId: string, content: string): string => JSON.stringify({ custom_id: customId, response: { body: { choices: [{ message: { content } }] } } })
 
-  test('counts right, wrong, doubled and missing items', async () => {
+  test('counts correct, wrong, duplicated and missing items', async () => {
     const lines = [line('a', 'A'), line('b', 'wrong'), line('a', 'A')]
     const check = await checkResults(lines, customId => customId.toUpperCase(), 3)
     expect(check).toEqual({ lines: 3, right: 1, wrong: 1, doubled: 1, missing: 1 })
--- a/packages/anvilarch-bench/src/clients/answer.ts
+++ b/packages/anvilarch-bench/src/clients/answer.ts
@@ -1,52 +1,52 @@
-/** What a client got for one request, and how error answers of a gateway are read. */
+/** The result of one request at its client, and parsing of the error responses of a gateway. */
 import type { RunStatus } from 'anvilarch-utils'
 
 /**
- * How a request ended at its client. `incomplete`: the answer broke off or came short. `wrong`: it was whole in form,
- * but not the answer to this request. `unreachable`: no HTTP answer at all.
+ * How a request ended at its client. `incomplete`: the response was interrupted or lacks a part. `wrong`: the response is
+ * complete, but belongs to another request. `unreachable`: no HTTP response.
  */
 export type AnswerOutcome = 'completed' | 'refused' | 'failed' | 'incomplete' | 'wrong' | 'unreachable'
 
-/** One answer as a client saw it. Times are on the monotonic scale of the client's clock. */
+/** Result of one request. Times are on the monotonic scale of the client's clock. */
 export interface Answer {
   outcome: AnswerOutcome
-  /** HTTP status; 0 when there was no answer. */
+  /** HTTP status; 0 without a response. */
   status: number
-  /** Error code of the typed error, or the code of a socket error; empty for a completed answer. */
+  /** Code of the error body or of a socket error; empty for a completed request. */
   code: string
-  /** What the error said about whether the request ran. */
+  /** What the error body states about whether the request ran. */
   ran: RunStatus | ''
-  /** Value of `Retry-After`; undefined when the answer carried none. */
+  /** Value of `Retry-After`; undefined when the response has none. */
   retryAfterMs: number | undefined
   firstTokenAtMs: number | undefined
-  /** Time between two tokens that followed each other. */
+  /** Times between consecutive tokens. */
   gapsMs: number[]
   tokens: number
-  /** Tokens of the prompt, and those of them that the engine had cached; 0 when the answer carried no usage. */
+  /** Tokens of the prompt, and those of them that the engine had cached; 0 when the response has no usage. */
   promptTokens: number
   cachedTokens: number
   endedAtMs: number
-  /** Whether the text that came is not the start of the right answer. */
+  /** Whether the received text is not a prefix of the expected text, or an event was not valid JSON. */
   isCrossed: boolean
   detail: string
 }
 
-/** Statuses by which a server declines a request rather than fails it. */
+/** Statuses with which a server refuses a request. */
 const REFUSAL_STATUSES = new Set([409, 429, 503])
 
-/** The typed error body of a gateway. */
+/** The error body of a gateway. */
 interface ErrorBody {
   error?: { code?: string, message?: string, ran?: RunStatus, retry_after_ms?: number }
 }
 
-/** Header value by lower-case name, as undici gives it. */
+/** A header value as undici returns it. */
 type HeaderValue = string | string[] | undefined
 
 const MS_PER_SECOND = 1000
 
 /**
- * @param endedAtMs - when the answer ended
- * @returns an answer without any content, to be filled in
+ * @param endedAtMs - when the response ended
+ * @returns a result without content, to be filled in
  */
 export function emptyAnswer (endedAtMs: number): Answer {
   return {
@@ -69,9 +69,9 @@
 /**
  * @param status - HTTP status of at least 400
  * @param retryAfter - value of the header `Retry-After`
- * @param text - body of the answer
- * @param endedAtMs - when it ended
- * @returns the answer with the code that the error body names
+ * @param text - body of the response
+ * @param endedAtMs - when the response ended
+ * @returns the result with the code of the error body
  */
 export function errorAnswer (status: number, retryAfter: HeaderValue, text: string, endedAtMs: number): Answer {
   const error = parseError(text)
@@ -89,10 +89,10 @@
 }
 
 /**
- * @param error - what undici threw
- * @param endedAtMs - when
- * @param partial - what had come until then
- * @returns an answer that broke off, or none at all when nothing had come
+ * @param error - thrown by undici
+ * @param endedAtMs - when it was thrown
+ * @param partial - result of what had been received until then
+ * @returns an incomplete result, or an unreachable one when no response had been received
  */
 export function brokenAnswer (error: unknown, endedAtMs: number, partial?: Answer): Answer {
   const code = (error as { code?: string }).code ?? (error as Error).name
--- a/packages/anvilarch-bench/src/clients/chatClient.ts
+++ b/packages/anvilarch-bench/src/clients/chatClient.ts
@@ -1,4 +1,4 @@
-/** Chat completions over HTTP, streamed, with the time of each token and a check of the whole text. */
+/** Streamed chat completions over HTTP, with the time of each token and a check of the complete text. */
 import type { Clock } from 'anvilarch-utils'
 import { createParser } from 'eventsource-parser'
 import type { Dispatcher } from 'undici'
@@ -15,16 +15,16 @@
   headers?: Record<string, string>
 }
 
-/** What every client needs. */
+/** Options of all clients. */
 export interface ClientOptions {
   clock: Clock
   dispatcher: Dispatcher
-  /** Text that a right answer to a request body has. */
+  /** @returns the text of the correct response to a request body */
   expectedText: (path: string, body: object) => string
   signal?: AbortSignal
 }
 
-/** The part of a chunk that the check reads. */
+/** The fields of a chunk that the reader uses. */
 interface ChatChunk {
   choices?: Array<{ delta?: { content?: string }, finish_reason?: string | null }>
   usage?: { prompt_tokens?: number, prompt_tokens_details?: { cached_tokens?: number } } | null
@@ -36,7 +36,7 @@
 
 /**
  * @param origin - callers' address of a gateway, or the address of an engine
- * @param request - what to ask
+ * @param request - what to send
  * @param options - clock, connections and the expected text
  * @returns how the request ended; never rejects
  */
@@ -68,8 +68,8 @@
 }
 
 /**
- * @param request - what to ask
- * @param stream - whether the answer comes as events
+ * @param request - what to send
+ * @param stream - whether the response is an event stream
  * @returns the JSON body
  */
 export function chatBody (request: Pick<ChatRequest, 'model' | 'system' | 'prompt' | 'maxTokens'>, stream: boolean): object {
@@ -77,22 +77,22 @@
   return { model: request.model, messages: [...system, { role: 'user', content: request.prompt }], max_tokens: request.maxTokens, stream, ...(stream ? { stream_options: { include_usage: true } } : {}) }
 }
 
-/** Collects one streamed answer. */
+/** Collects one streamed response. */
 interface ChatReader {
   answer: Answer
   feed: (text: string) => void
-  /** @param error - what broke the stream off; undefined after a clean end */
+  /** @param error - what interrupted the stream; undefined after a regular end */
   finish: (expected: string, error?: unknown) => Answer
 }
 
 /**
- * @param clock - stamps each token when its event was read
+ * @param clock - gives the time at which the event of each token was read
  * @returns a reader of one event stream
  */
 export function createChatReader (clock: Clock): ChatReader {
   const answer = emptyAnswer(0)
   let text = ''
-  /** The pieces that follow the text; an answer that lacks one is not whole. */
+  /** The parts that follow the text; a response that lacks one is incomplete. */
   const ending = { reason: false, usage: false, done: false }
   let garbled = false
   let lastTokenAtMs: number | undefined
--- a/packages/anvilarch-bench/src/clients/jobClient.ts
+++ b/packages/anvilarch-bench/src/clients/jobClient.ts
@@ -1,4 +1,4 @@
-/** Batch jobs through the OpenAI-style routes: upload, create, follow, cancel, read back and check every item. */
+/** Client of batch jobs on the OpenAI-compatible routes: uploads items, creates, polls and cancels jobs, and checks every result. */
 import { Readable } from 'node:stream'
 import { type Clock, sleep } from 'anvilarch-utils'
 import type { Dispatcher } from 'undici'
@@ -9,7 +9,7 @@
   body: object
 }
 
-/** A batch as the routes show it. */
+/** A batch as the routes return it. */
 export interface BatchView {
   id: string
   status: string
@@ -24,42 +24,42 @@
   dispatcher: Dispatcher
   origin: string
   headers?: Record<string, string>
-  /** Route that the items are for. */
+  /** Route that the items are sent to. */
   endpoint?: string
 }
 
-/** What reading a result file gave. */
+/** Result of checking an output file. */
 export interface ResultCheck {
   lines: number
-  /** Items that appear once with the expected text. */
+  /** Items with the expected text. */
   right: number
   wrong: number
   doubled: number
   missing: number
 }
 
-/** Talks to one gateway about jobs. */
+/** Sends requests about jobs to one gateway. */
 export interface JobClient {
   upload: (items: Iterable<JobItem>) => Promise<string>
   create: (fileId: string, idempotencyKey?: string) => Promise<BatchView>
   get: (jobId: string) => Promise<BatchView>
   cancel: (jobId: string) => Promise<BatchView>
-  /** Polls until the job ended or the time is over. */
+  /** Polls until the job has ended or the timeout has elapsed. */
   waitForEnd: (jobId: string, options: { timeoutMs: number, pollMs?: number, signal?: AbortSignal }) => Promise<BatchView>
-  /** Reads the output file line by line and holds each against what is expected. */
+  /** Reads the output file line by line and compares each result with the expected text. */
   readResults: (fileId: string, expected: ReadonlyMap<string, string> | ((customId: string) => string | undefined), expectedCount: number) => Promise<ResultCheck>
 }
 
-/** States that a batch does not leave. */
+/** Final states of a batch. */
 const END_STATES = new Set(['completed', 'failed', 'cancelled', 'expired'])
 const DEFAULT_POLL_MS = 250
 const BOUNDARY = 'anvilarch-bench-boundary'
-/** Lines handed to the socket at a time; single lines would cost a system call each. */
+/** Lines written to the socket at a time; writing them one by one would cost a system call each. */
 const LINES_PER_WRITE = 500
 
 /**
  * @param options - clock, connections and address of the gateway
- * @returns a client whose calls reject with the status and body of an error answer
+ * @returns a client whose calls reject with the status and body of an error response
  */
 export function createJobClient (options: JobClientOptions): JobClient {
   const endpoint = options.endpoint ?? '/v1/chat/completions'
@@ -108,9 +108,9 @@
 
 /**
  * @param lines - lines of an output file
- * @param expected - text that a right answer to an item has; undefined for an item that was never sent
+ * @param expected - text of the correct result of an item; undefined for an item that was never sent
  * @param expectedCount - items of the job
- * @returns how many items appear once with the right text, and what is wrong with the others
+ * @returns how many items have the correct text, and how many are wrong, duplicated or missing
  */
 export async function checkResults (lines: AsyncIterable<string> | Iterable<string>, expected: (customId: string) => string | undefined, expectedCount: number): Promise<ResultCheck> {
   const check: ResultCheck = { lines: 0, right: 0, wrong: 0, doubled: 0, missing: 0 }
--- a/packages/anvilarch-bench/src/clients/lookupClient.ts
+++ b/packages/anvilarch-bench/src/clients/lookupClient.ts
@@ -1,18 +1,18 @@
-/** Calls of plain services, with a check that the answer belongs to the call. */
+/** Client of plain services that checks that the response belongs to the request. */
 import { type Answer, brokenAnswer, emptyAnswer, errorAnswer } from './answer'
 import type { ClientOptions } from './chatClient'
 
-/** One call of a plain service. */
+/** One request to a plain service. */
 export interface LookupRequest {
   requestId: string
-  /** Path at the gateway, or at the plain endpoint itself. */
+  /** Path at the gateway, or at the plain endpoint for a direct request. */
   path: string
-  /** Path as the endpoint repeats it in its answer. */
+  /** Path that the endpoint repeats in its response. */
   endpointPath: string
   headers?: Record<string, string>
 }
 
-/** What the plain stand-in answers. */
+/** Response of the plain stand-in. */
 interface LookupAnswer {
   path?: string
   requestId?: string
@@ -20,9 +20,9 @@
 
 /**
  * @param origin - callers' address of a gateway, or the address of a plain endpoint
- * @param request - what to look up
+ * @param request - what to send
  * @param options - clock and connections
- * @returns how the call ended; never rejects
+ * @returns how the request ended; never rejects
  */
 export async function sendLookup (origin: string, request: LookupRequest, options: Omit<ClientOptions, 'expectedText'>): Promise<Answer> {
   const { clock } = options
@@ -48,7 +48,7 @@
   try {
     answer = JSON.parse(text) as LookupAnswer
   } catch {
-    return { outcome: 'incomplete', detail: 'the answer is no whole JSON text' }
+    return { outcome: 'incomplete', detail: 'the response is not valid JSON' }
   }
   const mine = answer.requestId === request.requestId && answer.path === request.endpointPath
   return mine ? { outcome: 'completed', detail: '' } : { outcome: 'wrong', detail: text.slice(0, 200) }
--- a/packages/anvilarch-bench/src/experiments/__tests__/experiments.test.ts
+++ b/packages/anvilarch-bench/src/experiments/__tests__/experiments.test.ts
@@ -4,7 +4,7 @@
 import { EXPERIMENTS } from '../registry'
 
 describe('EXPERIMENTS', () => {
-  test('aims name variants that exist, and variants have names of their own', () => {
+  test('aims refer to existing variants, and names of variants are unique', () => {
     for (const experiment of EXPERIMENTS.values()) {
       const names = experiment.variants({ seed: 1, ...experiment.defaults }).map(variant => variant.name)
       expect(new Set(names).size).toBe(names.length)
@@ -12,7 +12,7 @@
     }
   })
 
-  test('has the experiments that the measurements page names', () => {
+  test('contains the experiments of the measurements page', () => {
     expect([...EXPERIMENTS.keys()].sort()).toEqual(['affinity', 'configuration', 'control', 'jobs', 'limits', 'logCost', 'lookup', 'loss', 'mix', 'overhead', 'overload', 'placement'])
   })
 })
@@ -25,14 +25,14 @@
     expect(hitFigures(requests, 100)).toEqual({ hitRequests: 2, lastHitAfterMs: 300 })
   })
 
-  test('gives zero when nothing was hit, and nothing when there is no time before the fault', () => {
+  test('is zero when no request was hit, and empty without a request before the fault', () => {
     expect(hitFigures([seen(0, 10), seen(200, 10)], 100)).toEqual({ hitRequests: 0, lastHitAfterMs: 0 })
     expect(hitFigures([seen(200, 10)], 100)).toEqual({})
   })
 })
 
 describe('createZipf', () => {
-  test('draws low ranks more often, and every rank', () => {
+  test('returns every rank, and low ranks more often', () => {
     const random = createRandom(1)
     const choose = createZipf(4, 1)
     const counts = [0, 0, 0, 0]
--- a/packages/anvilarch-bench/src/experiments/affinity.ts
+++ b/packages/anvilarch-bench/src/experiments/affinity.ts
@@ -1,4 +1,4 @@
-/** Shared prompt prefixes: how often an endpoint has the prefix cached, by how requests are routed. */
+/** Requests with shared prompt prefixes: how often an endpoint has the prefix cached, by routing policy. */
 import type { Random } from 'anvilarch-utils'
 import type { EngineLedger } from 'anvilarch-standins'
 import { getJson } from '../harness/fleetCounters'
@@ -13,13 +13,13 @@
 const REQUESTS_PER_SECOND = 30
 const TOKENS = 8
 const PREFIXES = 40
-/** About 1,000 tokens, as a set of shared instructions has. */
+/** About 1,000 tokens, the size of typical shared instructions. */
 const PREFIX_CHARACTERS = 4000
 const QUESTION_CHARACTERS = 200
-/** Holds about a third of all prefixes, so that an engine can't have all of them but can have its share. */
+/** Holds about a third of all prefixes: not all of them, but more than an engine's share of a quarter. */
 const CACHE_TOKENS = 16_000
 const ENDLESS_CACHE_TOKENS = 10_000_000
-/** Popularity falls with the rank to this power, as in traces of shared prompts. */
+/** Exponent of the Zipf distribution of the prefixes, as in traces of shared prompts. */
 const ZIPF_EXPONENT = 0.7
 
 type Policy = 'random' | 'round_robin' | 'least_reported_load' | 'affinity'
@@ -85,7 +85,7 @@
 /**
  * @param count - how many ranks
  * @param exponent - popularity is the rank to minus this power
- * @returns a function that draws ranks from 0
+ * @returns a function that returns random ranks from 0
  */
 export function createZipf (count: number, exponent: number): (random: Random) => number {
   const weights = Array.from({ length: count }, (_, rank) => (rank + 1) ** -exponent)
--- a/packages/anvilarch-bench/src/experiments/configuration.ts
+++ b/packages/anvilarch-bench/src/experiments/configuration.ts
@@ -1,4 +1,4 @@
-/** From the answer to an apply until the document is in force in every daemon, by the number of daemons. */
+/** Time from applying a document until it is in force in every daemon, by the number of daemons. */
 import { applyDocument, waitFor } from 'anvilarch-standins'
 import { getJson } from '../harness/fleetCounters'
 import type { BenchFleet } from '../harness/fleetTypes'
@@ -10,7 +10,7 @@
 
 const GATEWAYS = 2
 const PEERS = [20, 80, 160, 320]
-/** The bound of the letter. */
+/** Required upper bound. */
 const IN_FORCE_LIMIT_MS = 13_000
 const APPLY_EVERY_MS = 2500
 const MS_PER_SECOND = 1000
--- a/packages/anvilarch-bench/src/experiments/control.ts
+++ b/packages/anvilarch-bench/src/experiments/control.ts
@@ -1,4 +1,4 @@
-/** What a daemon spends on control, idle and busy, by the number of its peers. */
+/** CPU time, memory and network traffic of a daemon for control, idle and under load, by the number of its peers. */
 import { sleep } from 'anvilarch-utils'
 import { metricGrowth, readMetrics } from '../harness/fleetCounters'
 import { createCallers, loadNotes, runLoad } from '../harness/fleetLoad'
@@ -17,16 +17,16 @@
 import { addLightAgents, type LightAgentsChild } from './lightFleet'
 
 const PEERS = [5, 20, 80, 320]
-/** A gateway asks each of 340 agents this often, since it does at most 20 exchanges a second. */
+/** Interval at which a gateway exchanges with each of 340 agents, since it makes at most 20 exchanges a second. */
 const EXCHANGE_INTERVAL_MS = 17_000
 const BUSY_LOOKUPS_PER_SECOND = 100
 const SETTLE_MS = 3000
 const MS_PER_SECOND = 1000
 
-/** Budgets of the letter. */
+/** Required budgets of a daemon. */
 const BUDGET = { cpuShare: 0.019, bytes: 64 * 1024 * 1024, bytesPerSecond: 22_000 }
 
-/** Calls to the platform, by the name of their figure. */
+/** Labels of the calls to the platform, by the name of their figure. */
 const PLATFORM_CALLS: Record<string, Record<string, string>> = {
   TableReads: { service: 'table', operation: 'read' },
   TableScans: { service: 'table', operation: 'scan' },
@@ -37,7 +37,7 @@
 type Role = 'gateway' | 'agent'
 const ROLES: readonly Role[] = ['gateway', 'agent']
 
-/** Relays before the platform, one set for each role, so that their bytes can be told apart. */
+/** Relays between the daemons and the platform, one set for each role, so that bytes are counted by role. */
 type PlatformRelays = Record<Role, ByteRelay[]>
 
 export const control: Experiment = {
@@ -107,7 +107,7 @@
   }
 }
 
-/** What one lookup adds: the busy state less the idle one. */
+/** @returns the cost of one lookup: the difference between the busy and the idle state */
 function perLookup (idle: Figures, busy: Figures): Figures {
   return Object.fromEntries(ROLES.flatMap(role => [
     [`${role}BytesPerLookup`, (busy[`${role}BusyBytesPerSecond`] - idle[`${role}IdleBytesPerSecond`]) / BUSY_LOOKUPS_PER_SECOND],
@@ -115,11 +115,11 @@
   ]))
 }
 
-/** One gateway before light agents and one agent behind light gateways, measured at the same time. */
+/** One gateway with light agents and one agent with light gateways, measured at the same time. */
 interface Setup {
   fleet: BenchFleet
   agents: LightAgentsChild
-  /** The light gateways reach the agent through it. */
+  /** Relay between the light gateways and the agent. */
   agentRelay: ByteRelay
   relays: PlatformRelays
   peers: number
@@ -170,7 +170,7 @@
   })
 }
 
-/** Metrics of the one real daemon of each role. */
+/** Reads the metrics of the one real daemon of each role. */
 async function readRoleMetrics (fleet: BenchFleet): Promise<Record<Role, MetricSample[]>> {
   return { gateway: await readMetrics([fleet.gateways[0]]), agent: await readMetrics([fleet.agents[0]]) }
 }
@@ -195,7 +195,7 @@
   return loadNotes('lookup', collector, loop)
 }
 
-/** Bytes so far, by role: with its peers and with the platform. */
+/** @returns the bytes that each role has exchanged with its peers and the platform so far */
 async function readBytes (setup: Setup): Promise<Record<Role, number>> {
   const light = await setup.agents.stats()
   const sum = (relays: readonly ByteRelay[]): number => relays.reduce((total, relay) => total + relay.counts().toTargetBytes + relay.counts().fromTargetBytes, 0)
--- a/packages/anvilarch-bench/src/experiments/jobs.ts
+++ b/packages/anvilarch-bench/src/experiments/jobs.ts
@@ -1,4 +1,4 @@
-/** Jobs alone: items a second, platform calls per 1,000 items, memory by job size, and the loss of a gateway that holds parts. */
+/** Jobs without online load: items a second, platform calls per 1,000 items, memory by job size, and the loss of a gateway with claimed parts. */
 import { sleep } from 'anvilarch-utils'
 import { expectedText } from 'anvilarch-standins'
 import { Agent, request } from 'undici'
@@ -13,11 +13,11 @@
 
 const TOKENS = 4
 const FAST_ENGINE = { baseStepMs: 2, perSequenceMs: 0.02, slots: 64 }
-/** Items for each second asked for: the small job of the comparison, and jobs up to 16 times as large for the slope of memory. */
+/** Items of the smallest job for each second of `--seconds`; the larger ones, of up to 16 times the size, show how memory grows. */
 const ITEMS_PER_SECOND = 300
 const SIZE_FACTORS = [1, 4, 16]
 const MAX_RUN_MS = 240_000
-/** A large job may take this much time for each item. */
+/** Time limit of a large job, for each of its items. */
 const MAX_ITEM_MS = 5
 const KILL_AFTER_SHARE = 0.25
 const PER = 1000
@@ -29,7 +29,7 @@
   killGateway: boolean
 }
 
-/** The part of a part row that the bench reads. */
+/** The fields of a part row that the bench reads. */
 interface PartRow {
   holder?: string
   state?: string
@@ -68,7 +68,7 @@
   return await withFleet(context, options, async ({ fleet }) => {
     const { clock } = context
     const dispatcher = new Agent({ headersTimeout: 0, bodyTimeout: 0 })
-    // The last gateway serves the bench; the first one is the one that is killed.
+    // The bench sends to the last gateway, since the first one is killed.
     const client = createJobClient({ clock, dispatcher, origin: fleet.gateways[fleet.gateways.length - 1].origin })
     const usage = await startUsage(pidsOf(fleet), clock)
     const startedMs = clock.nowMs()
@@ -122,7 +122,7 @@
   return { figures: { itemsMissingOrWrong: check.missing + check.wrong + check.doubled }, notes }
 }
 
-/** Kills the first gateway while it holds parts and waits until no part is left in its name. */
+/** Kills the first gateway while it has claimed parts, and waits until other gateways have taken over all of them. */
 async function killAndWatch (context: RunContext, fleet: BenchFleet, client: JobClient, jobId: string, items: number): Promise<Figures> {
   const { clock } = context
   const victim = fleet.gateways[0]
--- a/packages/anvilarch-bench/src/experiments/lightFleet.ts
+++ b/packages/anvilarch-bench/src/experiments/lightFleet.ts
@@ -1,4 +1,4 @@
-/** Fleets of one or two real gateways before many light agents. */
+/** Fleets of one or two real gateways with many light agents. */
 import type { HostEntry } from 'anvilarch-protocol'
 import { waitFor } from 'anvilarch-standins'
 import { request } from 'undici'
@@ -9,18 +9,18 @@
 import { type BenchChild, startChild } from '../peers/childProcess'
 import type { LightAgent, LightAgentsOptions, LightAgentStats } from '../peers/lightAgents'
 
-/** A process of light agents. */
+/** A child process with light agents. */
 export type LightAgentsChild = BenchChild<LightAgent[], LightAgentStats>
 
 const FAILURE_DOMAINS = ['domain-a', 'domain-b']
 const KNOWN_TIMEOUT_MS = 60_000
 
 /**
- * Starts light agents, puts them on the host list beside the fleet's own gateways and waits until every gateway knows
- * them all.
+ * Starts light agents, replaces the host list by the fleet's gateways and these agents, and waits until every gateway lists
+ * all of them as serving.
  *
  * @param context - of the run
- * @param fleet - with real gateways; its own agents leave the list
+ * @param fleet - with real gateways; its own agents are removed from the list
  * @param count - how many light agents
  * @returns their process
  */
--- a/packages/anvilarch-bench/src/experiments/limits.ts
+++ b/packages/anvilarch-bench/src/experiments/limits.ts
@@ -1,13 +1,13 @@
-/** How limits of rate are best kept over many gateways: three ways against an exact counter. */
+/** Rate limits over many gateways: three algorithms compared with an exact counter. */
 import type { Experiment, RunContext, Variant, VariantRun } from '../harness/types'
 import { playLimitModel } from '../model/limits/limitModel'
 import type { LimitModelOptions, LimitTrouble, LimitWayName } from '../model/limits/types'
 import { barsByFigure } from '../plots/resultPlots'
 
-/** Accounts of a deployment with a few large ones. */
+/** Limits of the accounts of a deployment, a few of which are large. */
 const RATES_PER_SECOND: readonly number[] = [48, 28, 20, 16, 14, 12, 11, 10, 9, 8, 8, 7, 7, 6, 6, 6, ...Array.from({ length: 58 }, () => 5)]
 
-/** A hot account among usual ones. */
+/** Load with one account that exceeds its limit; the others stay within theirs. */
 export const HOT_ACCOUNT: Omit<LimitModelOptions, 'seed' | 'way' | 'gateways' | 'trouble' | 'durationMs'> = {
   ratesPerSecond: RATES_PER_SECOND,
   usualShare: 0.35,
--- a/packages/anvilarch-bench/src/experiments/logCost.ts
+++ b/packages/anvilarch-bench/src/experiments/logCost.ts
@@ -1,4 +1,4 @@
-/** What logs cost: lines, bytes and processor time of a request on the platform, by what is written of it. */
+/** Cost of logging: lines, bytes and CPU time of a request on the platform, by level of detail. */
 import { PassThrough } from 'node:stream'
 import { createBoundedLog, createRequestLog, createServingMetrics, type EventFields, type EventLog } from 'anvilarch-serving'
 import { createLogger, SILENT_LOGGER } from 'anvilarch-utils'
@@ -6,8 +6,8 @@
 import { barsByFigure } from '../plots/resultPlots'
 
 /**
- * Of each hundred requests under the heaviest load measured (docs/MEASUREMENTS.md, volume of logs), these do not go well:
- * refused at once, and failed after an attempt.
+ * Percentages of requests that are refused at once and that fail after an attempt, under the heaviest load in
+ * docs/MEASUREMENTS.md (volume of logs).
  */
 const REFUSED_PERCENT = 5
 const FAILED_PERCENT = 3
@@ -15,7 +15,7 @@
 const REQUESTS_PER_ROUND = 2000
 const MICROSECONDS_PER_MS = 1000
 
-/** What is written of a request. */
+/** Level of detail that is logged for a request. */
 type Detail = 'nothing' | 'one_line' | 'by_outcome' | 'everything'
 
 export const logCost: Experiment = {
@@ -67,13 +67,13 @@
   }
 }
 
-/** @returns how many requests were played */
+/** @returns the number of requests that were logged */
 async function playFor (context: RunContext, durationMs: number, log: EventLog, detail: Detail): Promise<number> {
   const untilMs = context.clock.nowMs() + durationMs
   let requests = 0
   while (context.clock.nowMs() < untilMs) {
     for (let index = 0; index < REQUESTS_PER_ROUND; index++) playRequest(log, detail, `${context.round}-${requests++}`, requests % 100)
-    // The stream takes its turn, as between the requests of a gateway.
+    // Lets the output stream write, as between the requests of a gateway.
     await new Promise(resolve => setImmediate(resolve))
   }
   return requests
--- a/packages/anvilarch-bench/src/experiments/lookup.ts
+++ b/packages/anvilarch-bench/src/experiments/lookup.ts
@@ -1,4 +1,4 @@
-/** Lookups while a large job is uploaded, run and read back through the same gateways. */
+/** Latency of lookups while a large job is uploaded, run and read back through the same gateways. */
 import { sleep } from 'anvilarch-utils'
 import { expectedText } from 'anvilarch-standins'
 import { Agent } from 'undici'
@@ -16,20 +16,20 @@
 
 const LOOKUPS_PER_SECOND = 200
 const TOKENS = 2
-/** Items for each second of the run; `--seconds 4550` makes a job of 910,000 items. */
+/** Items for each second of the run; `--seconds 4550` gives a job of 910,000 items. */
 const ITEMS_PER_SECOND = 200
-/** Small steps, so that the gateways and not the engines carry the load. */
+/** Short steps, so that the gateways and not the engines are the bottleneck. */
 const FAST_ENGINE = { baseStepMs: 2, perSequenceMs: 0.02, slots: 64 }
-/** A job that is not finished after this many times the measured time is given up and told in a note. */
+/** Timeout of the job as a multiple of the measured time; a job that exceeds it is reported in a note. */
 const PATIENCE = 4
 const MS_PER_SECOND = 1000
 
-/** What the job does at the time. */
+/** Phase of the job. */
 type Phase = 'upload' | 'run' | 'readBack'
 
 const PHASES: readonly Phase[] = ['upload', 'run', 'readBack']
 
-/** Phases with the time at which they began. */
+/** Phases with their start times. */
 type PhaseLog = Array<{ phase: Phase, fromMs: number }>
 
 export const lookup: Experiment = {
@@ -95,7 +95,7 @@
   return await Promise.race([job.catch((error: Error) => ({ figures: {}, notes: [`job: ${error.message}`] })), late])
 }
 
-/** Uploads, runs and reads back one job; the gateways take the steps in turn. */
+/** Uploads and creates one job through the first gateway, then polls it and reads it back through the last one. */
 async function runJob (context: RunContext, session: FleetSession, items: number, phases: PhaseLog): Promise<Required<VariantRun>> {
   const { clock } = context
   const { fleet } = session
--- a/packages/anvilarch-bench/src/experiments/loss.ts
+++ b/packages/anvilarch-bench/src/experiments/loss.ts
@@ -1,4 +1,4 @@
-/** One of six endpoints killed, frozen or drained, or a failure domain lost, under steady online load. */
+/** Loss of one of six endpoints (killed, frozen or drained) or of a failure domain, under steady online load. */
 import { type Clock, sleep } from 'anvilarch-utils'
 import type { Answer } from '../clients/answer'
 import { readExecutions } from '../harness/fleetCounters'
@@ -16,15 +16,15 @@
 const REQUESTS_PER_SECOND = 30
 const TOKENS = 24
 const PROMPT_CHARACTERS = 400
-/** The fault comes after this share of the measured time. */
+/** The fault is injected after this share of the measured time. */
 const FAULT_SHARE = 0.3
-/** A request is hit by the fault when it is an error or takes this many times the median before the fault. */
+/** A request is hit by the fault when it fails or takes more than this many times the median before the fault. */
 const HIT_FACTOR = 2.5
 
-/** Causes a loss and returns the agents that are lost. */
+/** Injects a fault and returns the agents that are lost. */
 type Fault = (fleet: BenchFleet) => Promise<BenchAgent[]> | BenchAgent[]
 
-/** One request after its end, for the time line of a loss. */
+/** A measured request after its end. */
 interface Seen {
   intendedMs: number
   durationMs: number
@@ -110,8 +110,8 @@
 
 /**
  * @param seen - requests of the run
- * @param faultMs - when the fault came
- * @returns how many requests were hit, and how long after the fault the last of them was due
+ * @param faultMs - when the fault was injected
+ * @returns how many requests were hit, and the time from the fault to the intended send time of the last of them
  */
 export function hitFigures (seen: readonly Seen[], faultMs: number): Figures {
   const before = seen.filter(request => request.intendedMs + request.durationMs < faultMs).map(request => request.durationMs).sort((left, right) => left - right)
@@ -122,7 +122,7 @@
   return { hitRequests: hit.length, lastHitAfterMs: lastMs - faultMs }
 }
 
-/** The endpoint outlives its agent in most of the faults, so its ledger shows the last request that still went there. */
+/** An endpoint keeps running after most of the faults of its agent, so its ledger shows the last request that it received. */
 async function lastStarts (fleet: BenchFleet, lost: readonly BenchAgent[], faultWallMs: number): Promise<Figures> {
   if (lost.length === 0) return {}
   const executions = await readExecutions(fleet)
--- a/packages/anvilarch-bench/src/experiments/mix.ts
+++ b/packages/anvilarch-bench/src/experiments/mix.ts
@@ -1,4 +1,4 @@
-/** Batch work beside online work that comes in bursts: what batch gets done, and what it does to the tail of online work. */
+/** Batch work beside bursts of online work: throughput of the batch work and its effect on the tail latency of online work. */
 import { sleep } from 'anvilarch-utils'
 import type { Execution } from 'anvilarch-standins'
 import { createJobClient, type JobItem } from '../clients/jobClient'
@@ -21,23 +21,23 @@
 const TOKENS = 24
 const PROMPT_CHARACTERS = 400
 const ENGINES = 3
-/** Gaps of seconds and bursts of more than half of what the engines carry. */
+/** Gaps of seconds between bursts of more than half of the capacity of the engines. */
 const PHASES = [{ durationMs: 3000, ratePerSecond: 3 }, { durationMs: 1500, ratePerSecond: 30 }]
 const PHASE_JITTER = 0.3
 const BURST_RATE = Math.max(...PHASES.map(phase => phase.ratePerSecond))
-/** Batch work has to make room within this time, so that what comes in it is hit the most. */
+/** Batch work has to free slots within this time; requests that arrive in it are affected the most. */
 const BURST_START_MS = 300
 const SLACK_SHARES = [50, 75, 90, 100]
-/** More than the engines finish in a run, so that batch work never runs out. */
+/** More than the engines complete in a run, so that there is always batch work. */
 const ITEMS_PER_SECOND = 80
 const MS_PER_SECOND = 1000
 const ONLINE_PREFIX = 'online-'
 const DEFAULT_VARIANT = 'slack 90'
 
-/** What the time is when a request is due. */
+/** Part of the load cycle in which a request is sent. */
 type Moment = 'gap' | 'burstStart' | 'burst'
 
-/** What runs beside the online work. */
+/** Batch work that runs beside the online work. */
 type BatchKind = 'none' | 'job' | 'as online'
 
 interface MixSettings extends Record<string, string | number | boolean> {
@@ -64,7 +64,7 @@
     for (const figures of round.values()) {
       if (!('batchItemsPerSecond' in figures)) continue
       figures.batchShareOfAlone = figures.batchItemsPerSecond / alone
-      // Items and online requests have the same tokens, so that a request takes the place of one item.
+      // Items and online requests have equally many tokens, so that each request displaces one item.
       if (online !== undefined) figures.batchShareOfSpare = figures.batchItemsPerSecond / (alone - online)
     }
   },
@@ -112,7 +112,7 @@
   })
 }
 
-/** Online work of the run; first tokens are also told by what the time was: a gap, the start of a burst, its rest. */
+/** Runs the online work. First-token times are also recorded by part of the load cycle: gap, start of a burst, rest of a burst. */
 async function runOnline (context: RunContext, session: FleetSession, arrivals: Arrivals): Promise<Required<VariantRun>> {
   const collector = createCollector()
   const firstTokens: Record<Moment, LatencyRecorder> = { gap: createLatencyRecorder(), burstStart: createLatencyRecorder(), burst: createLatencyRecorder() }
@@ -169,7 +169,7 @@
   'as online': floodAsOnline
 }
 
-/** Starts batch work and resolves, after the signal, with notes about it. */
+/** Starts batch work. The promise resolves after the signal, with notes about the batch work. */
 function startBatch (context: RunContext, session: FleetSession, kind: BatchKind, signal: AbortSignal): Promise<string[]> {
   return BATCH_KINDS[kind](context, session, signal).catch((error: Error) => [`batch: ${error.message}`])
 }
@@ -193,7 +193,7 @@
   }
 }
 
-/** Batch without priority: the same items as online requests, as many at a time as the engines have slots. */
+/** Batch work without priority: sends the items as online requests, as many at a time as the engines have slots. */
 async function floodAsOnline (context: RunContext, session: FleetSession, signal: AbortSignal): Promise<string[]> {
   const slots = QUARTER_ENGINE.slots * ENGINES
   let sent = 0
@@ -207,7 +207,7 @@
   return []
 }
 
-/** The trade-off that each user sets: batch throughput against the online tail. */
+/** @returns a plot of the trade-off that users configure: batch throughput against the tail latency of online work */
 function tradeOff (result: ExperimentResult): LinePlot {
   const baseline = result.variants.find(candidate => candidate.isBaseline)?.figures.firstTokenP99Ms
   const points = result.variants
--- a/packages/anvilarch-bench/src/experiments/mix/batchYield.ts
+++ b/packages/anvilarch-bench/src/experiments/mix/batchYield.ts
@@ -1,32 +1,32 @@
-/** How long batch work takes to make room after a burst of online work began, from the engines' own load. */
+/** Time that batch work takes to free slots after a burst of online work has begun, from the load reports of the engines. */
 import { type Clock, sleep } from 'anvilarch-utils'
 import { DEFAULT_ENGINE_OPTIONS, type EngineLoad, type Execution } from 'anvilarch-standins'
 import { getJson } from '../../harness/fleetCounters'
 import type { BenchFleet } from '../../harness/fleetTypes'
 
-/** Sequences at all engines together at one moment. */
+/** Sequences at all engines together at one time. */
 export interface LoadSample {
   wallMs: number
   sequences: number
 }
 
-/** A stretch of wall time. */
+/** An interval of wall time. */
 export interface WallRange {
   fromMs: number
   toMs: number
 }
 
 const SAMPLE_INTERVAL_MS = 25
-/** The burst is felt from its first requests; what remains of batch work after this share of the fall has made room. */
+/** Batch work has yielded when all but this share of its decrease in the burst has taken place. */
 const REMAINING_SHARE = 0.1
 
 /**
- * The load report of the stand-in engine is late by a known time, so each sample is dated back by it.
+ * Load reports of the stand-in engine lag by a known time, which is subtracted from the time of each sample.
  *
- * @param fleet - whose engines
- * @param clock - paces the samples
+ * @param fleet - fleet with the engines
+ * @param clock - times the samples
  * @param signal - ends the sampling
- * @returns the samples, when the signal was given
+ * @returns the samples, after the signal
  */
 export async function sampleEngineLoads (fleet: BenchFleet, clock: Clock, signal: AbortSignal): Promise<LoadSample[]> {
   const samples: LoadSample[] = []
@@ -41,10 +41,10 @@
 }
 
 /**
- * @param bursts - when online work came in bursts
- * @param samples - sequences of both kinds
+ * @param bursts - bursts of online work
+ * @param samples - sequences of online and batch work
  * @param online - executions of online work
- * @returns for each burst before which batch work ran, the time from its start until batch work had made room
+ * @returns for each burst before which batch work ran, the time from its start until batch work had yielded
  */
 export function yieldTimes (bursts: readonly WallRange[], samples: readonly LoadSample[], online: readonly Execution[]): number[] {
   const batch = samples.map(sample => ({ wallMs: sample.wallMs, count: Math.max(0, sample.sequences - runningAt(online, sample.wallMs)) }))
--- a/packages/anvilarch-bench/src/experiments/overhead.ts
+++ b/packages/anvilarch-bench/src/experiments/overhead.ts
@@ -1,4 +1,4 @@
-/** What gateway and agent add to a direct call of the endpoint: time, processor time and calls a second per core. */
+/** Overhead of gateway and agent over direct requests to the endpoint: latency, CPU time and requests a second per core. */
 import { sleep } from 'anvilarch-utils'
 import { type Callers, createCallers, latencyFigures, loadNotes, promptText, runLoad } from '../harness/fleetLoad'
 import type { BenchFleet } from '../harness/fleetTypes'
@@ -11,12 +11,12 @@
 
 const LOOKUPS_PER_SECOND = 150
 const CHATS_PER_SECOND = 12
-/** Some 20 streams at a time on one endpoint: tokens of many streams then come in the same step, as they do at the peak. */
+/** About 20 concurrent streams on one endpoint: as at the peak, tokens of many streams then arrive in the same step. */
 const DENSE_CHATS_PER_SECOND = 45
 const CHAT_TOKENS = 24
 const PROMPT_CHARACTERS = 400
 const IDLE_MS = 2000
-/** Lookups, chats and dense chats run one after the other. */
+/** Lookups, chats and dense chats run in sequence. */
 const STRETCHES = 3
 const MS_PER_SECOND = 1000
 
@@ -117,7 +117,7 @@
   }
 }
 
-/** CPU time that gateways and agents use while something goes on. */
+/** @returns the CPU time that gateways and agents use while `during` runs */
 async function cpuOfRoles (context: RunContext, fleet: BenchFleet, during: () => Promise<void>): Promise<RoleCpu> {
   const pids: Record<string, number> = {}
   for (const gateway of fleet.gateways) pids[`gateway ${gateway.name}`] = gateway.pid
--- a/packages/anvilarch-bench/src/experiments/overload.ts
+++ b/packages/anvilarch-bench/src/experiments/overload.ts
@@ -1,4 +1,4 @@
-/** More requests than the endpoints carry: goodput, refusals and retries from half to three times the capacity. */
+/** Load beyond the capacity of the endpoints: goodput, refusals and retries from half to three times the capacity. */
 import { metricGrowth, readMetrics } from '../harness/fleetCounters'
 import { latencyFigures, loadNotes, promptText, runLoad } from '../harness/fleetLoad'
 import type { Experiment, RunContext, Variant, VariantRun } from '../harness/types'
@@ -13,7 +13,7 @@
 const PROMPT_CHARACTERS = 400
 const DEADLINE_MS = 3000
 const FACTORS = [1, 0.5, 0.8, 1.5, 2, 3]
-/** Steady rate at which engines of this size are full, from the stand-in's own step time; rounded down. */
+/** Rate at which engines of this size are full, calculated from the step time of the stand-in and rounded down. */
 const CAPACITY_PER_SECOND = 34
 const MS_PER_SECOND = 1000
 
@@ -46,7 +46,7 @@
     const { timesMs } = createArrivals(steadyArrivals(CAPACITY_PER_SECOND * factor, context.warmUpMs + context.durationMs), context.random)
     const before = await readMetrics(fleet.gateways)
     const fromMs = context.clock.nowMs() + context.warmUpMs
-    // Counted by when they ended: what was queued at the end of the run and is worked off afterwards is no throughput of it.
+    // Counted by end time: requests that were queued at the end of the run and complete afterwards are not part of its throughput.
     let good = 0
     let late = 0
     const loop = await runLoad(context, {
--- a/packages/anvilarch-bench/src/experiments/placement.ts
+++ b/packages/anvilarch-bench/src/experiments/placement.ts
@@ -1,11 +1,11 @@
-/** What the weights of the placement are worth: the daemon's own decisions against modelled engines and bursts. */
+/** Effect of the placement weights: the placement code of the daemon in a simulation of engines and bursts. */
 import { DEFAULT_PLACEMENT_WEIGHTS, type PlacementWeights } from 'anvilarch-serving'
 import type { Experiment, RunContext, Variant, VariantRun } from '../harness/types'
 import { playFleetModel } from '../model/fleetModel'
 import type { FleetModelOptions } from '../model/types'
 import { barsByFigure } from '../plots/resultPlots'
 
-/** A fleet whose slots are nearly all taken in bursts, with batch work for a third of the slots. */
+/** A fleet in which bursts take nearly all slots, with batch work for a third of the slots. */
 export const BURSTS: Omit<FleetModelOptions, 'seed' | 'weights' | 'durationMs'> = {
   gateways: 9,
   engines: 13,
--- a/packages/anvilarch-bench/src/harness/__tests__/harness.test.ts
+++ b/packages/anvilarch-bench/src/harness/__tests__/harness.test.ts
@@ -53,7 +53,7 @@
     expect(result.aims[0]).toMatchObject({ verdict: 'missed', measured: 2 })
   })
 
-  test('keeps a failed run with its reason and goes on', async () => {
+  test('records a failed run with its error and continues', async () => {
     const { result } = await runSample()
     expect(result.variants[2].runs.map(failed => failed.error)).toEqual(['no fleet <here>', 'no fleet <here>'])
     expect(result.variants[2].figures).toEqual({})
@@ -61,21 +61,21 @@
 })
 
 describe('summariseFigures', () => {
-  test('pairs rounds by number and leaves out rounds in which one side failed', () => {
+  test('pairs rounds by number and omits rounds in which either run failed', () => {
     const summary = summariseFigures([run(0, { a: 4 }), run(2, { a: 9 })], [run(0, { a: 2 }), run(1, { a: 1 }), run(2, {})])
     expect(summary.a).toEqual({ median: 6.5, min: 4, max: 9, count: 2, ratio: { median: 2, min: 2, max: 2, count: 1 } })
   })
 })
 
 describe('judgeAim', () => {
-  test('does not call a figure met that was never measured', () => {
+  test('does not report an aim as met without a measured figure', () => {
     const aim = { text: '', variant: 'x', figure: 'a', compare: 'value', bound: 'at_least', limit: 1 } as const
     expect(judgeAim(aim, []).verdict).toBe('not_measured')
   })
 })
 
 describe('summaryTable', () => {
-  test('shows median, range and ratio, and a dash where nothing was measured', async () => {
+  test('shows median, range and ratio, and a dash without a measured figure', async () => {
     const { result } = await runSample()
     expect(summaryTable(result)).toContain('×2')
     expect(figureText(undefined)).toBe('–')
@@ -84,7 +84,7 @@
 })
 
 describe('writeReport', () => {
-  test('puts plots, failed runs and the command on one page without links to the network', async () => {
+  test('writes plots, failed runs and the command to one page without external links', async () => {
     const { result, directory } = await runSample()
     const files = await writeResult(directory, result, experiment.plots(result))
     expect(files).toEqual(['sample.json', 'sample-time.svg'])
@@ -99,7 +99,7 @@
 })
 
 describe('describeEvents', () => {
-  test('orders events of several processes and counts from the first', () => {
+  test('orders events of several processes, with times relative to the first', () => {
     const events = [{ atMs: 1020, process: 'agent-1', event: 'started' }, { atMs: 1000, process: 'gateway-1', event: 'received', detail: { class: 'online' } }]
     expect(describeEvents(events)).toBe('+0 gateway-1 received (class online), +20 agent-1 started')
   })
--- a/packages/anvilarch-bench/src/harness/fleetCounters.ts
+++ b/packages/anvilarch-bench/src/harness/fleetCounters.ts
@@ -1,4 +1,4 @@
-/** Counters of a fleet before and after a measurement: metrics of daemons, ledgers of stand-ins. */
+/** Reads counters of a fleet: metrics of the daemons and ledgers of the stand-ins. */
 import type { EngineLedger, ObjectLedger, TableLedger } from 'anvilarch-standins'
 import { request } from 'undici'
 import { type MetricSample, parseMetrics, sumMetric } from '../sampling/metricsReader'
@@ -14,8 +14,8 @@
 }
 
 /**
- * @param daemons - processes to ask
- * @returns the metrics of all of them together; one that is gone is left out
+ * @param daemons - daemons to read from
+ * @returns the metrics of all of them; daemons that do not respond are omitted
  */
 export async function readMetrics (daemons: readonly BenchDaemon[]): Promise<MetricSample[]> {
   const pages = await Promise.all(daemons.map(async daemon => {
@@ -28,7 +28,7 @@
   return pages.flatMap(parseMetrics)
 }
 
-/** Work that the platform's stand-ins did. */
+/** Calls that the stand-ins of the platform served. */
 export interface PlatformCounts {
   tableReads: number
   tableScans: number
@@ -39,7 +39,7 @@
 }
 
 /**
- * @param fleet - whose platform
+ * @param fleet - fleet with the platform
  * @returns calls since the stand-ins started
  */
 export async function readPlatformCounts (fleet: Pick<BenchFleet, 'table' | 'objects'>): Promise<PlatformCounts> {
@@ -66,8 +66,9 @@
 }
 
 /**
- * @param fleet - whose endpoints
- * @returns executions at each model endpoint, by the name of the endpoint; one that is gone is left out
+ * @param fleet - fleet with the endpoints
+ * @param kind - kind of endpoints to read
+ * @returns the executions by name of the endpoint; endpoints that do not respond are omitted
  */
 export async function readExecutions (fleet: BenchFleet, kind: 'model' | 'plain' = 'model'): Promise<Map<string, EngineLedger['executions']>> {
   const found = new Map<string, EngineLedger['executions']>()
@@ -83,7 +84,7 @@
  * @param after - metrics at the end
  * @param name - of a counter
  * @param labels - that must match
- * @returns by how much it grew
+ * @returns its increase
  */
 export function metricGrowth (before: readonly MetricSample[], after: readonly MetricSample[], name: string, labels?: Record<string, string>): number {
   return sumMetric(after, name, labels) - sumMetric(before, name, labels)
--- a/packages/anvilarch-bench/src/harness/fleetLoad.ts
+++ b/packages/anvilarch-bench/src/harness/fleetLoad.ts
@@ -1,4 +1,4 @@
-/** Load on a fleet: connections to its gateways, prompts, and the figures of an open loop. */
+/** Load on a fleet: connections to its gateways, prompts, and the figures of an open-loop run. */
 import type { Clock, Random } from 'anvilarch-utils'
 import { expectedText } from 'anvilarch-standins'
 import { Agent } from 'undici'
@@ -10,7 +10,7 @@
 import type { LatencyRecorder } from '../statistics/latencyRecorder'
 import type { Figures, RunContext } from './types'
 
-/** Callers of a fleet, or of an endpoint directly. */
+/** Clients of a fleet, or of an endpoint without gateways. */
 export interface Callers {
   chat: (request: Omit<ChatRequest, 'model'>, signal?: AbortSignal) => Promise<Answer>
   lookup: (requestId: string, signal?: AbortSignal) => Promise<Answer>
@@ -20,21 +20,21 @@
 /** Options of `createCallers`. */
 export interface CallersOptions {
   clock: Clock
-  /** Addresses that take requests in turn, as a balancer would. */
+  /** Addresses that receive requests in turn, as from a load balancer. */
   origins: readonly string[]
   model: string
   /** Prefix of the path of lookups: `/services/<service>` at a gateway, empty at an endpoint. */
   lookupPrefix: string
 }
 
-/** Connections to one address; enough that no request waits for a free one. */
+/** Connections to one address; so many that no request waits for one. */
 const MAX_CONNECTIONS = 2000
-/** No request of an experiment may take longer, so that a hang is found and told. */
+/** Longer than any request of an experiment takes, so that a request that hangs is reported. */
 const BODY_TIMEOUT_MS = 60_000
 
 /**
  * @param options - addresses and names
- * @returns callers that send to the addresses in turn
+ * @returns clients that send to the addresses in turn
  */
 export function createCallers (options: CallersOptions): Callers {
   const { clock, origins } = options
@@ -51,13 +51,13 @@
   }
 }
 
-/** Words of prompts; their sense does not matter, their length and their shared starts do. */
+/** Words of prompts. Only the length and the shared prefixes of prompts matter. */
 const PROMPT_WORDS = ['transfer', 'renewal', 'registrant', 'storefront', 'dispute', 'listing', 'market', 'review', 'hold', 'name']
 
 /**
  * @param random - chooses the words
  * @param characters - length of the text
- * @param start - text to begin with, for prompts that share a prefix
+ * @param start - prefix of the text, for prompts that share one
  * @returns a prompt
  */
 export function promptText (random: Random, characters: number, start = ''): string {
@@ -66,7 +66,7 @@
   return text.slice(0, Math.max(characters, start.length))
 }
 
-/** A stream of requests to be run by `runLoad`. */
+/** Requests to be sent by `runLoad`. */
 export interface LoadOptions {
   timesMs: number[]
   send: (shot: Shot) => Promise<Answer>
@@ -79,8 +79,8 @@
 
 /**
  * @param context - of the run
- * @param options - times, what to send and where to count it
- * @returns what the loop saw
+ * @param options - send times, what to send and the collector of results
+ * @returns counts of the loop
  */
 export async function runLoad (context: RunContext, options: LoadOptions): Promise<OpenLoopResult> {
   return await runOpenLoop({
@@ -94,7 +94,7 @@
 }
 
 /**
- * @param name - start of the names
+ * @param name - prefix of the names of the figures
  * @param recorder - distribution
  * @returns its percentiles as figures
  */
@@ -112,9 +112,9 @@
 
 /**
  * @param name - of the class of work
- * @param collector - its answers
- * @param loop - what the loop saw
- * @returns notes about everything that was not a right answer, and about a bench that was too slow
+ * @param collector - its results
+ * @param loop - counts of the loop
+ * @returns notes about all requests that were not completed, and about sends that the bench delayed
  */
 export function loadNotes (name: string, collector: Collector, loop: OpenLoopResult): string[] {
   const { completed, ...others } = collector.outcomes
@@ -128,5 +128,5 @@
   return notes
 }
 
-/** A send that is this late is worth a note; latency counts it in any case. */
+/** A larger delay of a send is reported in a note; latencies include the delay in any case. */
 const SLOW_SEND_MS = 50
--- a/packages/anvilarch-bench/src/harness/fleetTypes.ts
+++ b/packages/anvilarch-bench/src/harness/fleetTypes.ts
@@ -1,27 +1,27 @@
-/** The local fleet as experiments see it. */
+/** The local fleet that experiments run on. */
 import type { AgentSettings, ConfigurationDocument, GatewaySettings } from 'anvilarch-configuration'
 import type { EngineOptions, Fleet, FleetOptions } from 'anvilarch-standins'
 
-/** How large a fleet is, and how it is set. */
+/** Size and settings of a fleet. */
 export interface BenchFleetOptions {
   gateways: number
-  /** Model endpoints, with an agent each. */
+  /** Model endpoints, each with its own agent. */
   models: number
-  /** Plain endpoints, with an agent each. */
+  /** Plain endpoints, each with its own agent. */
   plains: number
   engine?: Partial<EngineOptions>
-  /** Time that a plain endpoint takes for one call. */
+  /** Time that a plain endpoint takes for one request. */
   plainServiceMs?: number
   failureDomains?: string[]
   gateway?: Partial<GatewaySettings>
   agent?: Partial<Omit<AgentSettings, 'endpoints'>>
   /** Changes the document before it is applied. */
   document?: (document: BenchDocument) => void
-  /** Changes the settings of a daemon, for example to put a relay before the platform. */
+  /** Changes the settings of a daemon, for example to connect it to the platform through a relay. */
   adjustSettings?: FleetOptions['adjustSettings']
 }
 
-/** The document of the bench's fleets; fields that it leaves out get the defaults of the system. */
+/** Configuration document of the fleets; omitted fields get the defaults of the system. */
 export interface BenchDocument {
   formatVersion: 1
   regions: ConfigurationDocument['regions']
@@ -68,10 +68,10 @@
   hosts: BenchPlatform
   /** Service names of the document. */
   services: { model: string, plain: string }
-  /** What requests name as `model`. */
+  /** Value of the field `model` of requests. */
   model: string
   document: BenchDocument
-  /** The fleet itself, for kills, faults and the list of hosts. */
+  /** The underlying fleet, for kills, faults and the host list. */
   local: Fleet
   stop: () => Promise<void>
 }
--- a/packages/anvilarch-bench/src/harness/formatFigure.ts
+++ b/packages/anvilarch-bench/src/harness/formatFigure.ts
@@ -1,8 +1,8 @@
-/** How figures are written for people. */
+/** Formats figures for display. */
 
 /**
  * @param value - a figure
- * @returns it with three significant digits, or as a whole number when it is large
+ * @returns the value with three significant digits, or as an integer from 1000 up
  */
 export function formatFigure (value: number): string {
   if (!Number.isFinite(value)) return '–'
--- a/packages/anvilarch-bench/src/harness/openFleet.ts
+++ b/packages/anvilarch-bench/src/harness/openFleet.ts
@@ -1,36 +1,36 @@
-/** Starts a local fleet for one run, puts a document in force and waits until every endpoint takes work. */
+/** Starts a local fleet for one run, applies a document and waits until every endpoint is ready for work. */
 import type { Clock } from 'anvilarch-utils'
 import { applyDocument, type Fleet, type FleetProcess, startFleet, waitFor } from 'anvilarch-standins'
 import { getJson } from './fleetCounters'
 import type { BenchAgent, BenchDocument, BenchFleet, BenchFleetOptions, BenchGateway } from './fleetTypes'
 import type { RunContext } from './types'
 
-/** Names in the document of the bench. */
+/** Names in the configuration document of the bench. */
 export const BENCH_NAMES = { model: 'bench-model', version: '1.0', modelService: 'assistant', plainService: 'lookup', region: 'local' } as const
 
 const DEFAULT_FAILURE_DOMAINS = ['domain-a', 'domain-b']
-/** Loading weights is no part of the measurements. */
+/** Short transfers: the time to load weights is not measured. */
 const QUICK_WEIGHTS = { maxConcurrent: 8, transferMs: 20 }
 const READY_TIMEOUT_MS = 30_000
-/** Limits that no experiment reaches: what is measured are the limits of the endpoints and the daemons. */
+/** Limits that no experiment reaches, since only the limits of endpoints and daemons are measured. */
 const WIDE_CALLER = { requestsPerSecond: 1_000_000, burst: 1_000_000, maxConcurrent: 100_000, maxActiveJobs: 1000 }
 
 const openFleets = new Set<Fleet>()
 
-/** Stops the fleets of a run that is broken off; their processes would stay behind otherwise. */
+/** Stops the fleets of an interrupted run, whose processes would otherwise keep running. */
 export async function stopOpenFleets (): Promise<void> {
   await Promise.all([...openFleets].map(fleet => fleet.stop()))
 }
 
-/** The part of `GET /admin/v1/status` that the bench reads. */
+/** The fields of `GET /admin/v1/status` that the bench reads. */
 interface StatusView {
   agents: Array<{ name: string, state: string, endpoints: Array<{ kind: string, health: string, service: string, models: Array<{ state: string }> }> }>
 }
 
 /**
- * @param context - of the run; files of the fleet go to its folder
+ * @param context - of the run; files of the fleet are written to its folder
  * @param options - size and settings
- * @returns the fleet, taking work
+ * @returns the fleet, ready for work
  */
 export async function openFleet (context: Pick<RunContext, 'clock' | 'directory'>, options: BenchFleetOptions): Promise<BenchFleet> {
   const failureDomains = options.failureDomains ?? DEFAULT_FAILURE_DOMAINS
@@ -70,7 +70,7 @@
   openFleets.delete(local)
 }
 
-/** A gateway that sees only some endpoints would load those alone, and a run would start lopsided. */
+/** Waits until the gateway lists all endpoints as ready. Otherwise a run would start with the load on some of them only. */
 async function waitForEndpoints (clock: Clock, gateway: BenchGateway, count: number): Promise<void> {
   await waitFor(async () => {
     const status = await getJson<StatusView>(`${gateway.origin}/admin/v1/status`)
--- a/packages/anvilarch-bench/src/harness/resultStore.ts
+++ b/packages/anvilarch-bench/src/harness/resultStore.ts
@@ -1,17 +1,17 @@
-/** Keeps the latest result of each experiment as JSON, with its plots beside it. */
+/** Stores the latest result of each experiment as JSON, with its plots as SVG files. */
 import { mkdir, readdir, readFile, writeFile } from 'node:fs/promises'
 import { join } from 'node:path'
 import { renderPlot } from '../plots/renderPlot'
 import type { Plot } from '../plots/types'
 import type { ExperimentResult } from './types'
 
-/** Where results go, from the root of the repository. */
+/** Default folder of results, relative to the root of the repository. */
 export const DEFAULT_RESULT_DIRECTORY = 'docs/measurements'
 
 /**
- * @param directory - where to write
- * @param result - what was measured
- * @param plots - to be drawn beside it
+ * @param directory - folder to write to
+ * @param result - result to store
+ * @param plots - plots of the result
  * @returns the names of the files
  */
 export async function writeResult (directory: string, result: ExperimentResult, plots: readonly Plot[]): Promise<string[]> {
@@ -27,8 +27,8 @@
 }
 
 /**
- * @param directory - where results were written
- * @returns the results by experiment; files of other kinds are left out
+ * @param directory - folder of results
+ * @returns the results by experiment; other files are ignored
  */
 export async function readResults (directory: string): Promise<Map<string, ExperimentResult>> {
   const results = new Map<string, ExperimentResult>()
--- a/packages/anvilarch-bench/src/harness/runExperiment.ts
+++ b/packages/anvilarch-bench/src/harness/runExperiment.ts
@@ -1,4 +1,4 @@
-/** Runs the variants of an experiment in turn, round by round, and adds up what they gave. */
+/** Runs the variants of an experiment in turn, round by round, and summarises their figures. */
 import { mkdir, rm } from 'node:fs/promises'
 import { cpus, loadavg, totalmem } from 'node:os'
 import { join } from 'node:path'
@@ -7,10 +7,10 @@
 import { judgeAim, summariseFigures } from './summarise'
 import type { Environment, Experiment, ExperimentResult, Figures, RecordedRun, RunOptions, Variant, VariantResult } from './types'
 
-/** What the runner needs besides the experiment. */
+/** Options of `runExperiment`. */
 export interface RunnerOptions extends RunOptions {
   clock: Clock
-  /** Folder for files of the runs; each run gets an empty one within it. */
+  /** Folder for files of the runs; each run gets an empty subfolder. */
   directory: string
   /** Commit of the code that is measured. */
   commit: string
@@ -20,13 +20,13 @@
 }
 
 const MS_PER_SECOND = 1000
-/** Seeds of two rounds lie this far apart. */
+/** Difference between the seeds of consecutive rounds. */
 const ROUND_SEED_STEP = 7919
 
 /**
- * @param experiment - what to run
- * @param options - size, clock and where files go
- * @returns all runs, also those that failed, with their summary
+ * @param experiment - experiment to run
+ * @param options - size, clock and folder
+ * @returns all runs, including failed ones, with their summary
  */
 export async function runExperiment (experiment: Experiment, options: RunnerOptions): Promise<ExperimentResult> {
   const variants = experiment.variants(options)
@@ -60,7 +60,7 @@
   return new Map([...recorded].map(([name, runs]) => [name, runs.find(run => run.round === round)?.figures ?? {}]))
 }
 
-/** A run that fails is kept with its reason; the others go on, and the report calls the experiment partial. */
+/** A run that fails is recorded with its error, and the remaining runs continue. */
 async function runOnce (experiment: Experiment, variant: Variant, round: number, options: RunnerOptions): Promise<RecordedRun> {
   const directory = join(options.directory, `${experiment.name}-${round}-${variant.name.replaceAll(/\W+/g, '_')}`)
   await rm(directory, { recursive: true, force: true })
@@ -96,7 +96,7 @@
   return { name: variant.name, isBaseline, settings: variant.settings, runs, figures }
 }
 
-/** Each round starts with another variant, so that none always runs on a machine that another one has warmed up. */
+/** Rotates the order by round, so that no variant always runs on a host that the same other variant has warmed up. */
 function rotate<Item> (items: readonly Item[], by: number): Item[] {
   const start = by % items.length
   return [...items.slice(start), ...items.slice(0, start)]
--- a/packages/anvilarch-bench/src/harness/slowestRequest.ts
+++ b/packages/anvilarch-bench/src/harness/slowestRequest.ts
@@ -1,20 +1,20 @@
-/** The time line of the slowest request of a run, so that a reader of the figures sees where its time went. */
+/** Reports the timeline of the slowest request of a run, which shows where its time was spent. */
 import type { TimelineEvent } from 'anvilarch-protocol'
 import { getJson } from './fleetCounters'
 import type { BenchFleet } from './fleetTypes'
 
-/** Keeps the id of the slowest request. */
+/** Records the slowest request. */
 export interface SlowestRequest {
   note: (requestId: string, durationMs: number) => void
-  /** @returns its events over all daemons, with times from the first of them; undefined when nothing was noted */
+  /** @returns its events from all daemons, with times relative to the first; undefined when no request was recorded */
   describe: (fleet: BenchFleet) => Promise<string | undefined>
 }
 
-/** Attempts last about this long, so that most of those that run have been accepted within it. */
+/** Typical duration of an attempt: most attempts that are running were accepted within this time. */
 const BEFORE_MS = 1500
 const MAX_EVENTS = 10_000
 
-/** @returns a keeper that has seen nothing yet */
+/** @returns a recorder without a request */
 export function createSlowestRequest (): SlowestRequest {
   let slowest: { requestId: string, durationMs: number } | undefined
   return {
@@ -32,15 +32,15 @@
 }
 
 /**
- * @param events - of one request, from any daemons of this host
- * @returns them in order, with times from the first
+ * @param events - events of one request, from daemons of this host
+ * @returns the events in order, with times relative to the first
  */
 export function describeEvents (events: ReadonlyArray<Pick<TimelineEvent, 'atMs' | 'process' | 'event' | 'detail'>>): string {
   const sorted = [...events].sort((left, right) => left.atMs - right.atMs)
   return sorted.map(({ atMs, process, event, detail }) => `+${(atMs - sorted[0].atMs).toFixed(0)} ${process} ${event}${describeDetail(detail)}`).join(', ')
 }
 
-/** What else went on at the agent while the request waited for its first token. */
+/** Counts the other events at the agent while the request waited for its first token. */
 async function describeMeanwhile (fleet: BenchFleet, events: readonly TimelineEvent[]): Promise<string> {
   const accepted = events.find(event => event.event === 'attempts.accepted')
   const agent = fleet.agents.find(candidate => candidate.name === accepted?.process)
@@ -51,8 +51,8 @@
 }
 
 /**
- * @param events - of one agent
- * @returns how many there were of each kind, by class of work as far as it is known
+ * @param events - events of one agent
+ * @returns the number of events of each kind, by class of work where it is known
  */
 export function countEvents (events: ReadonlyArray<Pick<TimelineEvent, 'event' | 'attemptId' | 'detail'>>): string {
   const classes = new Map(events.filter(event => event.detail?.class !== undefined).map(event => [event.attemptId, String(event.detail?.class)]))
--- a/packages/anvilarch-bench/src/harness/summarise.ts
+++ b/packages/anvilarch-bench/src/harness/summarise.ts
@@ -1,11 +1,11 @@
-/** Medians, ratios and verdicts over the runs of an experiment. */
+/** Calculates medians, ratios and verdicts from the runs of an experiment. */
 import { ratioSpread, spreadOf } from '../statistics/spread'
 import type { Aim, AimResult, FigureSummary, RecordedRun, VariantResult } from './types'
 
 /**
  * @param runs - runs of a variant
  * @param baseline - runs of the baseline; undefined for the baseline itself
- * @returns each figure over all rounds
+ * @returns the summary of each figure over all rounds
  */
 export function summariseFigures (runs: readonly RecordedRun[], baseline?: readonly RecordedRun[]): Record<string, FigureSummary> {
   const names = new Set(runs.flatMap(run => Object.keys(run.figures)))
@@ -18,9 +18,9 @@
 }
 
 /**
- * @param aim - what a figure should be
- * @param variants - what was measured
- * @returns the verdict on the median
+ * @param aim - required bound of a figure
+ * @param variants - measured variants
+ * @returns the aim with its verdict, by the median
  */
 export function judgeAim (aim: Aim, variants: readonly VariantResult[]): AimResult {
   const summary = variants.find(variant => variant.name === aim.variant)?.figures[aim.figure]
@@ -34,7 +34,7 @@
   return runs.filter(run => figure in run.figures).map(run => run.figures[figure])
 }
 
-/** A round in which either of the two failed gives no ratio. */
+/** Rounds in which either run failed are omitted. */
 function pairedRatio (runs: readonly RecordedRun[], baseline: readonly RecordedRun[], figure: string): ReturnType<typeof ratioSpread> {
   const pairs = runs.flatMap(run => {
     const other = baseline.find(candidate => candidate.round === run.round)
--- a/packages/anvilarch-bench/src/harness/summaryTable.ts
+++ b/packages/anvilarch-bench/src/harness/summaryTable.ts
@@ -1,11 +1,11 @@
-/** The table that a bench run prints. */
+/** Renders the table that a bench run prints. */
 import Table from 'cli-table3'
 import { formatFigure } from './formatFigure'
 import type { AimResult, ExperimentResult, FigureSummary } from './types'
 
 /**
- * @param result - what was measured
- * @returns the summary figures as text: median (min to max), and the ratio to the baseline
+ * @param result - result of an experiment
+ * @returns a table of the summary figures: median (min to max) and ratio to the baseline
  */
 export function summaryTable (result: ExperimentResult): string {
   const table = new Table({ head: ['figure', ...result.variants.map(variant => variant.name + (variant.isBaseline ? ' (baseline)' : ''))], style: { head: [], border: [] } })
@@ -17,8 +17,8 @@
 }
 
 /**
- * @param figure - over all rounds
- * @returns for example `12 (11 to 14) ×1.2`
+ * @param figure - summary over all rounds
+ * @returns text such as `12 (11 to 14) ×1.2`
  */
 export function figureText (figure: FigureSummary | undefined): string {
   if (figure === undefined || figure.count === 0) return '–'
@@ -28,8 +28,8 @@
 }
 
 /**
- * @param aim - with its verdict
- * @returns one line
+ * @param aim - aim with its verdict
+ * @returns one line of text
  */
 export function aimText (aim: AimResult): string {
   const measured = aim.measured === undefined ? 'not measured' : `measured ${aim.compare === 'ratio' ? '×' : ''}${formatFigure(aim.measured)}`
--- a/packages/anvilarch-bench/src/harness/types.ts
+++ b/packages/anvilarch-bench/src/harness/types.ts
@@ -1,24 +1,24 @@
-/** What an experiment is: variants of settings of the same code, the figures each run gives, and what they should be. */
+/** Types of experiments: variants of settings, the figures of each run, and the aims that figures should meet. */
 import type { Clock, Random } from 'anvilarch-utils'
 import type { Spread } from '../statistics/spread'
 import type { Plot } from '../plots/types'
 
-/** Named figures of one run. Each name ends with its unit. */
+/** Figures of one run by name. Each name ends with its unit. */
 export type Figures = Record<string, number>
 
-/** How large a run is. */
+/** Size of a run. */
 export interface RunOptions {
   seed: number
-  /** Rounds; in each one every variant runs once. */
+  /** Rounds; each runs every variant once. */
   runs: number
   /** Measured time of one run of one variant. */
   seconds: number
 }
 
-/** What one run of one variant is given. */
+/** Context of one run of one variant. */
 export interface RunContext {
   clock: Clock
-  /** Drawn from seed and round, so that all variants of a round see the same arrivals. */
+  /** Seeded by seed and round, so that all variants of a round get the same arrivals. */
   random: Random
   round: number
   /** Measured time, without warm-up. */
@@ -30,32 +30,32 @@
   log: (line: string) => void
 }
 
-/** What one run gave. */
+/** Result of one run. */
 export interface VariantRun {
   figures: Figures
-  /** What a reader has to know to read the figures, for example errors that were seen. */
+  /** Remarks needed to interpret the figures, for example errors. */
   notes?: string[]
 }
 
-/** One way to set the system, or an ideal to compare with. */
+/** One configuration of the system, or an ideal to compare with. */
 export interface Variant {
   name: string
   settings: Record<string, string | number | boolean>
   run: (context: RunContext) => Promise<VariantRun>
 }
 
-/** What a figure should be, alone or against the baseline. */
+/** Required bound of a figure, absolute or relative to the baseline. */
 export interface Aim {
   text: string
   variant: string
   figure: string
-  /** `ratio`: against the baseline of the same round; `value`: as it is. */
+  /** `ratio`: relative to the baseline of the same round; `value`: absolute. */
   compare: 'ratio' | 'value'
   bound: 'at_most' | 'at_least'
   limit: number
 }
 
-/** A question that runs answer. */
+/** A question about the system that a set of runs answers. */
 export interface Experiment {
   name: string
   question: string
@@ -63,15 +63,15 @@
   warmUpMs: number
   /** The first one is the baseline. */
   variants: (options: RunOptions) => Variant[]
-  /** Adds figures that need more than one variant, after all variants of a round have run. */
+  /** Adds figures that are derived from several variants, after all variants of a round have run. */
   derive?: (round: ReadonlyMap<string, Figures>) => void
   aims: Aim[]
-  /** Figures for the summary table, in order; others are kept in the file only. */
+  /** Figures of the summary table, in order; other figures are only written to the result file. */
   summary: string[]
   plots: (result: ExperimentResult) => Plot[]
 }
 
-/** A run as it is kept; `error` says why there are no figures. */
+/** A recorded run; `error` is the reason why a failed run has no figures. */
 export interface RecordedRun extends VariantRun {
   round: number
   loadAverage: number
@@ -80,11 +80,11 @@
 
 /** A figure over all rounds. */
 export interface FigureSummary extends Spread {
-  /** Against the baseline, round by round; absent for the baseline itself. */
+  /** Ratio to the baseline of the same round; absent for the baseline itself. */
   ratio?: Spread
 }
 
-/** A variant as it is kept. */
+/** Recorded runs and summary of a variant. */
 export interface VariantResult {
   name: string
   isBaseline: boolean
@@ -93,13 +93,13 @@
   figures: Record<string, FigureSummary>
 }
 
-/** What an aim came to. `not_measured`: no run gave the figure. */
+/** An aim with its verdict. `not_measured`: no run has the figure. */
 export interface AimResult extends Aim {
   measured?: number
   verdict: 'met' | 'missed' | 'not_measured'
 }
 
-/** Where and when the runs were made. */
+/** Host, time and commit of the runs. */
 export interface Environment {
   startedAt: string
   endedAt: string
@@ -112,7 +112,7 @@
   loadAverageAfter: number
 }
 
-/** The file of an experiment. */
+/** Content of the result file of an experiment. */
 export interface ExperimentResult extends RunOptions {
   formatVersion: 1
   experiment: string
--- a/packages/anvilarch-bench/src/harness/withFleet.ts
+++ b/packages/anvilarch-bench/src/harness/withFleet.ts
@@ -1,10 +1,10 @@
-/** Runs something on a fleet of its own and frees the fleet whatever happens. */
+/** Starts a fleet for one measurement and stops it in any case. */
 import { openFleet } from './openFleet'
 import { type Callers, createCallers } from './fleetLoad'
 import type { BenchFleet, BenchFleetOptions } from './fleetTypes'
 import type { RunContext, VariantRun } from './types'
 
-/** A fleet with callers at its gateways. */
+/** A fleet with clients of its gateways. */
 export interface FleetSession {
   fleet: BenchFleet
   callers: Callers
@@ -13,8 +13,8 @@
 /**
  * @param context - of the run
  * @param options - size and settings of the fleet
- * @param body - measures
- * @returns what the body returned
+ * @param body - measurement
+ * @returns the result of `body`
  */
 export async function withFleet (context: RunContext, options: BenchFleetOptions, body: (session: FleetSession) => Promise<VariantRun>): Promise<VariantRun> {
   const fleet = await openFleet(context, options)
--- a/packages/anvilarch-bench/src/index.ts
+++ b/packages/anvilarch-bench/src/index.ts
@@ -1,4 +1,4 @@
-/** Load, experiments, measurements and their report. */
+/** Load generation, clients, process sampling and statistics of the benchmarks. */
 export * from './clients/answer'
 export * from './clients/chatClient'
 export * from './clients/jobClient'
--- a/packages/anvilarch-bench/src/load/__tests__/openLoop.test.ts
+++ b/packages/anvilarch-bench/src/load/__tests__/openLoop.test.ts
@@ -2,7 +2,7 @@
 import { runOpenLoop, type Shot } from '../openLoop'
 
 describe('runOpenLoop', () => {
-  test('sends at the intended times although nothing was answered yet', async () => {
+  test('sends at the intended times while earlier requests are in progress', async () => {
     const clock = createFakeClock(1000)
     const sentAtMs: number[] = []
     const running = runOpenLoop({
@@ -20,7 +20,7 @@
     expect(await running).toMatchObject({ sent: 3, unfinished: 3 })
   })
 
-  test('hands the intended time to a request that goes out late', async () => {
+  test('passes the intended time to a request that is sent late', async () => {
     const clock = createFakeClock()
     const shots: Shot[] = []
     const running = runOpenLoop({
@@ -40,7 +40,7 @@
     expect(result).toMatchObject({ unfinished: 0, maxSendDelayMs: 29 })
   })
 
-  test('stops sending when it is told to', async () => {
+  test('stops sending when the signal is aborted', async () => {
     const clock = createFakeClock()
     const controller = new AbortController()
     const running = runOpenLoop({ clock, timesMs: [0, 10, 20], warmUpMs: 0, drainMs: 0, signal: controller.signal, send: async () => {} })
@@ -49,7 +49,7 @@
     expect((await running).sent).toBe(1)
   })
 
-  test('counts a client that throws as an error of the bench', async () => {
+  test('counts a rejected send as an error of the bench', async () => {
     const clock = createFakeClock()
     const running = runOpenLoop({ clock, timesMs: [0], warmUpMs: 0, drainMs: 0, send: async () => { throw new Error('fault') } })
     await clock.advanceAsync(5)
--- a/packages/anvilarch-bench/src/load/arrivals.ts
+++ b/packages/anvilarch-bench/src/load/arrivals.ts
@@ -1,7 +1,7 @@
-/** Seeded arrival times: a Poisson process whose rate follows a repeating cycle of phases. */
+/** Generates arrival times from a seed: a Poisson process whose rate follows a repeating cycle of phases. */
 import type { Random } from 'anvilarch-utils'
 
-/** A stretch of time with one mean rate. */
+/** A period with one mean rate. */
 export interface ArrivalPhase {
   durationMs: number
   ratePerSecond: number
@@ -9,21 +9,21 @@
 
 /** Options of `createArrivals`. */
 export interface ArrivalOptions {
-  /** Repeated until `durationMs` is filled. One phase gives a plain Poisson process. */
+  /** Repeated until `durationMs` is reached. One phase gives a homogeneous Poisson process. */
   phases: ArrivalPhase[]
   durationMs: number
-  /** Each phase lasts its duration plus or minus this share, so that nothing in the system can fall into step with it. */
+  /** Random variation of the duration of each phase, as a share, so that no period of the system synchronises with the cycle. */
   phaseJitterShare?: number
 }
 
-/** A phase as it was drawn, for reports that relate figures to bursts. */
+/** A generated phase, for reports that relate figures to bursts. */
 export interface DrawnPhase extends ArrivalPhase {
   startMs: number
 }
 
-/** What `createArrivals` draws. */
+/** Result of `createArrivals`. */
 export interface Arrivals {
-  /** Intended send times from the start of the run, ascending. */
+  /** Intended send times relative to the start of the run, ascending. */
   timesMs: number[]
   phases: DrawnPhase[]
 }
@@ -32,8 +32,8 @@
 
 /**
  * @param options - phases and length of the run
- * @param random - the same source gives the same times
- * @returns the intended send times and the phases they were drawn in
+ * @param random - source of random numbers; the same seed gives the same times
+ * @returns the intended send times and the generated phases
  */
 export function createArrivals (options: ArrivalOptions, random: Random): Arrivals {
   const phases = drawPhases(options, random)
@@ -45,7 +45,7 @@
 /**
  * @param ratePerSecond - mean rate
  * @param durationMs - length of the run
- * @returns options of a plain Poisson process
+ * @returns options of a homogeneous Poisson process
  */
 export function steadyArrivals (ratePerSecond: number, durationMs: number): ArrivalOptions {
   return { phases: [{ durationMs, ratePerSecond }], durationMs }
@@ -64,7 +64,7 @@
   return drawn
 }
 
-/** Gaps of a Poisson process are exponential and have no memory, so each phase can be drawn on its own. */
+/** Gaps of a Poisson process are exponential and memoryless, so each phase is generated independently. */
 function appendPoisson (timesMs: number[], phase: DrawnPhase, untilMs: number, random: Random): void {
   if (phase.ratePerSecond <= 0) return
   const meanGapMs = MS_PER_SECOND / phase.ratePerSecond
--- a/packages/anvilarch-bench/src/load/collector.ts
+++ b/packages/anvilarch-bench/src/load/collector.ts
@@ -1,15 +1,15 @@
-/** Adds up the answers of one class of work. */
+/** Collects the results of one class of work. */
 import type { Answer, AnswerOutcome } from '../clients/answer'
 import { createLatencyRecorder, type LatencyRecorder } from '../statistics/latencyRecorder'
 import type { Shot } from './openLoop'
 
-/** Counts and distributions of one class of work; only measured shots count. */
+/** Counts and latency distributions of one class of work; only measured requests count. */
 export interface Collector {
   add: (shot: Pick<Shot, 'intendedMs' | 'measured'>, answer: Answer) => void
   outcomes: Record<AnswerOutcome, number>
-  /** Answers other than completed ones, by error code. */
+  /** Requests that were not completed, by error code. */
   codes: Record<string, number>
-  /** Refusals that carried no `Retry-After`. */
+  /** Refusals without `Retry-After`. */
   refusalsWithoutRetryAfter: number
   tokens: number
   promptTokens: number
@@ -17,17 +17,17 @@
   /** From the intended send time. */
   firstToken: LatencyRecorder
   interToken: LatencyRecorder
-  /** Whole answers, from the intended send time. */
+  /** Completed requests, from the intended send time. */
   total: LatencyRecorder
-  /** How long a refusal took, from the intended send time. */
+  /** Refusals, from the intended send time. */
   refusal: LatencyRecorder
-  /** The first few details of answers that were neither completed nor refused. */
+  /** Details of the first few requests that were neither completed nor refused. */
   examples: string[]
 }
 
 const MAX_EXAMPLES = 5
 
-/** @returns a collector without answers */
+/** @returns a collector without results */
 export function createCollector (): Collector {
   const collector: Collector = {
     add: (shot, answer) => { if (shot.measured) addAnswer(collector, shot.intendedMs, answer) },
@@ -46,12 +46,12 @@
   return collector
 }
 
-/** @returns answers of all outcomes */
+/** @returns the number of results of all outcomes */
 export function answerCount (collector: Collector): number {
   return Object.values(collector.outcomes).reduce((sum, count) => sum + count, 0)
 }
 
-/** @returns answers that were neither completed nor refused */
+/** @returns the number of requests that were neither completed nor refused */
 export function errorCount (collector: Collector): number {
   const { failed, incomplete, wrong, unreachable } = collector.outcomes
   return failed + incomplete + wrong + unreachable
--- a/packages/anvilarch-bench/src/load/openLoop.ts
+++ b/packages/anvilarch-bench/src/load/openLoop.ts
@@ -1,13 +1,13 @@
 /**
- * Sends at intended times whatever became of earlier requests. A closed loop would wait for a slow answer and so leave
- * out just the requests that would have been slow.
+ * Sends requests at intended times, whether or not earlier ones have ended. A closed loop would wait for a slow response and
+ * so omit exactly the requests that would have been slow (coordinated omission).
  */
 import { type Clock, sleep } from 'anvilarch-utils'
 
-/** One intended request. */
+/** One scheduled request. */
 export interface Shot {
   index: number
-  /** Intended send time on the clock's monotonic scale; latency counts from here. */
+  /** Intended send time on the clock's monotonic scale; latencies are measured from it. */
   intendedMs: number
   /** False during the warm-up. */
   measured: boolean
@@ -16,35 +16,35 @@
 /** Options of `runOpenLoop`. */
 export interface OpenLoopOptions {
   clock: Clock
-  /** Intended send times from the start, ascending. */
+  /** Intended send times relative to the start, ascending. */
   timesMs: number[]
-  /** Shots before this time are sent, but not measured. */
+  /** Requests before this time are sent, but not measured. */
   warmUpMs: number
-  /** Sends one request and resolves when it ended; it records its own figures. */
+  /** Sends one request, records its figures and resolves when the request has ended. */
   send: (shot: Shot) => Promise<void>
-  /** How long to wait for requests still in progress after the last one was sent. */
+  /** How long to wait for requests in progress after the last one was sent. */
   drainMs: number
   signal?: AbortSignal
 }
 
-/** What the loop itself saw. */
+/** Counts of the loop. */
 export interface OpenLoopResult {
   sent: number
-  /** Requests that had not ended when the wait was over. */
+  /** Requests that had not ended within `drainMs`. */
   unfinished: number
-  /** Requests whose `send` rejected: a fault of the bench, since clients report failures as results. */
+  /** Requests whose `send` rejected: errors of the bench, since clients return failures as results. */
   clientErrors: number
-  /** The latest that a request went out after its intended time. Large values mean that the bench itself was too slow. */
+  /** Longest delay of a send after its intended time. Large values mean that the bench itself was too slow. */
   maxSendDelayMs: number
   sumSendDelayMs: number
 }
 
-/** Waiting sends of one turn of the event loop start together when they are due within this time. */
+/** Requests that are due within this time are sent at once, without a timer. */
 const DUE_SLACK_MS = 0.2
 
 /**
- * @param options - clock, times and what to send
- * @returns counts, after the last request ended or the wait for it was over
+ * @param options - clock, send times and what to send
+ * @returns counts, after all requests have ended or the drain time has elapsed
  */
 export async function runOpenLoop (options: OpenLoopOptions): Promise<OpenLoopResult> {
   const { clock, timesMs } = options
--- a/packages/anvilarch-bench/src/model/__tests__/fleetModel.test.ts
+++ b/packages/anvilarch-bench/src/model/__tests__/fleetModel.test.ts
@@ -10,25 +10,25 @@
 }
 
 describe('a fleet with bursts of online requests beside batch items', () => {
-  it('takes the same course with the same seed', async () => {
+  it('gives the same figures with the same seed', async () => {
     expect(await play({})).toEqual(await play({}))
   })
 
-  it('answers in time and does its items, whatever gives way', async () => {
+  it('serves requests and completes items in time', async () => {
     const figures = await play({})
     expect(figures.onTimeShare).toBeGreaterThan(0.995)
     expect(figures.itemsInTimeShare).toBe(1)
   })
 
-  // Guards against this: two runs are cut for each item done, each at the price of a claim, a save and a prompt read again.
-  it('cuts fewer items when a slot without an item is preferred', async () => {
+  // Guards against two preempted runs for each completed item, each of which costs a claim, a save and another prefill.
+  it('preempts fewer items when slots without an item are preferred', async () => {
     const [now, before] = [await play({}), await play({ batchItem: 0.25 })]
     expect(now.cutsPerItem).toBeLessThan(1.8)
     expect(now.cutsPerItem).toBeLessThan(0.85 * before.cutsPerItem)
   })
 
-  // Guards against this: nearly as many connections are opened as there are requests, on a fleet of many gateways and engines.
-  it('opens fewer connections when an idle one is preferred', async () => {
+  // Guards against opening nearly as many connections as there are requests, on a fleet of many gateways and engines.
+  it('opens fewer connections when endpoints with an idle one are preferred', async () => {
     const [now, before] = [await play({}), await play({ idleConnection: 0 })]
     expect(now.newConnectionsPerRequest).toBeLessThan(0.8 * before.newConnectionsPerRequest)
     expect(now.onTimeShare).toBeGreaterThan(before.onTimeShare - 0.002)
--- a/packages/anvilarch-bench/src/model/fleetModel.ts
+++ b/packages/anvilarch-bench/src/model/fleetModel.ts
@@ -1,30 +1,30 @@
-/** Plays a load on a fleet of modelled engines, with the daemon's own decisions, on a clock that needs no waiting. */
+/** Simulates load on a fleet of modelled engines, with the placement and batch code of the daemon, on a simulated clock. */
 import { type Clock, createFakeClock, createRandom, type FakeClock, type Random } from 'anvilarch-utils'
 import { type Endpoint, itemSortKey } from 'anvilarch-serving'
 import { createModelEngine, type ModelEngine } from './modelEngine'
 import { createModelGateway, type ModelGateway } from './modelGateway'
 import type { FleetModelFigures, FleetModelOptions, ModelBacklog, ModelItem } from './types'
 
-/** An item of 172 events of 8 tokens at 3.5 ms a token. */
+/** Duration of an item of 172 events of 8 tokens at 3.5 ms a token. */
 const ITEM_MS = 4700
 const ITEM_SPREAD = 0.5
 
 const ARRIVAL_SEED_OFFSET = 1000
 const ITEM_SEED_OFFSET = 2000
 
-/** The clock moves in steps of this. */
+/** Step of the simulated clock. */
 const STEP_MS = 1
 
 const MS_PER_SECOND = 1000
 
 /**
  * @param options - size, load and weights
- * @returns what callers and engines saw
+ * @returns figures of the callers and engines
  */
 export async function playFleetModel (options: FleetModelOptions): Promise<FleetModelFigures> {
   const clock = createFakeClock(0)
   const random = createRandom(options.seed)
-  // Arrivals have numbers of their own, so that all weights see the same ones.
+  // Arrivals have random numbers of their own, so that they are the same with all weights.
   const arrivals = createRandom(options.seed + ARRIVAL_SEED_OFFSET)
   const itemArrivals = createRandom(options.seed + ITEM_SEED_OFFSET)
   const backlog = createBacklog(clock)
@@ -55,7 +55,7 @@
   return figuresOf({ firstEventMs, requests, items, engines: [...engineAt.values()], gateways }, options.latencyObjectiveMs)
 }
 
-/** What was counted while the load was played. */
+/** Counts of the simulation. */
 interface Counted {
   firstEventMs: number[]
   requests: number
@@ -99,7 +99,7 @@
   return phaseMs < options.troughMs ? options.troughPerSecond : options.peakPerSecond
 }
 
-/** Calls back at random times, as many a second as the rate says. */
+/** Calls `onArrival` at the times of a Poisson process with the given rate. */
 function arrive (clock: FakeClock, random: Random, perSecondAtMs: (nowMs: number) => number, untilMs: number, onArrival: () => void): void {
   const next = (): void => {
     const gapMs = -Math.log(1 - random.next()) * MS_PER_SECOND / perSecondAtMs(clock.nowMs())
--- a/packages/anvilarch-bench/src/model/limits/__tests__/limitModel.test.ts
+++ b/packages/anvilarch-bench/src/model/limits/__tests__/limitModel.test.ts
@@ -18,9 +18,9 @@
   bounds: { windowMs: 5000, overrunShare: 0.1, slackRequests: 20 }
 }
 
-describe('a limit that one gateway counts', () => {
-  // Guards against windows in which an account has more than its limit, whatever is lost, restarted or cut off meanwhile.
-  it('is kept within what is tolerated against an exact counter', async () => {
+describe('a rate limit that one gateway counts', () => {
+  // Guards against windows in which an account exceeds its limit because datagrams are lost or gateways restarted or cut off.
+  it('exceeds an exact counter by no more than the tolerance', async () => {
     const options = fc.record({
       seed: fc.integer({ min: 1, max: 1_000_000 }),
       gateways: fc.integer({ min: 1, max: 40 }),
@@ -34,13 +34,13 @@
     }), { numRuns: 12, seed: 7 })
   }, 60_000)
 
-  it('refuses nothing of accounts that stay within their limits, and tells so within milliseconds', async () => {
+  it('hardly refuses requests of accounts within their limits, and decides within milliseconds', async () => {
     const figures = await playLimitModel(USUAL)
     expect(figures.wronglyRefusedShare).toBeLessThan(0.005)
     expect(figures.waitP99Ms).toBeLessThan(30)
   })
 
-  it('costs no more messages for each request at ten times the gateways', async () => {
+  it('sends less than twice the messages with ten times the gateways', async () => {
     const [few, many] = await Promise.all([20, 200].map(async gateways => await playLimitModel({ ...USUAL, gateways, durationMs: 5000 })))
     expect(many.messagesPerSecond).toBeLessThan(2 * few.messagesPerSecond)
   })
--- a/packages/anvilarch-bench/src/model/limits/limitCounts.ts
+++ b/packages/anvilarch-bench/src/model/limits/limitCounts.ts
@@ -1,4 +1,4 @@
-/** Counts exactly, for all gateways together, what the limits allow and what was admitted. */
+/** Exact counters, over all gateways, of the requests that the rate limits allow and of those that were admitted. */
 import { bucketLimitsOf, type ClientAccount, type LimitBounds, toleranceOf } from 'anvilarch-serving'
 import { type Bucket, takeToken } from 'anvilarch-utils'
 
@@ -6,21 +6,21 @@
 export interface AccountCounts {
   /** Times of the requests that were admitted. */
   admittedAtMs: number[]
-  /** What an exact counter would have admitted. */
+  /** Requests that an exact counter would have admitted. */
   allowed: number
-  /** Of those, how many were refused. */
+  /** Allowed requests that were refused. */
   wronglyRefused: number
 }
 
 /** Counts by account. */
 export interface LimitCounts {
-  /** Takes a request at its arrival. @returns whether an exact counter would have admitted it */
+  /** Counts a request at its arrival. @returns whether an exact counter would have admitted it */
   onArrival: (name: string, nowMs: number) => boolean
   onVerdict: (name: string, admitted: boolean, wouldBeAdmitted: boolean, nowMs: number) => void
   of: (name: string) => AccountCounts
 }
 
-/** @returns exact counts */
+/** @returns counters at 0 */
 export function createLimitCounts (account: (name: string) => ClientAccount): LimitCounts {
   const counts = new Map<string, AccountCounts>()
   const exact = new Map<string, Bucket>()
@@ -48,10 +48,10 @@
 const MS_PER_SECOND = 1000
 
 /**
- * @param admittedAtMs - times, ascending
- * @param account - its limit
+ * @param admittedAtMs - times of the admitted requests, ascending
+ * @param account - account with its limit
  * @param bounds - window and tolerance
- * @returns the largest excess over the limit in any window, as part of what is tolerated
+ * @returns the largest excess over the limit in any window, as a share of the tolerated excess
  */
 export function overrunOfTolerance (admittedAtMs: readonly number[], account: ClientAccount, bounds: LimitBounds): number {
   const allowed = account.requestsPerSecond * bounds.windowMs / MS_PER_SECOND + account.burstRequests
--- a/packages/anvilarch-bench/src/model/limits/limitModel.ts
+++ b/packages/anvilarch-bench/src/model/limits/limitModel.ts
@@ -1,11 +1,11 @@
-/** Plays arrivals at many gateways that keep limits of rate, on a clock that needs no waiting. */
+/** Simulates arrivals at many gateways that enforce rate limits, on a simulated clock. */
 import type { ClientAccount } from 'anvilarch-serving'
 import { createFakeClock, createRandom, type FakeClock, type Random } from 'anvilarch-utils'
 import { createLimitCounts, type LimitCounts, overrunOfTolerance } from './limitCounts'
 import { LIMIT_WAYS } from './limitWays'
 import type { LimitFigures, LimitModelOptions, LimitWay } from './types'
 
-/** One way of a datagram. */
+/** One-way delay of a datagram, and its spread. */
 const DELAY_MS = 1
 const DELAY_SPREAD_MS = 2
 
@@ -15,17 +15,17 @@
 const STEP_MS = 1
 const MS_PER_SECOND = 1000
 
-/** When the trouble begins, as part of the play, and how long it lasts. */
+/** Start of the fault as a share of the simulated time, and the durations of faults. */
 const TROUBLE_AT_SHARE = 0.4
 const DOWN_MS = 1000
 const CUT_MS = 5000
 
-/** Part of its limit that is left to an account. */
+/** Share of its limit that an account has after the limit was lowered. */
 const LOWERED_SHARE = 0.25
 
 interface Gateway {
   way: LimitWay
-  /** Counts the lives of the gateway. */
+  /** Increases with each start of the gateway. */
   life: number
   isDown: boolean
   isCutOff: boolean
@@ -37,8 +37,8 @@
 }
 
 /**
- * @param options - size, load and trouble
- * @returns what callers and the network saw
+ * @param options - size, load and fault
+ * @returns figures of the callers and the network
  */
 export async function playLimitModel (options: LimitModelOptions): Promise<LimitFigures> {
   const clock = createFakeClock(0)
@@ -65,7 +65,7 @@
   return { name: `a${index}`, priorityRank: 0, requestsPerSecond, burstRequests: requestsPerSecond }
 }
 
-/** All gateways, and a way to start them anew after a loss of all. */
+/** All gateways, and a function that restarts all of them. */
 interface Fleet {
   gateways: Gateway[]
   startAll: () => void
@@ -137,7 +137,7 @@
 }
 
 function startArrivals ({ options, clock, accounts, gateways, counts, waitsMs }: ArrivalParts): void {
-  // Arrivals have numbers of their own, so that all ways see the same ones.
+  // Arrivals have random numbers of their own, so that they are the same with all algorithms.
   const random = createRandom(options.seed + 1000)
   accounts.forEach((account, index) => {
     const clients = Array.from({ length: options.clientsPerAccount }, () => random.between(0, gateways.length - 1))
@@ -166,7 +166,7 @@
   const [hot, ...others] = accounts
   const lowered = options.trouble === 'limit_lowered'
   const overruns = accounts.map(account => {
-    // A lower limit binds one window after it is in force.
+    // A lower limit is checked from one window after it was applied.
     const fromMs = lowered ? options.durationMs * TROUBLE_AT_SHARE + options.bounds.windowMs : 0
     return overrunOfTolerance(counts.of(account.name).admittedAtMs.filter(atMs => atMs >= fromMs), account, options.bounds)
   })
--- a/packages/anvilarch-bench/src/model/limits/limitWays.ts
+++ b/packages/anvilarch-bench/src/model/limits/limitWays.ts
@@ -1,19 +1,19 @@
-/** Three ways to keep a limit over many gateways. */
+/** Three algorithms that enforce a rate limit over many gateways. */
 import { bucketLimitsOf, createAccountMeters, createPermitClient, createRateLimiter, encodePeerMessage, selectMeterGateways, type PeerMessage } from 'anvilarch-serving'
 import { type Bucket, SILENT_LOGGER, takeToken } from 'anvilarch-utils'
 import type { LimitWay, LimitWayContext, LimitWayName } from './types'
 
-/** Creates the part of a way that runs at one gateway. */
+/** Creates the instance of an algorithm at one gateway. */
 export type CreateLimitWay = (context: LimitWayContext) => LimitWay
 
 const GOSSIP_INTERVAL_MS = 200
 
-/** A name, a count and their separators. */
+/** Bytes of a name, a count and their separators. */
 const GOSSIP_BYTES_PER_ACCOUNT = 14
 
 const PEER_PORT = 1
 
-/** All ways by name. */
+/** All algorithms by name. */
 export const LIMIT_WAYS: Record<LimitWayName, CreateLimitWay> = { share: createShareWay, gossip: createGossipWay, home: createHomeWay }
 
 function createShareWay ({ clock, gatewayCount, account }: LimitWayContext): LimitWay {
@@ -29,7 +29,7 @@
   }
 }
 
-/** Each gateway keeps the whole limit and takes from it what the others tell that they have admitted. */
+/** Each gateway has a bucket of the whole limit and deducts the requests that the others report as admitted. */
 function createGossipWay ({ clock, account, broadcast, isAlive }: LimitWayContext): LimitWay {
   const buckets = new Map<string, Bucket>()
   let admitted = new Map<string, number>()
@@ -58,7 +58,7 @@
   }
 }
 
-/** The product's own parts. */
+/** The implementation of the daemon: one gateway counts the requests of an account, and others request permits from it. */
 function createHomeWay ({ clock, index, gatewayCount, bounds, account, send }: LimitWayContext): LimitWay {
   const places = Array.from({ length: gatewayCount }, (_, place) => ({ name: `g${place}`, peerAddress: `${place}:${PEER_PORT}` }))
   const meters = createAccountMeters({ clock, bounds, account, gatewayCount: () => gatewayCount })
--- a/packages/anvilarch-bench/src/model/limits/types.ts
+++ b/packages/anvilarch-bench/src/model/limits/types.ts
@@ -1,55 +1,55 @@
-/** A modelled fleet of gateways that keep limits of rate, and what is counted there. */
+/** Types of the simulation of gateways that enforce rate limits. */
 import type { ClientAccount, LimitBounds } from 'anvilarch-serving'
 import type { FakeClock } from 'anvilarch-utils'
 
-/** What goes wrong in the middle of a play. */
+/** Fault in the middle of a simulation. */
 export type LimitTrouble = 'none' | 'all_killed' | 'third_cut_off' | 'limit_lowered'
 
-/** Size, load and trouble. */
+/** Size, load and fault. */
 export interface LimitModelOptions {
   seed: number
   way: LimitWayName
   gateways: number
-  /** Limits of the accounts; the first one is the hot one. */
+  /** Limits of the accounts. The first one is the hot account, which exceeds its limit. */
   ratesPerSecond: readonly number[]
-  /** Part of its limit that an account usually asks for. */
+  /** Usual load of an account as a share of its limit. */
   usualShare: number
-  /** How many times its usual the hot account asks for. */
+  /** Load of the hot account as a multiple of its usual load. */
   hotFactor: number
-  /** Clients of an account; each one keeps to a gateway. */
+  /** Clients of an account; each one uses one gateway. */
   clientsPerAccount: number
-  /** Part of the datagrams that are lost. */
+  /** Share of datagrams that are lost. */
   lostShare: number
   trouble: LimitTrouble
   durationMs: number
   bounds: LimitBounds
 }
 
-/** `share`: each gateway has the same part of a limit. `gossip`: all tell all what they admit. `home`: one gateway counts. */
+/** `share`: each gateway has an equal share of a limit. `gossip`: gateways broadcast what they admit. `home`: one gateway counts. */
 export type LimitWayName = 'share' | 'gossip' | 'home'
 
-/** What callers and the network saw. */
+/** Figures of the callers and the network. */
 export interface LimitFigures {
-  /** Largest excess of any account over its limit in any window, as part of the excess that is allowed. */
+  /** Largest excess of any account over its limit in any window, as a share of the tolerated excess. */
   overrunOfTolerance: number
-  /** Part of what an exact counter would have admitted that was refused, over accounts within their limit. */
+  /** Share of refused requests among those that an exact counter would have admitted, over all accounts but the hot one. */
   wronglyRefusedShare: number
-  /** What the account beyond its limit was admitted, as part of what an exact counter would have admitted. */
+  /** Admitted requests of the hot account, as a share of those that an exact counter would have admitted. */
   hotAdmittedShare: number
   messagesPerSecond: number
   bytesPerSecond: number
-  /** Longest time that a request waited for its permit. */
+  /** 99th percentile of the time that a request waited for the decision. */
   waitP99Ms: number
 }
 
-/** Decides for one gateway. */
+/** The instance of an algorithm at one gateway. */
 export interface LimitWay {
   /** @returns whether a request may start */
   admit: (accountName: string) => Promise<boolean>
   onMessage: (message: unknown, from: number) => void
 }
 
-/** What a way works with at one gateway. */
+/** What an algorithm uses at one gateway. */
 export interface LimitWayContext {
   clock: FakeClock
   index: number
@@ -57,8 +57,8 @@
   bounds: LimitBounds
   account: (name: string) => ClientAccount
   send: (to: number, message: unknown, bytes: number) => void
-  /** Sends to all others. */
+  /** Sends to all other gateways. */
   broadcast: (message: unknown, bytes: number) => void
-  /** @returns whether this life of the gateway has not ended */
+  /** @returns whether this start of the gateway is still running */
   isAlive: () => boolean
 }
--- a/packages/anvilarch-bench/src/model/modelEngine.ts
+++ b/packages/anvilarch-bench/src/model/modelEngine.ts
@@ -1,11 +1,11 @@
-/** An engine of the model with its agent: slots, a queue in order of arrival, and batch items in the slots to spare. */
+/** A modelled engine with its agent: slots, a queue in order of arrival, and batch items in spare slots. */
 import type { Clock, Timer } from 'anvilarch-utils'
 import { countToStart, hasTightDeadline, countToPreempt, planBatchSlots } from 'anvilarch-serving'
 import type { ModelBacklog, ModelItem, ModelRequest } from './types'
 
-/** One engine. */
+/** A modelled engine. */
 export interface ModelEngine {
-  /** The agent has been told that a request is on its way. */
+  /** The agent has received the notice of a request that was sent to its engine. */
   onNotice: () => void
   onRequest: (request: ModelRequest) => void
   online: () => number
@@ -20,10 +20,10 @@
   backlog: ModelBacklog
 }
 
-/** How often an agent looks at an engine with batch work, between the shortest and the longest pause of the daemon. */
+/** Interval at which an agent polls an engine with batch work, between the shortest and the longest interval of the daemon. */
 const LOOK_MS = 80
 
-/** Prompt and text of an item are read again when it goes on, some 600 tokens at 44 a millisecond. */
+/** Time to prefill the prompt and the text of an item again when it resumes: about 600 tokens at 44 a millisecond. */
 const READ_AGAIN_MS = 14
 
 interface RunningItem {
@@ -34,7 +34,7 @@
 
 /**
  * @param options - clock, slots and batch work
- * @returns an engine at work
+ * @returns a running engine
  */
 export function createModelEngine (options: ModelEngineOptions): ModelEngine {
   const { clock, slots, backlog } = options
@@ -42,7 +42,7 @@
   const queue: ModelRequest[] = []
   const items: RunningItem[] = []
   let runningOnline = 0
-  /** Requests that the agent has been told of and that are still on their way. */
+  /** Requests that the agent has a notice of and that have not arrived yet. */
   let announced = 0
   let cutAtMs = -Infinity
 
--- a/packages/anvilarch-bench/src/model/modelGateway.ts
+++ b/packages/anvilarch-bench/src/model/modelGateway.ts
@@ -1,11 +1,11 @@
-/** A gateway of the model: the daemon's own knowledge of loads and its placement, over a modelled network. */
+/** A modelled gateway: load table, load prober and placement of the daemon, over a modelled network. */
 import type { Clock, Random } from 'anvilarch-utils'
 import { createLoadProber, createLoadTable, createPlacement, type Endpoint, type PeerMessage, type PlacementWeights } from 'anvilarch-serving'
 import type { ModelEngine } from './modelEngine'
 
 /** A gateway that places requests. */
 export interface ModelGateway {
-  /** Places a request and sends it. */
+  /** Chooses an endpoint for a request and sends it. */
   onArrival: () => void
   counts: { newConnections: number }
 }
@@ -21,30 +21,30 @@
   onFirstEvent: (afterMs: number) => void
 }
 
-/** One way between two hosts, the work of both included. */
+/** One-way delay between two hosts, including the processing at both. */
 const LINK_MS = 1
 
-/** An endpoint and both hosts spend this on a new connection. */
+/** Time that the endpoint and both hosts need for a new connection. */
 const CONNECT_MS = 2
 
-/** The pools of the daemon give an idle connection up after this. */
+/** Idle timeout of the connection pools of the daemon. */
 const IDLE_MS = 3000
 
-/** Reading a prompt of 250 tokens of its own and 200 shared ones, at 44 a millisecond. */
+/** Time to prefill a prompt of 250 tokens of its own and 200 shared ones, at 44 a millisecond. */
 const PROMPT_MS = 10
 
-/** 25 events of 8 tokens at 3.5 ms a token, and their spread. */
+/** Duration of 25 events of 8 tokens at 3.5 ms a token, and its spread. */
 const EVENTS_MS = 700
 const EVENTS_SPREAD = 0.5
 
-/** Requests share one of this many prompt prefixes. */
+/** Number of shared prompt prefixes, of which each request has one. */
 const PREFIXES = 40
 
 const PEER_PORT = 7
 
 /**
  * @param options - engines, weights and listener
- * @returns a gateway that knows no loads
+ * @returns a gateway with an empty load table
  */
 export function createModelGateway (options: ModelGatewayOptions): ModelGateway {
   const { clock, random, endpoints, engineAt } = options
@@ -85,7 +85,7 @@
     random: () => random.next()
   })
 
-  /** @returns the time that it takes to have a connection */
+  /** @returns the time that it takes to get a connection */
   const connect = (endpoint: Endpoint): number => {
     const held = connectionsTo(endpoint)
     held.inUse++
--- a/packages/anvilarch-bench/src/model/types.ts
+++ b/packages/anvilarch-bench/src/model/types.ts
@@ -1,4 +1,4 @@
-/** A fleet in a computation: real decisions, modelled engines, network and arrivals. */
+/** Types of the simulation of a fleet: code of the daemon with modelled engines, network and arrivals. */
 import type { PlacementWeights } from 'anvilarch-serving'
 
 /** Size and load of the fleet. */
@@ -9,11 +9,11 @@
   slotsPerEngine: number
   /** Online requests a second between bursts, over all gateways. */
   troughPerSecond: number
-  /** The same in a burst. */
+  /** Online requests a second in bursts, over all gateways. */
   peakPerSecond: number
   troughMs: number
   peakMs: number
-  /** Batch items that come each second. */
+  /** Batch items that arrive each second. */
   itemsPerSecond: number
   /** Time from the arrival of an item until it is due. */
   itemDueMs: number
@@ -22,31 +22,31 @@
   weights: PlacementWeights
 }
 
-/** What callers and engines saw. */
+/** Figures of the callers and engines. */
 export interface FleetModelFigures {
   requests: number
-  /** Part of the requests whose first event came within the objective. */
+  /** Share of requests whose first event arrived within the objective. */
   onTimeShare: number
   firstEventP99Ms: number
   newConnectionsPerRequest: number
   itemsDone: number
-  /** Part of the items that were done before they were due. */
+  /** Share of items that were completed before they were due. */
   itemsInTimeShare: number
-  /** Runs of items that gave way to online requests, for each item that was done. */
+  /** Preempted runs of items, for each completed item. */
   cutsPerItem: number
 }
 
-/** An online request in the model. */
+/** A simulated online request. */
 export interface ModelRequest {
-  /** Time until the first event once it has a slot. */
+  /** Time from the start in a slot until the first event. */
   promptMs: number
-  /** Time that it holds its slot after its first event. */
+  /** Time that it occupies its slot after the first event. */
   eventsMs: number
   onFirstEvent: () => void
   onEnd: () => void
 }
 
-/** A batch item: what is left of it. */
+/** A simulated batch item with its remaining run time. */
 export interface ModelItem {
   remainingMs: number
   dueAtMs: number
@@ -54,7 +54,7 @@
 
 /** Items that wait for a slot, shared by all engines. */
 export interface ModelBacklog {
-  /** @returns the most urgent items, which stay in the backlog */
+  /** @returns the most urgent items, without removing them */
   first: (count: number) => ModelItem[]
   take: (item: ModelItem) => void
   add: (item: ModelItem) => void
--- a/packages/anvilarch-bench/src/peers/childProcess.ts
+++ b/packages/anvilarch-bench/src/peers/childProcess.ts
@@ -1,6 +1,6 @@
 /**
- * Processes that the bench starts besides the fleet. A child prints one JSON line when it is ready and serves its
- * counters at `/stats`.
+ * Child processes that the bench starts in addition to the fleet. A child prints one JSON line when it is ready and serves
+ * its counters at `/stats`.
  */
 import { type ChildProcess, fork } from 'node:child_process'
 import { once } from 'node:events'
@@ -10,7 +10,7 @@
 import { createInterface } from 'node:readline'
 import { request } from 'undici'
 
-/** What a child prints when it is ready. */
+/** The line that a child prints when it is ready. */
 export interface ChildReady<Details> {
   statsUrl: string
   details: Details
@@ -21,7 +21,7 @@
   pid: number
   details: Details
   stats: () => Promise<Stats>
-  /** Ends the child and waits for its exit. */
+  /** Stops the child and waits for its exit. */
   stop: () => Promise<void>
 }
 
@@ -31,7 +31,7 @@
  * @param script - name of a script in `bin`
  * @param options - passed to it as one JSON argument
  * @returns the child, ready
- * @throws when the child ends before it is ready
+ * @throws when the child exits before it is ready
  */
 export async function startChild<Details, Stats> (script: string, options: object): Promise<BenchChild<Details, Stats>> {
   const child = fork(join(BIN_DIRECTORY, script), [JSON.stringify(options)], { stdio: ['ignore', 'pipe', 'inherit', 'ipc'] })
@@ -51,11 +51,11 @@
 }
 
 /**
- * The side of the child: serves the counters, prints the line and ends when the bench goes away, so that a bench that
- * was killed leaves no process behind.
+ * Called in the child: serves the counters, prints the line and exits when the bench disconnects, so that no process remains
+ * after the bench was killed.
  *
- * @param details - what the bench has to know
- * @param stats - counters at the time of the call
+ * @param details - passed to the bench
+ * @param stats - returns the current counters
  */
 export async function reportReady (details: object, stats: () => object): Promise<void> {
   const server = createServer((_request, response) => {
--- a/packages/anvilarch-bench/src/peers/lightAgents.ts
+++ b/packages/anvilarch-bench/src/peers/lightAgents.ts
@@ -1,6 +1,6 @@
 /**
- * Many agents in one process: they answer exchanges, take configurations and give fixed answers to attempts. They let
- * one real gateway be measured against more agents than this machine could run as processes.
+ * Many minimal agents in one process: they respond to exchanges, accept configurations and return fixed responses to attempts.
+ * With them, one real gateway is measured against more agents than the host could run as processes.
  */
 import { createServer, type Http2Server } from 'node:http2'
 import type { AddressInfo, Socket } from 'node:net'
@@ -15,7 +15,7 @@
 export interface LightAgentsOptions {
   clock: Clock
   count: number
-  /** Plain service that each agent's one endpoint serves. */
+  /** Plain service of the one endpoint of each agent. */
   service: string
   failureDomains: string[]
   region: string
@@ -29,16 +29,16 @@
   failureDomain: string
 }
 
-/** What passed between light agents and their peers, and when each configuration came. */
+/** Traffic between light agents and their peers, and the times at which configurations were accepted. */
 export interface LightAgentStats {
-  /** Payload bytes of TCP, both directions. */
+  /** TCP payload bytes in each direction. */
   receivedBytes: number
   sentBytes: number
   connections: number
   exchanges: number
   attempts: number
   pushes: number
-  /** Wall times, by version, at which agents took it. */
+  /** Wall times, by version, at which agents accepted it. */
   versions: Record<string, number[]>
 }
 
@@ -60,7 +60,7 @@
 }
 
 /**
- * @param options - how many agents, and what they claim to serve
+ * @param options - number of agents and the service of their endpoints
  * @returns the agents, each on a free loopback port
  */
 export async function startLightAgents (options: LightAgentsOptions): Promise<LightAgents> {
@@ -105,7 +105,7 @@
   })
 }
 
-/** Sockets that are still open hold their own counts. */
+/** Adds the bytes of open sockets; those of closed ones are in `counts`. */
 function currentStats (counts: LightAgentStats, open: ReadonlySet<Socket>): LightAgentStats {
   let { receivedBytes, sentBytes } = counts
   for (const socket of open) {
--- a/packages/anvilarch-bench/src/peers/lightAttempt.ts
+++ b/packages/anvilarch-bench/src/peers/lightAttempt.ts
@@ -1,4 +1,4 @@
-/** The fixed answers of a light agent, one attempt a stream or many within a session. */
+/** The fixed responses of a light agent to attempts, in a stream for each attempt or in one session. */
 import { create, type MessageInitShape } from '@bufbuild/protobuf'
 import { type AttemptFrameSchema, type SessionFrame, SessionFrameSchema, type SessionRequest, type SessionResponseSchema, type StartAttemptRequest } from 'anvilarch-protocol'
 import { createTurnQueue } from './turnQueue'
@@ -6,19 +6,19 @@
 type Frame = MessageInitShape<typeof AttemptFrameSchema>
 type Load = NonNullable<Frame['load']>
 
-/** What the frames of a light agent say of it. */
+/** Content of the frames of a light agent. */
 export interface LightAnswer {
   incarnation: string
   load: Load
-  /** Told of each attempt. */
+  /** Called for each attempt. */
   onAttempt: () => void
 }
 
 const ENCODER = new TextEncoder()
 
 /**
- * @param answer - of which agent
- * @param request - the attempt
+ * @param answer - frame content of the agent
+ * @param request - start request of the attempt
  * @returns all frames of the attempt
  */
 export function answerFrames (answer: LightAnswer, request: StartAttemptRequest): Frame[] {
@@ -33,15 +33,15 @@
 }
 
 /**
- * @param answer - of which agent
- * @returns the frame that bars an attempt
+ * @param answer - frame content of the agent
+ * @returns the frame that refuses an attempt as barred
  */
 export function barredFrame (answer: LightAnswer): Frame {
   return { kind: { case: 'refused', value: { reason: 'barred', agentIncarnation: answer.incarnation } } }
 }
 
 /**
- * @param answer - of which agent
+ * @param answer - frame content of the agent
  * @param requests - commands of a gateway
  * @returns the frames of its attempts
  */
--- a/packages/anvilarch-bench/src/peers/lightCalls.ts
+++ b/packages/anvilarch-bench/src/peers/lightCalls.ts
@@ -1,4 +1,4 @@
-/** Lookups of a light gateway over one open session. */
+/** Attempts of a light gateway over one session. */
 import type { Client } from '@connectrpc/connect'
 import { create } from '@bufbuild/protobuf'
 import { type AgentService, type SessionCommand, SessionCommandSchema, SessionRequestSchema, type StartAttemptRequest } from 'anvilarch-protocol'
@@ -7,23 +7,23 @@
 
 /** Attempts over one session. */
 export interface LightCalls {
-  /** @returns the outcome of the attempt, or the reason of a refusal; rejects when none comes in time */
+  /** @returns the outcome of the attempt, or the reason of a refusal; rejects when none is received in time */
   start: (request: Omit<StartAttemptRequest, '$typeName' | '$unknown'>) => Promise<string>
-  /** Ends the session and waits for its end. */
+  /** Closes the session and waits for its end. */
   close: () => Promise<void>
 }
 
-/** An attempt that waits for its end. */
+/** An attempt in progress. */
 interface Waiting {
   outcome: string
   resolve: (outcome: string) => void
 }
 
 /**
- * @param client - of the agent
- * @param clock - bounds the wait for an answer
- * @param timeoutMs - longest wait
- * @returns calls; the session opens with the first of them
+ * @param client - client of the agent
+ * @param clock - measures the timeout
+ * @param timeoutMs - timeout of an attempt
+ * @returns a sender of attempts; the session is opened with the first one
  */
 export function createLightCalls (client: Client<typeof AgentService>, clock: Clock, timeoutMs: number): LightCalls {
   const outbox = createTurnQueue<SessionCommand>()
@@ -54,7 +54,7 @@
       try {
         return await new Promise<string>((resolve, reject) => {
           waiting.set(stream, { outcome: '', resolve })
-          clock.after(timeoutMs, () => { reject(new Error('no answer in time')) })
+          clock.after(timeoutMs, () => { reject(new Error('no response in time')) })
           outbox.put(create(SessionCommandSchema, { stream, kind: { case: 'start', value: request } }))
           reading ??= read().catch(() => {}).finally(() => { reading = undefined })
         })
--- a/packages/anvilarch-bench/src/peers/lightGateways.ts
+++ b/packages/anvilarch-bench/src/peers/lightGateways.ts
@@ -1,6 +1,6 @@
 /**
- * Many gateways in one process, as one agent sees them: each opens connections of its own, exchanges states at the pace
- * of a real gateway, and sends lookups.
+ * Many minimal gateways in one process, with one agent as their peer: each opens its own connections, exchanges states at the
+ * rate of a real gateway, and sends lookups.
  */
 import { setMaxListeners } from 'node:events'
 import { create } from '@bufbuild/protobuf'
@@ -19,13 +19,13 @@
   agentAddress: string
   /** Time between two exchanges of one gateway with the agent. */
   exchangeIntervalMs: number
-  /** Lookups a second from all gateways together; 0 for an idle agent. */
+  /** Lookups a second of all gateways together; 0 for an idle agent. */
   lookupsPerSecond: number
   service: string
   endpoint: string
 }
 
-/** What the light gateways did. */
+/** Counts of the light gateways. */
 export interface LightGatewayStats {
   exchanges: number
   exchangeErrors: number
@@ -46,13 +46,13 @@
 const LOOKUP_TIMEOUT_MS = 2000
 
 /**
- * @param options - how many gateways, and how often they ask
- * @returns the gateways, exchanging from now on
+ * @param options - number of gateways, and their exchange interval and lookup rate
+ * @returns the running gateways
  */
 export function startLightGateways (options: LightGatewaysOptions): LightGateways {
   const stats: LightGatewayStats = { exchanges: 0, exchangeErrors: 0, lookups: 0, lookupErrors: 0 }
   const stopping = new AbortController()
-  // One listener for each gateway that waits.
+  // Each waiting gateway adds a listener.
   setMaxListeners(0, stopping.signal)
   const managers: Http2SessionManager[] = []
   const connect = (): AgentClient => {
--- a/packages/anvilarch-bench/src/peers/turnQueue.ts
+++ b/packages/anvilarch-bench/src/peers/turnQueue.ts
@@ -1,15 +1,15 @@
-/** A queue between a producer and one open stream; what is put in one turn of the event loop goes out in one message. */
+/** Combines the items that are added in one turn of the event loop into one message of a stream. */
 
-/** Items on their way into a stream. */
+/** Collects items into batches, each of which is sent as one message. */
 export interface TurnQueue<Item> {
   put: (item: Item) => void
-  /** Ends the iteration after what is queued. */
+  /** Ends `batches` after the queued items. */
   close: () => void
-  /** @returns the items in groups; to be iterated once */
+  /** @returns batches of items; to be iterated once */
   batches: () => AsyncGenerator<Item[]>
 }
 
-/** @returns an empty queue */
+/** @returns an empty batcher */
 export function createTurnQueue<Item> (): TurnQueue<Item> {
   let items: Item[] = []
   let closed = false
--- a/packages/anvilarch-bench/src/plots/__tests__/plots.test.ts
+++ b/packages/anvilarch-bench/src/plots/__tests__/plots.test.ts
@@ -21,13 +21,13 @@
     expect(scale.position(25)).toBe(50)
   })
 
-  test('spaces equal ratios equally on a log range', () => {
+  test('maps equal ratios to equal distances on a log scale', () => {
     const scale = createScale('log', { min: 1, max: 100, from: 0, to: 100 })
     expect(scale.ticks).toEqual([1, 2, 5, 10, 20, 50, 100])
     expect(scale.position(10)).toBeCloseTo(50)
   })
 
-  test('draws a range without extent', () => {
+  test('widens a range of zero length', () => {
     expect(createScale('linear', { min: 0, max: 0, from: 0, to: 1 }).ticks.length).toBeGreaterThan(1)
     expect(createScale('log', { min: 5, max: 5, from: 0, to: 1 }).ticks).toContain(10)
   })
@@ -40,7 +40,7 @@
 })
 
 describe('renderPlot', () => {
-  test('escapes text and draws points, range and limit', () => {
+  test('escapes text and renders points, range and limit', () => {
     const svg = renderPlot(linePlot)
     expect(svg).toContain('Tail &amp; load &lt;ms&gt;')
     expect(svg.match(/<circle/g)).toHaveLength(2)
@@ -48,13 +48,13 @@
     expect(svg).not.toContain('NaN')
   })
 
-  test('draws a bar for each value', () => {
+  test('renders a bar for each value', () => {
     const svg = renderPlot({ kind: 'bar', name: 'b', title: 'b', yLabel: '%', groups: [{ name: 'g', bars: [{ name: 'x', value: 1 }, { name: 'y', value: 0, min: 0, max: 2 }] }] })
     expect(svg.match(/fill-opacity="0.85"/g)).toHaveLength(2)
     expect(svg).not.toContain('NaN')
   })
 
-  test('draws an empty plot without positions that are no numbers', () => {
+  test('renders an empty plot without NaN positions', () => {
     expect(renderPlot({ ...linePlot, series: [], limit: undefined })).not.toContain('NaN')
     expect(renderPlot({ kind: 'bar', name: 'b', title: 'b', yLabel: '', groups: [] })).not.toContain('NaN')
   })
--- a/packages/anvilarch-bench/src/plots/barChart.ts
+++ b/packages/anvilarch-bench/src/plots/barChart.ts
@@ -1,4 +1,4 @@
-/** Draws groups of bars with their ranges. */
+/** Renders grouped bars with their ranges. */
 import { formatFigure } from '../harness/formatFigure'
 import { createScale, type Scale } from './scale'
 import { element, FRAME, legend, limitLine, PALETTE, svgDocument, text, yAxis } from './svg'
@@ -6,11 +6,11 @@
 
 type Bar = BarPlot['groups'][number]['bars'][number]
 
-/** Share of a group's width that its bars fill. */
+/** Share of the width of a group that its bars occupy. */
 const GROUP_FILL = 0.8
 
 /**
- * @param plot - what to draw
+ * @param plot - plot to render
  * @returns the SVG document
  */
 export function renderBarChart (plot: BarPlot): string {
--- a/packages/anvilarch-bench/src/plots/lineChart.ts
+++ b/packages/anvilarch-bench/src/plots/lineChart.ts
@@ -1,10 +1,10 @@
-/** Draws lines with points and their ranges. */
+/** Renders lines with points and their ranges. */
 import { createScale, formatTick, type Scale } from './scale'
 import { element, FRAME, legend, limitLine, PALETTE, svgDocument, text, yAxis } from './svg'
 import type { LinePlot, PlotPoint, PlotSeries } from './types'
 
 /**
- * @param plot - what to draw
+ * @param plot - plot to render
  * @returns the SVG document
  */
 export function renderLineChart (plot: LinePlot): string {
@@ -22,7 +22,7 @@
   ])
 }
 
-/** A linear axis starts at zero, so that differences are not made to look larger than they are. */
+/** A linear axis includes zero, so that differences are not exaggerated. */
 function extent (values: readonly number[], kind: LinePlot['xScale']): { min: number, max: number } {
   const usable = values.filter(value => Number.isFinite(value) && (kind === 'linear' || value > 0))
   if (usable.length === 0) return kind === 'linear' ? { min: 0, max: 1 } : { min: 1, max: 10 }
--- a/packages/anvilarch-bench/src/plots/renderPlot.ts
+++ b/packages/anvilarch-bench/src/plots/renderPlot.ts
@@ -1,4 +1,4 @@
-/** Draws any plot. */
+/** Renders any plot as SVG. */
 import { renderBarChart } from './barChart'
 import { renderLineChart } from './lineChart'
 import type { BarPlot, LinePlot, Plot } from './types'
@@ -8,7 +8,7 @@
 const RENDERERS: Renderers = { line: renderLineChart, bar: renderBarChart }
 
 /**
- * @param plot - what to draw
+ * @param plot - plot to render
  * @returns the SVG document
  */
 export function renderPlot (plot: Plot): string {
--- a/packages/anvilarch-bench/src/plots/resultPlots.ts
+++ b/packages/anvilarch-bench/src/plots/resultPlots.ts
@@ -1,10 +1,10 @@
-/** Plots made from the figures of a result. */
+/** Creates plots from the figures of a result. */
 import type { ExperimentResult, VariantResult } from '../harness/types'
 import type { BarPlot, LinePlot, PlotPoint, PlotSeries } from './types'
 
 /**
- * @param result - what was measured
- * @param figures - figures to show, with the name of their group
+ * @param result - result of an experiment
+ * @param figures - figures to show, with the names of their groups
  * @param frame - name, title, axis and limit
  * @returns a group of bars for each figure and a bar for each variant
  */
@@ -27,11 +27,11 @@
 }
 
 /**
- * @param result - what was measured
- * @param setting - numeric setting of the variants that is the horizontal axis
- * @param lines - figure of each line
+ * @param result - result of an experiment
+ * @param setting - numeric setting of the variants, shown on the horizontal axis
+ * @param lines - name and figure of each line
  * @param frame - name, title, axes and limit
- * @returns a line for each figure over the setting
+ * @returns a plot with a line for each figure over the setting
  */
 export function linesBySetting (result: ExperimentResult, setting: string, lines: readonly LineSpec[], frame: Omit<LinePlot, 'kind' | 'series'>): LinePlot {
   const series: PlotSeries[] = lines.map(line => ({
--- a/packages/anvilarch-bench/src/plots/scale.ts
+++ b/packages/anvilarch-bench/src/plots/scale.ts
@@ -1,4 +1,4 @@
-/** Scales from values to positions, with round ticks. */
+/** Scales that map values to positions, with round ticks. */
 import type { ScaleKind } from './types'
 
 /** Maps a value to a position in the plot. */
@@ -32,8 +32,8 @@
 }
 
 /**
- * @param value - of a tick
- * @returns it in a short form, for example `1.5k`
+ * @param value - value of a tick
+ * @returns a short form, for example `12k`
  */
 export function formatTick (value: number): string {
   const magnitude = Math.abs(value)
--- a/packages/anvilarch-bench/src/plots/svg.ts
+++ b/packages/anvilarch-bench/src/plots/svg.ts
@@ -1,19 +1,19 @@
-/** A few helpers to write SVG text, and the frame that all plots share. */
+/** Helpers that render SVG elements, and the frame of all plots. */
 import { formatTick, type Scale } from './scale'
 
 /** Size of a plot and its margins, in user units. */
 export const FRAME = { width: 760, height: 380, left: 70, right: 20, top: 42, bottom: 56 } as const
 
-/** Colours that stay apart for readers with colour vision deficiency (Okabe and Ito). */
+/** Colours that are distinguishable with colour vision deficiency (Okabe and Ito). */
 export const PALETTE = ['#0072b2', '#d55e00', '#009e73', '#cc79a7', '#56b4e9', '#e69f00', '#000000', '#999999'] as const
 
 type Attributes = Record<string, string | number>
 
 /**
- * @param name - of the element
- * @param attributes - their values are escaped
- * @param children - text of children, not escaped
- * @returns the element as text
+ * @param name - name of the element
+ * @param attributes - attributes; their values are escaped
+ * @param children - markup of the children, not escaped
+ * @returns the markup of the element
  */
 export function element (name: string, attributes: Attributes, children = ''): string {
   const list = Object.entries(attributes).map(([key, value]) => ` ${key}="${escapeXml(typeof value === 'number' ? roundCoordinate(value) : value)}"`).join('')
@@ -21,10 +21,10 @@
 }
 
 /**
- * @param x - left end, middle or right end, by the attribute `text-anchor`
+ * @param x - left end, middle or right end, depending on the attribute `text-anchor`
  * @param y - base line
- * @param content - escaped here
- * @param attributes - further ones
+ * @param content - text; escaped by this function
+ * @param attributes - additional attributes
  * @returns a text element
  */
 export function text (x: number, y: number, content: string, attributes: Attributes = {}): string {
@@ -32,9 +32,9 @@
 }
 
 /**
- * @param title - headline of the plot
- * @param parts - elements inside
- * @returns the whole document
+ * @param title - title of the plot
+ * @param parts - elements of the document
+ * @returns the SVG document
  */
 export function svgDocument (title: string, parts: readonly string[]): string {
   const attributes = { xmlns: 'http://www.w3.org/2000/svg', viewBox: `0 0 ${FRAME.width} ${FRAME.height}`, 'font-family': 'sans-serif', 'font-size': '12', role: 'img' }
@@ -45,7 +45,7 @@
 
 /**
  * @param yScale - scale of the axis
- * @param label - what it shows
+ * @param label - label of the axis
  * @returns grid lines, tick labels and the axis label
  */
 export function yAxis (yScale: Scale, label: string): string[] {
@@ -61,7 +61,7 @@
 
 /**
  * @param yScale - scale of the axis
- * @param limit - value and what it stands for
+ * @param limit - value and label
  * @returns a dashed line across the plot
  */
 export function limitLine (yScale: Scale, limit: { value: number, label: string }): string[] {
@@ -73,8 +73,8 @@
 }
 
 /**
- * @param names - of the series, in the order of their colours
- * @returns a legend on the top right
+ * @param names - names of the series, in the order of their colours
+ * @returns a legend at the top right
  */
 export function legend (names: readonly string[]): string[] {
   const rowHeight = 15
--- a/packages/anvilarch-bench/src/plots/types.ts
+++ b/packages/anvilarch-bench/src/plots/types.ts
@@ -1,6 +1,6 @@
-/** Plots as data; `renderPlot` draws them. */
+/** Plots as data, rendered by `renderPlot`. */
 
-/** Values of an axis: even steps, or equal ratios. */
+/** Scale of an axis: equal distances for equal differences (linear) or for equal ratios (log). */
 export type ScaleKind = 'linear' | 'log'
 
 /** A measured point with its range over the rounds. */
@@ -9,11 +9,11 @@
   y: number
   min?: number
   max?: number
-  /** Written beside the point. */
+  /** Text beside the point. */
   label?: string
 }
 
-/** A named row of points. */
+/** A named series of points. */
 export interface PlotSeries {
   name: string
   points: PlotPoint[]
--- a/packages/anvilarch-bench/src/report/html.ts
+++ b/packages/anvilarch-bench/src/report/html.ts
@@ -1,8 +1,8 @@
-/** One HTML page with the latest results, without anything that is fetched from elsewhere. */
+/** Renders the latest results as one HTML page without external resources. */
 import { aimText, figureText } from '../harness/summaryTable'
 import type { ExperimentResult, VariantResult } from '../harness/types'
 
-/** A result with its plots as SVG text. */
+/** A result with its plots as SVG markup. */
 export interface ReportSection {
   result: ExperimentResult
   plots: string[]
@@ -18,7 +18,7 @@
 `
 
 /**
- * @param sections - results in the order in which they are shown
+ * @param sections - results in the order of the page
  * @returns the page
  */
 export function renderReport (sections: readonly ReportSection[]): string {
--- a/packages/anvilarch-bench/src/report/markdownSummary.ts
+++ b/packages/anvilarch-bench/src/report/markdownSummary.ts
@@ -1,10 +1,10 @@
-/** The latest results as Markdown, for docs/MEASUREMENTS.md. */
+/** Renders the latest results as Markdown for docs/MEASUREMENTS.md. */
 import { aimText, figureText } from '../harness/summaryTable'
 import type { ExperimentResult } from '../harness/types'
 
 /**
- * @param results - latest results in the order in which they are shown
- * @returns a section for each: command, machine, table, aims, failed runs and plots
+ * @param results - latest results in the order of the page
+ * @returns a section for each result: command, host, table, aims and failed runs
  */
 export function markdownSummary (results: readonly ExperimentResult[]): string {
   return results.map(renderResult).join('\n\n') + '\n'
--- a/packages/anvilarch-bench/src/report/writeReport.ts
+++ b/packages/anvilarch-bench/src/report/writeReport.ts
@@ -1,15 +1,15 @@
-/** Writes the page with the latest results of a folder. */
+/** Writes the HTML page with the latest results of a folder. */
 import { readdir, readFile, writeFile } from 'node:fs/promises'
 import { join } from 'node:path'
 import { readResults } from '../harness/resultStore'
 import { type ReportSection, renderReport } from './html'
 
-/** Name of the page in the folder of the results. */
+/** File name of the page in the folder of results. */
 export const REPORT_FILE = 'report.html'
 
 /**
- * @param directory - folder of the results
- * @param order - names of experiments in the order of the page; others follow
+ * @param directory - folder of results
+ * @param order - names of experiments in the order of the page; other experiments follow
  * @returns the path of the page and the experiments on it
  */
 export async function writeReport (directory: string, order: readonly string[]): Promise<{ path: string, experiments: string[] }> {
--- a/packages/anvilarch-bench/src/sampling/__tests__/sampling.test.ts
+++ b/packages/anvilarch-bench/src/sampling/__tests__/sampling.test.ts
@@ -5,7 +5,7 @@
 import { sampleProcess, statusField, usageBetween } from '../processSampler'
 
 describe('sampleProcess', () => {
-  test('reads CPU time and memory of a live process', async () => {
+  test('reads CPU time and memory of a running process', async () => {
     const sample = await sampleProcess(process.pid)
     expect(sample.cpuMs).toBeGreaterThan(0)
     expect(sample.residentBytes).toBeGreaterThan(10_000_000)
@@ -13,7 +13,7 @@
 })
 
 describe('usageBetween', () => {
-  test('states CPU as a share of a core and wake-ups a second', () => {
+  test('returns CPU time as a share of a core, and wake-ups a second', () => {
     const before = { cpuMs: 100, residentBytes: 1, anonymousBytes: 1, peakResidentBytes: 1, wakeUps: 10 }
     const after = { cpuMs: 150, residentBytes: 2, anonymousBytes: 1, peakResidentBytes: 3, wakeUps: 30 }
     expect(usageBetween(before, after, 2000)).toMatchObject({ cpuShare: 0.025, residentBytes: 2, wakeUpsPerSecond: 10 })
@@ -21,14 +21,14 @@
 })
 
 describe('statusField', () => {
-  test('reads a field and gives 0 for an absent one', () => {
+  test('returns the value of a field, and 0 for an absent one', () => {
     expect(statusField('VmHWM:\t  20 kB\nVmRSS:\t  12 kB\n', 'VmRSS')).toBe(12)
     expect(statusField('', 'VmRSS')).toBe(0)
   })
 })
 
 describe('parseMetrics', () => {
-  test('reads names, labels and values and sums by label', () => {
+  test('parses names, labels and values, and sums by label', () => {
     const samples = parseMetrics('# HELP a b\na{class="online",x="1"} 2\na{class="batch"} 3.5\nb 7\n')
     expect(samples).toHaveLength(3)
     expect(sumMetric(samples, 'a')).toBe(5.5)
@@ -37,7 +37,7 @@
 })
 
 describe('startByteRelay', () => {
-  test('passes bytes on and counts both directions', async () => {
+  test('forwards bytes and counts both directions', async () => {
     const server = createServer(socket => { socket.on('data', data => socket.write(Buffer.concat([data, data]))) })
     server.listen(0, '127.0.0.1')
     await once(server, 'listening')
--- a/packages/anvilarch-bench/src/sampling/byteRelay.ts
+++ b/packages/anvilarch-bench/src/sampling/byteRelay.ts
@@ -1,10 +1,10 @@
 /**
- * A TCP relay on loopback that counts what passes. The kernel's counters are kept for the whole host, so bytes between
- * two processes are counted by standing between them.
+ * A TCP relay on loopback that counts the bytes between two processes. The counters of the kernel cover the whole host, so
+ * they can't be used for this.
  */
 import { connect, createServer, type AddressInfo, type Socket } from 'node:net'
 
-/** Payload bytes of the connections through a relay; headers of TCP and IP are not in it. */
+/** Payload bytes of the connections through a relay, without TCP and IP headers. */
 export interface RelayCounts {
   toTargetBytes: number
   fromTargetBytes: number
@@ -13,7 +13,7 @@
 
 /** A running relay. */
 export interface ByteRelay {
-  /** Where to connect instead of the target. */
+  /** Address to connect to instead of the target. */
   address: string
   counts: () => RelayCounts
   close: () => Promise<void>
@@ -22,7 +22,7 @@
 const LOOPBACK = '127.0.0.1'
 
 /**
- * @param target - IP number and port to pass connections on to, or a function that knows it when a connection comes
+ * @param target - IP address and port to forward connections to, or a function that returns them for each connection
  * @returns the relay, listening on a free loopback port
  */
 export async function startByteRelay (target: string | (() => string)): Promise<ByteRelay> {
@@ -42,7 +42,7 @@
     incoming.on('data', data => { counts.toTargetBytes += data.length })
     outgoing.on('data', data => { counts.fromTargetBytes += data.length })
     incoming.pipe(outgoing).pipe(incoming)
-    // A reset on one side must reach the other, or it would look like a connection that went silent.
+    // A reset on one side is passed on to the other, where the connection would otherwise remain open without data.
     incoming.on('error', () => { outgoing.destroy() })
     outgoing.on('error', () => { incoming.destroy() })
   })
--- a/packages/anvilarch-bench/src/sampling/metricsReader.ts
+++ b/packages/anvilarch-bench/src/sampling/metricsReader.ts
@@ -1,6 +1,6 @@
-/** Reads the metrics page of a daemon, in the text format of Prometheus. */
+/** Parses the metrics of a daemon in the Prometheus text format. */
 
-/** One value with its labels. */
+/** A value of a metric with its labels. */
 export interface MetricSample {
   name: string
   labels: Record<string, string>
@@ -11,8 +11,8 @@
 const LABEL = /(\w+)="((?:[^"\\]|\\.)*)"/g
 
 /**
- * @param text - metrics page
- * @returns its samples; comments and lines of other forms are left out
+ * @param text - metrics in the text format
+ * @returns the samples; comments and malformed lines are skipped
  */
 export function parseMetrics (text: string): MetricSample[] {
   const samples: MetricSample[] = []
@@ -26,8 +26,8 @@
 }
 
 /**
- * @param samples - of one or more pages
- * @param name - of the metric
+ * @param samples - samples of one or more daemons
+ * @param name - name of the metric
  * @param labels - labels that must match
  * @returns the sum of the matching values
  */
--- a/packages/anvilarch-bench/src/sampling/processSampler.ts
+++ b/packages/anvilarch-bench/src/sampling/processSampler.ts
@@ -1,4 +1,4 @@
-/** CPU time and memory of processes on this host, read from `/proc`. */
+/** Samples CPU time and memory of processes on this host from `/proc`. */
 import { readdir, readFile } from 'node:fs/promises'
 import { type Clock, sleep } from 'anvilarch-utils'
 
@@ -7,14 +7,14 @@
   /** CPU time of all threads since the process started. */
   cpuMs: number
   residentBytes: number
-  /** Resident without pages of files, most of which are the runtime's program and shared by all processes of a host. */
+  /** Resident memory without file-backed pages, most of which are code of the runtime that all its processes on a host share. */
   anonymousBytes: number
   peakResidentBytes: number
-  /** Times that a thread of the process gave up the processor to wait, so about how often it was woken. */
+  /** Voluntary context switches of all threads: about the number of wake-ups. */
   wakeUps: number
 }
 
-/** What a process used over a stretch of time. */
+/** Resource usage of a process during an interval. */
 export interface ProcessUsage {
   /** CPU time as a share of one core. */
   cpuShare: number
@@ -31,12 +31,12 @@
 const MS_PER_SECOND = 1000
 
 /**
- * The scheduler's own account is used, in nanoseconds for each thread; `stat` counts in ticks of 10 ms, which is too
- * coarse for an idle daemon.
+ * Reads the CPU time of each thread in nanoseconds from the scheduler statistics. `stat` counts in ticks of 10 ms, which is
+ * too coarse for an idle daemon.
  *
  * @param pid - a process of this user
  * @returns its counters
- * @throws when the process is gone
+ * @throws when the process has exited
  */
 export async function sampleProcess (pid: number): Promise<ProcessSample> {
   const threads = await readdir(`/proc/${pid}/task`)
@@ -61,7 +61,7 @@
  * @param before - counters at the start
  * @param after - counters at the end
  * @param durationMs - time between them
- * @returns use of CPU and memory in between
+ * @returns CPU and memory usage between the samples
  */
 export function usageBetween (before: ProcessSample, after: ProcessSample, durationMs: number): ProcessUsage {
   const cpuMs = after.cpuMs - before.cpuMs
@@ -76,16 +76,16 @@
   }
 }
 
-/** Processes under observation since `startUsage`. */
+/** A usage measurement that `startUsage` has started. */
 export interface UsageWatch {
-  /** @returns what each process used since the start, by its key; processes that are gone are left out */
+  /** @returns the usage of each process since the start, by its key; processes that have exited are omitted */
   finish: () => Promise<Record<string, ProcessUsage>>
 }
 
 /**
- * @param pids - process ids by a key of the caller's choice
- * @param clock - measures the time in between
- * @returns a watch to be finished at the end of the measurement
+ * @param pids - process ids by any key
+ * @param clock - measures the elapsed time
+ * @returns a measurement to be finished at the end of the interval
  */
 export async function startUsage (pids: Record<string, number>, clock: Clock): Promise<UsageWatch> {
   const before: Record<string, { sample: ProcessSample, atMs: number }> = {}
@@ -109,7 +109,7 @@
  * @param pids - process ids by key
  * @param clock - waits
  * @param durationMs - how long to measure
- * @returns what each process used meanwhile
+ * @returns the usage of each process during that time
  */
 export async function measureUsage (pids: Record<string, number>, clock: Clock, durationMs: number): Promise<Record<string, ProcessUsage>> {
   const watch = await startUsage(pids, clock)
@@ -117,7 +117,7 @@
   return await watch.finish()
 }
 
-/** A thread may end between the listing and the read; it then counts as nothing. */
+/** @returns the content of the file; empty if the thread has ended since it was listed */
 async function readThread (pid: number, thread: string, file: string): Promise<string> {
   return await readFile(`/proc/${pid}/task/${thread}/${file}`, 'utf8').catch(() => '')
 }
@@ -125,7 +125,7 @@
 /**
  * @param status - text of a `status` file
  * @param name - field
- * @returns its number, 0 when it is absent
+ * @returns its value, 0 when it is absent
  */
 export function statusField (status: string, name: string): number {
   const match = new RegExp(`^${name}:\\s+(\\d+)`, 'm').exec(status)
--- a/packages/anvilarch-bench/src/statistics/__tests__/statistics.test.ts
+++ b/packages/anvilarch-bench/src/statistics/__tests__/statistics.test.ts
@@ -2,7 +2,7 @@
 import { fitLine, median, ratioSpread, spreadOf } from '../spread'
 
 describe('createLatencyRecorder', () => {
-  test('gives percentiles to three digits, in milliseconds', () => {
+  test('returns percentiles in milliseconds with three significant digits', () => {
     const recorder = createLatencyRecorder()
     for (let durationMs = 1; durationMs <= 1000; durationMs++) recorder.record(durationMs)
     const summary = recorder.summary()
@@ -12,7 +12,7 @@
     expect(Math.abs(summary.maxMs - 1000)).toBeLessThan(2)
   })
 
-  test('takes durations out of range at the nearest bound', () => {
+  test('clamps durations to the range of the histogram', () => {
     const recorder = createLatencyRecorder()
     recorder.record(-5)
     recorder.record(1e12)
@@ -21,12 +21,12 @@
 })
 
 describe('spreadOf', () => {
-  test('states the middle and the range', () => {
+  test('returns median and range', () => {
     expect(spreadOf([3, 1, 2])).toEqual({ median: 2, min: 1, max: 3, count: 3 })
     expect(median([4, 1, 2, 3])).toBe(2.5)
   })
 
-  test('leaves out figures that are no numbers', () => {
+  test('omits values that are not finite', () => {
     expect(spreadOf([Number.NaN, 2])).toEqual({ median: 2, min: 2, max: 2, count: 1 })
     expect(spreadOf([])).toEqual({ median: 0, min: 0, max: 0, count: 0 })
   })
@@ -40,14 +40,14 @@
 })
 
 describe('fitLine', () => {
-  test('finds slope and intercept', () => {
+  test('returns slope and intercept', () => {
     const line = fitLine([5, 20, 80, 320].map(x => ({ x, y: 3 + 0.5 * x })))
     expect(line.slope).toBeCloseTo(0.5)
     expect(line.intercept).toBeCloseTo(3)
     expect(line.rSquared).toBeCloseTo(1)
   })
 
-  test('is flat when all sizes are equal', () => {
+  test('is horizontal when all x are equal', () => {
     expect(fitLine([{ x: 1, y: 2 }, { x: 1, y: 4 }])).toEqual({ slope: 0, intercept: 3, rSquared: 0 })
   })
 })
--- a/packages/anvilarch-bench/src/statistics/latencyRecorder.ts
+++ b/packages/anvilarch-bench/src/statistics/latencyRecorder.ts
@@ -1,7 +1,7 @@
-/** Latency distributions in an HDR histogram: constant memory and three significant digits at any size. */
+/** Records latency distributions in an HDR histogram: constant memory, three significant digits for any duration. */
 import { build, type Histogram } from 'hdr-histogram-js'
 
-/** The figures of a distribution that reports use. */
+/** Figures of a distribution for reports. */
 export interface LatencySummary {
   count: number
   meanMs: number
@@ -12,10 +12,10 @@
   maxMs: number
 }
 
-/** A growing distribution of durations. */
+/** A distribution of durations. */
 export interface LatencyRecorder {
   record: (durationMs: number) => void
-  /** @returns the duration that `percent` of the recorded ones do not exceed */
+  /** @returns the duration that `percent` of the recorded durations do not exceed */
   percentileMs: (percent: number) => number
   count: () => number
   summary: () => LatencySummary
--- a/packages/anvilarch-bench/src/statistics/spread.ts
+++ b/packages/anvilarch-bench/src/statistics/spread.ts
@@ -1,6 +1,6 @@
-/** Medians and spread over a few runs, ratios within a round, and straight lines through measured points. */
+/** Median and range over a few runs, ratios within rounds, and least-squares lines. */
 
-/** The middle of a handful of runs, and how far they lie apart. */
+/** Median and range of a few values. */
 export interface Spread {
   median: number
   min: number
@@ -12,13 +12,13 @@
 export interface Line {
   slope: number
   intercept: number
-  /** Share of the variance that the line explains. */
+  /** Coefficient of determination: the share of the variance that the line explains. */
   rSquared: number
 }
 
 /**
  * @param values - at least one number
- * @returns the middle value, or the mean of the two in the middle
+ * @returns the middle value, or the mean of the two middle values
  */
 export function median (values: readonly number[]): number {
   const sorted = [...values].sort((left, right) => left - right)
@@ -28,7 +28,7 @@
 
 /**
  * @param values - one figure per run
- * @returns median and range; all zero when there is none
+ * @returns median and range of the finite values; all zero without one
  */
 export function spreadOf (values: readonly number[]): Spread {
   const finite = values.filter(value => Number.isFinite(value))
@@ -37,11 +37,11 @@
 }
 
 /**
- * Ratios are taken round by round, since rounds that ran next to each other saw the same machine.
+ * Calculates ratios by round, since conditions on the host differ least within a round.
  *
  * @param values - one figure per round
  * @param baseline - the baseline's figure of the same rounds
- * @returns the spread of the ratios; rounds with a baseline of zero are left out
+ * @returns the spread of the ratios; rounds with a baseline of zero are omitted
  */
 export function ratioSpread (values: readonly number[], baseline: readonly number[]): Spread {
   const ratios: number[] = []
@@ -53,8 +53,8 @@
 }
 
 /**
- * @param points - at least one pair of size and figure
- * @returns the least-squares line; flat through the mean when all sizes are equal
+ * @param points - at least one point
+ * @returns the least-squares line; horizontal through the mean when all `x` are equal
  */
 export function fitLine (points: ReadonlyArray<{ x: number, y: number }>): Line {
   const meanX = mean(points.map(point => point.x))
