--- a/packages/anvilarch-bench/src/bin/bench.ts
+++ b/packages/anvilarch-bench/src/bin/bench.ts
@@ -18,8 +18,8 @@
 const DEFAULT_SEED = 1
 const KEEP_ALIVE_MS = 1000
 
-interface Given {
-  what: string
+interface BenchArguments {
+  target: string
   seed: number
   runs: number | undefined
   seconds: number | undefined
@@ -32,7 +32,7 @@
   name: 'bench',
   description: 'Runs an experiment. "bench list" names them, "bench summary" prints the latest results as Markdown, "bench capacity" prints the tables of docs/CAPACITY.md from the latest results.',
   args: {
-    what: positional({ type: string, displayName: 'experiment', description: `one of ${[...EXPERIMENTS.keys()].join(', ')}; or list, summary or capacity` }),
+    target: positional({ type: string, displayName: 'experiment', description: `one of ${[...EXPERIMENTS.keys()].join(', ')}; or list, summary or capacity` }),
     seed: option({ type: number, long: 'seed', defaultValue: () => DEFAULT_SEED, description: 'seed of all random numbers' }),
     runs: option({ type: optional(number), long: 'runs', description: 'rounds; each runs every variant once' }),
     seconds: option({ type: optional(number), long: 'seconds', description: 'measured time of one run of one variant' }),
@@ -40,58 +40,58 @@
     variants: option({ type: optional(string), long: 'variants', description: 'names of variants to run, separated by commas; the baseline always runs' }),
     keepFiles: flag({ long: 'keep-files', description: 'keep settings and logs of the fleets' })
   },
-  handler: async given => { await handle(given) }
+  handler: async args => { await handle(args) }
 })
 
-const COMMANDS: Record<string, (given: Given) => Promise<void> | void> = {
+const COMMANDS: Record<string, (args: BenchArguments) => Promise<void> | void> = {
   list: () => { for (const experiment of EXPERIMENTS.values()) print(`${experiment.name.padEnd(14)} ${experiment.question}`) },
-  summary: async given => {
-    const results = await readResults(given.out)
+  summary: async args => {
+    const results = await readResults(args.out)
     print(markdownSummary([...EXPERIMENTS.keys()].flatMap(name => results.get(name) ?? [])))
   },
-  capacity: async given => { print(capacityText(await readResults(given.out))) }
+  capacity: async args => { print(capacityText(await readResults(args.out))) }
 }
 
-async function handle (given: Given): Promise<void> {
-  const experiment = EXPERIMENTS.get(given.what)
+async function handle (args: BenchArguments): Promise<void> {
+  const experiment = EXPERIMENTS.get(args.target)
   if (experiment !== undefined) {
-    await runOne(experiment, given)
+    await runOne(experiment, args)
     return
   }
-  const other = COMMANDS[given.what]
-  if (other === undefined) {
+  const handleCommand = COMMANDS[args.target]
+  if (handleCommand === undefined) {
     const known = [...EXPERIMENTS.keys(), ...Object.keys(COMMANDS)]
-    throw new Error(`no experiment "${given.what}"; did you mean "${closestName(given.what, known)}"? There are ${known.join(', ')}.`)
+    throw new Error(`no experiment "${args.target}"; did you mean "${closestName(args.target, known)}"? There are ${known.join(', ')}.`)
   }
-  await other(given)
+  await handleCommand(args)
 }
 
-async function runOne (experiment: Experiment, given: Given): Promise<void> {
+async function runOne (experiment: Experiment, args: BenchArguments): Promise<void> {
   const directory = mkdtempSync(join(tmpdir(), 'anvilarch-bench-'))
   try {
-    const result = await runExperiment(chooseVariants(experiment, given.variants), {
-      seed: given.seed,
-      runs: given.runs ?? experiment.defaults.runs,
-      seconds: given.seconds ?? experiment.defaults.seconds,
+    const result = await runExperiment(selectVariants(experiment, args.variants), {
+      seed: args.seed,
+      runs: args.runs ?? experiment.defaults.runs,
+      seconds: args.seconds ?? experiment.defaults.seconds,
       clock: createSystemClock(),
       directory,
       commit: currentCommit(),
-      commandSuffix: given.variants === undefined ? '' : ` --variants "${given.variants}"`,
+      commandSuffix: args.variants === undefined ? '' : ` --variants "${args.variants}"`,
       log: print
     })
-    const files = await writeResult(given.out, result, experiment.plots(result))
+    const files = await writeResult(args.out, result, experiment.plots(result))
     print(`\n${experiment.question}\n${summaryTable(result)}`)
     for (const aim of result.aims) print(aimText(aim))
-    print(`\nwritten to ${given.out}: ${files.join(', ')}`)
+    print(`\nwritten to ${args.out}: ${files.join(', ')}`)
     if (result.variants.some(variant => variant.runs.some(one => one.error !== undefined))) process.exitCode = 1
   } finally {
-    if (given.keepFiles) print(`files of the fleets: ${directory}`)
+    if (args.keepFiles) print(`files of the fleets: ${directory}`)
     else rmSync(directory, { recursive: true, force: true })
   }
 }
 
 /** Restricts an experiment to the named variants. The command in the result lists them, so that it is not mistaken for a complete one. */
-function chooseVariants (experiment: Experiment, names: string | undefined): Experiment {
+function selectVariants (experiment: Experiment, names: string | undefined): Experiment {
   if (names === undefined) return experiment
   const wanted = names.split(',').map(name => name.trim())
   return {
@@ -120,9 +120,9 @@
   process.stdout.write(line + '\n')
 }
 
-const breakOff = (): void => { stopOpenFleets().finally(() => { process.exit(130) }) }
-process.once('SIGINT', breakOff)
-process.once('SIGTERM', breakOff)
+const stopAndExit = (): void => { stopOpenFleets().finally(() => { process.exit(130) }) }
+process.once('SIGINT', stopAndExit)
+process.once('SIGTERM', stopAndExit)
 // The timers of the system clock do not keep the process running, and between two runs nothing else does.
 const keepAlive = setInterval(() => {}, KEEP_ALIVE_MS)
 run(bench, process.argv.slice(2))
--- a/packages/anvilarch-bench/src/bin/closestName.ts
+++ b/packages/anvilarch-bench/src/bin/closestName.ts
@@ -2,10 +2,10 @@
 import { distance } from 'fastest-levenshtein'
 
 /**
- * @param found - unknown name
+ * @param input - unknown name
  * @param known - known names; at least one
  * @returns the known name with the smallest edit distance
  */
-export function closestName (found: string, known: readonly string[]): string {
-  return known.reduce((best, name) => distance(found, name) < distance(found, best) ? name : best)
+export function closestName (input: string, known: readonly string[]): string {
+  return known.reduce((best, name) => distance(input, name) < distance(input, best) ? name : best)
 }
--- a/packages/anvilarch-bench/src/capacity/__tests__/capacity.test.ts
+++ b/packages/anvilarch-bench/src/capacity/__tests__/capacity.test.ts
@@ -1,6 +1,6 @@
 import type { ExperimentResult, VariantResult } from '../../harness/types'
 import { capacityText } from '../capacityText'
-import { lineAt, measured, sum, times } from '../slopes'
+import { estimateAt, measured, sum, times } from '../capacityValues'
 
 const variant = (name: string, settings: VariantResult['settings'], figures: Record<string, number>): VariantResult => ({
   name,
@@ -19,13 +19,13 @@
   resultOf('overhead', [variant('through', {}, { gatewayCpuPerLookupMs: 2 })])
 ])
 
-describe('lineAt', () => {
+describe('estimateAt', () => {
   test('estimates a figure at a size that was not measured', () => {
-    expect(lineAt(results, 'control', 'peers', 'gatewayIdleCpuShare', 305).value).toBeCloseTo(0.04)
+    expect(estimateAt(results, 'control', 'peers', 'gatewayIdleCpuShare', 305).value).toBeCloseTo(0.04)
   })
 
   test('is undefined with a single measured size', () => {
-    expect(lineAt(results, 'overhead', 'peers', 'gatewayCpuPerLookupMs', 3).value).toBeUndefined()
+    expect(estimateAt(results, 'overhead', 'peers', 'gatewayCpuPerLookupMs', 3).value).toBeUndefined()
   })
 })
 
--- a/packages/anvilarch-bench/src/capacity/capacityText.ts
+++ b/packages/anvilarch-bench/src/capacity/capacityText.ts
@@ -1,8 +1,8 @@
 /** Renders the capacity tables of docs/CAPACITY.md as Markdown. */
 import { formatFigure } from '../harness/formatFigure'
-import { badDayTables } from './badDays'
+import { failureScenarioTables } from './failureScenarios'
 import { type CapacityRow, type CapacityTable, roleTables } from './roleTables'
-import type { Results } from './slopes'
+import type { Results } from './capacityValues'
 
 const HEAD = ['what', 'size', 'figure', 'budget', 'slope from', 'mechanism']
 
@@ -15,7 +15,7 @@
   return [
     ...roleTables(results).map(renderTable),
     '## Days that go wrong',
-    ...badDayTables(results).map(table => renderTable(table).replace('## ', '### ')),
+    ...failureScenarioTables(results).map(table => renderTable(table).replace('## ', '### ')),
     '## Runs that gave the slopes',
     runs.join('\n') || 'none yet'
   ].join('\n\n') + '\n'
@@ -29,7 +29,7 @@
 function cells (row: CapacityRow): string[] {
   const { value, source } = row.value
   const figure = value === undefined ? 'not measured' : `${formatFigure(value)} ${row.unit}`
-  return [row.what, row.size, figure, budgetText(row), source, row.mechanism]
+  return [row.quantity, row.size, figure, budgetText(row), source, row.mechanism]
 }
 
 function budgetText (row: CapacityRow): string {
--- a/packages/anvilarch-bench/src/capacity/slopes.ts
+++ b/packages/anvilarch-bench/src/capacity/capacityValues.ts
@@ -3,7 +3,7 @@
 import { fitLine } from '../statistics/spread'
 
 /** A value with its source. */
-export interface Slope {
+export interface CapacityValue {
   value: number | undefined
   /** Experiment and figure, or `assumed`. */
   source: string
@@ -14,12 +14,12 @@
 
 /**
  * @param results - latest results
- * @param experiment - which one
- * @param variant - which variant
- * @param figure - which figure
+ * @param experiment - name of the experiment
+ * @param variant - name of the variant
+ * @param figure - name of the figure
  * @returns the median of the figure
  */
-export function measured (results: Results, experiment: string, variant: string, figure: string): Slope {
+export function measured (results: Results, experiment: string, variant: string, figure: string): CapacityValue {
   const value = results.get(experiment)?.variants.find(candidate => candidate.name === variant)?.figures[figure]
   return { value: value === undefined || value.count === 0 ? undefined : value.median, source: `${experiment}: ${figure}` }
 }
@@ -28,13 +28,13 @@
  * Estimates a figure at any size by a least-squares line through the measured sizes.
  *
  * @param results - latest results
- * @param experiment - which one
+ * @param experiment - name of the experiment
  * @param setting - numeric setting that is the size
- * @param figure - which figure
+ * @param figure - name of the figure
  * @param size - size to estimate the figure for
  * @returns the value of the line at that size, at least 0
  */
-export function lineAt (results: Results, experiment: string, setting: string, figure: string, size: number): Slope {
+export function estimateAt (results: Results, experiment: string, setting: string, figure: string, size: number): CapacityValue {
   const points = (results.get(experiment)?.variants ?? [])
     .filter(variant => typeof variant.settings[setting] === 'number' && (variant.figures[figure]?.count ?? 0) > 0)
     .map(variant => ({ x: Number(variant.settings[setting]), y: variant.figures[figure].median }))
@@ -48,25 +48,25 @@
  * @param value - a value that is neither required nor measured
  * @returns the value with the source `assumed`
  */
-export function assumed (value: number): Slope {
+export function assumed (value: number): CapacityValue {
   return { value, source: 'assumed' }
 }
 
 /**
- * @param slope - a slope
- * @param factor - how many of its unit
+ * @param base - value of one unit
+ * @param factor - number of units
  * @returns the product with the same source
  */
-export function times (slope: Slope, factor: number): Slope {
-  return { value: slope.value === undefined ? undefined : slope.value * factor, source: slope.source }
+export function times (base: CapacityValue, factor: number): CapacityValue {
+  return { value: base.value === undefined ? undefined : base.value * factor, source: base.source }
 }
 
 /**
- * @param slopes - of the same unit
+ * @param values - values of the same unit
  * @returns their sum; undefined if one of them is
  */
-export function sum (...slopes: Slope[]): Slope {
-  const missing = slopes.some(slope => slope.value === undefined)
-  const source = [...new Set(slopes.map(slope => slope.source))].join('; ')
-  return { value: missing ? undefined : slopes.reduce((total, slope) => total + (slope.value ?? 0), 0), source }
+export function sum (...values: CapacityValue[]): CapacityValue {
+  const missing = values.some(one => one.value === undefined)
+  const source = [...new Set(values.map(one => one.source))].join('; ')
+  return { value: missing ? undefined : values.reduce((total, one) => total + (one.value ?? 0), 0), source }
 }
--- a/packages/anvilarch-bench/src/clients/chatClient.ts
+++ b/packages/anvilarch-bench/src/clients/chatClient.ts
@@ -93,11 +93,11 @@
   const answer = emptyAnswer(0)
   let text = ''
   /** The parts that follow the text; a response that lacks one is incomplete. */
-  const ending = { reason: false, usage: false, done: false }
-  let garbled = false
+  const receivedParts = { reason: false, usage: false, done: false }
+  let hasInvalidEvent = false
   let lastTokenAtMs: number | undefined
 
-  const noteToken = (content: string): void => {
+  const recordToken = (content: string): void => {
     const nowMs = clock.nowMs()
     text += content
     answer.tokens++
@@ -107,12 +107,12 @@
   }
   const onEvent = (data: string): void => {
     if (data === DONE) {
-      ending.done = true
+      receivedParts.done = true
       return
     }
     const chunk = parseChunk(data)
     if (chunk === undefined) {
-      garbled = true
+      hasInvalidEvent = true
       return
     }
     if (chunk.error !== undefined) {
@@ -122,27 +122,27 @@
       answer.detail = chunk.error.message ?? ''
       return
     }
-    ending.usage ||= typeof chunk.usage === 'object' && chunk.usage !== null
-    ending.reason ||= typeof chunk.choices?.[0]?.finish_reason === 'string'
+    receivedParts.usage ||= typeof chunk.usage === 'object' && chunk.usage !== null
+    receivedParts.reason ||= typeof chunk.choices?.[0]?.finish_reason === 'string'
     answer.promptTokens = chunk.usage?.prompt_tokens ?? answer.promptTokens
     answer.cachedTokens = chunk.usage?.prompt_tokens_details?.cached_tokens ?? answer.cachedTokens
     const content = chunk.choices?.[0]?.delta?.content
-    if (content !== undefined && content !== '') noteToken(content)
+    if (content !== undefined && content !== '') recordToken(content)
   }
   const parser = createParser({ onEvent: event => { onEvent(event.data) } })
 
-  const judge = (expected: string): Answer['outcome'] => {
+  const outcomeOf = (expected: string): Answer['outcome'] => {
     if (answer.code !== '') return 'failed'
     if (answer.isCrossed) return 'wrong'
-    return text === expected && Object.values(ending).every(Boolean) ? 'completed' : 'incomplete'
+    return text === expected && Object.values(receivedParts).every(Boolean) ? 'completed' : 'incomplete'
   }
   return {
     answer,
     feed: chunk => { parser.feed(chunk) },
     finish: (expected, error) => {
-      answer.isCrossed = garbled || !expected.startsWith(text)
+      answer.isCrossed = hasInvalidEvent || !expected.startsWith(text)
       if (error !== undefined) return brokenAnswer(error, clock.nowMs(), answer)
-      const outcome = judge(expected)
+      const outcome = outcomeOf(expected)
       const detail = outcome === 'wrong' ? `expected ${JSON.stringify(expected.slice(0, 60))}, got ${JSON.stringify(text.slice(0, 60))}` : answer.detail
       return { ...answer, outcome, detail, endedAtMs: clock.nowMs() }
     }
--- a/packages/anvilarch-bench/src/clients/jobClient.ts
+++ b/packages/anvilarch-bench/src/clients/jobClient.ts
@@ -51,7 +51,7 @@
 }
 
 /** Final states of a batch. */
-const END_STATES = new Set(['completed', 'failed', 'cancelled', 'expired'])
+const FINAL_STATES = new Set(['completed', 'failed', 'cancelled', 'expired'])
 const DEFAULT_POLL_MS = 250
 const BOUNDARY = 'anvilarch-bench-boundary'
 /** Lines written to the socket at a time; writing them one by one would cost a system call each. */
@@ -68,12 +68,12 @@
     if (response.statusCode < 400) return response
     throw new Error(`${method} ${path}: ${response.statusCode} ${(await response.body.text()).slice(0, 300)}`)
   }
-  const json = async <Answer>(method: 'GET' | 'POST', path: string, body?: object, headers: Record<string, string> = {}): Promise<Answer> => {
+  const callJson = async <Body>(method: 'GET' | 'POST', path: string, body?: object, headers: Record<string, string> = {}): Promise<Body> => {
     const text = body === undefined ? undefined : JSON.stringify(body)
     const response = await call(method, path, { 'content-type': 'application/json', ...headers }, text)
-    return await response.body.json() as Answer
+    return await response.body.json() as Body
   }
-  const get = (jobId: string): Promise<BatchView> => json('GET', `/v1/batches/${jobId}`)
+  const get = (jobId: string): Promise<BatchView> => callJson('GET', `/v1/batches/${jobId}`)
 
   return {
     upload: async items => {
@@ -81,18 +81,18 @@
       const response = await call('POST', '/v1/files', headers, Readable.from(multipart(items, endpoint), { objectMode: false }))
       return (await response.body.json() as { id: string }).id
     },
-    create: (fileId, idempotencyKey) => json(
+    create: (fileId, idempotencyKey) => callJson(
       'POST',
       '/v1/batches',
       { input_file_id: fileId, endpoint, completion_window: '24h' },
       idempotencyKey === undefined ? {} : { 'idempotency-key': idempotencyKey }
     ),
     get,
-    cancel: jobId => json('POST', `/v1/batches/${jobId}/cancel`),
+    cancel: jobId => callJson('POST', `/v1/batches/${jobId}/cancel`),
     waitForEnd: async (jobId, { timeoutMs, pollMs = DEFAULT_POLL_MS, signal }) => {
-      const untilMs = options.clock.nowMs() + timeoutMs
+      const deadlineMs = options.clock.nowMs() + timeoutMs
       let view = await get(jobId)
-      while (!END_STATES.has(view.status) && options.clock.nowMs() < untilMs && signal?.aborted !== true) {
+      while (!FINAL_STATES.has(view.status) && options.clock.nowMs() < deadlineMs && signal?.aborted !== true) {
         await sleep(options.clock, pollMs, signal)
         view = await get(jobId)
       }
@@ -100,8 +100,8 @@
     },
     readResults: async (fileId, expected, expectedCount) => {
       const response = await call('GET', `/v1/files/${fileId}/content`, {})
-      const lookUp = typeof expected === 'function' ? expected : (customId: string) => expected.get(customId)
-      return await checkResults(linesOf(response.body), lookUp, expectedCount)
+      const expectedTextOf = typeof expected === 'function' ? expected : (customId: string) => expected.get(customId)
+      return await checkResults(linesOf(response.body), expectedTextOf, expectedCount)
     }
   }
 }
--- a/packages/anvilarch-bench/src/clients/lookupClient.ts
+++ b/packages/anvilarch-bench/src/clients/lookupClient.ts
@@ -13,7 +13,7 @@
 }
 
 /** Response of the plain stand-in. */
-interface LookupAnswer {
+interface LookupResponse {
   path?: string
   requestId?: string
 }
@@ -37,19 +37,19 @@
     const text = await response.body.text()
     const endedAtMs = clock.nowMs()
     if (response.statusCode >= 400) return errorAnswer(response.statusCode, response.headers['retry-after'], text, endedAtMs)
-    return { ...emptyAnswer(endedAtMs), status: response.statusCode, ...judge(text, request) }
+    return { ...emptyAnswer(endedAtMs), status: response.statusCode, ...checkResponse(text, request) }
   } catch (error) {
     return brokenAnswer(error, clock.nowMs())
   }
 }
 
-function judge (text: string, request: LookupRequest): Pick<Answer, 'outcome' | 'detail'> {
-  let answer: LookupAnswer
+function checkResponse (text: string, request: LookupRequest): Pick<Answer, 'outcome' | 'detail'> {
+  let response: LookupResponse
   try {
-    answer = JSON.parse(text) as LookupAnswer
+    response = JSON.parse(text) as LookupResponse
   } catch {
     return { outcome: 'incomplete', detail: 'the response is not valid JSON' }
   }
-  const mine = answer.requestId === request.requestId && answer.path === request.endpointPath
-  return mine ? { outcome: 'completed', detail: '' } : { outcome: 'wrong', detail: text.slice(0, 200) }
+  const matches = response.requestId === request.requestId && response.path === request.endpointPath
+  return matches ? { outcome: 'completed', detail: '' } : { outcome: 'wrong', detail: text.slice(0, 200) }
 }
--- a/packages/anvilarch-bench/src/experiments/__tests__/experiments.test.ts
+++ b/packages/anvilarch-bench/src/experiments/__tests__/experiments.test.ts
@@ -1,5 +1,5 @@
 import { createRandom } from 'anvilarch-utils'
-import { createZipf } from '../affinity'
+import { createZipfSampler } from '../affinity'
 import { hitFigures } from '../loss'
 import { EXPERIMENTS } from '../registry'
 
@@ -18,25 +18,25 @@
 })
 
 describe('hitFigures', () => {
-  const seen = (intendedMs: number, durationMs: number, outcome: 'completed' | 'failed' = 'completed'): Parameters<typeof hitFigures>[0][number] => ({ intendedMs, durationMs, outcome })
+  const requestOf = (intendedMs: number, durationMs: number, outcome: 'completed' | 'failed' = 'completed'): Parameters<typeof hitFigures>[0][number] => ({ intendedMs, durationMs, outcome })
 
   test('finds the last request that was slow or failed after the fault', () => {
-    const requests = [seen(0, 10), seen(10, 10), seen(20, 10), seen(95, 200), seen(300, 10), seen(400, 11, 'failed'), seen(500, 12)]
+    const requests = [requestOf(0, 10), requestOf(10, 10), requestOf(20, 10), requestOf(95, 200), requestOf(300, 10), requestOf(400, 11, 'failed'), requestOf(500, 12)]
     expect(hitFigures(requests, 100)).toEqual({ hitRequests: 2, lastHitAfterMs: 300 })
   })
 
   test('is zero when no request was hit, and empty without a request before the fault', () => {
-    expect(hitFigures([seen(0, 10), seen(200, 10)], 100)).toEqual({ hitRequests: 0, lastHitAfterMs: 0 })
-    expect(hitFigures([seen(200, 10)], 100)).toEqual({})
+    expect(hitFigures([requestOf(0, 10), requestOf(200, 10)], 100)).toEqual({ hitRequests: 0, lastHitAfterMs: 0 })
+    expect(hitFigures([requestOf(200, 10)], 100)).toEqual({})
   })
 })
 
-describe('createZipf', () => {
+describe('createZipfSampler', () => {
   test('returns every rank, and low ranks more often', () => {
     const random = createRandom(1)
-    const choose = createZipf(4, 1)
+    const sampleRank = createZipfSampler(4, 1)
     const counts = [0, 0, 0, 0]
-    for (let draw = 0; draw < 4000; draw++) counts[choose(random)]++
+    for (let index = 0; index < 4000; index++) counts[sampleRank(random)]++
     expect(counts).toEqual([...counts].sort((left, right) => right - left))
     expect(Math.min(...counts)).toBeGreaterThan(300)
   })
--- a/packages/anvilarch-bench/src/experiments/affinity.ts
+++ b/packages/anvilarch-bench/src/experiments/affinity.ts
@@ -54,12 +54,12 @@
   const options = { gateways: 2, models: ENGINES, plains: 0, engine: { cacheTokens }, gateway: { routingPolicy } }
   return await withFleet(context, options, async ({ fleet, callers }) => {
     const prefixes = Array.from({ length: PREFIXES }, () => promptText(context.random, PREFIX_CHARACTERS))
-    const choose = createZipf(PREFIXES, ZIPF_EXPONENT)
+    const sampleRank = createZipfSampler(PREFIXES, ZIPF_EXPONENT)
     const collector = createCollector()
     const { timesMs } = createArrivals(steadyArrivals(REQUESTS_PER_SECOND, context.warmUpMs + context.durationMs), context.random)
     const requests = timesMs.map((_timeMs, index) => ({
       requestId: `affinity-${context.round}-${index}`,
-      system: prefixes[choose(context.random)],
+      system: prefixes[sampleRank(context.random)],
       prompt: promptText(context.random, QUESTION_CHARACTERS),
       maxTokens: TOKENS
     }))
@@ -87,14 +87,14 @@
  * @param exponent - popularity is the rank to minus this power
  * @returns a function that returns random ranks from 0
  */
-export function createZipf (count: number, exponent: number): (random: Random) => number {
+export function createZipfSampler (count: number, exponent: number): (random: Random) => number {
   const weights = Array.from({ length: count }, (_, rank) => (rank + 1) ** -exponent)
   const total = weights.reduce((sum, weight) => sum + weight, 0)
   return random => {
-    let left = random.next() * total
+    let remaining = random.next() * total
     const rank = weights.findIndex(weight => {
-      left -= weight
-      return left < 0
+      remaining -= weight
+      return remaining < 0
     })
     return rank < 0 ? count - 1 : rank
   }
--- a/packages/anvilarch-bench/src/experiments/configuration.ts
+++ b/packages/anvilarch-bench/src/experiments/configuration.ts
@@ -40,30 +40,30 @@
 }
 
 async function measureChanges (context: RunContext, fleet: BenchFleet, agents: LightAgentsChild, peers: number): Promise<VariantRun> {
-  const everywhere = createLatencyRecorder()
+  const allDaemons = createLatencyRecorder()
   const gateways = createLatencyRecorder()
   const changes = Math.max(1, Math.round(context.durationMs / APPLY_EVERY_MS))
   const before = await agents.stats()
   for (let change = 1; change <= changes; change++) {
     fleet.document.defaultCaller.burst += 1
-    const appliedAt = fleet.gateways[change % fleet.gateways.length]
+    const targetGateway = fleet.gateways[change % fleet.gateways.length]
     const startedWallMs = context.clock.wallMs()
-    const { version } = await applyDocument(appliedAt.origin, 'bench.jsonc', JSON.stringify(fleet.document))
-    const gatewaysMs = waitForGateways(context, fleet, version).then(() => context.clock.wallMs() - startedWallMs)
+    const { version } = await applyDocument(targetGateway.origin, 'bench.jsonc', JSON.stringify(fleet.document))
+    const appliedAtGateways = waitForGateways(context, fleet, version).then(() => context.clock.wallMs() - startedWallMs)
     await waitFor(async () => ((await agents.stats()).versions[String(version)]?.length ?? 0) >= peers, {
       clock: context.clock, timeoutMs: IN_FORCE_LIMIT_MS * 3, what: `version ${version} at ${peers} agents`
     })
     const times = (await agents.stats()).versions[String(version)]
-    const atGatewaysMs = await gatewaysMs
-    gateways.record(atGatewaysMs)
-    everywhere.record(Math.max(atGatewaysMs, Math.max(...times) - startedWallMs))
+    const gatewaysMs = await appliedAtGateways
+    gateways.record(gatewaysMs)
+    allDaemons.record(Math.max(gatewaysMs, Math.max(...times) - startedWallMs))
   }
   const after = await agents.stats()
   return {
     figures: {
       changes,
-      inForceP50Ms: everywhere.percentileMs(50),
-      inForceMaxMs: everywhere.summary().maxMs,
+      inForceP50Ms: allDaemons.percentileMs(50),
+      inForceMaxMs: allDaemons.summary().maxMs,
       gatewaysP50Ms: gateways.percentileMs(50),
       pushesPerAgentAndChange: (after.pushes - before.pushes) / peers / changes,
       changesPerSecond: changes * MS_PER_SECOND / context.durationMs
@@ -74,6 +74,6 @@
 async function waitForGateways (context: RunContext, fleet: BenchFleet, version: number): Promise<void> {
   await waitFor(async () => {
     const versions = await Promise.all(fleet.gateways.map(async gateway => (await getJson<{ version: number }>(`${gateway.origin}/admin/v1/configuration`)).version))
-    return versions.every(found => found >= version)
+    return versions.every(inForce => inForce >= version)
   }, { clock: context.clock, timeoutMs: IN_FORCE_LIMIT_MS * 3, what: `version ${version} at the gateways`, intervalMs: 20 })
 }
--- a/packages/anvilarch-bench/src/experiments/control.ts
+++ b/packages/anvilarch-bench/src/experiments/control.ts
@@ -13,7 +13,7 @@
 import type { Plot } from '../plots/types'
 import type { MetricSample } from '../sampling/metricsReader'
 import { type ByteRelay, startByteRelay } from '../sampling/byteRelay'
-import { type ProcessUsage, startUsage } from '../sampling/processSampler'
+import { type ProcessUsage, startUsageMeasurement } from '../sampling/processSampler'
 import { addLightAgents, type LightAgentsChild } from './lightFleet'
 
 const PEERS = [5, 20, 80, 320]
@@ -129,24 +129,24 @@
   const { fleet } = setup
   const gateways = await startLightGatewayProcess(context, setup, lookupsPerSecond)
   try {
-    const stateMs = context.durationMs / 2
-    const loading = startLookups(context, fleet, lookupsPerSecond, SETTLE_MS + stateMs)
+    const measuredMs = context.durationMs / 2
+    const lookups = startLookups(context, fleet, lookupsPerSecond, SETTLE_MS + measuredMs)
     await sleep(context.clock, SETTLE_MS)
     const before = await readBytes(setup)
-    const watch = await startUsage({ gateway: fleet.gateways[0].pid, agent: fleet.agents[0].pid }, context.clock)
+    const measurement = await startUsageMeasurement({ gateway: fleet.gateways[0].pid, agent: fleet.agents[0].pid }, context.clock)
     const metricsBefore = await readRoleMetrics(fleet)
     const startedMs = context.clock.nowMs()
-    await sleep(context.clock, stateMs)
-    const used = await watch.finish()
+    await sleep(context.clock, measuredMs)
+    const usage = await measurement.finish()
     const after = await readBytes(setup)
     const metricsAfter = await readRoleMetrics(fleet)
     const seconds = (context.clock.nowMs() - startedMs) / MS_PER_SECOND
-    const notes = await loading
+    const notes = await lookups
     const stats = await gateways.stats()
     if (stats.exchangeErrors + stats.lookupErrors > 0) notes.push(`light gateways: ${JSON.stringify(stats)}`)
     const figures: Figures = {}
     for (const role of ROLES) {
-      Object.assign(figures, stateFigures(`${role}${state}`, used[role], (after[role] - before[role]) / seconds))
+      Object.assign(figures, stateFigures(`${role}${state}`, usage[role], (after[role] - before[role]) / seconds))
       for (const [name, labels] of Object.entries(PLATFORM_CALLS)) {
         figures[`${role}${state}${name}PerSecond`] = metricGrowth(metricsBefore[role], metricsAfter[role], 'anvilarch_platform_calls_total', labels) / seconds
       }
@@ -175,13 +175,13 @@
   return { gateway: await readMetrics([fleet.gateways[0]]), agent: await readMetrics([fleet.agents[0]]) }
 }
 
-function stateFigures (name: string, used: ProcessUsage, bytesPerSecond: number): Figures {
+function stateFigures (name: string, usage: ProcessUsage, bytesPerSecond: number): Figures {
   return {
-    [`${name}CpuShare`]: used.cpuShare,
-    [`${name}Bytes`]: used.residentBytes,
-    [`${name}AnonymousBytes`]: used.anonymousBytes,
+    [`${name}CpuShare`]: usage.cpuShare,
+    [`${name}Bytes`]: usage.residentBytes,
+    [`${name}AnonymousBytes`]: usage.anonymousBytes,
     [`${name}BytesPerSecond`]: bytesPerSecond,
-    [`${name}WakeUpsPerSecond`]: used.wakeUpsPerSecond
+    [`${name}WakeUpsPerSecond`]: usage.wakeUpsPerSecond
   }
 }
 
@@ -197,10 +197,10 @@
 
 /** @returns the bytes that each role has exchanged with its peers and the platform so far */
 async function readBytes (setup: Setup): Promise<Record<Role, number>> {
-  const light = await setup.agents.stats()
+  const agentStats = await setup.agents.stats()
   const sum = (relays: readonly ByteRelay[]): number => relays.reduce((total, relay) => total + relay.counts().toTargetBytes + relay.counts().fromTargetBytes, 0)
   return {
-    gateway: light.receivedBytes + light.sentBytes + sum(setup.relays.gateway),
+    gateway: agentStats.receivedBytes + agentStats.sentBytes + sum(setup.relays.gateway),
     agent: sum([setup.agentRelay, ...setup.relays.agent])
   }
 }
--- a/packages/anvilarch-bench/src/experiments/jobs.ts
+++ b/packages/anvilarch-bench/src/experiments/jobs.ts
@@ -9,7 +9,7 @@
 import type { Experiment, Figures, RunContext, Variant, VariantRun } from '../harness/types'
 import { withFleet } from '../harness/withFleet'
 import { barsByFigure, linesBySetting } from '../plots/resultPlots'
-import { startUsage } from '../sampling/processSampler'
+import { startUsageMeasurement } from '../sampling/processSampler'
 
 const TOKENS = 4
 const FAST_ENGINE = { baseStepMs: 2, perSequenceMs: 0.02, slots: 64 }
@@ -20,7 +20,7 @@
 /** Time limit of a large job, for each of its items. */
 const MAX_ITEM_MS = 5
 const KILL_AFTER_SHARE = 0.25
-const PER = 1000
+const PER_THOUSAND = 1000
 const MS_PER_SECOND = 1000
 
 interface JobSettings extends Record<string, string | number | boolean> {
@@ -70,21 +70,21 @@
     const dispatcher = new Agent({ headersTimeout: 0, bodyTimeout: 0 })
     // The bench sends to the last gateway, since the first one is killed.
     const client = createJobClient({ clock, dispatcher, origin: fleet.gateways[fleet.gateways.length - 1].origin })
-    const usage = await startUsage(pidsOf(fleet), clock)
+    const measurement = await startUsageMeasurement(pidsOf(fleet), clock)
     const startedMs = clock.nowMs()
     const fileId = await client.upload(jobItems(fleet, settings.items))
     const uploadedMs = clock.nowMs()
     const before = await readPlatformCounts(fleet)
     const job = await client.create(fileId)
-    const killing = settings.killGateway ? killAndWatch(context, fleet, client, job.id, settings.items) : Promise.resolve<Figures>({})
+    const takeOver = settings.killGateway ? measureTakeOver(context, fleet, client, job.id, settings.items) : Promise.resolve<Figures>({})
     const ended = await client.waitForEnd(job.id, { timeoutMs: Math.max(MAX_RUN_MS, settings.items * MAX_ITEM_MS), pollMs: 100 })
     const endedMs = clock.nowMs()
-    const used = await usage.finish()
+    const usageByProcess = await measurement.finish()
     const counts = countsBetween(before, await readPlatformCounts(fleet))
     const check = await readBack(fleet, client, ended, settings.items)
     await dispatcher.destroy()
     const seconds = (endedMs - uploadedMs) / MS_PER_SECOND
-    const sum = (role: string, pick: (usage: typeof used[string]) => number): number => Object.entries(used).filter(([key]) => key.startsWith(role)).reduce((total, [, one]) => total + pick(one), 0)
+    const sum = (role: string, pick: (usage: typeof usageByProcess[string]) => number): number => Object.entries(usageByProcess).filter(([key]) => key.startsWith(role)).reduce((total, [, one]) => total + pick(one), 0)
     return {
       figures: {
         items: settings.items,
@@ -94,8 +94,8 @@
         ...perThousandItems(counts, settings.items),
         gatewayCpuPerItemMs: sum('gateway', one => one.cpuMs) / settings.items,
         agentCpuPerItemMs: sum('agent', one => one.cpuMs) / settings.items,
-        gatewayPeakBytes: Math.max(...Object.entries(used).filter(([key]) => key.startsWith('gateway')).map(([, one]) => one.peakResidentBytes)),
-        ...await killing,
+        gatewayPeakBytes: Math.max(...Object.entries(usageByProcess).filter(([key]) => key.startsWith('gateway')).map(([, one]) => one.peakResidentBytes)),
+        ...await takeOver,
         ...check.figures
       },
       notes: check.notes
@@ -104,7 +104,7 @@
 }
 
 function perThousandItems (counts: PlatformCounts, items: number): Figures {
-  const thousands = items / PER
+  const thousands = items / PER_THOUSAND
   return {
     tableCommitsPer1000Items: counts.tableCommits / thousands,
     tableReadsPer1000Items: (counts.tableReads + counts.tableScans) / thousands,
@@ -123,9 +123,9 @@
 }
 
 /** Kills the first gateway while it has claimed parts, and waits until other gateways have taken over all of them. */
-async function killAndWatch (context: RunContext, fleet: BenchFleet, client: JobClient, jobId: string, items: number): Promise<Figures> {
+async function measureTakeOver (context: RunContext, fleet: BenchFleet, client: JobClient, jobId: string, items: number): Promise<Figures> {
   const { clock } = context
-  const victim = fleet.gateways[0]
+  const killedGateway = fleet.gateways[0]
   let done = 0
   while (done < items * KILL_AFTER_SHARE) {
     await sleep(clock, 100)
@@ -133,17 +133,17 @@
     if (view.status === 'completed') return {}
     done = view.request_counts?.completed ?? 0
   }
-  fleet.local.kill(victim.name, 'SIGKILL')
+  fleet.local.kill(killedGateway.name, 'SIGKILL')
   const killedMs = clock.nowMs()
-  const heldAtKill = await openPartsOf(fleet, jobId, victim.name)
+  const claimedAtKill = await countClaimedParts(fleet, jobId, killedGateway.name)
   while (clock.nowMs() - killedMs < MAX_RUN_MS) {
-    if (await openPartsOf(fleet, jobId, victim.name) === 0) return { partsHeldAtKill: heldAtKill, takeOverMs: clock.nowMs() - killedMs }
+    if (await countClaimedParts(fleet, jobId, killedGateway.name) === 0) return { partsHeldAtKill: claimedAtKill, takeOverMs: clock.nowMs() - killedMs }
     await sleep(clock, 100)
   }
-  return { partsHeldAtKill: heldAtKill }
+  return { partsHeldAtKill: claimedAtKill }
 }
 
-async function openPartsOf (fleet: BenchFleet, jobId: string, gateway: string): Promise<number> {
+async function countClaimedParts (fleet: BenchFleet, jobId: string, gateway: string): Promise<number> {
   const response = await request(`${fleet.table.url}/v1/scan`, { method: 'POST', headers: { 'content-type': 'application/json' }, body: JSON.stringify({ prefix: `part/${jobId}/`, limit: 10_000 }) })
   const { rows } = await response.body.json() as { rows: Array<{ value: string }> }
   return rows.map(row => JSON.parse(row.value) as PartRow).filter(part => part.state !== 'done' && part.holder?.startsWith(gateway) === true).length
--- a/packages/anvilarch-bench/src/experiments/lightFleet.ts
+++ b/packages/anvilarch-bench/src/experiments/lightFleet.ts
@@ -28,10 +28,10 @@
   const options: Omit<LightAgentsOptions, 'clock'> = { count, service: fleet.services.plain, failureDomains: FAILURE_DOMAINS, region: BENCH_NAMES.region }
   const child = await startChild<LightAgent[], LightAgentStats>('lightAgents.js', options)
   try {
-    await request(`${fleet.hosts.url}/hosts`, { method: 'PUT', body: JSON.stringify({ hosts: [...gatewayEntries(fleet), ...child.details.map(toEntry)] }) })
+    await request(`${fleet.hosts.url}/hosts`, { method: 'PUT', body: JSON.stringify({ hosts: [...gatewayEntries(fleet), ...child.details.map(toHostEntry)] }) })
     await waitFor(async () => {
-      const known = await Promise.all(fleet.gateways.map(gateway => countServing(gateway.origin)))
-      return known.every(serving => serving >= count)
+      const servingCounts = await Promise.all(fleet.gateways.map(gateway => countServing(gateway.origin)))
+      return servingCounts.every(serving => serving >= count)
     }, { clock: context.clock, timeoutMs: KNOWN_TIMEOUT_MS, what: `the gateways to know ${count} light agents` })
     return child
   } catch (error) {
@@ -44,7 +44,7 @@
   return fleet.local.processes('gateway').flatMap(gateway => gateway.spec.hostEntry ?? [])
 }
 
-function toEntry (agent: LightAgent): HostEntry {
+function toHostEntry (agent: LightAgent): HostEntry {
   return { host: agent.name, role: 'agent', address: agent.address, failureDomain: agent.failureDomain, region: BENCH_NAMES.region, state: 'live' }
 }
 
--- a/packages/anvilarch-bench/src/experiments/limits.ts
+++ b/packages/anvilarch-bench/src/experiments/limits.ts
@@ -1,14 +1,14 @@
 /** Rate limits over many gateways: three algorithms compared with an exact counter. */
 import type { Experiment, RunContext, Variant, VariantRun } from '../harness/types'
-import { playLimitModel } from '../model/limits/limitModel'
-import type { LimitModelOptions, LimitTrouble, LimitWayName } from '../model/limits/types'
+import { runLimitModel } from '../model/limits/limitModel'
+import type { LimitModelOptions, LimitFault, LimitAlgorithmName } from '../model/limits/types'
 import { barsByFigure } from '../plots/resultPlots'
 
 /** Limits of the accounts of a deployment, a few of which are large. */
 const RATES_PER_SECOND: readonly number[] = [48, 28, 20, 16, 14, 12, 11, 10, 9, 8, 8, 7, 7, 6, 6, 6, ...Array.from({ length: 58 }, () => 5)]
 
 /** Load with one account that exceeds its limit; the others stay within theirs. */
-export const HOT_ACCOUNT: Omit<LimitModelOptions, 'seed' | 'way' | 'gateways' | 'trouble' | 'durationMs'> = {
+export const HOT_ACCOUNT: Omit<LimitModelOptions, 'seed' | 'algorithm' | 'gateways' | 'fault' | 'durationMs'> = {
   ratesPerSecond: RATES_PER_SECOND,
   usualShare: 0.35,
   hotFactor: 8,
@@ -17,9 +17,9 @@
   bounds: { windowMs: 5000, overrunShare: 0.1, slackRequests: 20 }
 }
 
-const WAYS: readonly LimitWayName[] = ['share', 'gossip', 'home']
-const TROUBLES: readonly LimitTrouble[] = ['none', 'all_killed', 'third_cut_off', 'limit_lowered']
-const SIZES: readonly number[] = [29, 88, 340]
+const ALGORITHMS: readonly LimitAlgorithmName[] = ['share', 'gossip', 'home']
+const FAULTS: readonly LimitFault[] = ['none', 'all_killed', 'third_cut_off', 'limit_lowered']
+const GATEWAY_COUNTS: readonly number[] = [29, 88, 340]
 
 export const limits: Experiment = {
   name: 'limits',
@@ -27,25 +27,25 @@
   defaults: { runs: 5, seconds: 12 },
   warmUpMs: 0,
   variants: () => [
-    ...TROUBLES.flatMap(trouble => WAYS.map(way => variant(way, SIZES[0], trouble))),
-    ...SIZES.slice(1).flatMap(gateways => WAYS.map(way => variant(way, gateways, 'none')))
+    ...FAULTS.flatMap(fault => ALGORITHMS.map(algorithm => variant(algorithm, GATEWAY_COUNTS[0], fault))),
+    ...GATEWAY_COUNTS.slice(1).flatMap(gateways => ALGORITHMS.map(algorithm => variant(algorithm, gateways, 'none')))
   ],
-  aims: WAYS.map(way => ({ text: `"${way}" stays within what is tolerated`, variant: nameOf(way, SIZES[0], 'third_cut_off'), figure: 'overrunOfTolerance', compare: 'value', bound: 'at_most', limit: 1 })),
+  aims: ALGORITHMS.map(algorithm => ({ text: `"${algorithm}" stays within what is tolerated`, variant: nameOf(algorithm, GATEWAY_COUNTS[0], 'third_cut_off'), figure: 'overrunOfTolerance', compare: 'value', bound: 'at_most', limit: 1 })),
   summary: ['overrunOfTolerance', 'wronglyRefusedShare', 'hotAdmittedShare', 'messagesPerSecond', 'waitP99Ms'],
   plots: result => [
     barsByFigure(result, { overrunOfTolerance: 'overrun, of what is tolerated', wronglyRefusedShare: 'refused within the limit' }, { name: 'limits', title: 'Limits of rate by way', yLabel: 'share' })
   ]
 }
 
-function nameOf (way: LimitWayName, gateways: number, trouble: LimitTrouble): string {
-  return `${way}, ${gateways} gateways, ${trouble.replaceAll('_', ' ')}`
+function nameOf (algorithm: LimitAlgorithmName, gateways: number, fault: LimitFault): string {
+  return `${algorithm}, ${gateways} gateways, ${fault.replaceAll('_', ' ')}`
 }
 
-function variant (way: LimitWayName, gateways: number, trouble: LimitTrouble): Variant {
-  return { name: nameOf(way, gateways, trouble), settings: { way, gateways, trouble }, run: context => play(context, { way, gateways, trouble }) }
+function variant (algorithm: LimitAlgorithmName, gateways: number, fault: LimitFault): Variant {
+  return { name: nameOf(algorithm, gateways, fault), settings: { way: algorithm, gateways, trouble: fault }, run: context => simulate(context, { algorithm, gateways, fault }) }
 }
 
-async function play ({ round, durationMs }: RunContext, change: Pick<LimitModelOptions, 'way' | 'gateways' | 'trouble'>): Promise<VariantRun> {
-  const figures = await playLimitModel({ ...HOT_ACCOUNT, ...change, seed: round + 1, durationMs })
+async function simulate ({ round, durationMs }: RunContext, change: Pick<LimitModelOptions, 'algorithm' | 'gateways' | 'fault'>): Promise<VariantRun> {
+  const figures = await runLimitModel({ ...HOT_ACCOUNT, ...change, seed: round + 1, durationMs })
   return { figures: { ...figures } }
 }
--- a/packages/anvilarch-bench/src/experiments/logCost.ts
+++ b/packages/anvilarch-bench/src/experiments/logCost.ts
@@ -39,8 +39,8 @@
 
 async function measure (context: RunContext, detail: Detail): Promise<VariantRun> {
   const output = new PassThrough()
-  const counted = { lines: 0, bytes: 0 }
-  output.on('data', (chunk: Buffer) => { counted.bytes += chunk.length })
+  const counts = { lines: 0, bytes: 0 }
+  output.on('data', (chunk: Buffer) => { counts.bytes += chunk.length })
   const write = createBoundedLog(output, createServingMetrics().logLinesDropped)
   const log: EventLog = detail === 'nothing'
     ? SILENT_LOGGER
@@ -48,55 +48,55 @@
       level: 'info',
       process: 'frontend-1',
       write: line => {
-        counted.lines++
+        counts.lines++
         write(line)
       }
     })
-  await playFor(context, context.warmUpMs, log, detail)
-  counted.lines = 0
-  counted.bytes = 0
+  await logRequestsFor(context, context.warmUpMs, log, detail)
+  counts.lines = 0
+  counts.bytes = 0
   const before = process.cpuUsage()
-  const requests = await playFor(context, context.durationMs, log, detail)
-  const used = process.cpuUsage(before)
+  const requests = await logRequestsFor(context, context.durationMs, log, detail)
+  const cpuUsage = process.cpuUsage(before)
   return {
     figures: {
-      linesPerRequest: counted.lines / requests,
-      bytesPerRequest: counted.bytes / requests,
-      processorMsPerRequest: (used.user + used.system) / MICROSECONDS_PER_MS / requests
+      linesPerRequest: counts.lines / requests,
+      bytesPerRequest: counts.bytes / requests,
+      processorMsPerRequest: (cpuUsage.user + cpuUsage.system) / MICROSECONDS_PER_MS / requests
     }
   }
 }
 
 /** @returns the number of requests that were logged */
-async function playFor (context: RunContext, durationMs: number, log: EventLog, detail: Detail): Promise<number> {
+async function logRequestsFor (context: RunContext, durationMs: number, log: EventLog, detail: Detail): Promise<number> {
   const untilMs = context.clock.nowMs() + durationMs
   let requests = 0
   while (context.clock.nowMs() < untilMs) {
-    for (let index = 0; index < REQUESTS_PER_ROUND; index++) playRequest(log, detail, `${context.round}-${requests++}`, requests % 100)
+    for (let index = 0; index < REQUESTS_PER_ROUND; index++) logRequest(log, detail, `${context.round}-${requests++}`, requests % 100)
     // Lets the output stream write, as between the requests of a gateway.
     await new Promise(resolve => setImmediate(resolve))
   }
   return requests
 }
 
-function playRequest (log: EventLog, detail: Detail, requestId: string, percentile: number): void {
+function logRequest (log: EventLog, detail: Detail, requestId: string, percentile: number): void {
   const failed = percentile < FAILED_PERCENT
   const refused = !failed && percentile < FAILED_PERCENT + REFUSED_PERCENT
   const requestLog = createRequestLog(log)
   if (detail === 'everything') requestLog.flush()
-  const notes = detail === 'by_outcome' || detail === 'everything'
-  if (notes && !refused) {
+  const logsDetails = detail === 'by_outcome' || detail === 'everything'
+  if (logsDetails && !refused) {
     requestLog.note('endpoint chosen', { requestId, endpoint: 'i-25e40e7ffa', online: 5, batchRunning: 2, slots: 8, suspected: false, candidateCount: 6, loadAgeMs: 1, remainingMs: 4983, afterMs: 2 })
     requestLog.note('answer begun', { requestId, endpoint: 'i-25e40e7ffa', status: 200, afterMs: 31 })
   }
-  if (notes && failed) {
+  if (logsDetails && failed) {
     requestLog.flush()
     log.info('attempt failed', { requestId, endpoint: 'i-25e40e7ffa', failure: 'may_have_run', reason: 'UND_ERR_SOCKET', lastEventId: 12, remainingMs: 4732 })
   }
-  if (notes && refused) log.info('request refused', { requestId, reason: 'wait_too_long', waitMs: 340, objectiveMs: 300, remainingMs: 4483, candidateCount: 6, knownCount: 6, suspectedCount: 0, leastOnline: 9, slots: 8 })
-  log.info('request ended', endOf(requestId, failed ? 'broken_off' : refused ? 'overloaded' : 'answered'))
+  if (logsDetails && refused) log.info('request refused', { requestId, reason: 'wait_too_long', waitMs: 340, objectiveMs: 300, remainingMs: 4483, candidateCount: 6, knownCount: 6, suspectedCount: 0, leastOnline: 9, slots: 8 })
+  log.info('request ended', requestEndFields(requestId, failed ? 'broken_off' : refused ? 'overloaded' : 'answered'))
 }
 
-function endOf (requestId: string, outcome: string): EventFields['request ended'] {
+function requestEndFields (requestId: string, outcome: string): EventFields['request ended'] {
   return { requestId, route: 'r-pes2etv', kind: 'stream', outcome, configurationVersion: 7, attempts: 1, offers: 1, lastEventId: 35, firstEventMs: 31, elapsedMs: 794, endpoint: 'i-25e40e7ffa', status: 200 }
 }
--- a/packages/anvilarch-bench/src/experiments/lookup.ts
+++ b/packages/anvilarch-bench/src/experiments/lookup.ts
@@ -21,7 +21,7 @@
 /** Short steps, so that the gateways and not the engines are the bottleneck. */
 const FAST_ENGINE = { baseStepMs: 2, perSequenceMs: 0.02, slots: 64 }
 /** Timeout of the job as a multiple of the measured time; a job that exceeds it is reported in a note. */
-const PATIENCE = 4
+const JOB_TIMEOUT_FACTOR = 4
 const MS_PER_SECOND = 1000
 
 /** Phase of the job. */
@@ -58,7 +58,7 @@
     const collector = createCollector()
     const phases: PhaseLog = []
     const byPhase = Object.fromEntries(PHASES.map(phase => [phase, createLatencyRecorder()])) as Record<Phase, LatencyRecorder>
-    const limitMs = context.warmUpMs + context.durationMs * (items === 0 ? 1 : PATIENCE)
+    const limitMs = context.warmUpMs + context.durationMs * (items === 0 ? 1 : JOB_TIMEOUT_FACTOR)
     const { timesMs } = createArrivals(steadyArrivals(LOOKUPS_PER_SECOND, limitMs), context.random)
     const stopping = new AbortController()
     await readMetrics(fleet.gateways)
@@ -75,14 +75,14 @@
       }
     })
     const metrics = await readMetrics(fleet.gateways)
-    const largest = (name: string): number => Math.max(0, ...metrics.filter(sample => sample.name === name).map(sample => sample.value)) * MS_PER_SECOND
+    const maxOf = (name: string): number => Math.max(0, ...metrics.filter(sample => sample.name === name).map(sample => sample.value)) * MS_PER_SECOND
     const jobRun = await withTimeout(job, context)
     return {
       figures: {
         ...latencyFigures('lookup', collector.total),
         ...Object.assign({}, ...PHASES.map(phase => latencyFigures(`${phase}Lookup`, byPhase[phase]))) as Figures,
-        eventLoopDelayP99Ms: largest('nodejs_eventloop_lag_p99_seconds'),
-        eventLoopDelayMaxMs: largest('nodejs_eventloop_lag_max_seconds'),
+        eventLoopDelayP99Ms: maxOf('nodejs_eventloop_lag_p99_seconds'),
+        eventLoopDelayMaxMs: maxOf('nodejs_eventloop_lag_max_seconds'),
         ...jobRun.figures
       },
       notes: [...loadNotes('lookup', collector, loop), ...jobRun.notes]
@@ -91,8 +91,8 @@
 }
 
 async function withTimeout (job: Promise<Required<VariantRun>>, context: RunContext): Promise<Required<VariantRun>> {
-  const late = sleep(context.clock, MS_PER_SECOND).then(() => ({ figures: {}, notes: ['the job had not ended when the run was over'] }))
-  return await Promise.race([job.catch((error: Error) => ({ figures: {}, notes: [`job: ${error.message}`] })), late])
+  const timedOut = sleep(context.clock, MS_PER_SECOND).then(() => ({ figures: {}, notes: ['the job had not ended when the run was over'] }))
+  return await Promise.race([job.catch((error: Error) => ({ figures: {}, notes: [`job: ${error.message}`] })), timedOut])
 }
 
 /** Uploads and creates one job through the first gateway, then polls it and reads it back through the last one. */
@@ -101,18 +101,18 @@
   const { fleet } = session
   const dispatcher = new Agent({ headersTimeout: 0, bodyTimeout: 0 })
   const [first, last] = [fleet.gateways[0], fleet.gateways[fleet.gateways.length - 1]].map(gateway => createJobClient({ clock, dispatcher, origin: gateway.origin }))
-  const begin = (phase: Phase): number => {
+  const startPhase = (phase: Phase): number => {
     const fromMs = clock.nowMs()
     phases.push({ phase, fromMs })
     return fromMs
   }
   await sleep(clock, context.warmUpMs)
-  const uploadMs = begin('upload')
+  const uploadStartMs = startPhase('upload')
   const fileId = await first.upload(jobItems(fleet, items))
-  const runMs = begin('run')
+  const runStartMs = startPhase('run')
   const job = await first.create(fileId)
-  const ended = await last.waitForEnd(job.id, { timeoutMs: context.durationMs * PATIENCE, pollMs: 500 })
-  const readBackMs = begin('readBack')
+  const ended = await last.waitForEnd(job.id, { timeoutMs: context.durationMs * JOB_TIMEOUT_FACTOR, pollMs: 500 })
+  const readBackStartMs = startPhase('readBack')
   if (ended.status !== 'completed' || typeof ended.output_file_id !== 'string') {
     throw new Error(`the job is ${ended.status}: ${JSON.stringify(ended.request_counts)}`)
   }
@@ -123,10 +123,10 @@
     figures: {
       items,
       itemsMissingOrWrong: check.missing + check.wrong + check.doubled,
-      uploadMs: runMs - uploadMs,
-      runMs: readBackMs - runMs,
-      readBackMs: endMs - readBackMs,
-      itemsPerSecond: items * MS_PER_SECOND / (readBackMs - runMs)
+      uploadMs: runStartMs - uploadStartMs,
+      runMs: readBackStartMs - runStartMs,
+      readBackMs: endMs - readBackStartMs,
+      itemsPerSecond: items * MS_PER_SECOND / (readBackStartMs - runStartMs)
     },
     notes: check.right === items ? [] : [`results: ${JSON.stringify(check)}`]
   }
--- a/packages/anvilarch-bench/src/experiments/loss.ts
+++ b/packages/anvilarch-bench/src/experiments/loss.ts
@@ -25,7 +25,7 @@
 type Fault = (fleet: BenchFleet) => Promise<BenchAgent[]> | BenchAgent[]
 
 /** A measured request after its end. */
-interface Seen {
+interface MeasuredRequest {
   intendedMs: number
   durationMs: number
   outcome: Answer['outcome']
@@ -47,7 +47,7 @@
   }
 }
 
-const NO_ERRORS = Object.keys(FAULTS).map(name => ({ text: `errors seen by callers, ${name}`, variant: name, figure: 'errors', compare: 'value', bound: 'at_most', limit: 0 }) as const)
+const NO_ERRORS_AIMS = Object.keys(FAULTS).map(name => ({ text: `errors seen by callers, ${name}`, variant: name, figure: 'errors', compare: 'value', bound: 'at_most', limit: 0 }) as const)
 
 export const loss: Experiment = {
   name: 'loss',
@@ -55,7 +55,7 @@
   defaults: { runs: 2, seconds: 12 },
   warmUpMs: 2000,
   variants: () => Object.entries(FAULTS).map(([name, fault]): Variant => ({ name, settings: { fault: name }, run: context => measure(context, fault) })),
-  aims: NO_ERRORS,
+  aims: NO_ERRORS_AIMS,
   summary: ['errors', 'refused', 'hitRequests', 'lastHitAfterMs', 'lastStartAfterMs', 'firstTokenP50Ms', 'firstTokenP99Ms', 'totalP99Ms', 'totalMaxMs'],
   plots: result => [
     barsByFigure(result, { lastHitAfterMs: 'last request that was hit', lastStartAfterMs: 'last start on the lost endpoint' }, { name: 'time', title: 'Time from the loss', yLabel: 'ms' }),
@@ -72,20 +72,20 @@
   const options = { gateways: 2, models: ENGINES, plains: 0, engine: QUARTER_ENGINE, failureDomains: FAILURE_DOMAINS }
   return await withFleet(context, options, async ({ fleet, callers }) => {
     const collector = createCollector()
-    const seen: Seen[] = []
+    const requests: MeasuredRequest[] = []
     const { timesMs } = createArrivals(steadyArrivals(REQUESTS_PER_SECOND, context.warmUpMs + context.durationMs), context.random)
     const faultAfterMs = context.warmUpMs + context.durationMs * FAULT_SHARE
-    const causing = causeAfter(context.clock, faultAfterMs, () => fault(fleet))
+    const injection = injectFaultAfter(context.clock, faultAfterMs, () => fault(fleet))
     const loop = await runLoad(context, {
       timesMs,
       collector,
       send: async shot => {
         const answer = await callers.chat({ requestId: `loss-${context.round}-${shot.index}`, prompt: promptText(context.random, PROMPT_CHARACTERS), maxTokens: TOKENS })
-        if (shot.measured) seen.push({ intendedMs: shot.intendedMs, durationMs: answer.endedAtMs - shot.intendedMs, outcome: answer.outcome })
+        if (shot.measured) requests.push({ intendedMs: shot.intendedMs, durationMs: answer.endedAtMs - shot.intendedMs, outcome: answer.outcome })
         return answer
       }
     })
-    const { lost, atMs, atWallMs } = await causing
+    const { lost, atMs, atWallMs } = await injection
     const { completed, refused, ...errors } = collector.outcomes
     const figures: Figures = {
       errors: Object.values(errors).reduce((sum, count) => sum + count, 0) + loop.unfinished,
@@ -94,14 +94,14 @@
       totalMaxMs: collector.total.summary().maxMs,
       ...latencyFigures('firstToken', collector.firstToken),
       ...latencyFigures('total', collector.total),
-      ...hitFigures(seen, atMs),
+      ...hitFigures(requests, atMs),
       ...await lastStarts(fleet, lost, atWallMs)
     }
     return { figures, notes: loadNotes('chat', collector, loop) }
   })
 }
 
-async function causeAfter (clock: Clock, delayMs: number, fault: () => Promise<BenchAgent[]> | BenchAgent[]): Promise<{ lost: BenchAgent[], atMs: number, atWallMs: number }> {
+async function injectFaultAfter (clock: Clock, delayMs: number, fault: () => Promise<BenchAgent[]> | BenchAgent[]): Promise<{ lost: BenchAgent[], atMs: number, atWallMs: number }> {
   await sleep(clock, delayMs)
   const atMs = clock.nowMs()
   const atWallMs = clock.wallMs()
@@ -109,15 +109,15 @@
 }
 
 /**
- * @param seen - requests of the run
+ * @param requests - requests of the run
  * @param faultMs - when the fault was injected
  * @returns how many requests were hit, and the time from the fault to the intended send time of the last of them
  */
-export function hitFigures (seen: readonly Seen[], faultMs: number): Figures {
-  const before = seen.filter(request => request.intendedMs + request.durationMs < faultMs).map(request => request.durationMs).sort((left, right) => left - right)
+export function hitFigures (requests: readonly MeasuredRequest[], faultMs: number): Figures {
+  const before = requests.filter(request => request.intendedMs + request.durationMs < faultMs).map(request => request.durationMs).sort((left, right) => left - right)
   if (before.length === 0) return {}
   const normalMs = before[Math.floor(before.length / 2)]
-  const hit = seen.filter(request => request.intendedMs + request.durationMs >= faultMs && (request.outcome !== 'completed' || request.durationMs > normalMs * HIT_FACTOR))
+  const hit = requests.filter(request => request.intendedMs + request.durationMs >= faultMs && (request.outcome !== 'completed' || request.durationMs > normalMs * HIT_FACTOR))
   const lastMs = Math.max(faultMs, ...hit.map(request => request.intendedMs))
   return { hitRequests: hit.length, lastHitAfterMs: lastMs - faultMs }
 }
--- a/packages/anvilarch-bench/src/experiments/mix.ts
+++ b/packages/anvilarch-bench/src/experiments/mix.ts
@@ -9,7 +9,7 @@
 import type { BenchFleet, BenchFleetOptions } from '../harness/fleetTypes'
 import type { Experiment, ExperimentResult, Figures, RunContext, Variant, VariantRun } from '../harness/types'
 import { type FleetSession, withFleet } from '../harness/withFleet'
-import { type Arrivals, createArrivals, type DrawnPhase } from '../load/arrivals'
+import { type Arrivals, createArrivals, type GeneratedPhase } from '../load/arrivals'
 import { createCollector, errorCount } from '../load/collector'
 import { barsByFigure } from '../plots/resultPlots'
 import type { LinePlot } from '../plots/types'
@@ -35,7 +35,7 @@
 const DEFAULT_VARIANT = 'slack 90'
 
 /** Part of the load cycle in which a request is sent. */
-type Moment = 'gap' | 'burstStart' | 'burst'
+type CyclePart = 'gap' | 'burstStart' | 'burst'
 
 /** Batch work that runs beside the online work. */
 type BatchKind = 'none' | 'job' | 'as online'
@@ -74,7 +74,7 @@
   ],
   summary: ['batchItemsPerSecond', 'batchShareOfAlone', 'batchShareOfSpare', 'onlinePerSecond', 'firstTokenP50Ms', 'firstTokenP95Ms', 'firstTokenP99Ms', 'firstTokenP999Ms', 'gapFirstTokenP50Ms', 'gapFirstTokenP95Ms', 'burstStartFirstTokenP50Ms', 'burstStartFirstTokenP95Ms', 'burstFirstTokenP50Ms', 'burstFirstTokenP95Ms', 'interTokenP50Ms', 'interTokenP95Ms', 'interTokenP99Ms', 'interTokenP999Ms', 'batchYieldMs', 'onlineErrors'],
   plots: result => [
-    tradeOff(result),
+    tradeOffPlot(result),
     barsByFigure(result, { firstTokenP50Ms: 'first token p50', firstTokenP95Ms: 'first token p95', firstTokenP99Ms: 'first token p99', interTokenP99Ms: 'between tokens p99' }, { name: 'tail', title: 'Online latency by what runs beside it', yLabel: 'ms' })
   ]
 }
@@ -96,7 +96,7 @@
 async function measure (context: RunContext, settings: MixSettings): Promise<VariantRun> {
   return await withFleet(context, fleetOptions(settings), async session => {
     const stopping = new AbortController()
-    const background = startBatch(context, session, settings.batch, stopping.signal)
+    const batchNotes = startBatch(context, session, settings.batch, stopping.signal)
     const totalMs = context.warmUpMs + context.durationMs
     const arrivals = createArrivals({ phases: PHASES, durationMs: totalMs, phaseJitterShare: PHASE_JITTER }, context.random)
     const startedWallMs = context.clock.wallMs()
@@ -108,14 +108,14 @@
     const figures: Figures = { ...online.figures, ...throughput(executions, startedWallMs + context.warmUpMs, context.durationMs) }
     const samples = await sampling
     if (settings.online && settings.batch === 'job') Object.assign(figures, yieldFigures(burstsOf(arrivals.phases, context), startedWallMs, samples, executions))
-    return { figures, notes: [...online.notes, ...await background] }
+    return { figures, notes: [...online.notes, ...await batchNotes] }
   })
 }
 
 /** Runs the online work. First-token times are also recorded by part of the load cycle: gap, start of a burst, rest of a burst. */
 async function runOnline (context: RunContext, session: FleetSession, arrivals: Arrivals): Promise<Required<VariantRun>> {
   const collector = createCollector()
-  const firstTokens: Record<Moment, LatencyRecorder> = { gap: createLatencyRecorder(), burstStart: createLatencyRecorder(), burst: createLatencyRecorder() }
+  const firstTokens: Record<CyclePart, LatencyRecorder> = { gap: createLatencyRecorder(), burstStart: createLatencyRecorder(), burst: createLatencyRecorder() }
   const slowest = createSlowestRequest()
   const loop = await runLoad(context, {
     timesMs: arrivals.timesMs,
@@ -123,9 +123,9 @@
     send: async shot => {
       const requestId = `${ONLINE_PREFIX}${context.round}-${shot.index}`
       const answer = await session.callers.chat({ requestId, prompt: promptText(context.random, PROMPT_CHARACTERS), maxTokens: TOKENS })
-      if (shot.measured && answer.firstTokenAtMs !== undefined) slowest.note(requestId, answer.firstTokenAtMs - shot.intendedMs)
-      const moment = momentOf(arrivals.phases, arrivals.timesMs[shot.index])
-      if (shot.measured && answer.firstTokenAtMs !== undefined) firstTokens[moment].record(answer.firstTokenAtMs - shot.intendedMs)
+      if (shot.measured && answer.firstTokenAtMs !== undefined) slowest.record(requestId, answer.firstTokenAtMs - shot.intendedMs)
+      const part = cyclePartOf(arrivals.phases, arrivals.timesMs[shot.index])
+      if (shot.measured && answer.firstTokenAtMs !== undefined) firstTokens[part].record(answer.firstTokenAtMs - shot.intendedMs)
       return answer
     }
   })
@@ -134,29 +134,29 @@
     ...latencyFigures('firstToken', collector.firstToken),
     ...latencyFigures('interToken', collector.interToken)
   }
-  for (const [moment, recorder] of Object.entries(firstTokens)) Object.assign(figures, latencyFigures(`${moment}FirstToken`, recorder))
+  for (const [part, recorder] of Object.entries(firstTokens)) Object.assign(figures, latencyFigures(`${part}FirstToken`, recorder))
   const timeline = await slowest.describe(session.fleet)
   return { figures, notes: [...loadNotes('online', collector, loop), ...(timeline === undefined ? [] : [timeline])] }
 }
 
-function momentOf (phases: readonly DrawnPhase[], timeMs: number): Moment {
+function cyclePartOf (phases: readonly GeneratedPhase[], timeMs: number): CyclePart {
   const phase = phases.findLast(candidate => candidate.startMs <= timeMs)
   if (phase === undefined || phase.ratePerSecond < BURST_RATE) return 'gap'
   return timeMs - phase.startMs < BURST_START_MS ? 'burstStart' : 'burst'
 }
 
 function throughput (executions: readonly Execution[], fromMs: number, durationMs: number): Figures {
-  const done = executions.filter(({ state, endedAtMs }) => state === 'completed' && endedAtMs !== undefined && endedAtMs >= fromMs && endedAtMs < fromMs + durationMs)
-  const online = done.filter(execution => execution.requestId.startsWith(ONLINE_PREFIX)).length
+  const completed = executions.filter(({ state, endedAtMs }) => state === 'completed' && endedAtMs !== undefined && endedAtMs >= fromMs && endedAtMs < fromMs + durationMs)
+  const online = completed.filter(execution => execution.requestId.startsWith(ONLINE_PREFIX)).length
   const seconds = durationMs / MS_PER_SECOND
-  return { batchItemsPerSecond: (done.length - online) / seconds, onlinePerSecond: online / seconds }
+  return { batchItemsPerSecond: (completed.length - online) / seconds, onlinePerSecond: online / seconds }
 }
 
-function burstsOf (phases: readonly DrawnPhase[], context: RunContext): DrawnPhase[] {
+function burstsOf (phases: readonly GeneratedPhase[], context: RunContext): GeneratedPhase[] {
   return phases.filter(phase => phase.ratePerSecond === BURST_RATE && phase.startMs >= context.warmUpMs)
 }
 
-function yieldFigures (bursts: readonly DrawnPhase[], startedWallMs: number, samples: readonly LoadSample[], executions: readonly Execution[]): Figures {
+function yieldFigures (bursts: readonly GeneratedPhase[], startedWallMs: number, samples: readonly LoadSample[], executions: readonly Execution[]): Figures {
   const online = executions.filter(execution => execution.requestId.startsWith(ONLINE_PREFIX))
   const times = yieldTimes(bursts.map(burst => ({ fromMs: startedWallMs + burst.startMs, toMs: startedWallMs + burst.startMs + burst.durationMs })), samples, online)
   if (times.length === 0) return {}
@@ -166,7 +166,7 @@
 const BATCH_KINDS: Record<BatchKind, (context: RunContext, session: FleetSession, signal: AbortSignal) => Promise<string[]>> = {
   none: async () => [],
   job: submitJob,
-  'as online': floodAsOnline
+  'as online': sendAsOnline
 }
 
 /** Starts batch work. The promise resolves after the signal, with notes about the batch work. */
@@ -194,7 +194,7 @@
 }
 
 /** Batch work without priority: sends the items as online requests, as many at a time as the engines have slots. */
-async function floodAsOnline (context: RunContext, session: FleetSession, signal: AbortSignal): Promise<string[]> {
+async function sendAsOnline (context: RunContext, session: FleetSession, signal: AbortSignal): Promise<string[]> {
   const slots = QUARTER_ENGINE.slots * ENGINES
   let sent = 0
   const worker = async (): Promise<void> => {
@@ -208,7 +208,7 @@
 }
 
 /** @returns a plot of the trade-off that users configure: batch throughput against the tail latency of online work */
-function tradeOff (result: ExperimentResult): LinePlot {
+function tradeOffPlot (result: ExperimentResult): LinePlot {
   const baseline = result.variants.find(candidate => candidate.isBaseline)?.figures.firstTokenP99Ms
   const points = result.variants
     .filter(candidate => candidate.settings.batch !== 'none' && candidate.settings.online === true && 'batchShareOfSpare' in candidate.figures && 'firstTokenP99Ms' in candidate.figures)
--- a/packages/anvilarch-bench/src/experiments/mix/batchYield.ts
+++ b/packages/anvilarch-bench/src/experiments/mix/batchYield.ts
@@ -55,8 +55,8 @@
     const lowest = Math.min(...inBurst.map(sample => sample.count))
     if (lowest >= before.count) return []
     const threshold = lowest + (before.count - lowest) * REMAINING_SHARE
-    const reached = inBurst.find(sample => sample.count <= threshold)
-    return reached === undefined ? [] : [reached.wallMs - burst.fromMs]
+    const yielded = inBurst.find(sample => sample.count <= threshold)
+    return yielded === undefined ? [] : [yielded.wallMs - burst.fromMs]
   })
 }
 
--- a/packages/anvilarch-bench/src/experiments/overhead.ts
+++ b/packages/anvilarch-bench/src/experiments/overhead.ts
@@ -7,7 +7,7 @@
 import { createArrivals, steadyArrivals } from '../load/arrivals'
 import { type Collector, createCollector } from '../load/collector'
 import { barsByFigure } from '../plots/resultPlots'
-import { startUsage } from '../sampling/processSampler'
+import { startUsageMeasurement } from '../sampling/processSampler'
 
 const LOOKUPS_PER_SECOND = 150
 const CHATS_PER_SECOND = 12
@@ -17,7 +17,7 @@
 const PROMPT_CHARACTERS = 400
 const IDLE_MS = 2000
 /** Lookups, chats and dense chats run in sequence. */
-const STRETCHES = 3
+const PHASES = 3
 const MS_PER_SECOND = 1000
 
 type Role = 'gateway' | 'agent'
@@ -65,15 +65,15 @@
 async function measure (context: RunContext, chooseCallers: (fleet: BenchFleet, callers: Callers, clock: RunContext['clock']) => Callers): Promise<VariantRun> {
   return await withFleet(context, { gateways: 1, models: 1, plains: 1 }, async ({ fleet, callers: gatewayCallers }) => {
     const callers = chooseCallers(fleet, gatewayCallers, context.clock)
-    const idleCpu = await cpuOfRoles(context, fleet, () => sleep(context.clock, IDLE_MS))
+    const idleCpu = await measureRoleCpu(context, fleet, () => sleep(context.clock, IDLE_MS))
     const idlePerMs: RoleCpu = { gateway: idleCpu.gateway / IDLE_MS, agent: idleCpu.agent / IDLE_MS }
     const notes: string[] = []
-    const stretchMs = context.durationMs / STRETCHES
-    const stretch = async (name: string, ratePerSecond: number, send: (index: number) => ReturnType<Callers['lookup']>): Promise<{ collector: Collector, cpuPerRequest: RoleCpu }> => {
+    const phaseMs = context.durationMs / PHASES
+    const measurePhase = async (name: string, ratePerSecond: number, send: (index: number) => ReturnType<Callers['lookup']>): Promise<{ collector: Collector, cpuPerRequest: RoleCpu }> => {
       const collector = createCollector()
-      const { timesMs } = createArrivals(steadyArrivals(ratePerSecond, stretchMs + context.warmUpMs), context.random)
+      const { timesMs } = createArrivals(steadyArrivals(ratePerSecond, phaseMs + context.warmUpMs), context.random)
       const startedMs = context.clock.nowMs()
-      const cpu = await cpuOfRoles(context, fleet, async () => {
+      const cpu = await measureRoleCpu(context, fleet, async () => {
         const loop = await runLoad(context, { timesMs, collector, send: shot => send(shot.index) })
         notes.push(...loadNotes(name, collector, loop))
       })
@@ -81,14 +81,14 @@
       const perRequest = (role: Role): number => (cpu[role] - idlePerMs[role] * elapsedMs) / timesMs.length
       return { collector, cpuPerRequest: { gateway: perRequest('gateway'), agent: perRequest('agent') } }
     }
-    const lookups = await stretch('lookup', LOOKUPS_PER_SECOND, index => callers.lookup(`lookup-${context.round}-${index}`))
+    const lookups = await measurePhase('lookup', LOOKUPS_PER_SECOND, index => callers.lookup(`lookup-${context.round}-${index}`))
     const chat = (name: string) => (index: number) => callers.chat({
       requestId: `${name}-${context.round}-${index}`,
       prompt: promptText(context.random, PROMPT_CHARACTERS),
       maxTokens: CHAT_TOKENS
     })
-    const chats = await stretch('chat', CHATS_PER_SECOND, chat('chat'))
-    const dense = await stretch('dense chat', DENSE_CHATS_PER_SECOND, chat('dense'))
+    const chats = await measurePhase('chat', CHATS_PER_SECOND, chat('chat'))
+    const dense = await measurePhase('dense chat', DENSE_CHATS_PER_SECOND, chat('dense'))
     if (callers !== gatewayCallers) await callers.close()
     const figures: Figures = {
       ...latencyFigures('lookup', lookups.collector.total),
@@ -118,13 +118,13 @@
 }
 
 /** @returns the CPU time that gateways and agents use while `during` runs */
-async function cpuOfRoles (context: RunContext, fleet: BenchFleet, during: () => Promise<void>): Promise<RoleCpu> {
+async function measureRoleCpu (context: RunContext, fleet: BenchFleet, during: () => Promise<void>): Promise<RoleCpu> {
   const pids: Record<string, number> = {}
   for (const gateway of fleet.gateways) pids[`gateway ${gateway.name}`] = gateway.pid
   for (const agent of fleet.agents) pids[`agent ${agent.name}`] = agent.pid
-  const watch = await startUsage(pids, context.clock)
+  const measurement = await startUsageMeasurement(pids, context.clock)
   await during()
-  const usage = Object.entries(await watch.finish())
+  const usage = Object.entries(await measurement.finish())
   const sum = (role: Role): number => usage.filter(([key]) => key.startsWith(role)).reduce((total, [, used]) => total + used.cpuMs, 0)
   return { gateway: sum('gateway'), agent: sum('agent') }
 }
--- a/packages/anvilarch-bench/src/experiments/overload.ts
+++ b/packages/anvilarch-bench/src/experiments/overload.ts
@@ -47,8 +47,8 @@
     const before = await readMetrics(fleet.gateways)
     const fromMs = context.clock.nowMs() + context.warmUpMs
     // Counted by end time: requests that were queued at the end of the run and complete afterwards are not part of its throughput.
-    let good = 0
-    let late = 0
+    let goodCount = 0
+    let lateCount = 0
     const loop = await runLoad(context, {
       timesMs,
       collector,
@@ -60,9 +60,9 @@
           headers: { 'x-deadline-ms': String(DEADLINE_MS) }
         })
         const isLate = answer.endedAtMs - shot.intendedMs > DEADLINE_MS
-        const isWithin = answer.endedAtMs >= fromMs && answer.endedAtMs < fromMs + context.durationMs
-        if (answer.outcome === 'completed' && isWithin && !isLate) good++
-        if (answer.outcome === 'completed' && shot.measured && isLate) late++
+        const endedInRun = answer.endedAtMs >= fromMs && answer.endedAtMs < fromMs + context.durationMs
+        if (answer.outcome === 'completed' && endedInRun && !isLate) goodCount++
+        if (answer.outcome === 'completed' && shot.measured && isLate) lateCount++
         return answer
       }
     })
@@ -72,8 +72,8 @@
     return {
       figures: {
         offeredPerSecond: offered / seconds,
-        goodputPerSecond: good / seconds,
-        lateShare: offered === 0 ? 0 : late / offered,
+        goodputPerSecond: goodCount / seconds,
+        lateShare: offered === 0 ? 0 : lateCount / offered,
         refusedShare: offered === 0 ? 0 : collector.outcomes.refused / offered,
         refusalsWithoutRetryAfter: collector.refusalsWithoutRetryAfter,
         attemptsPerRequest: 1 + retries / timesMs.length,
--- a/packages/anvilarch-bench/src/experiments/placement.ts
+++ b/packages/anvilarch-bench/src/experiments/placement.ts
@@ -1,12 +1,12 @@
 /** Effect of the placement weights: the placement code of the daemon in a simulation of engines and bursts. */
 import { DEFAULT_PLACEMENT_WEIGHTS, type PlacementWeights } from 'anvilarch-serving'
 import type { Experiment, RunContext, Variant, VariantRun } from '../harness/types'
-import { playFleetModel } from '../model/fleetModel'
+import { runFleetModel } from '../model/fleetModel'
 import type { FleetModelOptions } from '../model/types'
 import { barsByFigure } from '../plots/resultPlots'
 
 /** A fleet in which bursts take nearly all slots, with batch work for a third of the slots. */
-export const BURSTS: Omit<FleetModelOptions, 'seed' | 'weights' | 'durationMs'> = {
+export const BURSTY_FLEET: Omit<FleetModelOptions, 'seed' | 'weights' | 'durationMs'> = {
   gateways: 9,
   engines: 13,
   slotsPerEngine: 8,
@@ -42,10 +42,10 @@
 }
 
 function variant (name: string, change: Partial<PlacementWeights>): Variant {
-  return { name, settings: { ...change }, run: context => play(context, { ...DEFAULT_PLACEMENT_WEIGHTS, ...change }) }
+  return { name, settings: { ...change }, run: context => simulate(context, { ...DEFAULT_PLACEMENT_WEIGHTS, ...change }) }
 }
 
-async function play ({ round, durationMs }: RunContext, weights: PlacementWeights): Promise<VariantRun> {
-  const figures = await playFleetModel({ ...BURSTS, seed: round + 1, durationMs, weights })
+async function simulate ({ round, durationMs }: RunContext, weights: PlacementWeights): Promise<VariantRun> {
+  const figures = await runFleetModel({ ...BURSTY_FLEET, seed: round + 1, durationMs, weights })
   return { figures: { ...figures } }
 }
--- a/packages/anvilarch-bench/src/harness/__tests__/harness.test.ts
+++ b/packages/anvilarch-bench/src/harness/__tests__/harness.test.ts
@@ -8,7 +8,7 @@
 import { readResults, writeResult } from '../resultStore'
 import { runExperiment } from '../runExperiment'
 import { countEvents, describeEvents } from '../slowestRequest'
-import { judgeAim, summariseFigures } from '../summarise'
+import { evaluateAim, summariseFigures } from '../summarise'
 import { aimText, figureText, summaryTable } from '../summaryTable'
 import type { Experiment, ExperimentResult, RecordedRun } from '../types'
 
@@ -67,10 +67,10 @@
   })
 })
 
-describe('judgeAim', () => {
+describe('evaluateAim', () => {
   test('does not report an aim as met without a measured figure', () => {
     const aim = { text: '', variant: 'x', figure: 'a', compare: 'value', bound: 'at_least', limit: 1 } as const
-    expect(judgeAim(aim, []).verdict).toBe('not_measured')
+    expect(evaluateAim(aim, []).verdict).toBe('not_measured')
   })
 })
 
--- a/packages/anvilarch-bench/src/harness/fleetCounters.ts
+++ b/packages/anvilarch-bench/src/harness/fleetCounters.ts
@@ -43,7 +43,7 @@
  * @returns calls since the stand-ins started
  */
 export async function readPlatformCounts (fleet: Pick<BenchFleet, 'table' | 'objects'>): Promise<PlatformCounts> {
-  const [table, objects] = await Promise.all([ledgerOf<TableLedger>(fleet.table), ledgerOf<ObjectLedger>(fleet.objects)])
+  const [table, objects] = await Promise.all([readLedger<TableLedger>(fleet.table), readLedger<ObjectLedger>(fleet.objects)])
   const tableCounts = table.counts as unknown as Record<string, number>
   return {
     tableReads: tableCounts.reads ?? 0,
@@ -71,12 +71,12 @@
  * @returns the executions by name of the endpoint; endpoints that do not respond are omitted
  */
 export async function readExecutions (fleet: BenchFleet, kind: 'model' | 'plain' = 'model'): Promise<Map<string, EngineLedger['executions']>> {
-  const found = new Map<string, EngineLedger['executions']>()
+  const executions = new Map<string, EngineLedger['executions']>()
   for (const agent of fleet.agents.filter(candidate => candidate.kind === kind)) {
     const ledger = await getJson<EngineLedger>(`${agent.endpoint.url}/ledger`).catch(() => undefined)
-    if (ledger !== undefined) found.set(agent.endpoint.name, ledger.executions)
+    if (ledger !== undefined) executions.set(agent.endpoint.name, ledger.executions)
   }
-  return found
+  return executions
 }
 
 /**
@@ -90,6 +90,6 @@
   return sumMetric(after, name, labels) - sumMetric(before, name, labels)
 }
 
-async function ledgerOf<Ledger> (platform: BenchPlatform): Promise<Ledger> {
+async function readLedger<Ledger> (platform: BenchPlatform): Promise<Ledger> {
   return await getJson<Ledger>(`${platform.url}/ledger`)
 }
--- a/packages/anvilarch-bench/src/harness/fleetLoad.ts
+++ b/packages/anvilarch-bench/src/harness/fleetLoad.ts
@@ -39,8 +39,8 @@
 export function createCallers (options: CallersOptions): Callers {
   const { clock, origins } = options
   const dispatcher = new Agent({ connections: MAX_CONNECTIONS, pipelining: 1, headersTimeout: BODY_TIMEOUT_MS, bodyTimeout: BODY_TIMEOUT_MS })
-  let turn = 0
-  const nextOrigin = (): string => origins[turn++ % origins.length]
+  let requestCount = 0
+  const nextOrigin = (): string => origins[requestCount++ % origins.length]
   return {
     chat: (request, signal) => sendChat(nextOrigin(), { ...request, model: options.model }, { clock, dispatcher, expectedText, signal }),
     lookup: (requestId, signal) => {
@@ -118,9 +118,9 @@
  */
 export function loadNotes (name: string, collector: Collector, loop: OpenLoopResult): string[] {
   const { completed, ...others } = collector.outcomes
-  const seen = Object.entries(others).filter(([, count]) => count > 0).map(([outcome, count]) => `${count} ${outcome}`)
+  const otherOutcomes = Object.entries(others).filter(([, count]) => count > 0).map(([outcome, count]) => `${count} ${outcome}`)
   const notes: string[] = []
-  if (seen.length > 0) notes.push(`${name}: ${completed} completed, ${seen.join(', ')}; codes ${JSON.stringify(collector.codes)}`)
+  if (otherOutcomes.length > 0) notes.push(`${name}: ${completed} completed, ${otherOutcomes.join(', ')}; codes ${JSON.stringify(collector.codes)}`)
   notes.push(...collector.examples.map(example => `${name}: ${example}`))
   if (loop.unfinished > 0) notes.push(`${name}: ${loop.unfinished} had not ended when the run was over`)
   if (loop.clientErrors > 0) notes.push(`${name}: ${loop.clientErrors} errors of the bench itself`)
--- a/packages/anvilarch-bench/src/harness/openFleet.ts
+++ b/packages/anvilarch-bench/src/harness/openFleet.ts
@@ -10,10 +10,10 @@
 
 const DEFAULT_FAILURE_DOMAINS = ['domain-a', 'domain-b']
 /** Short transfers: the time to load weights is not measured. */
-const QUICK_WEIGHTS = { maxConcurrent: 8, transferMs: 20 }
+const FAST_WEIGHT_LOADING = { maxConcurrent: 8, transferMs: 20 }
 const READY_TIMEOUT_MS = 30_000
 /** Limits that no experiment reaches, since only the limits of endpoints and daemons are measured. */
-const WIDE_CALLER = { requestsPerSecond: 1_000_000, burst: 1_000_000, maxConcurrent: 100_000, maxActiveJobs: 1000 }
+const UNLIMITED_CALLER = { requestsPerSecond: 1_000_000, burst: 1_000_000, maxConcurrent: 100_000, maxActiveJobs: 1000 }
 
 const openFleets = new Set<Fleet>()
 
@@ -45,7 +45,7 @@
     failureDomains,
     plainService: BENCH_NAMES.plainService,
     engine: options.engine ?? {},
-    weights: QUICK_WEIGHTS,
+    weights: FAST_WEIGHT_LOADING,
     logLevel: 'warn',
     gatewaySettings: options.gateway ?? {},
     agentSettings: options.agent ?? {},
@@ -95,7 +95,7 @@
     regions: { [BENCH_NAMES.region]: { failureDomains } },
     models: { [BENCH_NAMES.model]: { versions: { [BENCH_NAMES.version]: { sizeBytes: 1_000_000 } }, adapters: [] } },
     services,
-    defaultCaller: WIDE_CALLER
+    defaultCaller: UNLIMITED_CALLER
   }
 }
 
@@ -115,26 +115,26 @@
   }
 }
 
-function toGateway (found: FleetProcess): BenchGateway {
-  const { callers, peers, operations } = found.spec.addresses
-  return { name: found.spec.name, pid: pidOf(found), peerAddress: new URL(peers).host, operationsUrl: operations, origin: callers }
+function toGateway (gateway: FleetProcess): BenchGateway {
+  const { callers, peers, operations } = gateway.spec.addresses
+  return { name: gateway.spec.name, pid: pidOf(gateway), peerAddress: new URL(peers).host, operationsUrl: operations, origin: callers }
 }
 
-function toAgent (found: FleetProcess, local: Fleet): BenchAgent {
-  const { peers, operations } = found.spec.addresses
-  const endpoint = local.get(found.spec.fronts?.[0] ?? '')
+function toAgent (agent: FleetProcess, local: Fleet): BenchAgent {
+  const { peers, operations } = agent.spec.addresses
+  const endpoint = local.get(agent.spec.fronts?.[0] ?? '')
   return {
-    name: found.spec.name,
-    pid: pidOf(found),
+    name: agent.spec.name,
+    pid: pidOf(agent),
     peerAddress: new URL(peers).host,
     operationsUrl: operations,
     kind: endpoint.spec.role === 'plain' ? 'plain' : 'model',
-    failureDomain: found.spec.hostEntry?.failureDomain ?? '',
+    failureDomain: agent.spec.hostEntry?.failureDomain ?? '',
     endpoint: { name: endpoint.spec.name, url: endpoint.spec.addresses.http, pid: pidOf(endpoint) }
   }
 }
 
-function pidOf (found: FleetProcess): number {
-  if (found.processId === undefined) throw new Error(`"${found.spec.name}" is not running`)
-  return found.processId
+function pidOf (fleetProcess: FleetProcess): number {
+  if (fleetProcess.processId === undefined) throw new Error(`"${fleetProcess.spec.name}" is not running`)
+  return fleetProcess.processId
 }
--- a/packages/anvilarch-bench/src/harness/runExperiment.ts
+++ b/packages/anvilarch-bench/src/harness/runExperiment.ts
@@ -4,7 +4,7 @@
 import { join } from 'node:path'
 import { type Clock, createRandom } from 'anvilarch-utils'
 import { formatFigure } from './formatFigure'
-import { judgeAim, summariseFigures } from './summarise'
+import { evaluateAim, summariseFigures } from './summarise'
 import type { Environment, Experiment, ExperimentResult, Figures, RecordedRun, RunOptions, Variant, VariantResult } from './types'
 
 /** Options of `runExperiment`. */
@@ -51,7 +51,7 @@
     seconds: options.seconds,
     environment,
     variants: results,
-    aims: experiment.aims.map(aim => judgeAim(aim, results)),
+    aims: experiment.aims.map(aim => evaluateAim(aim, results)),
     summary: experiment.summary
   }
 }
@@ -79,7 +79,7 @@
       directory,
       log
     })
-    log(`${((options.clock.nowMs() - startedMs) / MS_PER_SECOND).toFixed(1)} s; ${shownFigures(run.figures, experiment.summary)}`)
+    log(`${((options.clock.nowMs() - startedMs) / MS_PER_SECOND).toFixed(1)} s; ${formatFigures(run.figures, experiment.summary)}`)
     for (const note of run.notes ?? []) log(`note: ${note}`)
     return { round, loadAverage, ...run }
   } catch (error) {
@@ -102,7 +102,7 @@
   return [...items.slice(start), ...items.slice(0, start)]
 }
 
-function shownFigures (figures: Record<string, number>, names: readonly string[]): string {
+function formatFigures (figures: Record<string, number>, names: readonly string[]): string {
   return names.filter(name => name in figures).map(name => `${name} ${formatFigure(figures[name])}`).join(', ')
 }
 
--- a/packages/anvilarch-bench/src/harness/slowestRequest.ts
+++ b/packages/anvilarch-bench/src/harness/slowestRequest.ts
@@ -5,28 +5,28 @@
 
 /** Records the slowest request. */
 export interface SlowestRequest {
-  note: (requestId: string, durationMs: number) => void
+  record: (requestId: string, durationMs: number) => void
   /** @returns its events from all daemons, with times relative to the first; undefined when no request was recorded */
   describe: (fleet: BenchFleet) => Promise<string | undefined>
 }
 
 /** Typical duration of an attempt: most attempts that are running were accepted within this time. */
-const BEFORE_MS = 1500
+const LOOKBACK_MS = 1500
 const MAX_EVENTS = 10_000
 
 /** @returns a recorder without a request */
 export function createSlowestRequest (): SlowestRequest {
   let slowest: { requestId: string, durationMs: number } | undefined
   return {
-    note: (requestId, durationMs) => {
+    record: (requestId, durationMs) => {
       if (slowest === undefined || durationMs > slowest.durationMs) slowest = { requestId, durationMs }
     },
     describe: async fleet => {
       if (slowest === undefined) return undefined
       const { requestId, durationMs } = slowest
       const events = await readEvents(fleet, requestId)
-      const meanwhile = await describeMeanwhile(fleet, events)
-      return `slowest: ${requestId}, ${durationMs.toFixed(0)} ms: ${describeEvents(events)}; ${meanwhile}`
+      const concurrent = await describeConcurrentEvents(fleet, events)
+      return `slowest: ${requestId}, ${durationMs.toFixed(0)} ms: ${describeEvents(events)}; ${concurrent}`
     }
   }
 }
@@ -41,13 +41,13 @@
 }
 
 /** Counts the other events at the agent while the request waited for its first token. */
-async function describeMeanwhile (fleet: BenchFleet, events: readonly TimelineEvent[]): Promise<string> {
+async function describeConcurrentEvents (fleet: BenchFleet, events: readonly TimelineEvent[]): Promise<string> {
   const accepted = events.find(event => event.event === 'attempts.accepted')
   const agent = fleet.agents.find(candidate => candidate.name === accepted?.process)
   const first = events.find(event => event.event === 'attempts.first_token' && event.process === accepted?.process)
   if (accepted === undefined || agent === undefined || first === undefined) return 'no agent accepted it'
-  const page = await getJson<{ events: TimelineEvent[] }>(`${agent.operationsUrl}/timeline?since=${Math.floor(accepted.atMs) - BEFORE_MS}&limit=${MAX_EVENTS}`)
-  return `at ${agent.name} from ${BEFORE_MS} ms before until its first token: ${countEvents(page.events.filter(event => event.atMs <= first.atMs))}`
+  const page = await getJson<{ events: TimelineEvent[] }>(`${agent.operationsUrl}/timeline?since=${Math.floor(accepted.atMs) - LOOKBACK_MS}&limit=${MAX_EVENTS}`)
+  return `at ${agent.name} from ${LOOKBACK_MS} ms before until its first token: ${countEvents(page.events.filter(event => event.atMs <= first.atMs))}`
 }
 
 /**
--- a/packages/anvilarch-bench/src/harness/summarise.ts
+++ b/packages/anvilarch-bench/src/harness/summarise.ts
@@ -22,7 +22,7 @@
  * @param variants - measured variants
  * @returns the aim with its verdict, by the median
  */
-export function judgeAim (aim: Aim, variants: readonly VariantResult[]): AimResult {
+export function evaluateAim (aim: Aim, variants: readonly VariantResult[]): AimResult {
   const summary = variants.find(variant => variant.name === aim.variant)?.figures[aim.figure]
   const spread = aim.compare === 'ratio' ? summary?.ratio : summary
   if (spread === undefined || spread.count === 0) return { ...aim, verdict: 'not_measured' }
--- a/packages/anvilarch-bench/src/load/__tests__/arrivals.test.ts
+++ b/packages/anvilarch-bench/src/load/__tests__/arrivals.test.ts
@@ -24,8 +24,8 @@
 
   test('varies the duration of phases within the given share', () => {
     const phases = [{ durationMs: 1000, ratePerSecond: 1 }]
-    const drawn = createArrivals({ phases, durationMs: 30_000, phaseJitterShare: 0.3 }, createRandom(3)).phases
-    expect(drawn.every(phase => phase.durationMs >= 700 && phase.durationMs <= 1300)).toBe(true)
-    expect(new Set(drawn.map(phase => phase.durationMs)).size).toBeGreaterThan(5)
+    const generated = createArrivals({ phases, durationMs: 30_000, phaseJitterShare: 0.3 }, createRandom(3)).phases
+    expect(generated.every(phase => phase.durationMs >= 700 && phase.durationMs <= 1300)).toBe(true)
+    expect(new Set(generated.map(phase => phase.durationMs)).size).toBeGreaterThan(5)
   })
 })
--- a/packages/anvilarch-bench/src/load/arrivals.ts
+++ b/packages/anvilarch-bench/src/load/arrivals.ts
@@ -17,7 +17,7 @@
 }
 
 /** A generated phase, for reports that relate figures to bursts. */
-export interface DrawnPhase extends ArrivalPhase {
+export interface GeneratedPhase extends ArrivalPhase {
   startMs: number
 }
 
@@ -25,7 +25,7 @@
 export interface Arrivals {
   /** Intended send times relative to the start of the run, ascending. */
   timesMs: number[]
-  phases: DrawnPhase[]
+  phases: GeneratedPhase[]
 }
 
 const MS_PER_SECOND = 1000
@@ -36,7 +36,7 @@
  * @returns the intended send times and the generated phases
  */
 export function createArrivals (options: ArrivalOptions, random: Random): Arrivals {
-  const phases = drawPhases(options, random)
+  const phases = generatePhases(options, random)
   const timesMs: number[] = []
   for (const phase of phases) appendPoisson(timesMs, phase, options.durationMs, random)
   return { timesMs, phases }
@@ -51,21 +51,21 @@
   return { phases: [{ durationMs, ratePerSecond }], durationMs }
 }
 
-function drawPhases (options: ArrivalOptions, random: Random): DrawnPhase[] {
+function generatePhases (options: ArrivalOptions, random: Random): GeneratedPhase[] {
   const jitterShare = options.phaseJitterShare ?? 0
-  const drawn: DrawnPhase[] = []
+  const generated: GeneratedPhase[] = []
   let startMs = 0
   for (let index = 0; startMs < options.durationMs; index++) {
     const phase = options.phases[index % options.phases.length]
     const durationMs = Math.max(1, jitterShare === 0 ? phase.durationMs : random.jitter(phase.durationMs, jitterShare))
-    drawn.push({ startMs, durationMs, ratePerSecond: phase.ratePerSecond })
+    generated.push({ startMs, durationMs, ratePerSecond: phase.ratePerSecond })
     startMs += durationMs
   }
-  return drawn
+  return generated
 }
 
 /** Gaps of a Poisson process are exponential and memoryless, so each phase is generated independently. */
-function appendPoisson (timesMs: number[], phase: DrawnPhase, untilMs: number, random: Random): void {
+function appendPoisson (timesMs: number[], phase: GeneratedPhase, untilMs: number, random: Random): void {
   if (phase.ratePerSecond <= 0) return
   const meanGapMs = MS_PER_SECOND / phase.ratePerSecond
   const endMs = Math.min(phase.startMs + phase.durationMs, untilMs)
--- a/packages/anvilarch-bench/src/load/openLoop.ts
+++ b/packages/anvilarch-bench/src/load/openLoop.ts
@@ -40,7 +40,7 @@
 }
 
 /** Requests that are due within this time are sent at once, without a timer. */
-const DUE_SLACK_MS = 0.2
+const DUE_TOLERANCE_MS = 0.2
 
 /**
  * @param options - clock, send times and what to send
@@ -52,7 +52,7 @@
   const result: OpenLoopResult = { sent: 0, unfinished: 0, clientErrors: 0, maxSendDelayMs: 0, sumSendDelayMs: 0 }
   const inProgress = new Set<Promise<void>>()
 
-  const fire = (index: number): void => {
+  const sendRequest = (index: number): void => {
     const intendedMs = startMs + timesMs[index]
     const delayMs = Math.max(0, clock.nowMs() - intendedMs)
     result.sent++
@@ -66,9 +66,9 @@
 
   for (let index = 0; index < timesMs.length; index++) {
     const waitMs = startMs + timesMs[index] - clock.nowMs()
-    if (waitMs > DUE_SLACK_MS) await sleep(clock, waitMs, options.signal)
+    if (waitMs > DUE_TOLERANCE_MS) await sleep(clock, waitMs, options.signal)
     if (options.signal?.aborted === true) break
-    fire(index)
+    sendRequest(index)
   }
   await waitForAll(inProgress, options)
   result.unfinished = inProgress.size
@@ -77,7 +77,7 @@
 
 async function waitForAll (inProgress: Set<Promise<void>>, options: OpenLoopOptions): Promise<void> {
   if (inProgress.size === 0) return
-  const bound = new AbortController()
-  await Promise.race([Promise.all(inProgress), sleep(options.clock, options.drainMs, bound.signal)])
-  bound.abort()
+  const drainTimeout = new AbortController()
+  await Promise.race([Promise.all(inProgress), sleep(options.clock, options.drainMs, drainTimeout.signal)])
+  drainTimeout.abort()
 }
--- a/packages/anvilarch-bench/src/model/fleetModel.ts
+++ b/packages/anvilarch-bench/src/model/fleetModel.ts
@@ -21,42 +21,42 @@
  * @param options - size, load and weights
  * @returns figures of the callers and engines
  */
-export async function playFleetModel (options: FleetModelOptions): Promise<FleetModelFigures> {
+export async function runFleetModel (options: FleetModelOptions): Promise<FleetModelFigures> {
   const clock = createFakeClock(0)
   const random = createRandom(options.seed)
   // Arrivals have random numbers of their own, so that they are the same with all weights.
   const arrivals = createRandom(options.seed + ARRIVAL_SEED_OFFSET)
   const itemArrivals = createRandom(options.seed + ITEM_SEED_OFFSET)
   const backlog = createBacklog(clock)
-  const endpoints = Array.from({ length: options.engines }, (_, index) => endpointOf(index, options.slotsPerEngine))
-  const engineAt = new Map<string, ModelEngine>(endpoints.map(endpoint => [endpoint.id, createModelEngine({ clock, slots: options.slotsPerEngine, backlog })]))
+  const endpoints = Array.from({ length: options.engines }, (_, index) => createEndpoint(index, options.slotsPerEngine))
+  const engineById = new Map<string, ModelEngine>(endpoints.map(endpoint => [endpoint.id, createModelEngine({ clock, slots: options.slotsPerEngine, backlog })]))
   const firstEventMs: number[] = []
   const gateways = Array.from({ length: options.gateways }, () => createModelGateway({
     clock,
     random,
     endpoints,
-    engineAt,
+    engineById,
     gatewayCount: options.gateways,
     weights: options.weights,
     onFirstEvent: afterMs => { firstEventMs.push(afterMs) }
   }))
   let requests = 0
   let items = 0
-  arrive(clock, arrivals, nowMs => perSecondAt(options, nowMs), options.durationMs, () => {
+  scheduleArrivals(clock, arrivals, nowMs => requestRateAt(options, nowMs), options.durationMs, () => {
     requests++
     arrivals.pick(gateways).onArrival()
   })
-  arrive(clock, itemArrivals, () => options.itemsPerSecond, options.durationMs, () => {
+  scheduleArrivals(clock, itemArrivals, () => options.itemsPerSecond, options.durationMs, () => {
     items++
     backlog.add({ remainingMs: itemArrivals.jitter(ITEM_MS, ITEM_SPREAD), dueAtMs: clock.nowMs() + options.itemDueMs })
   })
-  for (let passedMs = 0; passedMs < options.durationMs + options.itemDueMs; passedMs += STEP_MS) await clock.advanceAsync(STEP_MS)
+  for (let elapsedMs = 0; elapsedMs < options.durationMs + options.itemDueMs; elapsedMs += STEP_MS) await clock.advanceAsync(STEP_MS)
 
-  return figuresOf({ firstEventMs, requests, items, engines: [...engineAt.values()], gateways }, options.latencyObjectiveMs)
+  return figuresOf({ firstEventMs, requests, items, engines: [...engineById.values()], gateways }, options.latencyObjectiveMs)
 }
 
 /** Counts of the simulation. */
-interface Counted {
+interface SimulationCounts {
   firstEventMs: number[]
   requests: number
   items: number
@@ -64,7 +64,7 @@
   gateways: ModelGateway[]
 }
 
-function figuresOf ({ firstEventMs, requests, items, engines, gateways }: Counted, latencyObjectiveMs: number): FleetModelFigures {
+function figuresOf ({ firstEventMs, requests, items, engines, gateways }: SimulationCounts, latencyObjectiveMs: number): FleetModelFigures {
   const itemsDone = sum(engines.map(engine => engine.counts.itemsDone))
   return {
     requests,
@@ -73,7 +73,7 @@
     newConnectionsPerRequest: sum(gateways.map(gateway => gateway.counts.newConnections)) / requests,
     itemsDone,
     itemsInTimeShare: sum(engines.map(engine => engine.counts.itemsInTime)) / items,
-    cutsPerItem: sum(engines.map(engine => engine.counts.cuts)) / itemsDone
+    cutsPerItem: sum(engines.map(engine => engine.counts.preemptions)) / itemsDone
   }
 }
 
@@ -84,25 +84,25 @@
       const keyed = waiting.map(item => ({ item, key: itemSortKey(item.dueAtMs - clock.nowMs(), item.remainingMs) }))
       return keyed.sort((a, b) => a.key - b.key).slice(0, count).map(({ item }) => item)
     },
-    take: item => { waiting = waiting.filter(other => other !== item) },
+    remove: item => { waiting = waiting.filter(other => other !== item) },
     add: item => { waiting.push(item) }
   }
 }
 
-function endpointOf (index: number, slots: number): Endpoint {
+function createEndpoint (index: number, slots: number): Endpoint {
   const id = `e${index}`
   return { id, startId: id, bornAtMs: undefined, service: 's', address: `10.0.${index >> 8}.${index & 255}:80`, failureDomain: `d${index % 4}`, slots, state: 'ready', coldLeftMs: 0, listedVersion: 1 }
 }
 
-function perSecondAt (options: FleetModelOptions, nowMs: number): number {
+function requestRateAt (options: FleetModelOptions, nowMs: number): number {
   const phaseMs = nowMs % (options.troughMs + options.peakMs)
   return phaseMs < options.troughMs ? options.troughPerSecond : options.peakPerSecond
 }
 
 /** Calls `onArrival` at the times of a Poisson process with the given rate. */
-function arrive (clock: FakeClock, random: Random, perSecondAtMs: (nowMs: number) => number, untilMs: number, onArrival: () => void): void {
+function scheduleArrivals (clock: FakeClock, random: Random, rateAt: (nowMs: number) => number, untilMs: number, onArrival: () => void): void {
   const next = (): void => {
-    const gapMs = -Math.log(1 - random.next()) * MS_PER_SECOND / perSecondAtMs(clock.nowMs())
+    const gapMs = -Math.log(1 - random.next()) * MS_PER_SECOND / rateAt(clock.nowMs())
     clock.after(gapMs, () => {
       if (clock.nowMs() >= untilMs) return
       onArrival()
--- a/packages/anvilarch-bench/src/model/limits/__tests__/limitModel.test.ts
+++ b/packages/anvilarch-bench/src/model/limits/__tests__/limitModel.test.ts
@@ -1,19 +1,19 @@
 import fc from 'fast-check'
-import { playLimitModel } from '../limitModel'
-import type { LimitModelOptions, LimitTrouble } from '../types'
+import { runLimitModel } from '../limitModel'
+import type { LimitModelOptions, LimitFault } from '../types'
 
-const TROUBLES: LimitTrouble[] = ['none', 'all_killed', 'third_cut_off', 'limit_lowered']
+const FAULTS: LimitFault[] = ['none', 'all_killed', 'third_cut_off', 'limit_lowered']
 
 const USUAL: LimitModelOptions = {
   seed: 1,
-  way: 'home',
+  algorithm: 'home',
   gateways: 29,
   ratesPerSecond: [48, 28, 20, 8, 5, 5, 5, 5],
   usualShare: 0.4,
   hotFactor: 10,
   clientsPerAccount: 4,
   lostShare: 0.005,
-  trouble: 'none',
+  fault: 'none',
   durationMs: 12_000,
   bounds: { windowMs: 5000, overrunShare: 0.1, slackRequests: 20 }
 }
@@ -27,21 +27,21 @@
       hotFactor: fc.integer({ min: 1, max: 20 }),
       clientsPerAccount: fc.integer({ min: 1, max: 60 }),
       lostShare: fc.constantFrom(0, 0.01, 0.1),
-      trouble: fc.constantFrom(...TROUBLES)
+      fault: fc.constantFrom(...FAULTS)
     })
     await fc.assert(fc.asyncProperty(options, async change => {
-      expect((await playLimitModel({ ...USUAL, ...change })).overrunOfTolerance).toBeLessThanOrEqual(1)
+      expect((await runLimitModel({ ...USUAL, ...change })).overrunOfTolerance).toBeLessThanOrEqual(1)
     }), { numRuns: 12, seed: 7 })
   }, 60_000)
 
   it('hardly refuses requests of accounts within their limits, and decides within milliseconds', async () => {
-    const figures = await playLimitModel(USUAL)
+    const figures = await runLimitModel(USUAL)
     expect(figures.wronglyRefusedShare).toBeLessThan(0.005)
     expect(figures.waitP99Ms).toBeLessThan(30)
   })
 
   it('sends less than twice the messages with ten times the gateways', async () => {
-    const [few, many] = await Promise.all([20, 200].map(async gateways => await playLimitModel({ ...USUAL, gateways, durationMs: 5000 })))
+    const [few, many] = await Promise.all([20, 200].map(async gateways => await runLimitModel({ ...USUAL, gateways, durationMs: 5000 })))
     expect(many.messagesPerSecond).toBeLessThan(2 * few.messagesPerSecond)
   })
 })
--- a/packages/anvilarch-bench/src/model/limits/limitWays.ts
+++ b/packages/anvilarch-bench/src/model/limits/limitAlgorithms.ts
@@ -1,10 +1,10 @@
 /** Three algorithms that enforce a rate limit over many gateways. */
 import { bucketLimitsOf, createAccountMeters, createPermitClient, createRateLimiter, encodePeerMessage, selectMeterGateways, type PeerMessage } from 'anvilarch-serving'
 import { type Bucket, SILENT_LOGGER, takeToken } from 'anvilarch-utils'
-import type { LimitWay, LimitWayContext, LimitWayName } from './types'
+import type { LimitAlgorithm, LimitAlgorithmContext, LimitAlgorithmName } from './types'
 
 /** Creates the instance of an algorithm at one gateway. */
-export type CreateLimitWay = (context: LimitWayContext) => LimitWay
+export type CreateLimitAlgorithm = (context: LimitAlgorithmContext) => LimitAlgorithm
 
 const GOSSIP_INTERVAL_MS = 200
 
@@ -14,57 +14,57 @@
 const PEER_PORT = 1
 
 /** All algorithms by name. */
-export const LIMIT_WAYS: Record<LimitWayName, CreateLimitWay> = { share: createShareWay, gossip: createGossipWay, home: createHomeWay }
+export const LIMIT_ALGORITHMS: Record<LimitAlgorithmName, CreateLimitAlgorithm> = { share: createShareAlgorithm, gossip: createGossipAlgorithm, home: createHomeAlgorithm }
 
-function createShareWay ({ clock, gatewayCount, account }: LimitWayContext): LimitWay {
+function createShareAlgorithm ({ clock, gatewayCount, account }: LimitAlgorithmContext): LimitAlgorithm {
   const buckets = new Map<string, Bucket>()
   return {
     admit: async name => {
       const { perSecond, burst } = bucketLimitsOf(account(name))
-      const take = takeToken(buckets.get(name), { perSecond: perSecond / gatewayCount, burst: Math.max(1, burst / gatewayCount) }, clock.nowMs())
-      buckets.set(name, take.bucket)
-      return take.taken
+      const result = takeToken(buckets.get(name), { perSecond: perSecond / gatewayCount, burst: Math.max(1, burst / gatewayCount) }, clock.nowMs())
+      buckets.set(name, result.bucket)
+      return result.taken
     },
     onMessage: () => {}
   }
 }
 
 /** Each gateway has a bucket of the whole limit and deducts the requests that the others report as admitted. */
-function createGossipWay ({ clock, account, broadcast, isAlive }: LimitWayContext): LimitWay {
+function createGossipAlgorithm ({ clock, account, broadcast, isRunning }: LimitAlgorithmContext): LimitAlgorithm {
   const buckets = new Map<string, Bucket>()
   let admitted = new Map<string, number>()
-  const takeOff = (name: string, count: number): void => {
+  const deduct = (name: string, count: number): void => {
     const limits = bucketLimitsOf(account(name))
     const { bucket } = takeToken(buckets.get(name) ?? { tokens: limits.burst, updatedMs: clock.nowMs() }, limits, clock.nowMs())
     buckets.set(name, { ...bucket, tokens: bucket.tokens - count })
   }
-  const tell = (): void => {
-    if (!isAlive()) return
+  const broadcastAdmitted = (): void => {
+    if (!isRunning()) return
     if (admitted.size > 0) broadcast(admitted, admitted.size * GOSSIP_BYTES_PER_ACCOUNT)
     admitted = new Map()
-    clock.after(GOSSIP_INTERVAL_MS, tell)
+    clock.after(GOSSIP_INTERVAL_MS, broadcastAdmitted)
   }
-  clock.after(GOSSIP_INTERVAL_MS, tell)
+  clock.after(GOSSIP_INTERVAL_MS, broadcastAdmitted)
   return {
     admit: async name => {
-      const take = takeToken(buckets.get(name), bucketLimitsOf(account(name)), clock.nowMs())
-      buckets.set(name, take.bucket)
-      if (take.taken) admitted.set(name, (admitted.get(name) ?? 0) + 1)
-      return take.taken
+      const result = takeToken(buckets.get(name), bucketLimitsOf(account(name)), clock.nowMs())
+      buckets.set(name, result.bucket)
+      if (result.taken) admitted.set(name, (admitted.get(name) ?? 0) + 1)
+      return result.taken
     },
     onMessage: message => {
-      for (const [name, count] of message as Map<string, number>) takeOff(name, count)
+      for (const [name, count] of message as Map<string, number>) deduct(name, count)
     }
   }
 }
 
 /** The implementation of the daemon: one gateway counts the requests of an account, and others request permits from it. */
-function createHomeWay ({ clock, index, gatewayCount, bounds, account, send }: LimitWayContext): LimitWay {
-  const places = Array.from({ length: gatewayCount }, (_, place) => ({ name: `g${place}`, peerAddress: `${place}:${PEER_PORT}` }))
+function createHomeAlgorithm ({ clock, index, gatewayCount, bounds, account, send }: LimitAlgorithmContext): LimitAlgorithm {
+  const meterGateways = Array.from({ length: gatewayCount }, (_, index) => ({ name: `g${index}`, peerAddress: `${index}:${PEER_PORT}` }))
   const meters = createAccountMeters({ clock, bounds, account, gatewayCount: () => gatewayCount })
   const sendMessage = (message: PeerMessage, to: { ip: string }): void => send(Number(to.ip), message, encodePeerMessage(message).length)
   const permitClient = createPermitClient({ clock, send: sendMessage, configurationVersion: () => 1 })
-  const limits = createRateLimiter({ clock, log: SILENT_LOGGER, ownName: `g${index}`, meters, permitClient, meterGatewaysOf: name => selectMeterGateways(places, name) })
+  const limits = createRateLimiter({ clock, log: SILENT_LOGGER, ownName: `g${index}`, meters, permitClient, meterGatewaysOf: name => selectMeterGateways(meterGateways, name) })
   return {
     admit: async name => (await limits.acquire({ caller: 'account', account: account(name), keyDigest: '' })).granted,
     onMessage: (received, from) => {
--- a/packages/anvilarch-bench/src/model/limits/limitCounts.ts
+++ b/packages/anvilarch-bench/src/model/limits/limitCounts.ts
@@ -16,7 +16,7 @@
 export interface LimitCounts {
   /** Counts a request at its arrival. @returns whether an exact counter would have admitted it */
   onArrival: (name: string, nowMs: number) => boolean
-  onVerdict: (name: string, admitted: boolean, wouldBeAdmitted: boolean, nowMs: number) => void
+  onDecision: (name: string, admitted: boolean, wouldBeAdmitted: boolean, nowMs: number) => void
   of: (name: string) => AccountCounts
 }
 
@@ -32,11 +32,11 @@
   return {
     of,
     onArrival: (name, nowMs) => {
-      const take = takeToken(exact.get(name), bucketLimitsOf(account(name)), nowMs)
-      exact.set(name, take.bucket)
-      return take.taken
+      const result = takeToken(exact.get(name), bucketLimitsOf(account(name)), nowMs)
+      exact.set(name, result.bucket)
+      return result.taken
     },
-    onVerdict: (name, admitted, wouldBeAdmitted, nowMs) => {
+    onDecision: (name, admitted, wouldBeAdmitted, nowMs) => {
       const counted = of(name)
       if (wouldBeAdmitted) counted.allowed++
       if (admitted) counted.admittedAtMs.push(nowMs)
--- a/packages/anvilarch-bench/src/model/limits/limitModel.ts
+++ b/packages/anvilarch-bench/src/model/limits/limitModel.ts
@@ -2,8 +2,8 @@
 import type { ClientAccount } from 'anvilarch-serving'
 import { createFakeClock, createRandom, type FakeClock, type Random } from 'anvilarch-utils'
 import { createLimitCounts, type LimitCounts, overrunOfTolerance } from './limitCounts'
-import { LIMIT_WAYS } from './limitWays'
-import type { LimitFigures, LimitModelOptions, LimitWay } from './types'
+import { LIMIT_ALGORITHMS } from './limitAlgorithms'
+import type { LimitFigures, LimitModelOptions, LimitAlgorithm } from './types'
 
 /** One-way delay of a datagram, and its spread. */
 const DELAY_MS = 1
@@ -16,17 +16,17 @@
 const MS_PER_SECOND = 1000
 
 /** Start of the fault as a share of the simulated time, and the durations of faults. */
-const TROUBLE_AT_SHARE = 0.4
-const DOWN_MS = 1000
-const CUT_MS = 5000
+const FAULT_AT_SHARE = 0.4
+const DOWNTIME_MS = 1000
+const CUT_OFF_MS = 5000
 
 /** Share of its limit that an account has after the limit was lowered. */
 const LOWERED_SHARE = 0.25
 
 interface Gateway {
-  way: LimitWay
+  algorithm: LimitAlgorithm
   /** Increases with each start of the gateway. */
-  life: number
+  startNumber: number
   isDown: boolean
   isCutOff: boolean
 }
@@ -40,7 +40,7 @@
  * @param options - size, load and fault
  * @returns figures of the callers and the network
  */
-export async function playLimitModel (options: LimitModelOptions): Promise<LimitFigures> {
+export async function runLimitModel (options: LimitModelOptions): Promise<LimitFigures> {
   const clock = createFakeClock(0)
   const random = createRandom(options.seed)
   const accounts = new Map(options.ratesPerSecond.map((rate, index) => [`a${index}`, accountOf(index, rate)]))
@@ -55,8 +55,8 @@
   const waitsMs: number[] = []
 
   startArrivals({ options, clock, accounts: [...accounts.values()], gateways: fleet.gateways, counts, waitsMs })
-  clock.after(options.durationMs * TROUBLE_AT_SHARE, () => startTrouble(options, clock, fleet, accounts))
-  for (let passedMs = 0; passedMs < options.durationMs; passedMs += STEP_MS) await clock.advanceAsync(STEP_MS)
+  clock.after(options.durationMs * FAULT_AT_SHARE, () => injectFault(options, clock, fleet, accounts))
+  for (let elapsedMs = 0; elapsedMs < options.durationMs; elapsedMs += STEP_MS) await clock.advanceAsync(STEP_MS)
 
   return figuresOf(options, [...accounts.values()], counts, traffic, waitsMs)
 }
@@ -83,7 +83,7 @@
   const gateways: Gateway[] = []
   const deliver = (from: number, to: number, message: unknown): void => {
     const reachable = gateways[from].isCutOff === gateways[to].isCutOff
-    if (reachable && !gateways[to].isDown && random.next() >= options.lostShare) gateways[to].way.onMessage(message, from)
+    if (reachable && !gateways[to].isDown && random.next() >= options.lostShare) gateways[to].algorithm.onMessage(message, from)
   }
   const send = (from: number, to: readonly number[], message: unknown, bytes: number): void => {
     traffic.messages += to.length
@@ -91,9 +91,9 @@
     clock.after(DELAY_MS + DELAY_SPREAD_MS * random.next(), () => to.forEach(receiver => deliver(from, receiver, message)))
   }
   const startGateway = (index: number): void => {
-    const life = (gateways[index]?.life ?? 0) + 1
+    const startNumber = (gateways[index]?.startNumber ?? 0) + 1
     const others = Array.from({ length: options.gateways }, (_, other) => other).filter(other => other !== index)
-    const way = LIMIT_WAYS[options.way]({
+    const algorithm = LIMIT_ALGORITHMS[options.algorithm]({
       clock,
       index,
       gatewayCount: options.gateways,
@@ -101,26 +101,26 @@
       account,
       send: (to, message, bytes) => send(index, [to], message, bytes),
       broadcast: (message, bytes) => send(index, others, message, bytes),
-      isAlive: () => gateways[index].life === life && !gateways[index].isDown
+      isRunning: () => gateways[index].startNumber === startNumber && !gateways[index].isDown
     })
-    gateways[index] = { way, life, isDown: false, isCutOff: false }
+    gateways[index] = { algorithm, startNumber, isDown: false, isCutOff: false }
   }
   const startAll = (): void => { for (let index = 0; index < options.gateways; index++) startGateway(index) }
   startAll()
   return { gateways, startAll }
 }
 
-function startTrouble (options: LimitModelOptions, clock: FakeClock, { gateways, startAll }: Fleet, accounts: Map<string, ClientAccount>): void {
-  switch (options.trouble) {
+function injectFault (options: LimitModelOptions, clock: FakeClock, { gateways, startAll }: Fleet, accounts: Map<string, ClientAccount>): void {
+  switch (options.fault) {
     case 'none':
       return
     case 'all_killed':
       for (const gateway of gateways) gateway.isDown = true
-      clock.after(DOWN_MS, startAll)
+      clock.after(DOWNTIME_MS, startAll)
       return
     case 'third_cut_off':
       gateways.forEach((gateway, index) => { gateway.isCutOff = index % 3 === 0 })
-      clock.after(CUT_MS, () => gateways.forEach(gateway => { gateway.isCutOff = false }))
+      clock.after(CUT_OFF_MS, () => gateways.forEach(gateway => { gateway.isCutOff = false }))
       return
     case 'limit_lowered':
       for (const [name, account] of accounts) accounts.set(name, { ...account, requestsPerSecond: account.requestsPerSecond * LOWERED_SHARE })
@@ -147,9 +147,9 @@
       if (gateway.isDown) return
       const arrivedAtMs = clock.nowMs()
       const wouldBeAdmitted = counts.onArrival(account.name, arrivedAtMs)
-      gateway.way.admit(account.name).then(admitted => {
+      gateway.algorithm.admit(account.name).then(admitted => {
         waitsMs.push(clock.nowMs() - arrivedAtMs)
-        counts.onVerdict(account.name, admitted, wouldBeAdmitted, clock.nowMs())
+        counts.onDecision(account.name, admitted, wouldBeAdmitted, clock.nowMs())
       }, error => { throw error })
     }
     const next = (): void => {
@@ -164,10 +164,10 @@
 
 function figuresOf (options: LimitModelOptions, accounts: readonly ClientAccount[], counts: LimitCounts, traffic: Traffic, waitsMs: number[]): LimitFigures {
   const [hot, ...others] = accounts
-  const lowered = options.trouble === 'limit_lowered'
+  const lowered = options.fault === 'limit_lowered'
   const overruns = accounts.map(account => {
     // A lower limit is checked from one window after it was applied.
-    const fromMs = lowered ? options.durationMs * TROUBLE_AT_SHARE + options.bounds.windowMs : 0
+    const fromMs = lowered ? options.durationMs * FAULT_AT_SHARE + options.bounds.windowMs : 0
     return overrunOfTolerance(counts.of(account.name).admittedAtMs.filter(atMs => atMs >= fromMs), account, options.bounds)
   })
   const wronglyRefused = sum(others.map(({ name }) => counts.of(name).wronglyRefused))
--- a/packages/anvilarch-bench/src/model/limits/types.ts
+++ b/packages/anvilarch-bench/src/model/limits/types.ts
@@ -3,12 +3,12 @@
 import type { FakeClock } from 'anvilarch-utils'
 
 /** Fault in the middle of a simulation. */
-export type LimitTrouble = 'none' | 'all_killed' | 'third_cut_off' | 'limit_lowered'
+export type LimitFault = 'none' | 'all_killed' | 'third_cut_off' | 'limit_lowered'
 
 /** Size, load and fault. */
 export interface LimitModelOptions {
   seed: number
-  way: LimitWayName
+  algorithm: LimitAlgorithmName
   gateways: number
   /** Limits of the accounts. The first one is the hot account, which exceeds its limit. */
   ratesPerSecond: readonly number[]
@@ -20,13 +20,13 @@
   clientsPerAccount: number
   /** Share of datagrams that are lost. */
   lostShare: number
-  trouble: LimitTrouble
+  fault: LimitFault
   durationMs: number
   bounds: LimitBounds
 }
 
 /** `share`: each gateway has an equal share of a limit. `gossip`: gateways broadcast what they admit. `home`: one gateway counts. */
-export type LimitWayName = 'share' | 'gossip' | 'home'
+export type LimitAlgorithmName = 'share' | 'gossip' | 'home'
 
 /** Figures of the callers and the network. */
 export interface LimitFigures {
@@ -43,14 +43,14 @@
 }
 
 /** The instance of an algorithm at one gateway. */
-export interface LimitWay {
+export interface LimitAlgorithm {
   /** @returns whether a request may start */
   admit: (accountName: string) => Promise<boolean>
   onMessage: (message: unknown, from: number) => void
 }
 
 /** What an algorithm uses at one gateway. */
-export interface LimitWayContext {
+export interface LimitAlgorithmContext {
   clock: FakeClock
   index: number
   gatewayCount: number
@@ -60,5 +60,5 @@
   /** Sends to all other gateways. */
   broadcast: (message: unknown, bytes: number) => void
   /** @returns whether this start of the gateway is still running */
-  isAlive: () => boolean
+  isRunning: () => boolean
 }
--- a/packages/anvilarch-bench/src/model/modelEngine.ts
+++ b/packages/anvilarch-bench/src/model/modelEngine.ts
@@ -10,7 +10,7 @@
   onRequest: (request: ModelRequest) => void
   online: () => number
   batchRunning: () => number
-  counts: { itemsDone: number, itemsInTime: number, cuts: number }
+  counts: { itemsDone: number, itemsInTime: number, preemptions: number }
 }
 
 /** Options of `createModelEngine`. */
@@ -21,10 +21,10 @@
 }
 
 /** Interval at which an agent polls an engine with batch work, between the shortest and the longest interval of the daemon. */
-const LOOK_MS = 80
+const POLL_INTERVAL_MS = 80
 
 /** Time to prefill the prompt and the text of an item again when it resumes: about 600 tokens at 44 a millisecond. */
-const READ_AGAIN_MS = 14
+const REPEATED_PREFILL_MS = 14
 
 interface RunningItem {
   item: ModelItem
@@ -38,13 +38,13 @@
  */
 export function createModelEngine (options: ModelEngineOptions): ModelEngine {
   const { clock, slots, backlog } = options
-  const counts = { itemsDone: 0, itemsInTime: 0, cuts: 0 }
+  const counts = { itemsDone: 0, itemsInTime: 0, preemptions: 0 }
   const queue: ModelRequest[] = []
   const items: RunningItem[] = []
   let runningOnline = 0
   /** Requests that the agent has a notice of and that have not arrived yet. */
   let announced = 0
-  let cutAtMs = -Infinity
+  let preemptedAtMs = -Infinity
 
   const startRequests = (): void => {
     while (queue.length > 0 && runningOnline + items.length < slots) {
@@ -63,7 +63,7 @@
     const running: RunningItem = {
       item,
       startedAtMs: clock.nowMs(),
-      end: clock.after(READ_AGAIN_MS + item.remainingMs, () => {
+      end: clock.after(REPEATED_PREFILL_MS + item.remainingMs, () => {
         items.splice(items.indexOf(running), 1)
         counts.itemsDone++
         if (clock.nowMs() <= item.dueAtMs) counts.itemsInTime++
@@ -73,38 +73,38 @@
     items.push(running)
   }
 
-  const cutItems = (count: number): void => {
-    if (count > 0) cutAtMs = clock.nowMs()
+  const preemptItems = (count: number): void => {
+    if (count > 0) preemptedAtMs = clock.nowMs()
     for (const running of items.splice(items.length - count, count)) {
       running.end.cancel()
-      const ranMs = Math.max(0, clock.nowMs() - running.startedAtMs - READ_AGAIN_MS)
+      const ranMs = Math.max(0, clock.nowMs() - running.startedAtMs - REPEATED_PREFILL_MS)
       running.item.remainingMs = Math.max(0, running.item.remainingMs - ranMs)
       backlog.add(running.item)
-      counts.cuts++
+      counts.preemptions++
     }
   }
 
   const online = (): number => runningOnline + queue.length + announced
 
-  const look = (): void => {
+  const poll = (): void => {
     const plan = planBatchSlots({ slots, running: runningOnline + items.length, waiting: queue.length, ownItems: items.length, ownUnreported: 0 })
-    cutItems(plan.preempt)
+    preemptItems(plan.preempt)
     const first = backlog.first(plan.start)
-    const wanting = first.map(item => ({ tightDeadline: hasTightDeadline(item.dueAtMs - clock.nowMs(), item.remainingMs) }))
-    const count = countToStart({ count: plan.start, items: wanting, online: online(), sincePreemptionMs: clock.nowMs() - cutAtMs })
+    const candidates = first.map(item => ({ tightDeadline: hasTightDeadline(item.dueAtMs - clock.nowMs(), item.remainingMs) }))
+    const count = countToStart({ count: plan.start, items: candidates, online: online(), sincePreemptionMs: clock.nowMs() - preemptedAtMs })
     for (const item of first.slice(0, count)) {
-      backlog.take(item)
+      backlog.remove(item)
       startItem(item)
     }
     startRequests()
-    clock.after(LOOK_MS, look)
+    clock.after(POLL_INTERVAL_MS, poll)
   }
-  look()
+  poll()
 
   return {
     onNotice: () => {
       announced++
-      cutItems(countToPreempt(slots, online(), items.length))
+      preemptItems(countToPreempt(slots, online(), items.length))
     },
     onRequest: request => {
       announced--
--- a/packages/anvilarch-bench/src/model/modelGateway.ts
+++ b/packages/anvilarch-bench/src/model/modelGateway.ts
@@ -15,20 +15,20 @@
   clock: Clock
   random: Random
   endpoints: readonly Endpoint[]
-  engineAt: ReadonlyMap<string, ModelEngine>
+  engineById: ReadonlyMap<string, ModelEngine>
   gatewayCount: number
   weights: PlacementWeights
   onFirstEvent: (afterMs: number) => void
 }
 
 /** One-way delay between two hosts, including the processing at both. */
-const LINK_MS = 1
+const LINK_DELAY_MS = 1
 
 /** Time that the endpoint and both hosts need for a new connection. */
 const CONNECT_MS = 2
 
 /** Idle timeout of the connection pools of the daemon. */
-const IDLE_MS = 3000
+const IDLE_TIMEOUT_MS = 3000
 
 /** Time to prefill a prompt of 250 tokens of its own and 200 shared ones, at 44 a millisecond. */
 const PROMPT_MS = 10
@@ -47,7 +47,7 @@
  * @returns a gateway with an empty load table
  */
 export function createModelGateway (options: ModelGatewayOptions): ModelGateway {
-  const { clock, random, endpoints, engineAt } = options
+  const { clock, random, endpoints, engineById } = options
   const counts = { newConnections: 0 }
   const loads = createLoadTable(clock)
   const connections = new Map<string, { inUse: number, idleSinceMs: number[] }>()
@@ -55,20 +55,20 @@
 
   const send = (message: PeerMessage, to: { ip: string, port: number }): void => {
     const endpoint = endpointByIp.get(to.ip)
-    const engine = endpoint === undefined ? undefined : engineAt.get(endpoint.id)
+    const engine = endpoint === undefined ? undefined : engineById.get(endpoint.id)
     if (endpoint === undefined || engine === undefined || message.message !== 'load_probe') return
-    clock.after(LINK_MS, () => {
+    clock.after(LINK_DELAY_MS, () => {
       const report = { startId: endpoint.startId, online: engine.online(), batchRunning: engine.batchRunning(), reachable: true }
-      clock.after(LINK_MS, () => prober.onResponse({ message: 'load_response', correlationId: message.correlationId, report }, to))
+      clock.after(LINK_DELAY_MS, () => prober.onResponse({ message: 'load_response', correlationId: message.correlationId, report }, to))
     })
   }
   const prober = createLoadProber({ clock, send, peerPort: PEER_PORT, onReport: loads.onReport })
 
   const connectionsTo = (endpoint: Endpoint): { inUse: number, idleSinceMs: number[] } => {
-    const known = connections.get(endpoint.id) ?? { inUse: 0, idleSinceMs: [] }
-    known.idleSinceMs = known.idleSinceMs.filter(sinceMs => clock.nowMs() - sinceMs < IDLE_MS)
-    connections.set(endpoint.id, known)
-    return known
+    const pool = connections.get(endpoint.id) ?? { inUse: 0, idleSinceMs: [] }
+    pool.idleSinceMs = pool.idleSinceMs.filter(sinceMs => clock.nowMs() - sinceMs < IDLE_TIMEOUT_MS)
+    connections.set(endpoint.id, pool)
+    return pool
   }
 
   const placement = createPlacement({
@@ -87,26 +87,26 @@
 
   /** @returns the time that it takes to get a connection */
   const connect = (endpoint: Endpoint): number => {
-    const held = connectionsTo(endpoint)
-    held.inUse++
-    if (held.idleSinceMs.pop() !== undefined) return 0
+    const pool = connectionsTo(endpoint)
+    pool.inUse++
+    if (pool.idleSinceMs.pop() !== undefined) return 0
     counts.newConnections++
     return CONNECT_MS
   }
 
   const sendRequest = (endpoint: Endpoint, arrivedAtMs: number): void => {
-    const engine = engineAt.get(endpoint.id)
+    const engine = engineById.get(endpoint.id)
     if (engine === undefined) return
     loads.onSent(endpoint.startId)
-    clock.after(LINK_MS, engine.onNotice)
-    clock.after(LINK_MS + connect(endpoint), () => engine.onRequest({
+    clock.after(LINK_DELAY_MS, engine.onNotice)
+    clock.after(LINK_DELAY_MS + connect(endpoint), () => engine.onRequest({
       promptMs: PROMPT_MS,
       eventsMs: random.jitter(EVENTS_MS, EVENTS_SPREAD),
-      onFirstEvent: () => options.onFirstEvent(clock.nowMs() + LINK_MS - arrivedAtMs),
-      onEnd: () => clock.after(LINK_MS, () => {
-        const held = connectionsTo(endpoint)
-        held.inUse--
-        held.idleSinceMs.push(clock.nowMs())
+      onFirstEvent: () => options.onFirstEvent(clock.nowMs() + LINK_DELAY_MS - arrivedAtMs),
+      onEnd: () => clock.after(LINK_DELAY_MS, () => {
+        const pool = connectionsTo(endpoint)
+        pool.inUse--
+        pool.idleSinceMs.push(clock.nowMs())
         loads.onEnded(endpoint.startId)
       })
     }))
@@ -116,9 +116,9 @@
     counts,
     onArrival: () => {
       const arrivedAtMs = clock.nowMs()
-      const terms = { service: 's', sharedPrefixes: [`p${random.between(1, PREFIXES)}`], excluded: new Set<string>() }
-      placement.prepare(terms).then(() => {
-        const endpoint = placement.choose(terms)
+      const request = { service: 's', sharedPrefixes: [`p${random.between(1, PREFIXES)}`], excluded: new Set<string>() }
+      placement.prepare(request).then(() => {
+        const endpoint = placement.choose(request)
         if (endpoint !== undefined) sendRequest(endpoint, arrivedAtMs)
       }, () => {
         // The prober and the clock of the model never fail.
--- a/packages/anvilarch-bench/src/model/types.ts
+++ b/packages/anvilarch-bench/src/model/types.ts
@@ -56,6 +56,6 @@
 export interface ModelBacklog {
   /** @returns the most urgent items, without removing them */
   first: (count: number) => ModelItem[]
-  take: (item: ModelItem) => void
+  remove: (item: ModelItem) => void
   add: (item: ModelItem) => void
 }
--- a/packages/anvilarch-bench/src/peers/lightAgents.ts
+++ b/packages/anvilarch-bench/src/peers/lightAgents.ts
@@ -9,7 +9,7 @@
 import { create } from '@bufbuild/protobuf'
 import { AgentService, EndpointStateSchema } from 'anvilarch-protocol'
 import type { Clock } from 'anvilarch-utils'
-import { answerFrames, barredFrame, type LightAnswer, serveLightSession } from './lightAttempt'
+import { responseFrames, barredFrame, type LightResponse, serveLightSession } from './lightAttempt'
 
 /** Options of `startLightAgents`. */
 export interface LightAgentsOptions {
@@ -65,7 +65,7 @@
  */
 export async function startLightAgents (options: LightAgentsOptions): Promise<LightAgents> {
   const counts: LightAgentStats = { receivedBytes: 0, sentBytes: 0, connections: 0, exchanges: 0, attempts: 0, pushes: 0, versions: {} }
-  const open = new Set<Socket>()
+  const openSockets = new Set<Socket>()
   const servers: Http2Server[] = []
   const agents: AgentState[] = []
   for (let index = 0; index < options.count; index++) {
@@ -79,7 +79,7 @@
     }
     const routes = (router: ConnectRouter): void => { router.service(AgentService, agentService(state, counts, options)) }
     const server = createServer(connectNodeAdapter({ routes }))
-    server.on('connection', (socket: Socket) => { followSocket(socket, open, counts) })
+    server.on('connection', (socket: Socket) => { trackSocket(socket, openSockets, counts) })
     await new Promise<void>(resolve => { server.listen(0, LOOPBACK, resolve) })
     state.address = `${LOOPBACK}:${(server.address() as AddressInfo).port}`
     servers.push(server)
@@ -87,28 +87,28 @@
   }
   return {
     agents: agents.map(({ name, address, failureDomain }) => ({ name, address, failureDomain })),
-    stats: () => currentStats(counts, open),
+    stats: () => currentStats(counts, openSockets),
     close: async () => {
-      for (const socket of open) socket.destroy()
+      for (const socket of openSockets) socket.destroy()
       await Promise.all(servers.map(server => new Promise<void>(resolve => { server.close(() => { resolve() }) })))
     }
   }
 }
 
-function followSocket (socket: Socket, open: Set<Socket>, counts: LightAgentStats): void {
+function trackSocket (socket: Socket, openSockets: Set<Socket>, counts: LightAgentStats): void {
   counts.connections++
-  open.add(socket)
+  openSockets.add(socket)
   socket.on('close', () => {
-    open.delete(socket)
+    openSockets.delete(socket)
     counts.receivedBytes += socket.bytesRead
     counts.sentBytes += socket.bytesWritten
   })
 }
 
 /** Adds the bytes of open sockets; those of closed ones are in `counts`. */
-function currentStats (counts: LightAgentStats, open: ReadonlySet<Socket>): LightAgentStats {
+function currentStats (counts: LightAgentStats, openSockets: ReadonlySet<Socket>): LightAgentStats {
   let { receivedBytes, sentBytes } = counts
-  for (const socket of open) {
+  for (const socket of openSockets) {
     receivedBytes += socket.bytesRead
     sentBytes += socket.bytesWritten
   }
@@ -119,7 +119,7 @@
   const slots = options.slots ?? DEFAULT_SLOTS
   const incarnation = `${state.name}-1`
   const load = { endpoint: 'plain', runningOnline: 0, runningBatch: 0, queued: 0, freeOnline: slots, freeBatch: slots, firstTokenMs: 1, interTokenMs: 1 }
-  const answer: LightAnswer = { incarnation, load, onAttempt: () => { counts.attempts++ } }
+  const response: LightResponse = { incarnation, load, onAttempt: () => { counts.attempts++ } }
   return {
     exchange: () => {
       counts.exchanges++
@@ -135,9 +135,9 @@
         operationsAddress: ''
       }
     },
-    startAttempt: async function * (request) { yield * answerFrames(answer, request) },
-    resumeAttempt: async function * () { yield barredFrame(answer) },
-    session: requests => serveLightSession(answer, requests),
+    startAttempt: async function * (request) { yield * responseFrames(response, request) },
+    resumeAttempt: async function * () { yield barredFrame(response) },
+    session: requests => serveLightSession(response, requests),
     cancelAttempt: () => ({ outcome: 'barred' }),
     pushConfiguration: offered => {
       counts.pushes++
--- a/packages/anvilarch-bench/src/peers/lightCalls.ts
+++ b/packages/anvilarch-bench/src/peers/lightCalls.ts
@@ -3,7 +3,7 @@
 import { create } from '@bufbuild/protobuf'
 import { type AgentService, type SessionCommand, SessionCommandSchema, SessionRequestSchema, type StartAttemptRequest } from 'anvilarch-protocol'
 import type { Clock } from 'anvilarch-utils'
-import { createTurnQueue } from './turnQueue'
+import { createMessageBatcher } from './messageBatcher'
 
 /** Attempts over one session. */
 export interface LightCalls {
@@ -14,7 +14,7 @@
 }
 
 /** An attempt in progress. */
-interface Waiting {
+interface PendingAttempt {
   outcome: string
   resolve: (outcome: string) => void
 }
@@ -26,21 +26,21 @@
  * @returns a sender of attempts; the session is opened with the first one
  */
 export function createLightCalls (client: Client<typeof AgentService>, clock: Clock, timeoutMs: number): LightCalls {
-  const outbox = createTurnQueue<SessionCommand>()
-  const waiting = new Map<number, Waiting>()
-  let last = 0
+  const outbox = createMessageBatcher<SessionCommand>()
+  const pending = new Map<number, PendingAttempt>()
+  let lastStream = 0
   let reading: Promise<void> | undefined
 
   const read = async (): Promise<void> => {
     for await (const { frames } of client.session(requests())) {
       for (const { stream, kind } of frames) {
-        const call = waiting.get(stream)
-        if (call === undefined) continue
-        if (kind.case === 'ended') call.resolve(call.outcome)
+        const attempt = pending.get(stream)
+        if (attempt === undefined) continue
+        if (kind.case === 'ended') attempt.resolve(attempt.outcome)
         if (kind.case !== 'frame') continue
         const frame = kind.value.kind
-        if (frame.case === 'final') call.outcome = frame.value.outcome
-        if (frame.case === 'refused') call.outcome = frame.value.reason
+        if (frame.case === 'final') attempt.outcome = frame.value.outcome
+        if (frame.case === 'refused') attempt.outcome = frame.value.reason
       }
     }
   }
@@ -50,16 +50,16 @@
 
   return {
     start: async request => {
-      const stream = ++last
+      const stream = ++lastStream
       try {
         return await new Promise<string>((resolve, reject) => {
-          waiting.set(stream, { outcome: '', resolve })
+          pending.set(stream, { outcome: '', resolve })
           clock.after(timeoutMs, () => { reject(new Error('no response in time')) })
           outbox.put(create(SessionCommandSchema, { stream, kind: { case: 'start', value: request } }))
           reading ??= read().catch(() => {}).finally(() => { reading = undefined })
         })
       } finally {
-        waiting.delete(stream)
+        pending.delete(stream)
       }
     },
     close: async () => {
--- a/packages/anvilarch-bench/src/peers/turnQueue.ts
+++ b/packages/anvilarch-bench/src/peers/messageBatcher.ts
@@ -1,7 +1,7 @@
 /** Combines the items that are added in one turn of the event loop into one message of a stream. */
 
 /** Collects items into batches, each of which is sent as one message. */
-export interface TurnQueue<Item> {
+export interface MessageBatcher<Item> {
   put: (item: Item) => void
   /** Ends `batches` after the queued items. */
   close: () => void
@@ -10,7 +10,7 @@
 }
 
 /** @returns an empty batcher */
-export function createTurnQueue<Item> (): TurnQueue<Item> {
+export function createMessageBatcher<Item> (): MessageBatcher<Item> {
   let items: Item[] = []
   let closed = false
   let wake: () => void = () => {}
--- a/packages/anvilarch-bench/src/sampling/byteRelay.ts
+++ b/packages/anvilarch-bench/src/sampling/byteRelay.ts
@@ -28,7 +28,7 @@
 export async function startByteRelay (target: string | (() => string)): Promise<ByteRelay> {
   const counts: RelayCounts = { toTargetBytes: 0, fromTargetBytes: 0, connections: 0 }
   const sockets = new Set<Socket>()
-  const own = (socket: Socket): void => {
+  const track = (socket: Socket): void => {
     sockets.add(socket)
     socket.setNoDelay(true)
     socket.on('close', () => { sockets.delete(socket) })
@@ -37,8 +37,8 @@
     const [targetHost, targetPort] = splitAddress(typeof target === 'string' ? target : target())
     const outgoing = connect(targetPort, targetHost)
     counts.connections++
-    own(incoming)
-    own(outgoing)
+    track(incoming)
+    track(outgoing)
     incoming.on('data', data => { counts.toTargetBytes += data.length })
     outgoing.on('data', data => { counts.fromTargetBytes += data.length })
     incoming.pipe(outgoing).pipe(incoming)
--- a/packages/anvilarch-bench/src/sampling/processSampler.ts
+++ b/packages/anvilarch-bench/src/sampling/processSampler.ts
@@ -77,7 +77,7 @@
 }
 
 /** A usage measurement that `startUsage` has started. */
-export interface UsageWatch {
+export interface UsageMeasurement {
   /** @returns the usage of each process since the start, by its key; processes that have exited are omitted */
   finish: () => Promise<Record<string, ProcessUsage>>
 }
@@ -87,7 +87,7 @@
  * @param clock - measures the elapsed time
  * @returns a measurement to be finished at the end of the interval
  */
-export async function startUsage (pids: Record<string, number>, clock: Clock): Promise<UsageWatch> {
+export async function startUsageMeasurement (pids: Record<string, number>, clock: Clock): Promise<UsageMeasurement> {
   const before: Record<string, { sample: ProcessSample, atMs: number }> = {}
   for (const [key, pid] of Object.entries(pids)) {
     const sample = await sampleProcess(pid)
@@ -112,9 +112,9 @@
  * @returns the usage of each process during that time
  */
 export async function measureUsage (pids: Record<string, number>, clock: Clock, durationMs: number): Promise<Record<string, ProcessUsage>> {
-  const watch = await startUsage(pids, clock)
+  const measurement = await startUsageMeasurement(pids, clock)
   await sleep(clock, durationMs)
-  return await watch.finish()
+  return await measurement.finish()
 }
 
 /** @returns the content of the file; empty if the thread has ended since it was listed */
