--- a/packages/anvilarch-bench/src/clients/__tests__/clients.test.ts
+++ b/packages/anvilarch-bench/src/clients/__tests__/clients.test.ts
@@ -1,5 +1,5 @@
 import { createFakeClock } from 'anvilarch-utils'
-import { errorAnswer } from '../answer'
+import { errorResult } from '../requestResult'
 import { createChatReader } from '../chatClient'
 import { checkResults } from '../jobClient'
 
@@ -37,15 +37,15 @@
   })
 })
 
-describe('errorAnswer', () => {
+describe('errorResult', () => {
   test('reads the code, whether the request ran and the time to retry after', () => {
-    const answer = errorAnswer(503, '2', '{"error":{"code":"overloaded","ran":"not_run"}}', 5)
+    const answer = errorResult(503, '2', '{"error":{"code":"overloaded","ran":"not_run"}}', 5)
     expect(answer).toMatchObject({ outcome: 'refused', code: 'overloaded', ran: 'not_run', retryAfterMs: 2000 })
   })
 
   test('does not report an unknown outcome as a refusal', () => {
-    expect(errorAnswer(503, undefined, '{"error":{"code":"outcome_unknown","ran":"unknown"}}', 5).outcome).toBe('failed')
-    expect(errorAnswer(502, undefined, 'no JSON', 5)).toMatchObject({ outcome: 'failed', code: 'http_502', retryAfterMs: undefined })
+    expect(errorResult(503, undefined, '{"error":{"code":"outcome_unknown","ran":"unknown"}}', 5).outcome).toBe('failed')
+    expect(errorResult(502, undefined, 'no JSON', 5)).toMatchObject({ outcome: 'failed', code: 'http_502', retryAfterMs: undefined })
   })
 })
 
--- a/packages/anvilarch-bench/src/clients/chatClient.ts
+++ b/packages/anvilarch-bench/src/clients/chatClient.ts
@@ -2,7 +2,7 @@
 import type { Clock } from 'anvilarch-utils'
 import { createParser } from 'eventsource-parser'
 import type { Dispatcher } from 'undici'
-import { type Answer, brokenAnswer, emptyAnswer, errorAnswer } from './answer'
+import { type RequestResult, interruptedResult, emptyResult, errorResult } from './requestResult'
 
 /** One chat request. */
 export interface ChatRequest {
@@ -28,7 +28,7 @@
 interface ChatChunk {
   choices?: Array<{ delta?: { content?: string }, finish_reason?: string | null }>
   usage?: { prompt_tokens?: number, prompt_tokens_details?: { cached_tokens?: number } } | null
-  error?: { code?: string, message?: string, ran?: Answer['ran'], retry_after_ms?: number }
+  error?: { code?: string, message?: string, ran?: RequestResult['ran'], retry_after_ms?: number }
 }
 
 const DONE = '[DONE]'
@@ -40,7 +40,7 @@
  * @param options - clock, connections and the expected text
  * @returns how the request ended; never rejects
  */
-export async function sendChat (origin: string, request: ChatRequest, options: ClientOptions): Promise<Answer> {
+export async function sendChat (origin: string, request: ChatRequest, options: ClientOptions): Promise<RequestResult> {
   const { clock } = options
   const reader = createChatReader(clock)
   const body = chatBody(request, true)
@@ -56,9 +56,9 @@
     })
     if (response.statusCode >= 400) {
       const text = await response.body.text()
-      return errorAnswer(response.statusCode, response.headers['retry-after'], text, clock.nowMs())
+      return errorResult(response.statusCode, response.headers['retry-after'], text, clock.nowMs())
     }
-    reader.answer.status = response.statusCode
+    reader.result.status = response.statusCode
     const decoder = new TextDecoder()
     for await (const chunk of response.body) reader.feed(decoder.decode(chunk as Uint8Array, { stream: true }))
   } catch (error) {
@@ -79,10 +79,10 @@
 
 /** Collects one streamed response. */
 interface ChatReader {
-  answer: Answer
+  result: RequestResult
   feed: (text: string) => void
   /** @param error - what interrupted the stream; undefined after a regular end */
-  finish: (expected: string, error?: unknown) => Answer
+  finish: (expected: string, error?: unknown) => RequestResult
 }
 
 /**
@@ -90,7 +90,7 @@
  * @returns a reader of one event stream
  */
 export function createChatReader (clock: Clock): ChatReader {
-  const answer = emptyAnswer(0)
+  const answer = emptyResult(0)
   let text = ''
   /** The parts that follow the text; a response that lacks one is incomplete. */
   const receivedParts = { reason: false, usage: false, done: false }
@@ -131,17 +131,17 @@
   }
   const parser = createParser({ onEvent: event => { onEvent(event.data) } })
 
-  const outcomeOf = (expected: string): Answer['outcome'] => {
+  const outcomeOf = (expected: string): RequestResult['outcome'] => {
     if (answer.code !== '') return 'failed'
-    if (answer.isCrossed) return 'wrong'
+    if (answer.isMismatched) return 'wrong'
     return text === expected && Object.values(receivedParts).every(Boolean) ? 'completed' : 'incomplete'
   }
   return {
-    answer,
+    result: answer,
     feed: chunk => { parser.feed(chunk) },
     finish: (expected, error) => {
-      answer.isCrossed = hasInvalidEvent || !expected.startsWith(text)
-      if (error !== undefined) return brokenAnswer(error, clock.nowMs(), answer)
+      answer.isMismatched = hasInvalidEvent || !expected.startsWith(text)
+      if (error !== undefined) return interruptedResult(error, clock.nowMs(), answer)
       const outcome = outcomeOf(expected)
       const detail = outcome === 'wrong' ? `expected ${JSON.stringify(expected.slice(0, 60))}, got ${JSON.stringify(text.slice(0, 60))}` : answer.detail
       return { ...answer, outcome, detail, endedAtMs: clock.nowMs() }
--- a/packages/anvilarch-bench/src/clients/lookupClient.ts
+++ b/packages/anvilarch-bench/src/clients/lookupClient.ts
@@ -1,5 +1,5 @@
 /** Client of plain services that checks that the response belongs to the request. */
-import { type Answer, brokenAnswer, emptyAnswer, errorAnswer } from './answer'
+import { type RequestResult, interruptedResult, emptyResult, errorResult } from './requestResult'
 import type { ClientOptions } from './chatClient'
 
 /** One request to a plain service. */
@@ -24,7 +24,7 @@
  * @param options - clock and connections
  * @returns how the request ended; never rejects
  */
-export async function sendLookup (origin: string, request: LookupRequest, options: Omit<ClientOptions, 'expectedText'>): Promise<Answer> {
+export async function sendLookup (origin: string, request: LookupRequest, options: Omit<ClientOptions, 'expectedText'>): Promise<RequestResult> {
   const { clock } = options
   try {
     const response = await options.dispatcher.request({
@@ -36,14 +36,14 @@
     })
     const text = await response.body.text()
     const endedAtMs = clock.nowMs()
-    if (response.statusCode >= 400) return errorAnswer(response.statusCode, response.headers['retry-after'], text, endedAtMs)
-    return { ...emptyAnswer(endedAtMs), status: response.statusCode, ...checkResponse(text, request) }
+    if (response.statusCode >= 400) return errorResult(response.statusCode, response.headers['retry-after'], text, endedAtMs)
+    return { ...emptyResult(endedAtMs), status: response.statusCode, ...checkResponse(text, request) }
   } catch (error) {
-    return brokenAnswer(error, clock.nowMs())
+    return interruptedResult(error, clock.nowMs())
   }
 }
 
-function checkResponse (text: string, request: LookupRequest): Pick<Answer, 'outcome' | 'detail'> {
+function checkResponse (text: string, request: LookupRequest): Pick<RequestResult, 'outcome' | 'detail'> {
   let response: LookupResponse
   try {
     response = JSON.parse(text) as LookupResponse
--- a/packages/anvilarch-bench/src/clients/answer.ts
+++ b/packages/anvilarch-bench/src/clients/requestResult.ts
@@ -5,11 +5,11 @@
  * How a request ended at its client. `incomplete`: the response was interrupted or lacks a part. `wrong`: the response is
  * complete, but belongs to another request. `unreachable`: no HTTP response.
  */
-export type AnswerOutcome = 'completed' | 'refused' | 'failed' | 'incomplete' | 'wrong' | 'unreachable'
+export type RequestOutcome = 'completed' | 'refused' | 'failed' | 'incomplete' | 'wrong' | 'unreachable'
 
 /** Result of one request. Times are on the monotonic scale of the client's clock. */
-export interface Answer {
-  outcome: AnswerOutcome
+export interface RequestResult {
+  outcome: RequestOutcome
   /** HTTP status; 0 without a response. */
   status: number
   /** Code of the error body or of a socket error; empty for a completed request. */
@@ -27,7 +27,7 @@
   cachedTokens: number
   endedAtMs: number
   /** Whether the received text is not a prefix of the expected text, or an event was not valid JSON. */
-  isCrossed: boolean
+  isMismatched: boolean
   detail: string
 }
 
@@ -48,7 +48,7 @@
  * @param endedAtMs - when the response ended
  * @returns a result without content, to be filled in
  */
-export function emptyAnswer (endedAtMs: number): Answer {
+export function emptyResult (endedAtMs: number): RequestResult {
   return {
     outcome: 'incomplete',
     status: 0,
@@ -61,7 +61,7 @@
     promptTokens: 0,
     cachedTokens: 0,
     endedAtMs,
-    isCrossed: false,
+    isMismatched: false,
     detail: ''
   }
 }
@@ -73,12 +73,12 @@
  * @param endedAtMs - when the response ended
  * @returns the result with the code of the error body
  */
-export function errorAnswer (status: number, retryAfter: HeaderValue, text: string, endedAtMs: number): Answer {
+export function errorResult (status: number, retryAfter: HeaderValue, text: string, endedAtMs: number): RequestResult {
   const error = parseError(text)
   const bodyRetryAfterMs = error?.retry_after_ms
   const headerRetryAfterMs = parseRetryAfter(retryAfter)
   return {
-    ...emptyAnswer(endedAtMs),
+    ...emptyResult(endedAtMs),
     outcome: REFUSAL_STATUSES.has(status) && error?.ran !== 'unknown' ? 'refused' : 'failed',
     status,
     code: error?.code ?? `http_${status}`,
@@ -94,10 +94,10 @@
  * @param partial - result of what had been received until then
  * @returns an incomplete result, or an unreachable one when no response had been received
  */
-export function brokenAnswer (error: unknown, endedAtMs: number, partial?: Answer): Answer {
+export function interruptedResult (error: unknown, endedAtMs: number, partial?: RequestResult): RequestResult {
   const code = (error as { code?: string }).code ?? (error as Error).name
   const outcome = partial === undefined || partial.status === 0 ? 'unreachable' : 'incomplete'
-  return { ...(partial ?? emptyAnswer(endedAtMs)), outcome, code, endedAtMs, detail: (error as Error).message }
+  return { ...(partial ?? emptyResult(endedAtMs)), outcome, code, endedAtMs, detail: (error as Error).message }
 }
 
 function parseError (text: string): ErrorBody['error'] {
--- a/packages/anvilarch-bench/src/experiments/loss.ts
+++ b/packages/anvilarch-bench/src/experiments/loss.ts
@@ -1,6 +1,6 @@
 /** Loss of one of six endpoints (killed, frozen or drained) or of a failure domain, under steady online load. */
 import { type Clock, sleep } from 'anvilarch-utils'
-import type { Answer } from '../clients/answer'
+import type { RequestResult } from '../clients/requestResult'
 import { readExecutions } from '../harness/fleetCounters'
 import { latencyFigures, loadNotes, promptText, runLoad } from '../harness/fleetLoad'
 import type { BenchAgent, BenchFleet } from '../harness/fleetTypes'
@@ -28,7 +28,7 @@
 interface MeasuredRequest {
   intendedMs: number
   durationMs: number
-  outcome: Answer['outcome']
+  outcome: RequestResult['outcome']
 }
 
 const FAULTS: Record<string, Fault> = {
--- a/packages/anvilarch-bench/src/harness/fleetLoad.ts
+++ b/packages/anvilarch-bench/src/harness/fleetLoad.ts
@@ -2,18 +2,18 @@
 import type { Clock, Random } from 'anvilarch-utils'
 import { expectedText } from 'anvilarch-standins'
 import { Agent } from 'undici'
-import type { Answer } from '../clients/answer'
+import type { RequestResult } from '../clients/requestResult'
 import { type ChatRequest, sendChat } from '../clients/chatClient'
 import { sendLookup } from '../clients/lookupClient'
 import type { Collector } from '../load/collector'
-import { type OpenLoopResult, runOpenLoop, type Shot } from '../load/openLoop'
+import { type OpenLoopResult, runOpenLoop, type ScheduledRequest } from '../load/openLoop'
 import type { LatencyRecorder } from '../statistics/latencyRecorder'
 import type { Figures, RunContext } from './types'
 
 /** Clients of a fleet, or of an endpoint without gateways. */
 export interface Callers {
-  chat: (request: Omit<ChatRequest, 'model'>, signal?: AbortSignal) => Promise<Answer>
-  lookup: (requestId: string, signal?: AbortSignal) => Promise<Answer>
+  chat: (request: Omit<ChatRequest, 'model'>, signal?: AbortSignal) => Promise<RequestResult>
+  lookup: (requestId: string, signal?: AbortSignal) => Promise<RequestResult>
   close: () => Promise<void>
 }
 
@@ -69,7 +69,7 @@
 /** Requests to be sent by `runLoad`. */
 export interface LoadOptions {
   timesMs: number[]
-  send: (shot: Shot) => Promise<Answer>
+  send: (shot: ScheduledRequest) => Promise<RequestResult>
   collector: Collector
   drainMs?: number
   signal?: AbortSignal
--- a/packages/anvilarch-bench/src/index.ts
+++ b/packages/anvilarch-bench/src/index.ts
@@ -1,5 +1,5 @@
 /** Load generation, clients, process sampling and statistics of the benchmarks. */
-export * from './clients/answer'
+export * from './clients/requestResult'
 export * from './clients/chatClient'
 export * from './clients/jobClient'
 export * from './clients/lookupClient'
--- a/packages/anvilarch-bench/src/load/__tests__/openLoop.test.ts
+++ b/packages/anvilarch-bench/src/load/__tests__/openLoop.test.ts
@@ -1,5 +1,5 @@
 import { createFakeClock } from 'anvilarch-utils'
-import { runOpenLoop, type Shot } from '../openLoop'
+import { runOpenLoop, type ScheduledRequest } from '../openLoop'
 
 describe('runOpenLoop', () => {
   test('sends at the intended times while earlier requests are in progress', async () => {
@@ -22,7 +22,7 @@
 
   test('passes the intended time to a request that is sent late', async () => {
     const clock = createFakeClock()
-    const shots: Shot[] = []
+    const shots: ScheduledRequest[] = []
     const running = runOpenLoop({
       clock,
       timesMs: [0, 1, 2],
--- a/packages/anvilarch-bench/src/load/collector.ts
+++ b/packages/anvilarch-bench/src/load/collector.ts
@@ -1,12 +1,12 @@
 /** Collects the results of one class of work. */
-import type { Answer, AnswerOutcome } from '../clients/answer'
+import type { RequestResult, RequestOutcome } from '../clients/requestResult'
 import { createLatencyRecorder, type LatencyRecorder } from '../statistics/latencyRecorder'
-import type { Shot } from './openLoop'
+import type { ScheduledRequest } from './openLoop'
 
 /** Counts and latency distributions of one class of work; only measured requests count. */
 export interface Collector {
-  add: (shot: Pick<Shot, 'intendedMs' | 'measured'>, answer: Answer) => void
-  outcomes: Record<AnswerOutcome, number>
+  add: (shot: Pick<ScheduledRequest, 'intendedMs' | 'measured'>, answer: RequestResult) => void
+  outcomes: Record<RequestOutcome, number>
   /** Requests that were not completed, by error code. */
   codes: Record<string, number>
   /** Refusals without `Retry-After`. */
@@ -57,7 +57,7 @@
   return failed + incomplete + wrong + unreachable
 }
 
-function addAnswer (collector: Collector, intendedMs: number, answer: Answer): void {
+function addAnswer (collector: Collector, intendedMs: number, answer: RequestResult): void {
   collector.outcomes[answer.outcome]++
   collector.tokens += answer.tokens
   collector.promptTokens += answer.promptTokens
--- a/packages/anvilarch-bench/src/load/openLoop.ts
+++ b/packages/anvilarch-bench/src/load/openLoop.ts
@@ -5,7 +5,7 @@
 import { type Clock, sleep } from 'anvilarch-utils'
 
 /** One scheduled request. */
-export interface Shot {
+export interface ScheduledRequest {
   index: number
   /** Intended send time on the clock's monotonic scale; latencies are measured from it. */
   intendedMs: number
@@ -21,7 +21,7 @@
   /** Requests before this time are sent, but not measured. */
   warmUpMs: number
   /** Sends one request, records its figures and resolves when the request has ended. */
-  send: (shot: Shot) => Promise<void>
+  send: (shot: ScheduledRequest) => Promise<void>
   /** How long to wait for requests in progress after the last one was sent. */
   drainMs: number
   signal?: AbortSignal
--- a/packages/anvilarch-bench/src/soak/checker/__tests__/streamEnds.test.ts
+++ b/packages/anvilarch-bench/src/soak/checker/__tests__/streamEnds.test.ts
@@ -15,7 +15,7 @@
 /** Names of the checks that find something in a streamed answer to which "abc" is right. */
 function foundIn (events: string, cut?: Error, isGone = false): string[] {
   const reader = createChatReader(createFakeClock())
-  reader.answer.status = 200
+  reader.result.status = 200
   reader.feed(events)
   const answer = reader.finish('abc', cut)
   const record = call({ kind: 'stream', code: answer.code, ran: answer.ran, ...judgeStream(answer, isGone) })
--- a/packages/anvilarch-bench/src/soak/load/modelCalls.ts
+++ b/packages/anvilarch-bench/src/soak/load/modelCalls.ts
@@ -1,7 +1,7 @@
 /** Online requests: streamed and plain chat completions. */
 import { expectedText } from 'anvilarch-standins'
 import { promptText } from '../../harness/fleetLoad'
-import type { Answer } from '../../clients/answer'
+import type { RequestResult } from '../../clients/requestResult'
 import { chatBody, sendChat } from '../../clients/chatClient'
 import { TIMED_OUT } from '../checker/callChecks'
 import type { AnswerFault, CallKind, CallRecord, Told } from '../types'
@@ -73,11 +73,11 @@
  * @param isGone - whether the caller went away before its end
  * @returns what the caller was told
  */
-export function judgeStream (answer: Answer, isGone: boolean): { told: Told, fault: AnswerFault | undefined } {
-  const crossed = answer.isCrossed ? 'crossed' : undefined
+export function judgeStream (answer: RequestResult, isGone: boolean): { told: Told, fault: AnswerFault | undefined } {
+  const crossed = answer.isMismatched ? 'crossed' : undefined
   if (isGone) return { told: 'gone', fault: crossed }
   const ended = answer.code === ''
-  const verdicts: Record<Answer['outcome'], { told: Told, fault: AnswerFault | undefined }> = {
+  const verdicts: Record<RequestResult['outcome'], { told: Told, fault: AnswerFault | undefined }> = {
     completed: { told: 'whole', fault: undefined },
     refused: { told: 'refused', fault: undefined },
     failed: { told: 'failed', fault: crossed },
--- a/packages/anvilarch-bench/src/soak/load/sendWhole.ts
+++ b/packages/anvilarch-bench/src/soak/load/sendWhole.ts
@@ -1,6 +1,6 @@
 /** One HTTP call whose answer is read whole. */
 import type { RunStatus } from 'anvilarch-utils'
-import { errorAnswer } from '../../clients/answer'
+import { errorResult } from '../../clients/requestResult'
 import type { Told } from '../types'
 import type { GatewayAddress, LoadContext } from './types'
 
@@ -55,6 +55,6 @@
 }
 
 function describeError (status: number, retryAfter: string | string[] | undefined, text: string): Pick<WholeAnswer, 'told' | 'code' | 'ran' | 'retryAfterMs' | 'detail'> {
-  const { outcome, code, ran, retryAfterMs, detail } = errorAnswer(status, retryAfter, text, 0)
+  const { outcome, code, ran, retryAfterMs, detail } = errorResult(status, retryAfter, text, 0)
   return { told: outcome === 'refused' ? 'refused' : 'failed', code, ran, retryAfterMs, detail }
 }
--- a/packages/anvilarch-bench/src/soak/load/slowStream.ts
+++ b/packages/anvilarch-bench/src/soak/load/slowStream.ts
@@ -2,7 +2,7 @@
 import { expectedText } from 'anvilarch-standins'
 import { type Clock, sleep } from 'anvilarch-utils'
 import type { Dispatcher } from 'undici'
-import { type Answer, errorAnswer } from '../../clients/answer'
+import { type RequestResult, errorResult } from '../../clients/requestResult'
 import { chatBody, createChatReader } from '../../clients/chatClient'
 import type { CallRecord } from '../types'
 import { judgeStream, drawPrompt } from './modelCalls'
@@ -51,12 +51,12 @@
   evidence.calls.push(record)
 }
 
-async function readSlowly (clock: Clock, dispatcher: Dispatcher, options: Dispatcher.RequestOptions, expected: string): Promise<Answer> {
+async function readSlowly (clock: Clock, dispatcher: Dispatcher, options: Dispatcher.RequestOptions, expected: string): Promise<RequestResult> {
   const reader = createChatReader(clock)
   try {
     const response = await dispatcher.request({ ...options, highWaterMark: 1 })
-    if (response.statusCode >= 400) return errorAnswer(response.statusCode, response.headers['retry-after'], await response.body.text(), clock.nowMs())
-    reader.answer.status = response.statusCode
+    if (response.statusCode >= 400) return errorResult(response.statusCode, response.headers['retry-after'], await response.body.text(), clock.nowMs())
+    reader.result.status = response.statusCode
     const decoder = new TextDecoder()
     for await (const chunk of response.body) {
       reader.feed(decoder.decode(chunk as Uint8Array, { stream: true }))
