--- a/packages/anvilarch-bench/src/bin/soak.ts
+++ b/packages/anvilarch-bench/src/bin/soak.ts
@@ -15,21 +15,21 @@
  * Exit codes. `passed`: all counts of violations are 0 and every kind of fault was injected. `violated`: some count is not 0.
  * `partial`: some kind was not injected. `failed`: the run itself failed.
  */
-const EXIT = { passed: 0, violated: 1, partial: 2, failed: 3 } as const
+const EXIT_CODES = { passed: 0, violated: 1, partial: 2, failed: 3 } as const
 
 const MS_PER_MINUTE = 60_000
 
 const main = command({
   name: 'soak',
-  description: 'Runs a fleet of real processes under load and faults drawn from a seed, and holds the ledgers of the endpoints against what callers were told.\n\nExample: npm run soak -- --minutes 10 --seed 7',
+  description: 'Runs a fleet of real processes under load and faults generated from a seed, and compares the ledgers of the endpoints with the responses that callers received.\n\nExample: npm run soak -- --minutes 10 --seed 7',
   args: {
-    minutes: option({ type: number, long: 'minutes', defaultValue: () => 1, defaultValueIsSerializable: true, description: 'how long to send and to inject' }),
+    minutes: option({ type: number, long: 'minutes', defaultValue: () => 1, defaultValueIsSerializable: true, description: 'duration of load and faults' }),
     seed: option({ type: number, long: 'seed', defaultValue: () => 1, defaultValueIsSerializable: true, description: 'seed of load and faults' }),
     faults: option({ type: optional(string), long: 'faults', description: `kinds to inject, separated by commas; all by default: ${FAULT_NAMES.join(', ')}` }),
-    without: option({ type: optional(string), long: 'without', description: 'kinds to leave out, separated by commas' }),
+    without: option({ type: optional(string), long: 'without', description: 'kinds to exclude, separated by commas' }),
     racesPerSecond: option({ type: number, long: 'races-per-second', defaultValue: () => DEFAULT_RATES.operatorRaces, defaultValueIsSerializable: true, description: 'mean rate at which operators apply different documents at once' }),
     directory: option({ type: optional(string), long: 'directory', description: 'folder for settings, logs and evidence.json; a new temporary one by default' }),
-    ignoreFencing: flag({ long: 'ignore-fencing', description: 'engines take orders with an old fencing token; with an even seed they do so anyway' })
+    ignoreFencing: flag({ long: 'ignore-fencing', description: 'engines accept orders with a stale fencing token, as they always do with an even seed' })
   },
   handler: async args => {
     const faults = selectFaults(args.faults, args.without)
@@ -46,20 +46,20 @@
     const missing = notInjected(evidence, faults)
     const isViolated = counts.some(({ count }) => count > 0)
     print(`seed ${args.seed}, ${args.minutes} minutes: ${isViolated ? 'VIOLATED' : 'all counts are 0'}${missing.length === 0 ? '' : `; not injected: ${missing.join(', ')}`}`)
-    process.exitCode = isViolated ? EXIT.violated : missing.length > 0 ? EXIT.partial : EXIT.passed
+    process.exitCode = isViolated ? EXIT_CODES.violated : missing.length > 0 ? EXIT_CODES.partial : EXIT_CODES.passed
   }
 })
 
-function selectFaults (listed: string | undefined, left: string | undefined): FaultName[] {
-  const without = new Set(parseNames(left))
-  return (listed === undefined ? FAULT_NAMES : parseNames(listed)).filter(name => !without.has(name))
+function selectFaults (included: string | undefined, excluded: string | undefined): FaultName[] {
+  const without = new Set(parseNames(excluded))
+  return (included === undefined ? FAULT_NAMES : parseNames(included)).filter(name => !without.has(name))
 }
 
 function parseNames (text: string | undefined): FaultName[] {
   const names = (text ?? '').split(',').filter(name => name !== '')
   return names.map(name => {
     if ((FAULT_NAMES as string[]).includes(name)) return name as FaultName
-    throw new Error(`there is no fault "${name}"; did you mean "${closestName(name, FAULT_NAMES)}"?`)
+    throw new Error(`unknown fault "${name}"; did you mean "${closestName(name, FAULT_NAMES)}"?`)
   })
 }
 
@@ -71,6 +71,6 @@
   () => { process.exit() },
   (error: Error) => {
     process.stderr.write(`${error.stack ?? error.message}\n`)
-    process.exit(EXIT.failed)
+    process.exit(EXIT_CODES.failed)
   }
 )
--- a/packages/anvilarch-bench/src/clients/__tests__/clients.test.ts
+++ b/packages/anvilarch-bench/src/clients/__tests__/clients.test.ts
@@ -39,8 +39,8 @@
 
 describe('errorResult', () => {
   test('reads the code, whether the request ran and the time to retry after', () => {
-    const answer = errorResult(503, '2', '{"error":{"code":"overloaded","ran":"not_run"}}', 5)
-    expect(answer).toMatchObject({ outcome: 'refused', code: 'overloaded', ran: 'not_run', retryAfterMs: 2000 })
+    const result = errorResult(503, '2', '{"error":{"code":"overloaded","ran":"not_run"}}', 5)
+    expect(result).toMatchObject({ outcome: 'refused', code: 'overloaded', ran: 'not_run', retryAfterMs: 2000 })
   })
 
   test('does not report an unknown outcome as a refusal', () => {
--- a/packages/anvilarch-bench/src/clients/chatClient.ts
+++ b/packages/anvilarch-bench/src/clients/chatClient.ts
@@ -90,7 +90,7 @@
  * @returns a reader of one event stream
  */
 export function createChatReader (clock: Clock): ChatReader {
-  const answer = emptyResult(0)
+  const result = emptyResult(0)
   let text = ''
   /** The parts that follow the text; a response that lacks one is incomplete. */
   const receivedParts = { reason: false, usage: false, done: false }
@@ -100,9 +100,9 @@
   const recordToken = (content: string): void => {
     const nowMs = clock.nowMs()
     text += content
-    answer.tokens++
-    answer.firstTokenAtMs ??= nowMs
-    if (lastTokenAtMs !== undefined) answer.gapsMs.push(nowMs - lastTokenAtMs)
+    result.tokens++
+    result.firstTokenAtMs ??= nowMs
+    if (lastTokenAtMs !== undefined) result.gapsMs.push(nowMs - lastTokenAtMs)
     lastTokenAtMs = nowMs
   }
   const onEvent = (data: string): void => {
@@ -116,35 +116,35 @@
       return
     }
     if (chunk.error !== undefined) {
-      answer.code = chunk.error.code ?? 'error_event'
-      answer.ran = chunk.error.ran ?? ''
-      answer.retryAfterMs = chunk.error.retry_after_ms
-      answer.detail = chunk.error.message ?? ''
+      result.code = chunk.error.code ?? 'error_event'
+      result.ran = chunk.error.ran ?? ''
+      result.retryAfterMs = chunk.error.retry_after_ms
+      result.detail = chunk.error.message ?? ''
       return
     }
     receivedParts.usage ||= typeof chunk.usage === 'object' && chunk.usage !== null
     receivedParts.reason ||= typeof chunk.choices?.[0]?.finish_reason === 'string'
-    answer.promptTokens = chunk.usage?.prompt_tokens ?? answer.promptTokens
-    answer.cachedTokens = chunk.usage?.prompt_tokens_details?.cached_tokens ?? answer.cachedTokens
+    result.promptTokens = chunk.usage?.prompt_tokens ?? result.promptTokens
+    result.cachedTokens = chunk.usage?.prompt_tokens_details?.cached_tokens ?? result.cachedTokens
     const content = chunk.choices?.[0]?.delta?.content
     if (content !== undefined && content !== '') recordToken(content)
   }
   const parser = createParser({ onEvent: event => { onEvent(event.data) } })
 
   const outcomeOf = (expected: string): RequestResult['outcome'] => {
-    if (answer.code !== '') return 'failed'
-    if (answer.isMismatched) return 'wrong'
+    if (result.code !== '') return 'failed'
+    if (result.isMismatched) return 'wrong'
     return text === expected && Object.values(receivedParts).every(Boolean) ? 'completed' : 'incomplete'
   }
   return {
-    result: answer,
+    result,
     feed: chunk => { parser.feed(chunk) },
     finish: (expected, error) => {
-      answer.isMismatched = hasInvalidEvent || !expected.startsWith(text)
-      if (error !== undefined) return interruptedResult(error, clock.nowMs(), answer)
+      result.isMismatched = hasInvalidEvent || !expected.startsWith(text)
+      if (error !== undefined) return interruptedResult(error, clock.nowMs(), result)
       const outcome = outcomeOf(expected)
-      const detail = outcome === 'wrong' ? `expected ${JSON.stringify(expected.slice(0, 60))}, got ${JSON.stringify(text.slice(0, 60))}` : answer.detail
-      return { ...answer, outcome, detail, endedAtMs: clock.nowMs() }
+      const detail = outcome === 'wrong' ? `expected ${JSON.stringify(expected.slice(0, 60))}, got ${JSON.stringify(text.slice(0, 60))}` : result.detail
+      return { ...result, outcome, detail, endedAtMs: clock.nowMs() }
     }
   }
 }
--- a/packages/anvilarch-bench/src/experiments/affinity.ts
+++ b/packages/anvilarch-bench/src/experiments/affinity.ts
@@ -63,7 +63,7 @@
       prompt: promptText(context.random, QUESTION_CHARACTERS),
       maxTokens: TOKENS
     }))
-    const loop = await runLoad(context, { timesMs, collector, send: shot => callers.chat(requests[shot.index]) })
+    const loop = await runLoad(context, { timesMs, collector, send: scheduled => callers.chat(requests[scheduled.index]) })
     const counts = await Promise.all(fleet.agents.map(async agent => await countExecutions(agent.endpoint.url)))
     const total = counts.reduce((sum, count) => sum + count, 0)
     return {
--- a/packages/anvilarch-bench/src/experiments/control.ts
+++ b/packages/anvilarch-bench/src/experiments/control.ts
@@ -190,7 +190,7 @@
   const callers = createCallers({ clock: context.clock, origins: [fleet.gateways[0].origin], model: '', lookupPrefix: `/services/${fleet.services.plain}` })
   const collector = createCollector()
   const { timesMs } = createArrivals(steadyArrivals(ratePerSecond, durationMs), context.random)
-  const loop = await runLoad(context, { timesMs, collector, send: shot => callers.lookup(`busy-${shot.index}`) })
+  const loop = await runLoad(context, { timesMs, collector, send: scheduled => callers.lookup(`busy-${scheduled.index}`) })
   await callers.close()
   return loadNotes('lookup', collector, loop)
 }
--- a/packages/anvilarch-bench/src/experiments/lookup.ts
+++ b/packages/anvilarch-bench/src/experiments/lookup.ts
@@ -67,11 +67,11 @@
       timesMs,
       collector,
       signal: stopping.signal,
-      send: async shot => {
-        const answer = await callers.lookup(`lookup-${context.round}-${shot.index}`)
-        const phase = phases.findLast(entry => entry.fromMs <= shot.intendedMs)?.phase
-        if (shot.measured && phase !== undefined && answer.outcome === 'completed') byPhase[phase].record(answer.endedAtMs - shot.intendedMs)
-        return answer
+      send: async scheduled => {
+        const result = await callers.lookup(`lookup-${context.round}-${scheduled.index}`)
+        const phase = phases.findLast(entry => entry.fromMs <= scheduled.intendedMs)?.phase
+        if (scheduled.measured && phase !== undefined && result.outcome === 'completed') byPhase[phase].record(result.endedAtMs - scheduled.intendedMs)
+        return result
       }
     })
     const metrics = await readMetrics(fleet.gateways)
--- a/packages/anvilarch-bench/src/experiments/loss.ts
+++ b/packages/anvilarch-bench/src/experiments/loss.ts
@@ -79,10 +79,10 @@
     const loop = await runLoad(context, {
       timesMs,
       collector,
-      send: async shot => {
-        const answer = await callers.chat({ requestId: `loss-${context.round}-${shot.index}`, prompt: promptText(context.random, PROMPT_CHARACTERS), maxTokens: TOKENS })
-        if (shot.measured) requests.push({ intendedMs: shot.intendedMs, durationMs: answer.endedAtMs - shot.intendedMs, outcome: answer.outcome })
-        return answer
+      send: async scheduled => {
+        const result = await callers.chat({ requestId: `loss-${context.round}-${scheduled.index}`, prompt: promptText(context.random, PROMPT_CHARACTERS), maxTokens: TOKENS })
+        if (scheduled.measured) requests.push({ intendedMs: scheduled.intendedMs, durationMs: result.endedAtMs - scheduled.intendedMs, outcome: result.outcome })
+        return result
       }
     })
     const { lost, atMs, atWallMs } = await injection
--- a/packages/anvilarch-bench/src/experiments/mix.ts
+++ b/packages/anvilarch-bench/src/experiments/mix.ts
@@ -120,13 +120,13 @@
   const loop = await runLoad(context, {
     timesMs: arrivals.timesMs,
     collector,
-    send: async shot => {
-      const requestId = `${ONLINE_PREFIX}${context.round}-${shot.index}`
-      const answer = await session.callers.chat({ requestId, prompt: promptText(context.random, PROMPT_CHARACTERS), maxTokens: TOKENS })
-      if (shot.measured && answer.firstTokenAtMs !== undefined) slowest.record(requestId, answer.firstTokenAtMs - shot.intendedMs)
-      const part = cyclePartOf(arrivals.phases, arrivals.timesMs[shot.index])
-      if (shot.measured && answer.firstTokenAtMs !== undefined) firstTokens[part].record(answer.firstTokenAtMs - shot.intendedMs)
-      return answer
+    send: async scheduled => {
+      const requestId = `${ONLINE_PREFIX}${context.round}-${scheduled.index}`
+      const result = await session.callers.chat({ requestId, prompt: promptText(context.random, PROMPT_CHARACTERS), maxTokens: TOKENS })
+      if (scheduled.measured && result.firstTokenAtMs !== undefined) slowest.record(requestId, result.firstTokenAtMs - scheduled.intendedMs)
+      const part = cyclePartOf(arrivals.phases, arrivals.timesMs[scheduled.index])
+      if (scheduled.measured && result.firstTokenAtMs !== undefined) firstTokens[part].record(result.firstTokenAtMs - scheduled.intendedMs)
+      return result
     }
   })
   const figures: Figures = {
@@ -199,8 +199,8 @@
   let sent = 0
   const worker = async (): Promise<void> => {
     while (!signal.aborted) {
-      const answer = await session.callers.chat({ requestId: `flood-${context.round}-${sent++}`, prompt: promptText(context.random, PROMPT_CHARACTERS), maxTokens: TOKENS })
-      if (answer.outcome !== 'completed') await sleep(context.clock, answer.retryAfterMs ?? 100, signal)
+      const result = await session.callers.chat({ requestId: `flood-${context.round}-${sent++}`, prompt: promptText(context.random, PROMPT_CHARACTERS), maxTokens: TOKENS })
+      if (result.outcome !== 'completed') await sleep(context.clock, result.retryAfterMs ?? 100, signal)
     }
   }
   await Promise.all(Array.from({ length: slots }, worker))
--- a/packages/anvilarch-bench/src/experiments/overhead.ts
+++ b/packages/anvilarch-bench/src/experiments/overhead.ts
@@ -74,7 +74,7 @@
       const { timesMs } = createArrivals(steadyArrivals(ratePerSecond, phaseMs + context.warmUpMs), context.random)
       const startedMs = context.clock.nowMs()
       const cpu = await measureRoleCpu(context, fleet, async () => {
-        const loop = await runLoad(context, { timesMs, collector, send: shot => send(shot.index) })
+        const loop = await runLoad(context, { timesMs, collector, send: scheduled => send(scheduled.index) })
         notes.push(...loadNotes(name, collector, loop))
       })
       const elapsedMs = context.clock.nowMs() - startedMs
--- a/packages/anvilarch-bench/src/experiments/overload.ts
+++ b/packages/anvilarch-bench/src/experiments/overload.ts
@@ -4,7 +4,7 @@
 import type { Experiment, RunContext, Variant, VariantRun } from '../harness/types'
 import { withFleet } from '../harness/withFleet'
 import { createArrivals, steadyArrivals } from '../load/arrivals'
-import { answerCount, createCollector, errorCount } from '../load/collector'
+import { resultCount, createCollector, errorCount } from '../load/collector'
 import { linesBySetting } from '../plots/resultPlots'
 import { QUARTER_ENGINE } from './quarterEngine'
 
@@ -52,23 +52,23 @@
     const loop = await runLoad(context, {
       timesMs,
       collector,
-      send: async shot => {
-        const answer = await callers.chat({
-          requestId: `overload-${context.round}-${shot.index}`,
+      send: async scheduled => {
+        const result = await callers.chat({
+          requestId: `overload-${context.round}-${scheduled.index}`,
           prompt: promptText(context.random, PROMPT_CHARACTERS),
           maxTokens: TOKENS,
           headers: { 'x-deadline-ms': String(DEADLINE_MS) }
         })
-        const isLate = answer.endedAtMs - shot.intendedMs > DEADLINE_MS
-        const endedInRun = answer.endedAtMs >= fromMs && answer.endedAtMs < fromMs + context.durationMs
-        if (answer.outcome === 'completed' && endedInRun && !isLate) goodCount++
-        if (answer.outcome === 'completed' && shot.measured && isLate) lateCount++
-        return answer
+        const isLate = result.endedAtMs - scheduled.intendedMs > DEADLINE_MS
+        const endedInRun = result.endedAtMs >= fromMs && result.endedAtMs < fromMs + context.durationMs
+        if (result.outcome === 'completed' && endedInRun && !isLate) goodCount++
+        if (result.outcome === 'completed' && scheduled.measured && isLate) lateCount++
+        return result
       }
     })
     const retries = metricGrowth(before, await readMetrics(fleet.gateways), 'anvilarch_retries_total')
     const seconds = context.durationMs / MS_PER_SECOND
-    const offered = answerCount(collector) + loop.unfinished
+    const offered = resultCount(collector) + loop.unfinished
     return {
       figures: {
         offeredPerSecond: offered / seconds,
--- a/packages/anvilarch-bench/src/harness/fleetLoad.ts
+++ b/packages/anvilarch-bench/src/harness/fleetLoad.ts
@@ -69,7 +69,7 @@
 /** Requests to be sent by `runLoad`. */
 export interface LoadOptions {
   timesMs: number[]
-  send: (shot: ScheduledRequest) => Promise<RequestResult>
+  send: (request: ScheduledRequest) => Promise<RequestResult>
   collector: Collector
   drainMs?: number
   signal?: AbortSignal
@@ -89,7 +89,7 @@
     warmUpMs: context.warmUpMs,
     drainMs: options.drainMs ?? DEFAULT_DRAIN_MS,
     signal: options.signal,
-    send: async shot => { options.collector.add(shot, await options.send(shot)) }
+    send: async request => { options.collector.add(request, await options.send(request)) }
   })
 }
 
--- a/packages/anvilarch-bench/src/load/__tests__/openLoop.test.ts
+++ b/packages/anvilarch-bench/src/load/__tests__/openLoop.test.ts
@@ -22,21 +22,21 @@
 
   test('passes the intended time to a request that is sent late', async () => {
     const clock = createFakeClock()
-    const shots: ScheduledRequest[] = []
+    const requests: ScheduledRequest[] = []
     const running = runOpenLoop({
       clock,
       timesMs: [0, 1, 2],
       warmUpMs: 2,
       drainMs: 10,
-      send: async shot => {
-        shots.push(shot)
-        if (shot.index === 0) clock.advance(30)
+      send: async request => {
+        requests.push(request)
+        if (request.index === 0) clock.advance(30)
       }
     })
     await clock.advanceAsync(100)
     const result = await running
-    expect(shots.map(shot => shot.intendedMs)).toEqual([0, 1, 2])
-    expect(shots.map(shot => shot.measured)).toEqual([false, false, true])
+    expect(requests.map(request => request.intendedMs)).toEqual([0, 1, 2])
+    expect(requests.map(request => request.measured)).toEqual([false, false, true])
     expect(result).toMatchObject({ unfinished: 0, maxSendDelayMs: 29 })
   })
 
--- a/packages/anvilarch-bench/src/load/collector.ts
+++ b/packages/anvilarch-bench/src/load/collector.ts
@@ -5,7 +5,7 @@
 
 /** Counts and latency distributions of one class of work; only measured requests count. */
 export interface Collector {
-  add: (shot: Pick<ScheduledRequest, 'intendedMs' | 'measured'>, answer: RequestResult) => void
+  add: (request: Pick<ScheduledRequest, 'intendedMs' | 'measured'>, result: RequestResult) => void
   outcomes: Record<RequestOutcome, number>
   /** Requests that were not completed, by error code. */
   codes: Record<string, number>
@@ -30,7 +30,7 @@
 /** @returns a collector without results */
 export function createCollector (): Collector {
   const collector: Collector = {
-    add: (shot, answer) => { if (shot.measured) addAnswer(collector, shot.intendedMs, answer) },
+    add: (request, result) => { if (request.measured) addResult(collector, request.intendedMs, result) },
     outcomes: { completed: 0, refused: 0, failed: 0, incomplete: 0, wrong: 0, unreachable: 0 },
     codes: {},
     refusalsWithoutRetryAfter: 0,
@@ -47,7 +47,7 @@
 }
 
 /** @returns the number of results of all outcomes */
-export function answerCount (collector: Collector): number {
+export function resultCount (collector: Collector): number {
   return Object.values(collector.outcomes).reduce((sum, count) => sum + count, 0)
 }
 
@@ -57,22 +57,22 @@
   return failed + incomplete + wrong + unreachable
 }
 
-function addAnswer (collector: Collector, intendedMs: number, answer: RequestResult): void {
-  collector.outcomes[answer.outcome]++
-  collector.tokens += answer.tokens
-  collector.promptTokens += answer.promptTokens
-  collector.cachedTokens += answer.cachedTokens
-  if (answer.firstTokenAtMs !== undefined) collector.firstToken.record(answer.firstTokenAtMs - intendedMs)
-  for (const gapMs of answer.gapsMs) collector.interToken.record(gapMs)
-  if (answer.outcome === 'completed') {
-    collector.total.record(answer.endedAtMs - intendedMs)
+function addResult (collector: Collector, intendedMs: number, result: RequestResult): void {
+  collector.outcomes[result.outcome]++
+  collector.tokens += result.tokens
+  collector.promptTokens += result.promptTokens
+  collector.cachedTokens += result.cachedTokens
+  if (result.firstTokenAtMs !== undefined) collector.firstToken.record(result.firstTokenAtMs - intendedMs)
+  for (const gapMs of result.gapsMs) collector.interToken.record(gapMs)
+  if (result.outcome === 'completed') {
+    collector.total.record(result.endedAtMs - intendedMs)
     return
   }
-  collector.codes[answer.code] = (collector.codes[answer.code] ?? 0) + 1
-  if (answer.outcome === 'refused') {
-    collector.refusal.record(answer.endedAtMs - intendedMs)
-    if (answer.retryAfterMs === undefined) collector.refusalsWithoutRetryAfter++
+  collector.codes[result.code] = (collector.codes[result.code] ?? 0) + 1
+  if (result.outcome === 'refused') {
+    collector.refusal.record(result.endedAtMs - intendedMs)
+    if (result.retryAfterMs === undefined) collector.refusalsWithoutRetryAfter++
     return
   }
-  if (collector.examples.length < MAX_EXAMPLES) collector.examples.push(`${answer.outcome} ${answer.status} ${answer.code}: ${answer.detail}`)
+  if (collector.examples.length < MAX_EXAMPLES) collector.examples.push(`${result.outcome} ${result.status} ${result.code}: ${result.detail}`)
 }
--- a/packages/anvilarch-bench/src/load/openLoop.ts
+++ b/packages/anvilarch-bench/src/load/openLoop.ts
@@ -21,7 +21,7 @@
   /** Requests before this time are sent, but not measured. */
   warmUpMs: number
   /** Sends one request, records its figures and resolves when the request has ended. */
-  send: (shot: ScheduledRequest) => Promise<void>
+  send: (request: ScheduledRequest) => Promise<void>
   /** How long to wait for requests in progress after the last one was sent. */
   drainMs: number
   signal?: AbortSignal
--- a/packages/anvilarch-bench/src/peers/childProcess.ts
+++ b/packages/anvilarch-bench/src/peers/childProcess.ts
@@ -35,7 +35,7 @@
  */
 export async function startChild<Details, Stats> (script: string, options: object): Promise<BenchChild<Details, Stats>> {
   const child = fork(join(BIN_DIRECTORY, script), [JSON.stringify(options)], { stdio: ['ignore', 'pipe', 'inherit', 'ipc'] })
-  const ready = await firstLine(child, script)
+  const ready = await readFirstLine(child, script)
   const { statsUrl, details } = JSON.parse(ready) as ChildReady<Details>
   return {
     pid: child.pid as number,
@@ -70,9 +70,9 @@
   process.stdout.write(JSON.stringify({ statsUrl, details } satisfies ChildReady<object>) + '\n')
 }
 
-async function firstLine (child: ChildProcess, script: string): Promise<string> {
+async function readFirstLine (child: ChildProcess, script: string): Promise<string> {
   const lines = createInterface({ input: child.stdout as NodeJS.ReadableStream })
-  const ended = once(child, 'exit').then(([code]) => { throw new Error(`${script} ended with code ${String(code)} before it was ready`) })
+  const ended = once(child, 'exit').then(([code]) => { throw new Error(`${script} exited with code ${String(code)} before it was ready`) })
   ended.catch(() => {})
   const [line] = await Promise.race([once(lines, 'line') as Promise<[string]>, ended])
   return line
--- a/packages/anvilarch-bench/src/peers/lightCalls.ts
+++ b/packages/anvilarch-bench/src/peers/lightCalls.ts
@@ -29,7 +29,7 @@
   const outbox = createMessageBatcher<SessionCommand>()
   const pending = new Map<number, PendingAttempt>()
   let lastStream = 0
-  let reading: Promise<void> | undefined
+  let sessionEnd: Promise<void> | undefined
 
   const read = async (): Promise<void> => {
     for await (const { frames } of client.session(requests())) {
@@ -56,7 +56,7 @@
           pending.set(stream, { outcome: '', resolve })
           clock.after(timeoutMs, () => { reject(new Error('no response in time')) })
           outbox.put(create(SessionCommandSchema, { stream, kind: { case: 'start', value: request } }))
-          reading ??= read().catch(() => {}).finally(() => { reading = undefined })
+          sessionEnd ??= read().catch(() => {}).finally(() => { sessionEnd = undefined })
         })
       } finally {
         pending.delete(stream)
@@ -64,7 +64,7 @@
     },
     close: async () => {
       outbox.close()
-      await reading
+      await sessionEnd
     }
   }
 }
