--- a/packages/anvilarch-bench/src/clients/chatClient.ts
+++ b/packages/anvilarch-bench/src/clients/chatClient.ts
@@ -1,8 +1,8 @@
-/** Chat completions over HTTP, streamed, with the time of each token and a check of the whole text. */
+/** Streamed chat completions over HTTP, with the time of each token and a check of the complete text. */
 import type { Clock } from 'anvilarch-utils'
 import { createParser } from 'eventsource-parser'
 import type { Dispatcher } from 'undici'
-import { type Answer, brokenAnswer, emptyAnswer, errorAnswer } from './answer'
+import { type RequestResult, interruptedResult, emptyResult, errorResult } from './requestResult'
 
 /** One chat request. */
 export interface ChatRequest {
@@ -15,20 +15,20 @@
   headers?: Record<string, string>
 }
 
-/** What every client needs. */
+/** Options of all clients. */
 export interface ClientOptions {
   clock: Clock
   dispatcher: Dispatcher
-  /** Text that a right answer to a request body has. */
+  /** @returns the text of the correct response to a request body */
   expectedText: (path: string, body: object) => string
   signal?: AbortSignal
 }
 
-/** The part of a chunk that the check reads. */
+/** The fields of a chunk that the reader uses. */
 interface ChatChunk {
   choices?: Array<{ delta?: { content?: string }, finish_reason?: string | null }>
   usage?: { prompt_tokens?: number, prompt_tokens_details?: { cached_tokens?: number } } | null
-  error?: { code?: string, message?: string, ran?: Answer['ran'], retry_after_ms?: number }
+  error?: { code?: string, message?: string, ran?: RequestResult['ran'], retry_after_ms?: number }
 }
 
 const DONE = '[DONE]'
@@ -36,11 +36,11 @@
 
 /**
  * @param origin - callers' address of a gateway, or the address of an engine
- * @param request - what to ask
+ * @param request - what to send
  * @param options - clock, connections and the expected text
  * @returns how the request ended; never rejects
  */
-export async function sendChat (origin: string, request: ChatRequest, options: ClientOptions): Promise<Answer> {
+export async function sendChat (origin: string, request: ChatRequest, options: ClientOptions): Promise<RequestResult> {
   const { clock } = options
   const reader = createChatReader(clock)
   const body = chatBody(request, true)
@@ -56,9 +56,9 @@
     })
     if (response.statusCode >= 400) {
       const text = await response.body.text()
-      return errorAnswer(response.statusCode, response.headers['retry-after'], text, clock.nowMs())
+      return errorResult(response.statusCode, response.headers['retry-after'], text, clock.nowMs())
     }
-    reader.answer.status = response.statusCode
+    reader.result.status = response.statusCode
     const decoder = new TextDecoder()
     for await (const chunk of response.body) reader.feed(decoder.decode(chunk as Uint8Array, { stream: true }))
   } catch (error) {
@@ -68,8 +68,8 @@
 }
 
 /**
- * @param request - what to ask
- * @param stream - whether the answer comes as events
+ * @param request - what to send
+ * @param stream - whether the response is an event stream
  * @returns the JSON body
  */
 export function chatBody (request: Pick<ChatRequest, 'model' | 'system' | 'prompt' | 'maxTokens'>, stream: boolean): object {
@@ -77,74 +77,74 @@
   return { model: request.model, messages: [...system, { role: 'user', content: request.prompt }], max_tokens: request.maxTokens, stream, ...(stream ? { stream_options: { include_usage: true } } : {}) }
 }
 
-/** Collects one streamed answer. */
+/** Collects one streamed response. */
 interface ChatReader {
-  answer: Answer
+  result: RequestResult
   feed: (text: string) => void
-  /** @param error - what broke the stream off; undefined after a clean end */
-  finish: (expected: string, error?: unknown) => Answer
+  /** @param error - what interrupted the stream; undefined after a regular end */
+  finish: (expected: string, error?: unknown) => RequestResult
 }
 
 /**
- * @param clock - stamps each token when its event was read
+ * @param clock - gives the time at which the event of each token was read
  * @returns a reader of one event stream
  */
 export function createChatReader (clock: Clock): ChatReader {
-  const answer = emptyAnswer(0)
+  const result = emptyResult(0)
   let text = ''
-  /** The pieces that follow the text; an answer that lacks one is not whole. */
-  const ending = { reason: false, usage: false, done: false }
-  let garbled = false
+  /** The parts that follow the text; a response that lacks one is incomplete. */
+  const receivedParts = { reason: false, usage: false, done: false }
+  let hasInvalidEvent = false
   let lastTokenAtMs: number | undefined
 
-  const noteToken = (content: string): void => {
+  const recordToken = (content: string): void => {
     const nowMs = clock.nowMs()
     text += content
-    answer.tokens++
-    answer.firstTokenAtMs ??= nowMs
-    if (lastTokenAtMs !== undefined) answer.gapsMs.push(nowMs - lastTokenAtMs)
+    result.tokens++
+    result.firstTokenAtMs ??= nowMs
+    if (lastTokenAtMs !== undefined) result.gapsMs.push(nowMs - lastTokenAtMs)
     lastTokenAtMs = nowMs
   }
   const onEvent = (data: string): void => {
     if (data === DONE) {
-      ending.done = true
+      receivedParts.done = true
       return
     }
     const chunk = parseChunk(data)
     if (chunk === undefined) {
-      garbled = true
+      hasInvalidEvent = true
       return
     }
     if (chunk.error !== undefined) {
-      answer.code = chunk.error.code ?? 'error_event'
-      answer.ran = chunk.error.ran ?? ''
-      answer.retryAfterMs = chunk.error.retry_after_ms
-      answer.detail = chunk.error.message ?? ''
+      result.code = chunk.error.code ?? 'error_event'
+      result.ran = chunk.error.ran ?? ''
+      result.retryAfterMs = chunk.error.retry_after_ms
+      result.detail = chunk.error.message ?? ''
       return
     }
-    ending.usage ||= typeof chunk.usage === 'object' && chunk.usage !== null
-    ending.reason ||= typeof chunk.choices?.[0]?.finish_reason === 'string'
-    answer.promptTokens = chunk.usage?.prompt_tokens ?? answer.promptTokens
-    answer.cachedTokens = chunk.usage?.prompt_tokens_details?.cached_tokens ?? answer.cachedTokens
+    receivedParts.usage ||= typeof chunk.usage === 'object' && chunk.usage !== null
+    receivedParts.reason ||= typeof chunk.choices?.[0]?.finish_reason === 'string'
+    result.promptTokens = chunk.usage?.prompt_tokens ?? result.promptTokens
+    result.cachedTokens = chunk.usage?.prompt_tokens_details?.cached_tokens ?? result.cachedTokens
     const content = chunk.choices?.[0]?.delta?.content
-    if (content !== undefined && content !== '') noteToken(content)
+    if (content !== undefined && content !== '') recordToken(content)
   }
   const parser = createParser({ onEvent: event => { onEvent(event.data) } })
 
-  const judge = (expected: string): Answer['outcome'] => {
-    if (answer.code !== '') return 'failed'
-    if (answer.isCrossed) return 'wrong'
-    return text === expected && Object.values(ending).every(Boolean) ? 'completed' : 'incomplete'
+  const outcomeOf = (expected: string): RequestResult['outcome'] => {
+    if (result.code !== '') return 'failed'
+    if (result.isMismatched) return 'wrong'
+    return text === expected && Object.values(receivedParts).every(Boolean) ? 'completed' : 'incomplete'
   }
   return {
-    answer,
+    result,
     feed: chunk => { parser.feed(chunk) },
     finish: (expected, error) => {
-      answer.isCrossed = garbled || !expected.startsWith(text)
-      if (error !== undefined) return brokenAnswer(error, clock.nowMs(), answer)
-      const outcome = judge(expected)
-      const detail = outcome === 'wrong' ? `expected ${JSON.stringify(expected.slice(0, 60))}, got ${JSON.stringify(text.slice(0, 60))}` : answer.detail
-      return { ...answer, outcome, detail, endedAtMs: clock.nowMs() }
+      result.isMismatched = hasInvalidEvent || !expected.startsWith(text)
+      if (error !== undefined) return interruptedResult(error, clock.nowMs(), result)
+      const outcome = outcomeOf(expected)
+      const detail = outcome === 'wrong' ? `expected ${JSON.stringify(expected.slice(0, 60))}, got ${JSON.stringify(text.slice(0, 60))}` : result.detail
+      return { ...result, outcome, detail, endedAtMs: clock.nowMs() }
     }
   }
 }
--- a/packages/anvilarch-bench/src/clients/lookupClient.ts
+++ b/packages/anvilarch-bench/src/clients/lookupClient.ts
@@ -1,30 +1,30 @@
-/** Calls of plain services, with a check that the answer belongs to the call. */
-import { type Answer, brokenAnswer, emptyAnswer, errorAnswer } from './answer'
+/** Client of plain services that checks that the response belongs to the request. */
+import { type RequestResult, interruptedResult, emptyResult, errorResult } from './requestResult'
 import type { ClientOptions } from './chatClient'
 
-/** One call of a plain service. */
+/** One request to a plain service. */
 export interface LookupRequest {
   requestId: string
-  /** Path at the gateway, or at the plain endpoint itself. */
+  /** Path at the gateway, or at the plain endpoint for a direct request. */
   path: string
-  /** Path as the endpoint repeats it in its answer. */
+  /** Path that the endpoint repeats in its response. */
   endpointPath: string
   headers?: Record<string, string>
 }
 
-/** What the plain stand-in answers. */
-interface LookupAnswer {
+/** Response of the plain stand-in. */
+interface LookupResponse {
   path?: string
   requestId?: string
 }
 
 /**
  * @param origin - callers' address of a gateway, or the address of a plain endpoint
- * @param request - what to look up
+ * @param request - what to send
  * @param options - clock and connections
- * @returns how the call ended; never rejects
+ * @returns how the request ended; never rejects
  */
-export async function sendLookup (origin: string, request: LookupRequest, options: Omit<ClientOptions, 'expectedText'>): Promise<Answer> {
+export async function sendLookup (origin: string, request: LookupRequest, options: Omit<ClientOptions, 'expectedText'>): Promise<RequestResult> {
   const { clock } = options
   try {
     const response = await options.dispatcher.request({
@@ -36,20 +36,20 @@
     })
     const text = await response.body.text()
     const endedAtMs = clock.nowMs()
-    if (response.statusCode >= 400) return errorAnswer(response.statusCode, response.headers['retry-after'], text, endedAtMs)
-    return { ...emptyAnswer(endedAtMs), status: response.statusCode, ...judge(text, request) }
+    if (response.statusCode >= 400) return errorResult(response.statusCode, response.headers['retry-after'], text, endedAtMs)
+    return { ...emptyResult(endedAtMs), status: response.statusCode, ...checkResponse(text, request) }
   } catch (error) {
-    return brokenAnswer(error, clock.nowMs())
+    return interruptedResult(error, clock.nowMs())
   }
 }
 
-function judge (text: string, request: LookupRequest): Pick<Answer, 'outcome' | 'detail'> {
-  let answer: LookupAnswer
+function checkResponse (text: string, request: LookupRequest): Pick<RequestResult, 'outcome' | 'detail'> {
+  let response: LookupResponse
   try {
-    answer = JSON.parse(text) as LookupAnswer
+    response = JSON.parse(text) as LookupResponse
   } catch {
-    return { outcome: 'incomplete', detail: 'the answer is no whole JSON text' }
+    return { outcome: 'incomplete', detail: 'the response is not valid JSON' }
   }
-  const mine = answer.requestId === request.requestId && answer.path === request.endpointPath
-  return mine ? { outcome: 'completed', detail: '' } : { outcome: 'wrong', detail: text.slice(0, 200) }
+  const matches = response.requestId === request.requestId && response.path === request.endpointPath
+  return matches ? { outcome: 'completed', detail: '' } : { outcome: 'wrong', detail: text.slice(0, 200) }
 }
--- a/packages/anvilarch-bench/src/experiments/control.ts
+++ b/packages/anvilarch-bench/src/experiments/control.ts
@@ -1,4 +1,4 @@
-/** What a daemon spends on control, idle and busy, by the number of its peers. */
+/** CPU time, memory and network traffic of a daemon for control, idle and under load, by the number of its peers. */
 import { sleep } from 'anvilarch-utils'
 import { metricGrowth, readMetrics } from '../harness/fleetCounters'
 import { createCallers, loadNotes, runLoad } from '../harness/fleetLoad'
@@ -13,20 +13,20 @@
 import type { Plot } from '../plots/types'
 import type { MetricSample } from '../sampling/metricsReader'
 import { type ByteRelay, startByteRelay } from '../sampling/byteRelay'
-import { type ProcessUsage, startUsage } from '../sampling/processSampler'
+import { type ProcessUsage, startUsageMeasurement } from '../sampling/processSampler'
 import { addLightAgents, type LightAgentsChild } from './lightFleet'
 
 const PEERS = [5, 20, 80, 320]
-/** A gateway asks each of 340 agents this often, since it does at most 20 exchanges a second. */
+/** Interval at which a gateway exchanges with each of 340 agents, since it makes at most 20 exchanges a second. */
 const EXCHANGE_INTERVAL_MS = 17_000
 const BUSY_LOOKUPS_PER_SECOND = 100
 const SETTLE_MS = 3000
 const MS_PER_SECOND = 1000
 
-/** Budgets of the letter. */
+/** Required budgets of a daemon. */
 const BUDGET = { cpuShare: 0.019, bytes: 64 * 1024 * 1024, bytesPerSecond: 22_000 }
 
-/** Calls to the platform, by the name of their figure. */
+/** Labels of the calls to the platform, by the name of their figure. */
 const PLATFORM_CALLS: Record<string, Record<string, string>> = {
   TableReads: { service: 'table', operation: 'read' },
   TableScans: { service: 'table', operation: 'scan' },
@@ -37,7 +37,7 @@
 type Role = 'gateway' | 'agent'
 const ROLES: readonly Role[] = ['gateway', 'agent']
 
-/** Relays before the platform, one set for each role, so that their bytes can be told apart. */
+/** Relays between the daemons and the platform, one set for each role, so that bytes are counted by role. */
 type PlatformRelays = Record<Role, ByteRelay[]>
 
 export const control: Experiment = {
@@ -107,7 +107,7 @@
   }
 }
 
-/** What one lookup adds: the busy state less the idle one. */
+/** @returns the cost of one lookup: the difference between the busy and the idle state */
 function perLookup (idle: Figures, busy: Figures): Figures {
   return Object.fromEntries(ROLES.flatMap(role => [
     [`${role}BytesPerLookup`, (busy[`${role}BusyBytesPerSecond`] - idle[`${role}IdleBytesPerSecond`]) / BUSY_LOOKUPS_PER_SECOND],
@@ -115,11 +115,11 @@
   ]))
 }
 
-/** One gateway before light agents and one agent behind light gateways, measured at the same time. */
+/** One gateway with light agents and one agent with light gateways, measured at the same time. */
 interface Setup {
   fleet: BenchFleet
   agents: LightAgentsChild
-  /** The light gateways reach the agent through it. */
+  /** Relay between the light gateways and the agent. */
   agentRelay: ByteRelay
   relays: PlatformRelays
   peers: number
@@ -129,24 +129,24 @@
   const { fleet } = setup
   const gateways = await startLightGatewayProcess(context, setup, lookupsPerSecond)
   try {
-    const stateMs = context.durationMs / 2
-    const loading = startLookups(context, fleet, lookupsPerSecond, SETTLE_MS + stateMs)
+    const measuredMs = context.durationMs / 2
+    const lookups = startLookups(context, fleet, lookupsPerSecond, SETTLE_MS + measuredMs)
     await sleep(context.clock, SETTLE_MS)
     const before = await readBytes(setup)
-    const watch = await startUsage({ gateway: fleet.gateways[0].pid, agent: fleet.agents[0].pid }, context.clock)
+    const measurement = await startUsageMeasurement({ gateway: fleet.gateways[0].pid, agent: fleet.agents[0].pid }, context.clock)
     const metricsBefore = await readRoleMetrics(fleet)
     const startedMs = context.clock.nowMs()
-    await sleep(context.clock, stateMs)
-    const used = await watch.finish()
+    await sleep(context.clock, measuredMs)
+    const usage = await measurement.finish()
     const after = await readBytes(setup)
     const metricsAfter = await readRoleMetrics(fleet)
     const seconds = (context.clock.nowMs() - startedMs) / MS_PER_SECOND
-    const notes = await loading
+    const notes = await lookups
     const stats = await gateways.stats()
     if (stats.exchangeErrors + stats.lookupErrors > 0) notes.push(`light gateways: ${JSON.stringify(stats)}`)
     const figures: Figures = {}
     for (const role of ROLES) {
-      Object.assign(figures, stateFigures(`${role}${state}`, used[role], (after[role] - before[role]) / seconds))
+      Object.assign(figures, stateFigures(`${role}${state}`, usage[role], (after[role] - before[role]) / seconds))
       for (const [name, labels] of Object.entries(PLATFORM_CALLS)) {
         figures[`${role}${state}${name}PerSecond`] = metricGrowth(metricsBefore[role], metricsAfter[role], 'anvilarch_platform_calls_total', labels) / seconds
       }
@@ -170,18 +170,18 @@
   })
 }
 
-/** Metrics of the one real daemon of each role. */
+/** Reads the metrics of the one real daemon of each role. */
 async function readRoleMetrics (fleet: BenchFleet): Promise<Record<Role, MetricSample[]>> {
   return { gateway: await readMetrics([fleet.gateways[0]]), agent: await readMetrics([fleet.agents[0]]) }
 }
 
-function stateFigures (name: string, used: ProcessUsage, bytesPerSecond: number): Figures {
+function stateFigures (name: string, usage: ProcessUsage, bytesPerSecond: number): Figures {
   return {
-    [`${name}CpuShare`]: used.cpuShare,
-    [`${name}Bytes`]: used.residentBytes,
-    [`${name}AnonymousBytes`]: used.anonymousBytes,
+    [`${name}CpuShare`]: usage.cpuShare,
+    [`${name}Bytes`]: usage.residentBytes,
+    [`${name}AnonymousBytes`]: usage.anonymousBytes,
     [`${name}BytesPerSecond`]: bytesPerSecond,
-    [`${name}WakeUpsPerSecond`]: used.wakeUpsPerSecond
+    [`${name}WakeUpsPerSecond`]: usage.wakeUpsPerSecond
   }
 }
 
@@ -190,17 +190,17 @@
   const callers = createCallers({ clock: context.clock, origins: [fleet.gateways[0].origin], model: '', lookupPrefix: `/services/${fleet.services.plain}` })
   const collector = createCollector()
   const { timesMs } = createArrivals(steadyArrivals(ratePerSecond, durationMs), context.random)
-  const loop = await runLoad(context, { timesMs, collector, send: shot => callers.lookup(`busy-${shot.index}`) })
+  const loop = await runLoad(context, { timesMs, collector, send: scheduled => callers.lookup(`busy-${scheduled.index}`) })
   await callers.close()
   return loadNotes('lookup', collector, loop)
 }
 
-/** Bytes so far, by role: with its peers and with the platform. */
+/** @returns the bytes that each role has exchanged with its peers and the platform so far */
 async function readBytes (setup: Setup): Promise<Record<Role, number>> {
-  const light = await setup.agents.stats()
+  const agentStats = await setup.agents.stats()
   const sum = (relays: readonly ByteRelay[]): number => relays.reduce((total, relay) => total + relay.counts().toTargetBytes + relay.counts().fromTargetBytes, 0)
   return {
-    gateway: light.receivedBytes + light.sentBytes + sum(setup.relays.gateway),
+    gateway: agentStats.receivedBytes + agentStats.sentBytes + sum(setup.relays.gateway),
     agent: sum([setup.agentRelay, ...setup.relays.agent])
   }
 }
--- a/packages/anvilarch-bench/src/experiments/jobs.ts
+++ b/packages/anvilarch-bench/src/experiments/jobs.ts
@@ -1,4 +1,4 @@
-/** Jobs alone: items a second, platform calls per 1,000 items, memory by job size, and the loss of a gateway that holds parts. */
+/** Jobs without online load: items a second, platform calls per 1,000 items, memory by job size, and the loss of a gateway with claimed parts. */
 import { sleep } from 'anvilarch-utils'
 import { expectedText } from 'anvilarch-standins'
 import { Agent, request } from 'undici'
@@ -9,18 +9,18 @@
 import type { Experiment, Figures, RunContext, Variant, VariantRun } from '../harness/types'
 import { withFleet } from '../harness/withFleet'
 import { barsByFigure, linesBySetting } from '../plots/resultPlots'
-import { startUsage } from '../sampling/processSampler'
+import { startUsageMeasurement } from '../sampling/processSampler'
 
 const TOKENS = 4
 const FAST_ENGINE = { baseStepMs: 2, perSequenceMs: 0.02, slots: 64 }
-/** Items for each second asked for: the small job of the comparison, and jobs up to 16 times as large for the slope of memory. */
+/** Items of the smallest job for each second of `--seconds`; the larger ones, of up to 16 times the size, show how memory grows. */
 const ITEMS_PER_SECOND = 300
 const SIZE_FACTORS = [1, 4, 16]
 const MAX_RUN_MS = 240_000
-/** A large job may take this much time for each item. */
+/** Time limit of a large job, for each of its items. */
 const MAX_ITEM_MS = 5
 const KILL_AFTER_SHARE = 0.25
-const PER = 1000
+const PER_THOUSAND = 1000
 const MS_PER_SECOND = 1000
 
 interface JobSettings extends Record<string, string | number | boolean> {
@@ -29,7 +29,7 @@
   killGateway: boolean
 }
 
-/** The part of a part row that the bench reads. */
+/** The fields of a part row that the bench reads. */
 interface PartRow {
   holder?: string
   state?: string
@@ -68,23 +68,23 @@
   return await withFleet(context, options, async ({ fleet }) => {
     const { clock } = context
     const dispatcher = new Agent({ headersTimeout: 0, bodyTimeout: 0 })
-    // The last gateway serves the bench; the first one is the one that is killed.
+    // The bench sends to the last gateway, since the first one is killed.
     const client = createJobClient({ clock, dispatcher, origin: fleet.gateways[fleet.gateways.length - 1].origin })
-    const usage = await startUsage(pidsOf(fleet), clock)
+    const measurement = await startUsageMeasurement(pidsOf(fleet), clock)
     const startedMs = clock.nowMs()
     const fileId = await client.upload(jobItems(fleet, settings.items))
     const uploadedMs = clock.nowMs()
     const before = await readPlatformCounts(fleet)
     const job = await client.create(fileId)
-    const killing = settings.killGateway ? killAndWatch(context, fleet, client, job.id, settings.items) : Promise.resolve<Figures>({})
+    const takeOver = settings.killGateway ? measureTakeOver(context, fleet, client, job.id, settings.items) : Promise.resolve<Figures>({})
     const ended = await client.waitForEnd(job.id, { timeoutMs: Math.max(MAX_RUN_MS, settings.items * MAX_ITEM_MS), pollMs: 100 })
     const endedMs = clock.nowMs()
-    const used = await usage.finish()
+    const usageByProcess = await measurement.finish()
     const counts = countsBetween(before, await readPlatformCounts(fleet))
     const check = await readBack(fleet, client, ended, settings.items)
     await dispatcher.destroy()
     const seconds = (endedMs - uploadedMs) / MS_PER_SECOND
-    const sum = (role: string, pick: (usage: typeof used[string]) => number): number => Object.entries(used).filter(([key]) => key.startsWith(role)).reduce((total, [, one]) => total + pick(one), 0)
+    const sum = (role: string, pick: (usage: typeof usageByProcess[string]) => number): number => Object.entries(usageByProcess).filter(([key]) => key.startsWith(role)).reduce((total, [, one]) => total + pick(one), 0)
     return {
       figures: {
         items: settings.items,
@@ -94,8 +94,8 @@
         ...perThousandItems(counts, settings.items),
         gatewayCpuPerItemMs: sum('gateway', one => one.cpuMs) / settings.items,
         agentCpuPerItemMs: sum('agent', one => one.cpuMs) / settings.items,
-        gatewayPeakBytes: Math.max(...Object.entries(used).filter(([key]) => key.startsWith('gateway')).map(([, one]) => one.peakResidentBytes)),
-        ...await killing,
+        gatewayPeakBytes: Math.max(...Object.entries(usageByProcess).filter(([key]) => key.startsWith('gateway')).map(([, one]) => one.peakResidentBytes)),
+        ...await takeOver,
         ...check.figures
       },
       notes: check.notes
@@ -104,7 +104,7 @@
 }
 
 function perThousandItems (counts: PlatformCounts, items: number): Figures {
-  const thousands = items / PER
+  const thousands = items / PER_THOUSAND
   return {
     tableCommitsPer1000Items: counts.tableCommits / thousands,
     tableReadsPer1000Items: (counts.tableReads + counts.tableScans) / thousands,
@@ -122,10 +122,10 @@
   return { figures: { itemsMissingOrWrong: check.missing + check.wrong + check.doubled }, notes }
 }
 
-/** Kills the first gateway while it holds parts and waits until no part is left in its name. */
-async function killAndWatch (context: RunContext, fleet: BenchFleet, client: JobClient, jobId: string, items: number): Promise<Figures> {
+/** Kills the first gateway while it has claimed parts, and waits until other gateways have taken over all of them. */
+async function measureTakeOver (context: RunContext, fleet: BenchFleet, client: JobClient, jobId: string, items: number): Promise<Figures> {
   const { clock } = context
-  const victim = fleet.gateways[0]
+  const killedGateway = fleet.gateways[0]
   let done = 0
   while (done < items * KILL_AFTER_SHARE) {
     await sleep(clock, 100)
@@ -133,17 +133,17 @@
     if (view.status === 'completed') return {}
     done = view.request_counts?.completed ?? 0
   }
-  fleet.local.kill(victim.name, 'SIGKILL')
+  fleet.local.kill(killedGateway.name, 'SIGKILL')
   const killedMs = clock.nowMs()
-  const heldAtKill = await openPartsOf(fleet, jobId, victim.name)
+  const claimedAtKill = await countClaimedParts(fleet, jobId, killedGateway.name)
   while (clock.nowMs() - killedMs < MAX_RUN_MS) {
-    if (await openPartsOf(fleet, jobId, victim.name) === 0) return { partsHeldAtKill: heldAtKill, takeOverMs: clock.nowMs() - killedMs }
+    if (await countClaimedParts(fleet, jobId, killedGateway.name) === 0) return { partsHeldAtKill: claimedAtKill, takeOverMs: clock.nowMs() - killedMs }
     await sleep(clock, 100)
   }
-  return { partsHeldAtKill: heldAtKill }
+  return { partsHeldAtKill: claimedAtKill }
 }
 
-async function openPartsOf (fleet: BenchFleet, jobId: string, gateway: string): Promise<number> {
+async function countClaimedParts (fleet: BenchFleet, jobId: string, gateway: string): Promise<number> {
   const response = await request(`${fleet.table.url}/v1/scan`, { method: 'POST', headers: { 'content-type': 'application/json' }, body: JSON.stringify({ prefix: `part/${jobId}/`, limit: 10_000 }) })
   const { rows } = await response.body.json() as { rows: Array<{ value: string }> }
   return rows.map(row => JSON.parse(row.value) as PartRow).filter(part => part.state !== 'done' && part.holder?.startsWith(gateway) === true).length
--- a/packages/anvilarch-bench/src/experiments/lightFleet.ts
+++ b/packages/anvilarch-bench/src/experiments/lightFleet.ts
@@ -1,4 +1,4 @@
-/** Fleets of one or two real gateways before many light agents. */
+/** Fleets of one or two real gateways with many light agents. */
 import type { HostEntry } from 'anvilarch-protocol'
 import { waitFor } from 'anvilarch-standins'
 import { request } from 'undici'
@@ -9,18 +9,18 @@
 import { type BenchChild, startChild } from '../peers/childProcess'
 import type { LightAgent, LightAgentsOptions, LightAgentStats } from '../peers/lightAgents'
 
-/** A process of light agents. */
+/** A child process with light agents. */
 export type LightAgentsChild = BenchChild<LightAgent[], LightAgentStats>
 
 const FAILURE_DOMAINS = ['domain-a', 'domain-b']
 const KNOWN_TIMEOUT_MS = 60_000
 
 /**
- * Starts light agents, puts them on the host list beside the fleet's own gateways and waits until every gateway knows
- * them all.
+ * Starts light agents, replaces the host list by the fleet's gateways and these agents, and waits until every gateway lists
+ * all of them as serving.
  *
  * @param context - of the run
- * @param fleet - with real gateways; its own agents leave the list
+ * @param fleet - with real gateways; its own agents are removed from the list
  * @param count - how many light agents
  * @returns their process
  */
@@ -28,10 +28,10 @@
   const options: Omit<LightAgentsOptions, 'clock'> = { count, service: fleet.services.plain, failureDomains: FAILURE_DOMAINS, region: BENCH_NAMES.region }
   const child = await startChild<LightAgent[], LightAgentStats>('lightAgents.js', options)
   try {
-    await request(`${fleet.hosts.url}/hosts`, { method: 'PUT', body: JSON.stringify({ hosts: [...gatewayEntries(fleet), ...child.details.map(toEntry)] }) })
+    await request(`${fleet.hosts.url}/hosts`, { method: 'PUT', body: JSON.stringify({ hosts: [...gatewayEntries(fleet), ...child.details.map(toHostEntry)] }) })
     await waitFor(async () => {
-      const known = await Promise.all(fleet.gateways.map(gateway => countServing(gateway.origin)))
-      return known.every(serving => serving >= count)
+      const servingCounts = await Promise.all(fleet.gateways.map(gateway => countServing(gateway.origin)))
+      return servingCounts.every(serving => serving >= count)
     }, { clock: context.clock, timeoutMs: KNOWN_TIMEOUT_MS, what: `the gateways to know ${count} light agents` })
     return child
   } catch (error) {
@@ -44,7 +44,7 @@
   return fleet.local.processes('gateway').flatMap(gateway => gateway.spec.hostEntry ?? [])
 }
 
-function toEntry (agent: LightAgent): HostEntry {
+function toHostEntry (agent: LightAgent): HostEntry {
   return { host: agent.name, role: 'agent', address: agent.address, failureDomain: agent.failureDomain, region: BENCH_NAMES.region, state: 'live' }
 }
 
--- a/packages/anvilarch-bench/src/experiments/lookup.ts
+++ b/packages/anvilarch-bench/src/experiments/lookup.ts
@@ -1,4 +1,4 @@
-/** Lookups while a large job is uploaded, run and read back through the same gateways. */
+/** Latency of lookups while a large job is uploaded, run and read back through the same gateways. */
 import { sleep } from 'anvilarch-utils'
 import { expectedText } from 'anvilarch-standins'
 import { Agent } from 'undici'
@@ -16,20 +16,20 @@
 
 const LOOKUPS_PER_SECOND = 200
 const TOKENS = 2
-/** Items for each second of the run; `--seconds 4550` makes a job of 910,000 items. */
+/** Items for each second of the run; `--seconds 4550` gives a job of 910,000 items. */
 const ITEMS_PER_SECOND = 200
-/** Small steps, so that the gateways and not the engines carry the load. */
+/** Short steps, so that the gateways and not the engines are the bottleneck. */
 const FAST_ENGINE = { baseStepMs: 2, perSequenceMs: 0.02, slots: 64 }
-/** A job that is not finished after this many times the measured time is given up and told in a note. */
-const PATIENCE = 4
+/** Timeout of the job as a multiple of the measured time; a job that exceeds it is reported in a note. */
+const JOB_TIMEOUT_FACTOR = 4
 const MS_PER_SECOND = 1000
 
-/** What the job does at the time. */
+/** Phase of the job. */
 type Phase = 'upload' | 'run' | 'readBack'
 
 const PHASES: readonly Phase[] = ['upload', 'run', 'readBack']
 
-/** Phases with the time at which they began. */
+/** Phases with their start times. */
 type PhaseLog = Array<{ phase: Phase, fromMs: number }>
 
 export const lookup: Experiment = {
@@ -58,7 +58,7 @@
     const collector = createCollector()
     const phases: PhaseLog = []
     const byPhase = Object.fromEntries(PHASES.map(phase => [phase, createLatencyRecorder()])) as Record<Phase, LatencyRecorder>
-    const limitMs = context.warmUpMs + context.durationMs * (items === 0 ? 1 : PATIENCE)
+    const limitMs = context.warmUpMs + context.durationMs * (items === 0 ? 1 : JOB_TIMEOUT_FACTOR)
     const { timesMs } = createArrivals(steadyArrivals(LOOKUPS_PER_SECOND, limitMs), context.random)
     const stopping = new AbortController()
     await readMetrics(fleet.gateways)
@@ -67,22 +67,22 @@
       timesMs,
       collector,
       signal: stopping.signal,
-      send: async shot => {
-        const answer = await callers.lookup(`lookup-${context.round}-${shot.index}`)
-        const phase = phases.findLast(entry => entry.fromMs <= shot.intendedMs)?.phase
-        if (shot.measured && phase !== undefined && answer.outcome === 'completed') byPhase[phase].record(answer.endedAtMs - shot.intendedMs)
-        return answer
+      send: async scheduled => {
+        const result = await callers.lookup(`lookup-${context.round}-${scheduled.index}`)
+        const phase = phases.findLast(entry => entry.fromMs <= scheduled.intendedMs)?.phase
+        if (scheduled.measured && phase !== undefined && result.outcome === 'completed') byPhase[phase].record(result.endedAtMs - scheduled.intendedMs)
+        return result
       }
     })
     const metrics = await readMetrics(fleet.gateways)
-    const largest = (name: string): number => Math.max(0, ...metrics.filter(sample => sample.name === name).map(sample => sample.value)) * MS_PER_SECOND
+    const maxOf = (name: string): number => Math.max(0, ...metrics.filter(sample => sample.name === name).map(sample => sample.value)) * MS_PER_SECOND
     const jobRun = await withTimeout(job, context)
     return {
       figures: {
         ...latencyFigures('lookup', collector.total),
         ...Object.assign({}, ...PHASES.map(phase => latencyFigures(`${phase}Lookup`, byPhase[phase]))) as Figures,
-        eventLoopDelayP99Ms: largest('nodejs_eventloop_lag_p99_seconds'),
-        eventLoopDelayMaxMs: largest('nodejs_eventloop_lag_max_seconds'),
+        eventLoopDelayP99Ms: maxOf('nodejs_eventloop_lag_p99_seconds'),
+        eventLoopDelayMaxMs: maxOf('nodejs_eventloop_lag_max_seconds'),
         ...jobRun.figures
       },
       notes: [...loadNotes('lookup', collector, loop), ...jobRun.notes]
@@ -91,28 +91,28 @@
 }
 
 async function withTimeout (job: Promise<Required<VariantRun>>, context: RunContext): Promise<Required<VariantRun>> {
-  const late = sleep(context.clock, MS_PER_SECOND).then(() => ({ figures: {}, notes: ['the job had not ended when the run was over'] }))
-  return await Promise.race([job.catch((error: Error) => ({ figures: {}, notes: [`job: ${error.message}`] })), late])
+  const timedOut = sleep(context.clock, MS_PER_SECOND).then(() => ({ figures: {}, notes: ['the job had not ended when the run was over'] }))
+  return await Promise.race([job.catch((error: Error) => ({ figures: {}, notes: [`job: ${error.message}`] })), timedOut])
 }
 
-/** Uploads, runs and reads back one job; the gateways take the steps in turn. */
+/** Uploads and creates one job through the first gateway, then polls it and reads it back through the last one. */
 async function runJob (context: RunContext, session: FleetSession, items: number, phases: PhaseLog): Promise<Required<VariantRun>> {
   const { clock } = context
   const { fleet } = session
   const dispatcher = new Agent({ headersTimeout: 0, bodyTimeout: 0 })
   const [first, last] = [fleet.gateways[0], fleet.gateways[fleet.gateways.length - 1]].map(gateway => createJobClient({ clock, dispatcher, origin: gateway.origin }))
-  const begin = (phase: Phase): number => {
+  const startPhase = (phase: Phase): number => {
     const fromMs = clock.nowMs()
     phases.push({ phase, fromMs })
     return fromMs
   }
   await sleep(clock, context.warmUpMs)
-  const uploadMs = begin('upload')
+  const uploadStartMs = startPhase('upload')
   const fileId = await first.upload(jobItems(fleet, items))
-  const runMs = begin('run')
+  const runStartMs = startPhase('run')
   const job = await first.create(fileId)
-  const ended = await last.waitForEnd(job.id, { timeoutMs: context.durationMs * PATIENCE, pollMs: 500 })
-  const readBackMs = begin('readBack')
+  const ended = await last.waitForEnd(job.id, { timeoutMs: context.durationMs * JOB_TIMEOUT_FACTOR, pollMs: 500 })
+  const readBackStartMs = startPhase('readBack')
   if (ended.status !== 'completed' || typeof ended.output_file_id !== 'string') {
     throw new Error(`the job is ${ended.status}: ${JSON.stringify(ended.request_counts)}`)
   }
@@ -123,10 +123,10 @@
     figures: {
       items,
       itemsMissingOrWrong: check.missing + check.wrong + check.doubled,
-      uploadMs: runMs - uploadMs,
-      runMs: readBackMs - runMs,
-      readBackMs: endMs - readBackMs,
-      itemsPerSecond: items * MS_PER_SECOND / (readBackMs - runMs)
+      uploadMs: runStartMs - uploadStartMs,
+      runMs: readBackStartMs - runStartMs,
+      readBackMs: endMs - readBackStartMs,
+      itemsPerSecond: items * MS_PER_SECOND / (readBackStartMs - runStartMs)
     },
     notes: check.right === items ? [] : [`results: ${JSON.stringify(check)}`]
   }
--- a/packages/anvilarch-bench/src/experiments/loss.ts
+++ b/packages/anvilarch-bench/src/experiments/loss.ts
@@ -1,6 +1,6 @@
-/** One of six endpoints killed, frozen or drained, or a failure domain lost, under steady online load. */
+/** Loss of one of six endpoints (killed, frozen or drained) or of a failure domain, under steady online load. */
 import { type Clock, sleep } from 'anvilarch-utils'
-import type { Answer } from '../clients/answer'
+import type { RequestResult } from '../clients/requestResult'
 import { readExecutions } from '../harness/fleetCounters'
 import { latencyFigures, loadNotes, promptText, runLoad } from '../harness/fleetLoad'
 import type { BenchAgent, BenchFleet } from '../harness/fleetTypes'
@@ -16,19 +16,19 @@
 const REQUESTS_PER_SECOND = 30
 const TOKENS = 24
 const PROMPT_CHARACTERS = 400
-/** The fault comes after this share of the measured time. */
+/** The fault is injected after this share of the measured time. */
 const FAULT_SHARE = 0.3
-/** A request is hit by the fault when it is an error or takes this many times the median before the fault. */
+/** A request is hit by the fault when it fails or takes more than this many times the median before the fault. */
 const HIT_FACTOR = 2.5
 
-/** Causes a loss and returns the agents that are lost. */
+/** Injects a fault and returns the agents that are lost. */
 type Fault = (fleet: BenchFleet) => Promise<BenchAgent[]> | BenchAgent[]
 
-/** One request after its end, for the time line of a loss. */
-interface Seen {
+/** A measured request after its end. */
+interface MeasuredRequest {
   intendedMs: number
   durationMs: number
-  outcome: Answer['outcome']
+  outcome: RequestResult['outcome']
 }
 
 const FAULTS: Record<string, Fault> = {
@@ -47,7 +47,7 @@
   }
 }
 
-const NO_ERRORS = Object.keys(FAULTS).map(name => ({ text: `errors seen by callers, ${name}`, variant: name, figure: 'errors', compare: 'value', bound: 'at_most', limit: 0 }) as const)
+const NO_ERRORS_AIMS = Object.keys(FAULTS).map(name => ({ text: `errors seen by callers, ${name}`, variant: name, figure: 'errors', compare: 'value', bound: 'at_most', limit: 0 }) as const)
 
 export const loss: Experiment = {
   name: 'loss',
@@ -55,7 +55,7 @@
   defaults: { runs: 2, seconds: 12 },
   warmUpMs: 2000,
   variants: () => Object.entries(FAULTS).map(([name, fault]): Variant => ({ name, settings: { fault: name }, run: context => measure(context, fault) })),
-  aims: NO_ERRORS,
+  aims: NO_ERRORS_AIMS,
   summary: ['errors', 'refused', 'hitRequests', 'lastHitAfterMs', 'lastStartAfterMs', 'firstTokenP50Ms', 'firstTokenP99Ms', 'totalP99Ms', 'totalMaxMs'],
   plots: result => [
     barsByFigure(result, { lastHitAfterMs: 'last request that was hit', lastStartAfterMs: 'last start on the lost endpoint' }, { name: 'time', title: 'Time from the loss', yLabel: 'ms' }),
@@ -72,20 +72,20 @@
   const options = { gateways: 2, models: ENGINES, plains: 0, engine: QUARTER_ENGINE, failureDomains: FAILURE_DOMAINS }
   return await withFleet(context, options, async ({ fleet, callers }) => {
     const collector = createCollector()
-    const seen: Seen[] = []
+    const requests: MeasuredRequest[] = []
     const { timesMs } = createArrivals(steadyArrivals(REQUESTS_PER_SECOND, context.warmUpMs + context.durationMs), context.random)
     const faultAfterMs = context.warmUpMs + context.durationMs * FAULT_SHARE
-    const causing = causeAfter(context.clock, faultAfterMs, () => fault(fleet))
+    const injection = injectFaultAfter(context.clock, faultAfterMs, () => fault(fleet))
     const loop = await runLoad(context, {
       timesMs,
       collector,
-      send: async shot => {
-        const answer = await callers.chat({ requestId: `loss-${context.round}-${shot.index}`, prompt: promptText(context.random, PROMPT_CHARACTERS), maxTokens: TOKENS })
-        if (shot.measured) seen.push({ intendedMs: shot.intendedMs, durationMs: answer.endedAtMs - shot.intendedMs, outcome: answer.outcome })
-        return answer
+      send: async scheduled => {
+        const result = await callers.chat({ requestId: `loss-${context.round}-${scheduled.index}`, prompt: promptText(context.random, PROMPT_CHARACTERS), maxTokens: TOKENS })
+        if (scheduled.measured) requests.push({ intendedMs: scheduled.intendedMs, durationMs: result.endedAtMs - scheduled.intendedMs, outcome: result.outcome })
+        return result
       }
     })
-    const { lost, atMs, atWallMs } = await causing
+    const { lost, atMs, atWallMs } = await injection
     const { completed, refused, ...errors } = collector.outcomes
     const figures: Figures = {
       errors: Object.values(errors).reduce((sum, count) => sum + count, 0) + loop.unfinished,
@@ -94,14 +94,14 @@
       totalMaxMs: collector.total.summary().maxMs,
       ...latencyFigures('firstToken', collector.firstToken),
       ...latencyFigures('total', collector.total),
-      ...hitFigures(seen, atMs),
+      ...hitFigures(requests, atMs),
       ...await lastStarts(fleet, lost, atWallMs)
     }
     return { figures, notes: loadNotes('chat', collector, loop) }
   })
 }
 
-async function causeAfter (clock: Clock, delayMs: number, fault: () => Promise<BenchAgent[]> | BenchAgent[]): Promise<{ lost: BenchAgent[], atMs: number, atWallMs: number }> {
+async function injectFaultAfter (clock: Clock, delayMs: number, fault: () => Promise<BenchAgent[]> | BenchAgent[]): Promise<{ lost: BenchAgent[], atMs: number, atWallMs: number }> {
   await sleep(clock, delayMs)
   const atMs = clock.nowMs()
   const atWallMs = clock.wallMs()
@@ -109,20 +109,20 @@
 }
 
 /**
- * @param seen - requests of the run
- * @param faultMs - when the fault came
- * @returns how many requests were hit, and how long after the fault the last of them was due
+ * @param requests - requests of the run
+ * @param faultMs - when the fault was injected
+ * @returns how many requests were hit, and the time from the fault to the intended send time of the last of them
  */
-export function hitFigures (seen: readonly Seen[], faultMs: number): Figures {
-  const before = seen.filter(request => request.intendedMs + request.durationMs < faultMs).map(request => request.durationMs).sort((left, right) => left - right)
+export function hitFigures (requests: readonly MeasuredRequest[], faultMs: number): Figures {
+  const before = requests.filter(request => request.intendedMs + request.durationMs < faultMs).map(request => request.durationMs).sort((left, right) => left - right)
   if (before.length === 0) return {}
   const normalMs = before[Math.floor(before.length / 2)]
-  const hit = seen.filter(request => request.intendedMs + request.durationMs >= faultMs && (request.outcome !== 'completed' || request.durationMs > normalMs * HIT_FACTOR))
+  const hit = requests.filter(request => request.intendedMs + request.durationMs >= faultMs && (request.outcome !== 'completed' || request.durationMs > normalMs * HIT_FACTOR))
   const lastMs = Math.max(faultMs, ...hit.map(request => request.intendedMs))
   return { hitRequests: hit.length, lastHitAfterMs: lastMs - faultMs }
 }
 
-/** The endpoint outlives its agent in most of the faults, so its ledger shows the last request that still went there. */
+/** An endpoint keeps running after most of the faults of its agent, so its ledger shows the last request that it received. */
 async function lastStarts (fleet: BenchFleet, lost: readonly BenchAgent[], faultWallMs: number): Promise<Figures> {
   if (lost.length === 0) return {}
   const executions = await readExecutions(fleet)
--- a/packages/anvilarch-bench/src/experiments/overload.ts
+++ b/packages/anvilarch-bench/src/experiments/overload.ts
@@ -1,10 +1,10 @@
-/** More requests than the endpoints carry: goodput, refusals and retries from half to three times the capacity. */
+/** Load beyond the capacity of the endpoints: goodput, refusals and retries from half to three times the capacity. */
 import { metricGrowth, readMetrics } from '../harness/fleetCounters'
 import { latencyFigures, loadNotes, promptText, runLoad } from '../harness/fleetLoad'
 import type { Experiment, RunContext, Variant, VariantRun } from '../harness/types'
 import { withFleet } from '../harness/withFleet'
 import { createArrivals, steadyArrivals } from '../load/arrivals'
-import { answerCount, createCollector, errorCount } from '../load/collector'
+import { resultCount, createCollector, errorCount } from '../load/collector'
 import { linesBySetting } from '../plots/resultPlots'
 import { QUARTER_ENGINE } from './quarterEngine'
 
@@ -13,7 +13,7 @@
 const PROMPT_CHARACTERS = 400
 const DEADLINE_MS = 3000
 const FACTORS = [1, 0.5, 0.8, 1.5, 2, 3]
-/** Steady rate at which engines of this size are full, from the stand-in's own step time; rounded down. */
+/** Rate at which engines of this size are full, calculated from the step time of the stand-in and rounded down. */
 const CAPACITY_PER_SECOND = 34
 const MS_PER_SECOND = 1000
 
@@ -46,34 +46,34 @@
     const { timesMs } = createArrivals(steadyArrivals(CAPACITY_PER_SECOND * factor, context.warmUpMs + context.durationMs), context.random)
     const before = await readMetrics(fleet.gateways)
     const fromMs = context.clock.nowMs() + context.warmUpMs
-    // Counted by when they ended: what was queued at the end of the run and is worked off afterwards is no throughput of it.
-    let good = 0
-    let late = 0
+    // Counted by end time: requests that were queued at the end of the run and complete afterwards are not part of its throughput.
+    let goodCount = 0
+    let lateCount = 0
     const loop = await runLoad(context, {
       timesMs,
       collector,
-      send: async shot => {
-        const answer = await callers.chat({
-          requestId: `overload-${context.round}-${shot.index}`,
+      send: async scheduled => {
+        const result = await callers.chat({
+          requestId: `overload-${context.round}-${scheduled.index}`,
           prompt: promptText(context.random, PROMPT_CHARACTERS),
           maxTokens: TOKENS,
           headers: { 'x-deadline-ms': String(DEADLINE_MS) }
         })
-        const isLate = answer.endedAtMs - shot.intendedMs > DEADLINE_MS
-        const isWithin = answer.endedAtMs >= fromMs && answer.endedAtMs < fromMs + context.durationMs
-        if (answer.outcome === 'completed' && isWithin && !isLate) good++
-        if (answer.outcome === 'completed' && shot.measured && isLate) late++
-        return answer
+        const isLate = result.endedAtMs - scheduled.intendedMs > DEADLINE_MS
+        const endedInRun = result.endedAtMs >= fromMs && result.endedAtMs < fromMs + context.durationMs
+        if (result.outcome === 'completed' && endedInRun && !isLate) goodCount++
+        if (result.outcome === 'completed' && scheduled.measured && isLate) lateCount++
+        return result
       }
     })
     const retries = metricGrowth(before, await readMetrics(fleet.gateways), 'anvilarch_retries_total')
     const seconds = context.durationMs / MS_PER_SECOND
-    const offered = answerCount(collector) + loop.unfinished
+    const offered = resultCount(collector) + loop.unfinished
     return {
       figures: {
         offeredPerSecond: offered / seconds,
-        goodputPerSecond: good / seconds,
-        lateShare: offered === 0 ? 0 : late / offered,
+        goodputPerSecond: goodCount / seconds,
+        lateShare: offered === 0 ? 0 : lateCount / offered,
         refusedShare: offered === 0 ? 0 : collector.outcomes.refused / offered,
         refusalsWithoutRetryAfter: collector.refusalsWithoutRetryAfter,
         attemptsPerRequest: 1 + retries / timesMs.length,
--- a/packages/anvilarch-bench/src/index.ts
+++ b/packages/anvilarch-bench/src/index.ts
@@ -1,5 +1,5 @@
-/** Load, experiments, measurements and their report. */
-export * from './clients/answer'
+/** Load generation, clients, process sampling and statistics of the benchmarks. */
+export * from './clients/requestResult'
 export * from './clients/chatClient'
 export * from './clients/jobClient'
 export * from './clients/lookupClient'
--- a/packages/anvilarch-bench/src/load/collector.ts
+++ b/packages/anvilarch-bench/src/load/collector.ts
@@ -1,15 +1,15 @@
-/** Adds up the answers of one class of work. */
-import type { Answer, AnswerOutcome } from '../clients/answer'
+/** Collects the results of one class of work. */
+import type { RequestResult, RequestOutcome } from '../clients/requestResult'
 import { createLatencyRecorder, type LatencyRecorder } from '../statistics/latencyRecorder'
-import type { Shot } from './openLoop'
+import type { ScheduledRequest } from './openLoop'
 
-/** Counts and distributions of one class of work; only measured shots count. */
+/** Counts and latency distributions of one class of work; only measured requests count. */
 export interface Collector {
-  add: (shot: Pick<Shot, 'intendedMs' | 'measured'>, answer: Answer) => void
-  outcomes: Record<AnswerOutcome, number>
-  /** Answers other than completed ones, by error code. */
+  add: (request: Pick<ScheduledRequest, 'intendedMs' | 'measured'>, result: RequestResult) => void
+  outcomes: Record<RequestOutcome, number>
+  /** Requests that were not completed, by error code. */
   codes: Record<string, number>
-  /** Refusals that carried no `Retry-After`. */
+  /** Refusals without `Retry-After`. */
   refusalsWithoutRetryAfter: number
   tokens: number
   promptTokens: number
@@ -17,20 +17,20 @@
   /** From the intended send time. */
   firstToken: LatencyRecorder
   interToken: LatencyRecorder
-  /** Whole answers, from the intended send time. */
+  /** Completed requests, from the intended send time. */
   total: LatencyRecorder
-  /** How long a refusal took, from the intended send time. */
+  /** Refusals, from the intended send time. */
   refusal: LatencyRecorder
-  /** The first few details of answers that were neither completed nor refused. */
+  /** Details of the first few requests that were neither completed nor refused. */
   examples: string[]
 }
 
 const MAX_EXAMPLES = 5
 
-/** @returns a collector without answers */
+/** @returns a collector without results */
 export function createCollector (): Collector {
   const collector: Collector = {
-    add: (shot, answer) => { if (shot.measured) addAnswer(collector, shot.intendedMs, answer) },
+    add: (request, result) => { if (request.measured) addResult(collector, request.intendedMs, result) },
     outcomes: { completed: 0, refused: 0, failed: 0, incomplete: 0, wrong: 0, unreachable: 0 },
     codes: {},
     refusalsWithoutRetryAfter: 0,
@@ -46,33 +46,33 @@
   return collector
 }
 
-/** @returns answers of all outcomes */
-export function answerCount (collector: Collector): number {
+/** @returns the number of results of all outcomes */
+export function resultCount (collector: Collector): number {
   return Object.values(collector.outcomes).reduce((sum, count) => sum + count, 0)
 }
 
-/** @returns answers that were neither completed nor refused */
+/** @returns the number of requests that were neither completed nor refused */
 export function errorCount (collector: Collector): number {
   const { failed, incomplete, wrong, unreachable } = collector.outcomes
   return failed + incomplete + wrong + unreachable
 }
 
-function addAnswer (collector: Collector, intendedMs: number, answer: Answer): void {
-  collector.outcomes[answer.outcome]++
-  collector.tokens += answer.tokens
-  collector.promptTokens += answer.promptTokens
-  collector.cachedTokens += answer.cachedTokens
-  if (answer.firstTokenAtMs !== undefined) collector.firstToken.record(answer.firstTokenAtMs - intendedMs)
-  for (const gapMs of answer.gapsMs) collector.interToken.record(gapMs)
-  if (answer.outcome === 'completed') {
-    collector.total.record(answer.endedAtMs - intendedMs)
+function addResult (collector: Collector, intendedMs: number, result: RequestResult): void {
+  collector.outcomes[result.outcome]++
+  collector.tokens += result.tokens
+  collector.promptTokens += result.promptTokens
+  collector.cachedTokens += result.cachedTokens
+  if (result.firstTokenAtMs !== undefined) collector.firstToken.record(result.firstTokenAtMs - intendedMs)
+  for (const gapMs of result.gapsMs) collector.interToken.record(gapMs)
+  if (result.outcome === 'completed') {
+    collector.total.record(result.endedAtMs - intendedMs)
     return
   }
-  collector.codes[answer.code] = (collector.codes[answer.code] ?? 0) + 1
-  if (answer.outcome === 'refused') {
-    collector.refusal.record(answer.endedAtMs - intendedMs)
-    if (answer.retryAfterMs === undefined) collector.refusalsWithoutRetryAfter++
+  collector.codes[result.code] = (collector.codes[result.code] ?? 0) + 1
+  if (result.outcome === 'refused') {
+    collector.refusal.record(result.endedAtMs - intendedMs)
+    if (result.retryAfterMs === undefined) collector.refusalsWithoutRetryAfter++
     return
   }
-  if (collector.examples.length < MAX_EXAMPLES) collector.examples.push(`${answer.outcome} ${answer.status} ${answer.code}: ${answer.detail}`)
+  if (collector.examples.length < MAX_EXAMPLES) collector.examples.push(`${result.outcome} ${result.status} ${result.code}: ${result.detail}`)
 }
--- a/packages/anvilarch-bench/src/load/openLoop.ts
+++ b/packages/anvilarch-bench/src/load/openLoop.ts
@@ -1,13 +1,13 @@
 /**
- * Sends at intended times whatever became of earlier requests. A closed loop would wait for a slow answer and so leave
- * out just the requests that would have been slow.
+ * Sends requests at intended times, whether or not earlier ones have ended. A closed loop would wait for a slow response and
+ * so omit exactly the requests that would have been slow (coordinated omission).
  */
 import { type Clock, sleep } from 'anvilarch-utils'
 
-/** One intended request. */
-export interface Shot {
+/** One scheduled request. */
+export interface ScheduledRequest {
   index: number
-  /** Intended send time on the clock's monotonic scale; latency counts from here. */
+  /** Intended send time on the clock's monotonic scale; latencies are measured from it. */
   intendedMs: number
   /** False during the warm-up. */
   measured: boolean
@@ -16,35 +16,35 @@
 /** Options of `runOpenLoop`. */
 export interface OpenLoopOptions {
   clock: Clock
-  /** Intended send times from the start, ascending. */
+  /** Intended send times relative to the start, ascending. */
   timesMs: number[]
-  /** Shots before this time are sent, but not measured. */
+  /** Requests before this time are sent, but not measured. */
   warmUpMs: number
-  /** Sends one request and resolves when it ended; it records its own figures. */
-  send: (shot: Shot) => Promise<void>
-  /** How long to wait for requests still in progress after the last one was sent. */
+  /** Sends one request, records its figures and resolves when the request has ended. */
+  send: (request: ScheduledRequest) => Promise<void>
+  /** How long to wait for requests in progress after the last one was sent. */
   drainMs: number
   signal?: AbortSignal
 }
 
-/** What the loop itself saw. */
+/** Counts of the loop. */
 export interface OpenLoopResult {
   sent: number
-  /** Requests that had not ended when the wait was over. */
+  /** Requests that had not ended within `drainMs`. */
   unfinished: number
-  /** Requests whose `send` rejected: a fault of the bench, since clients report failures as results. */
+  /** Requests whose `send` rejected: errors of the bench, since clients return failures as results. */
   clientErrors: number
-  /** The latest that a request went out after its intended time. Large values mean that the bench itself was too slow. */
+  /** Longest delay of a send after its intended time. Large values mean that the bench itself was too slow. */
   maxSendDelayMs: number
   sumSendDelayMs: number
 }
 
-/** Waiting sends of one turn of the event loop start together when they are due within this time. */
-const DUE_SLACK_MS = 0.2
+/** Requests that are due within this time are sent at once, without a timer. */
+const DUE_TOLERANCE_MS = 0.2
 
 /**
- * @param options - clock, times and what to send
- * @returns counts, after the last request ended or the wait for it was over
+ * @param options - clock, send times and what to send
+ * @returns counts, after all requests have ended or the drain time has elapsed
  */
 export async function runOpenLoop (options: OpenLoopOptions): Promise<OpenLoopResult> {
   const { clock, timesMs } = options
@@ -52,7 +52,7 @@
   const result: OpenLoopResult = { sent: 0, unfinished: 0, clientErrors: 0, maxSendDelayMs: 0, sumSendDelayMs: 0 }
   const inProgress = new Set<Promise<void>>()
 
-  const fire = (index: number): void => {
+  const sendRequest = (index: number): void => {
     const intendedMs = startMs + timesMs[index]
     const delayMs = Math.max(0, clock.nowMs() - intendedMs)
     result.sent++
@@ -66,9 +66,9 @@
 
   for (let index = 0; index < timesMs.length; index++) {
     const waitMs = startMs + timesMs[index] - clock.nowMs()
-    if (waitMs > DUE_SLACK_MS) await sleep(clock, waitMs, options.signal)
+    if (waitMs > DUE_TOLERANCE_MS) await sleep(clock, waitMs, options.signal)
     if (options.signal?.aborted === true) break
-    fire(index)
+    sendRequest(index)
   }
   await waitForAll(inProgress, options)
   result.unfinished = inProgress.size
@@ -77,7 +77,7 @@
 
 async function waitForAll (inProgress: Set<Promise<void>>, options: OpenLoopOptions): Promise<void> {
   if (inProgress.size === 0) return
-  const bound = new AbortController()
-  await Promise.race([Promise.all(inProgress), sleep(options.clock, options.drainMs, bound.signal)])
-  bound.abort()
+  const drainTimeout = new AbortController()
+  await Promise.race([Promise.all(inProgress), sleep(options.clock, options.drainMs, drainTimeout.signal)])
+  drainTimeout.abort()
 }
--- a/packages/anvilarch-bench/src/model/modelGateway.ts
+++ b/packages/anvilarch-bench/src/model/modelGateway.ts
@@ -1,11 +1,11 @@
-/** A gateway of the model: the daemon's own knowledge of loads and its placement, over a modelled network. */
+/** A modelled gateway: load table, load prober and placement of the daemon, over a modelled network. */
 import type { Clock, Random } from 'anvilarch-utils'
 import { createLoadProber, createLoadTable, createPlacement, type Endpoint, type PeerMessage, type PlacementWeights } from 'anvilarch-serving'
 import type { ModelEngine } from './modelEngine'
 
 /** A gateway that places requests. */
 export interface ModelGateway {
-  /** Places a request and sends it. */
+  /** Chooses an endpoint for a request and sends it. */
   onArrival: () => void
   counts: { newConnections: number }
 }
@@ -15,39 +15,39 @@
   clock: Clock
   random: Random
   endpoints: readonly Endpoint[]
-  engineAt: ReadonlyMap<string, ModelEngine>
+  engineById: ReadonlyMap<string, ModelEngine>
   gatewayCount: number
   weights: PlacementWeights
   onFirstEvent: (afterMs: number) => void
 }
 
-/** One way between two hosts, the work of both included. */
-const LINK_MS = 1
+/** One-way delay between two hosts, including the processing at both. */
+const LINK_DELAY_MS = 1
 
-/** An endpoint and both hosts spend this on a new connection. */
+/** Time that the endpoint and both hosts need for a new connection. */
 const CONNECT_MS = 2
 
-/** The pools of the daemon give an idle connection up after this. */
-const IDLE_MS = 3000
+/** Idle timeout of the connection pools of the daemon. */
+const IDLE_TIMEOUT_MS = 3000
 
-/** Reading a prompt of 250 tokens of its own and 200 shared ones, at 44 a millisecond. */
+/** Time to prefill a prompt of 250 tokens of its own and 200 shared ones, at 44 a millisecond. */
 const PROMPT_MS = 10
 
-/** 25 events of 8 tokens at 3.5 ms a token, and their spread. */
+/** Duration of 25 events of 8 tokens at 3.5 ms a token, and its spread. */
 const EVENTS_MS = 700
 const EVENTS_SPREAD = 0.5
 
-/** Requests share one of this many prompt prefixes. */
+/** Number of shared prompt prefixes, of which each request has one. */
 const PREFIXES = 40
 
 const PEER_PORT = 7
 
 /**
  * @param options - engines, weights and listener
- * @returns a gateway that knows no loads
+ * @returns a gateway with an empty load table
  */
 export function createModelGateway (options: ModelGatewayOptions): ModelGateway {
-  const { clock, random, endpoints, engineAt } = options
+  const { clock, random, endpoints, engineById } = options
   const counts = { newConnections: 0 }
   const loads = createLoadTable(clock)
   const connections = new Map<string, { inUse: number, idleSinceMs: number[] }>()
@@ -55,20 +55,20 @@
 
   const send = (message: PeerMessage, to: { ip: string, port: number }): void => {
     const endpoint = endpointByIp.get(to.ip)
-    const engine = endpoint === undefined ? undefined : engineAt.get(endpoint.id)
+    const engine = endpoint === undefined ? undefined : engineById.get(endpoint.id)
     if (endpoint === undefined || engine === undefined || message.message !== 'load_probe') return
-    clock.after(LINK_MS, () => {
+    clock.after(LINK_DELAY_MS, () => {
       const report = { startId: endpoint.startId, online: engine.online(), batchRunning: engine.batchRunning(), reachable: true }
-      clock.after(LINK_MS, () => prober.onResponse({ message: 'load_response', correlationId: message.correlationId, report }, to))
+      clock.after(LINK_DELAY_MS, () => prober.onResponse({ message: 'load_response', correlationId: message.correlationId, report }, to))
     })
   }
   const prober = createLoadProber({ clock, send, peerPort: PEER_PORT, onReport: loads.onReport })
 
   const connectionsTo = (endpoint: Endpoint): { inUse: number, idleSinceMs: number[] } => {
-    const known = connections.get(endpoint.id) ?? { inUse: 0, idleSinceMs: [] }
-    known.idleSinceMs = known.idleSinceMs.filter(sinceMs => clock.nowMs() - sinceMs < IDLE_MS)
-    connections.set(endpoint.id, known)
-    return known
+    const pool = connections.get(endpoint.id) ?? { inUse: 0, idleSinceMs: [] }
+    pool.idleSinceMs = pool.idleSinceMs.filter(sinceMs => clock.nowMs() - sinceMs < IDLE_TIMEOUT_MS)
+    connections.set(endpoint.id, pool)
+    return pool
   }
 
   const placement = createPlacement({
@@ -85,28 +85,28 @@
     random: () => random.next()
   })
 
-  /** @returns the time that it takes to have a connection */
+  /** @returns the time that it takes to get a connection */
   const connect = (endpoint: Endpoint): number => {
-    const held = connectionsTo(endpoint)
-    held.inUse++
-    if (held.idleSinceMs.pop() !== undefined) return 0
+    const pool = connectionsTo(endpoint)
+    pool.inUse++
+    if (pool.idleSinceMs.pop() !== undefined) return 0
     counts.newConnections++
     return CONNECT_MS
   }
 
   const sendRequest = (endpoint: Endpoint, arrivedAtMs: number): void => {
-    const engine = engineAt.get(endpoint.id)
+    const engine = engineById.get(endpoint.id)
     if (engine === undefined) return
     loads.onSent(endpoint.startId)
-    clock.after(LINK_MS, engine.onNotice)
-    clock.after(LINK_MS + connect(endpoint), () => engine.onRequest({
+    clock.after(LINK_DELAY_MS, engine.onNotice)
+    clock.after(LINK_DELAY_MS + connect(endpoint), () => engine.onRequest({
       promptMs: PROMPT_MS,
       eventsMs: random.jitter(EVENTS_MS, EVENTS_SPREAD),
-      onFirstEvent: () => options.onFirstEvent(clock.nowMs() + LINK_MS - arrivedAtMs),
-      onEnd: () => clock.after(LINK_MS, () => {
-        const held = connectionsTo(endpoint)
-        held.inUse--
-        held.idleSinceMs.push(clock.nowMs())
+      onFirstEvent: () => options.onFirstEvent(clock.nowMs() + LINK_DELAY_MS - arrivedAtMs),
+      onEnd: () => clock.after(LINK_DELAY_MS, () => {
+        const pool = connectionsTo(endpoint)
+        pool.inUse--
+        pool.idleSinceMs.push(clock.nowMs())
         loads.onEnded(endpoint.startId)
       })
     }))
@@ -116,9 +116,9 @@
     counts,
     onArrival: () => {
       const arrivedAtMs = clock.nowMs()
-      const terms = { service: 's', sharedPrefixes: [`p${random.between(1, PREFIXES)}`], excluded: new Set<string>() }
-      placement.prepare(terms).then(() => {
-        const endpoint = placement.choose(terms)
+      const request = { service: 's', sharedPrefixes: [`p${random.between(1, PREFIXES)}`], excluded: new Set<string>() }
+      placement.prepare(request).then(() => {
+        const endpoint = placement.choose(request)
         if (endpoint !== undefined) sendRequest(endpoint, arrivedAtMs)
       }, () => {
         // The prober and the clock of the model never fail.
--- a/packages/anvilarch-bench/src/peers/lightAgents.ts
+++ b/packages/anvilarch-bench/src/peers/lightAgents.ts
@@ -1,6 +1,6 @@
 /**
- * Many agents in one process: they answer exchanges, take configurations and give fixed answers to attempts. They let
- * one real gateway be measured against more agents than this machine could run as processes.
+ * Many minimal agents in one process: they respond to exchanges, accept configurations and return fixed responses to attempts.
+ * With them, one real gateway is measured against more agents than the host could run as processes.
  */
 import { createServer, type Http2Server } from 'node:http2'
 import type { AddressInfo, Socket } from 'node:net'
@@ -9,13 +9,13 @@
 import { create } from '@bufbuild/protobuf'
 import { AgentService, EndpointStateSchema } from 'anvilarch-protocol'
 import type { Clock } from 'anvilarch-utils'
-import { answerFrames, barredFrame, type LightAnswer, serveLightSession } from './lightAttempt'
+import { responseFrames, barredFrame, type LightResponse, serveLightSession } from './lightAttempt'
 
 /** Options of `startLightAgents`. */
 export interface LightAgentsOptions {
   clock: Clock
   count: number
-  /** Plain service that each agent's one endpoint serves. */
+  /** Plain service of the one endpoint of each agent. */
   service: string
   failureDomains: string[]
   region: string
@@ -29,16 +29,16 @@
   failureDomain: string
 }
 
-/** What passed between light agents and their peers, and when each configuration came. */
+/** Traffic between light agents and their peers, and the times at which configurations were accepted. */
 export interface LightAgentStats {
-  /** Payload bytes of TCP, both directions. */
+  /** TCP payload bytes in each direction. */
   receivedBytes: number
   sentBytes: number
   connections: number
   exchanges: number
   attempts: number
   pushes: number
-  /** Wall times, by version, at which agents took it. */
+  /** Wall times, by version, at which agents accepted it. */
   versions: Record<string, number[]>
 }
 
@@ -60,12 +60,12 @@
 }
 
 /**
- * @param options - how many agents, and what they claim to serve
+ * @param options - number of agents and the service of their endpoints
  * @returns the agents, each on a free loopback port
  */
 export async function startLightAgents (options: LightAgentsOptions): Promise<LightAgents> {
   const counts: LightAgentStats = { receivedBytes: 0, sentBytes: 0, connections: 0, exchanges: 0, attempts: 0, pushes: 0, versions: {} }
-  const open = new Set<Socket>()
+  const openSockets = new Set<Socket>()
   const servers: Http2Server[] = []
   const agents: AgentState[] = []
   for (let index = 0; index < options.count; index++) {
@@ -79,7 +79,7 @@
     }
     const routes = (router: ConnectRouter): void => { router.service(AgentService, agentService(state, counts, options)) }
     const server = createServer(connectNodeAdapter({ routes }))
-    server.on('connection', (socket: Socket) => { followSocket(socket, open, counts) })
+    server.on('connection', (socket: Socket) => { trackSocket(socket, openSockets, counts) })
     await new Promise<void>(resolve => { server.listen(0, LOOPBACK, resolve) })
     state.address = `${LOOPBACK}:${(server.address() as AddressInfo).port}`
     servers.push(server)
@@ -87,28 +87,28 @@
   }
   return {
     agents: agents.map(({ name, address, failureDomain }) => ({ name, address, failureDomain })),
-    stats: () => currentStats(counts, open),
+    stats: () => currentStats(counts, openSockets),
     close: async () => {
-      for (const socket of open) socket.destroy()
+      for (const socket of openSockets) socket.destroy()
       await Promise.all(servers.map(server => new Promise<void>(resolve => { server.close(() => { resolve() }) })))
     }
   }
 }
 
-function followSocket (socket: Socket, open: Set<Socket>, counts: LightAgentStats): void {
+function trackSocket (socket: Socket, openSockets: Set<Socket>, counts: LightAgentStats): void {
   counts.connections++
-  open.add(socket)
+  openSockets.add(socket)
   socket.on('close', () => {
-    open.delete(socket)
+    openSockets.delete(socket)
     counts.receivedBytes += socket.bytesRead
     counts.sentBytes += socket.bytesWritten
   })
 }
 
-/** Sockets that are still open hold their own counts. */
-function currentStats (counts: LightAgentStats, open: ReadonlySet<Socket>): LightAgentStats {
+/** Adds the bytes of open sockets; those of closed ones are in `counts`. */
+function currentStats (counts: LightAgentStats, openSockets: ReadonlySet<Socket>): LightAgentStats {
   let { receivedBytes, sentBytes } = counts
-  for (const socket of open) {
+  for (const socket of openSockets) {
     receivedBytes += socket.bytesRead
     sentBytes += socket.bytesWritten
   }
@@ -119,7 +119,7 @@
   const slots = options.slots ?? DEFAULT_SLOTS
   const incarnation = `${state.name}-1`
   const load = { endpoint: 'plain', runningOnline: 0, runningBatch: 0, queued: 0, freeOnline: slots, freeBatch: slots, firstTokenMs: 1, interTokenMs: 1 }
-  const answer: LightAnswer = { incarnation, load, onAttempt: () => { counts.attempts++ } }
+  const response: LightResponse = { incarnation, load, onAttempt: () => { counts.attempts++ } }
   return {
     exchange: () => {
       counts.exchanges++
@@ -135,9 +135,9 @@
         operationsAddress: ''
       }
     },
-    startAttempt: async function * (request) { yield * answerFrames(answer, request) },
-    resumeAttempt: async function * () { yield barredFrame(answer) },
-    session: requests => serveLightSession(answer, requests),
+    startAttempt: async function * (request) { yield * responseFrames(response, request) },
+    resumeAttempt: async function * () { yield barredFrame(response) },
+    session: requests => serveLightSession(response, requests),
     cancelAttempt: () => ({ outcome: 'barred' }),
     pushConfiguration: offered => {
       counts.pushes++
--- a/packages/anvilarch-bench/src/soak/checker/__tests__/streamEnds.test.ts
+++ b/packages/anvilarch-bench/src/soak/checker/__tests__/streamEnds.test.ts
@@ -15,7 +15,7 @@
 /** Names of the checks that find a violation in a streamed response whose expected text is "abc". */
 function failedChecks (events: string, cut?: Error, hasDisconnected = false): string[] {
   const reader = createChatReader(createFakeClock())
-  reader.answer.status = 200
+  reader.result.status = 200
   reader.feed(events)
   const response = reader.finish('abc', cut)
   const record = call({ kind: 'stream', code: response.code, ran: response.ran, ...classifyStream(response, hasDisconnected) })
--- a/packages/anvilarch-bench/src/soak/load/modelCalls.ts
+++ b/packages/anvilarch-bench/src/soak/load/modelCalls.ts
@@ -1,7 +1,7 @@
 /** Online requests: streamed and non-streamed chat completions. */
 import { expectedText } from 'anvilarch-standins'
 import { promptText } from '../../harness/fleetLoad'
-import type { Answer } from '../../clients/answer'
+import type { RequestResult } from '../../clients/requestResult'
 import { chatBody, sendChat } from '../../clients/chatClient'
 import { CLIENT_TIMEOUT_CODE } from '../checker/callChecks'
 import type { ResponseFault, CallKind, CallRecord, CallOutcome } from '../types'
@@ -73,11 +73,11 @@
  * @param hasDisconnected - whether the caller disconnected before the end
  * @returns the outcome as the caller saw it, and the fault in the content
  */
-export function classifyStream (response: Answer, hasDisconnected: boolean): { told: CallOutcome, fault: ResponseFault | undefined } {
-  const crossed = response.isCrossed ? 'crossed' : undefined
+export function classifyStream (response: RequestResult, hasDisconnected: boolean): { told: CallOutcome, fault: ResponseFault | undefined } {
+  const crossed = response.isMismatched ? 'crossed' : undefined
   if (hasDisconnected) return { told: 'gone', fault: crossed }
   const ended = response.code === ''
-  const results: Record<Answer['outcome'], { told: CallOutcome, fault: ResponseFault | undefined }> = {
+  const results: Record<RequestResult['outcome'], { told: CallOutcome, fault: ResponseFault | undefined }> = {
     completed: { told: 'whole', fault: undefined },
     refused: { told: 'refused', fault: undefined },
     failed: { told: 'failed', fault: crossed },
--- a/packages/anvilarch-bench/src/soak/load/sendRequest.ts
+++ b/packages/anvilarch-bench/src/soak/load/sendRequest.ts
@@ -1,6 +1,6 @@
 /** Sends an HTTP request and reads its complete response. */
 import type { RunStatus } from 'anvilarch-utils'
-import { errorAnswer } from '../../clients/answer'
+import { errorResult } from '../../clients/requestResult'
 import type { CallOutcome } from '../types'
 import type { GatewayAddress, LoadContext } from './types'
 
@@ -54,6 +54,6 @@
 }
 
 function describeError (status: number, retryAfter: string | string[] | undefined, text: string): Pick<HttpCallResult, 'told' | 'code' | 'ran' | 'retryAfterMs' | 'detail'> {
-  const { outcome, code, ran, retryAfterMs, detail } = errorAnswer(status, retryAfter, text, 0)
+  const { outcome, code, ran, retryAfterMs, detail } = errorResult(status, retryAfter, text, 0)
   return { told: outcome === 'refused' ? 'refused' : 'failed', code, ran, retryAfterMs, detail }
 }
