--- a/deploy/days/outageDays.mjs
+++ b/deploy/days/outageDays.mjs
@@ -1,8 +1,8 @@
 // Writes days of 16 seconds on which the configuration changes around the end of an outage of the store:
 // `node deploy/days/outageDays.mjs --seed 1 --count 12 --out target/days`.
 //
-// Hosts count as in touch some seconds after an outage has ended. What was acknowledged before and just after its end has to be in force by
-// then, so that a day draws its changes against that end.
+// Hosts count as connected some seconds after the end of an outage. Changes that were acknowledged before or just after its end have to be
+// in force by then, so the times of the changes are random offsets from that end.
 import { mkdirSync, writeFileSync } from 'node:fs'
 import { join } from 'node:path'
 import { parseArgs } from 'node:util'
@@ -18,7 +18,7 @@
 const CHANGE_COUNT = 10
 const SKIPPED_DRAWS = 10
 
-/** Calls to the store that get no answer, of all hosts or of some. */
+/** Outages: calls to the store fail or are slow, for all hosts or for some. */
 const OUTAGES = [
   { kind: 'platform_down', how: 'silent', share: 0.0 },
   { kind: 'platform_down', how: 'silent', share: 0.0 },
@@ -37,10 +37,10 @@
   return entries.map(entry => `  { ${Object.entries(entry).map(([name, value]) => `${name} = ${JSON.stringify(value)}`).join(', ')} },\n`).join('')
 }
 
-/** @returns the outage of a day and the changes around its end */
+/** @returns the text of a day with one outage and the changes around its end */
 function dayOf (seed) {
   const random = createRandom(seed)
-  // The first numbers of neighbouring seeds lie close together.
+  // Skips the first numbers, as those of neighbouring seeds are similar.
   for (let skipped = 0; skipped < SKIPPED_DRAWS; skipped++) random.next()
   const at = FIRST_START_S + random.next() * START_SPREAD_S
   const lengthS = SHORTEST_S + random.next() * LENGTH_SPREAD_S
--- a/deploy/days/shortDays.mjs
+++ b/deploy/days/shortDays.mjs
@@ -1,9 +1,10 @@
 // Writes days of 14 seconds on which several disruptions overlap:
 // `node deploy/days/shortDays.mjs --seed 1 --count 24 --service NAME --out target/days`.
 //
-// Each day has disruptions that break answers off, others that make endpoints answer something else than what was asked for, and some of
-// the hosts, the store and the configuration. They start within four seconds and last for several, so that one request can meet two of them.
-// Those of endpoints hit the service that is named; without a name the day's seed picks one for each, and few requests meet two.
+// Each day has disruptions that abort responses, others that make endpoints send wrong responses, and some of hosts, the store and the
+// configuration. They start within four seconds and last for several, so that one request can be affected by two of them. Disruptions of
+// endpoints affect the service given by --service. Without it, the seed of the day picks a service for each, and few requests are
+// affected by two.
 import { mkdirSync, writeFileSync } from 'node:fs'
 import { join } from 'node:path'
 import { parseArgs } from 'node:util'
@@ -13,7 +14,7 @@
 const FIRST_START_S = 2
 const LAST_START_S = 6
 
-/** Break answers off, or let them wait for good. */
+/** Abort responses, or delay them forever. */
 const BREAKING = [
   { kind: 'garble', share: 0.9, x: 0.4 },
   { kind: 'garble', how: 'unframed', share: 0.9, x: 0.3 },
@@ -29,7 +30,7 @@
   { kind: 'reset_conns', share: 0.8, x: 0.6 }
 ]
 
-/** Let endpoints answer something else. */
+/** Make endpoints send wrong responses, slow them down or replace them. */
 const ANSWERING = [
   { kind: 'srv_grey', how: 'errors', share: 0.8, x: 0.6 },
   { kind: 'srv_grey', how: 'shed', share: 0.7, x: 0.5 },
@@ -44,7 +45,7 @@
   { kind: 'srv_slow', share: 0.6, x: 6 }
 ]
 
-/** Disturb everything else. */
+/** Affect hosts, the store, clients or the load. */
 const AROUND = [
   { kind: 'node_kill', share: 0.3 },
   { kind: 'herd_kill', share: 0.6 },
@@ -68,13 +69,13 @@
   { kind: 'roll_term', how: 'busy', share: 0.5, gap_s: 0.8 }
 ]
 
-/** @returns the entries, held to a service if one is given; connections are reset at hosts, whatever they lead to */
+/** @returns the entries, limited to a service if one is given; `reset_conns` applies to hosts, whatever their connections lead to */
 function atService (entries, service) {
   if (service === undefined) return entries
   return entries.map(entry => entry.kind === 'reset_conns' ? entry : { ...entry, service })
 }
 
-/** @returns a number of different entries of a table, each with its start and, where it has none, its length */
+/** @returns `count` different entries of a table, picked at random, each with a start and, unless it has one, a length */
 function draw (random, table, count) {
   const left = [...table]
   return Array.from({ length: count }, () => {
--- a/jest.config.js
+++ b/jest.config.js
@@ -1,5 +1,5 @@
-// Tests run on the sources, so that a stack trace points at the line that was written.
-// `ts-jest` would type-check again what `npm run build` has checked already.
+// Tests run on the sources, so that stack traces refer to source lines.
+// `@swc/jest` replaces `ts-jest`, which would repeat the type check of `npm run build`.
 module.exports = {
   testMatch: ['<rootDir>/packages/*/src/**/__tests__/**/*.test.ts', '<rootDir>/platform/src/**/__tests__/**/*.test.ts', '<rootDir>/jest/__tests__/*.test.ts'],
   reporters: ['default', '<rootDir>/jest/lateHandlesReporter.js'],
--- a/jest/__tests__/knownRed.test.ts
+++ b/jest/__tests__/knownRed.test.ts
@@ -13,18 +13,18 @@
 const LISTED = 'packages/b.test.ts > silence > resumes, over a new connection'
 
 describe('the list of known failures', () => {
-  it('names single tests, not files or soaks', () => {
+  it('contains only entries for single tests, not for files or soaks', () => {
     expect([...knownTests(LIST)]).toEqual([LISTED])
   })
 
-  it('excuses a listed test, with the same verdict whether it fails or passes', () => {
+  it('excuses a listed test, with the same result whether it fails or passes', () => {
     const failed = verdict(file('packages/b.test.ts', [test('resumes, over a new connection', 'failed'), test('other', 'passed')]))
     expect(failed).toEqual({ passed: 1, excused: [{ name: LISTED, status: 'failed' }], unknownFailures: [], isAccepted: true })
     const passed = verdict(file('packages/b.test.ts', [test('resumes, over a new connection', 'passed'), test('other', 'passed')]))
     expect(passed).toMatchObject({ isAccepted: true, excused: [{ status: 'passed' }] })
   })
 
-  it('excuses no other test of the same file, and none with the same title elsewhere', () => {
+  it('excuses no other test of the same file, and none with the same title in another file', () => {
     const other = verdict(file('packages/b.test.ts', [test('other', 'failed'), test('more', 'passed')]))
     expect(other).toMatchObject({ isAccepted: false, unknownFailures: ['packages/b.test.ts > silence > other'] })
     const elsewhere = verdict(file('packages/c.test.ts', [test('resumes, over a new connection', 'failed'), test('more', 'passed')]))
--- a/jest/__tests__/lateHandlesReporter.test.ts
+++ b/jest/__tests__/lateHandlesReporter.test.ts
@@ -1,7 +1,7 @@
 import { createServer } from 'node:net'
 import { keepingHandles } from '../lateHandlesReporter'
 
-it('names a server that was left open, by its address', async () => {
+it('reports the address of a server that was not closed', async () => {
   const server = createServer()
   await new Promise<void>(resolve => { server.listen(0, '127.0.0.1', resolve) })
   const { port } = server.address() as { port: number }
--- a/jest/checkResults.js
+++ b/jest/checkResults.js
@@ -1,4 +1,4 @@
-/** `node jest/checkResults.js RESULTS`: decides whether a run of the tests is accepted, and prints what is passed over. */
+/** `node jest/checkResults.js RESULTS`: decides whether a test run is accepted, and prints the known failures that it excuses. */
 const { readFileSync } = require('node:fs')
 const { join, resolve } = require('node:path')
 const { judge } = require('./knownRed')
@@ -12,6 +12,6 @@
 for (const name of unknownFailures) console.log(`failed: ${name}`)
 console.log(`${passed} passed, ${unknownFailures.length} failed`)
 if (!isAccepted) {
-  console.log('The run is not accepted: mend what failed. What can\'t be mended now is listed in KNOWN-RED.txt, see CONTRIBUTING.md.')
+  console.log('The run is not accepted: fix the failed tests. Failures that can\'t be fixed now are listed in KNOWN-RED.txt, see CONTRIBUTING.md.')
   process.exitCode = 1
 }
--- a/jest/knownRed.js
+++ b/jest/knownRed.js
@@ -1,8 +1,8 @@
 /**
- * Holds the failed tests of a run against the list of known failures.
+ * Compares the failed tests of a run with the list of known failures.
  *
- * An entry is a line of fields between ` | `; the first names a test as `path > describe > title`, exactly as the test runner has
- * it. An entry whose first field is not a test of the runner (a soak, a file that did not end) excuses no failure.
+ * An entry is a line of fields separated by ` | `. The first field is the name of a test, `path > describe > title`, exactly as
+ * the test runner reports it. An entry whose first field is not such a name (a soak, a file that did not end) excuses no failure.
  */
 
 /** Separates the path, the names of the blocks and the title of a test. */
@@ -19,8 +19,8 @@
 
 /**
  * @param {object} results - what the test runner writes with `--json`
- * @param {string} rootFolder - paths of tests are given below it
- * @returns {{ name: string, status: string }[]} each test; a file that could not be run counts as a failed test
+ * @param {string} rootFolder - folder to which the paths of tests are relative
+ * @returns {{ name: string, status: string }[]} all tests; a file that could not be run counts as a failed test
  */
 function testsOf (results, rootFolder) {
   return results.testResults.flatMap(file => {
@@ -33,9 +33,9 @@
 /**
  * @param {object} results - what the test runner writes with `--json`
  * @param {string} list - text of the list of known failures
- * @param {string} rootFolder - paths of tests are given below it
- * @returns {{ passed: number, excused: { name: string, status: string }[], unknownFailures: string[], isAccepted: boolean }} verdict; an
- * excused test is shown whether it failed in this run or not, so that the verdict does not hang on a test that fails at times
+ * @param {string} rootFolder - folder to which the paths of tests are relative
+ * @returns {{ passed: number, excused: { name: string, status: string }[], unknownFailures: string[], isAccepted: boolean }} the result;
+ * an excused test is listed whether it failed in this run or not, so that the result does not depend on a flaky test
  */
 function judge (results, list, rootFolder) {
   const known = knownTests(list)
--- a/packages/anvilarch/src/__fixtures__/fakeGateway.ts
+++ b/packages/anvilarch/src/__fixtures__/fakeGateway.ts
@@ -1,45 +1,46 @@
-/** A small gateway in memory: configuration with versions, files, jobs, and faults on request. */
+/** In-memory gateway for tests: versioned configuration, files, jobs, and injected faults. */
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { hashDocument, validateDocument } from 'anvilarch-configuration'
 import type { TimelineEvent } from 'anvilarch-protocol'
 import type { BatchAnswer, StatusAnswer } from '../gateway/types'
 
-/** What a test sets and reads. */
+/** A running fake gateway. */
 export interface FakeGateway {
   url: string
   state: FakeState
   close: () => Promise<void>
 }
 
+/** State that a test sets and reads. */
 export interface FakeState {
   version: number
   documentText: string
-  /** Versions that the second daemon reports, one for each question; the last one stays. */
+  /** Versions that the agents report, one for each status request; the last one is repeated. */
   agentVersions: number[]
   jobs: Map<string, BatchAnswer>
   jobByKey: Map<string, string>
   files: Map<string, string>
-  /** Effects that happen and whose reply is then cut off, by path. */
+  /** Number of requests, by path, that take effect and whose connection is then closed without a response. */
   repliesToLose: Record<string, number>
-  /** Error answers to give first, by path. */
+  /** Error responses to send first, by path. */
   refusals: Record<string, Array<{ status: number, body: object, retryAfter?: string }>>
   requests: Array<{ method: string, path: string, headers: IncomingMessage['headers'] }>
-  /** Whether each answer stops after its first byte. */
+  /** Whether each response is cut off after its first byte. */
   isCutShort: boolean
-  /** Whether connections are taken and nothing is answered. */
+  /** Whether connections are accepted but requests get no response. */
   isSilent: boolean
   timeline: TimelineEvent[]
-  /** More agents, by name and operations address. */
+  /** Further agents. */
   otherAgents: Array<{ name: string, operationsAddress: string }>
-  /** States that a job goes through, one for each question. */
+  /** Successive states of a job, one for each request. */
   jobStates: string[]
 }
 
 type Handler = (context: { state: FakeState, body: Buffer, request: IncomingMessage, path: string, address: string }) => { status?: number, body: unknown }
 
 const ITEM_LINES = 3
-/** A job in one of these gives way to a new one of the same content. */
+/** A job in one of these states is replaced when the same content is submitted again without a key. */
 const OVER_STATES = ['cancelled', 'expired']
 
 const HANDLERS: Array<[RegExp, Handler]> = [
@@ -117,7 +118,7 @@
   }
 }
 
-/** @returns the address of nothing: a port that was free a moment ago */
+/** @returns a URL on which nothing listens: its port was just released */
 export async function unusedUrl (): Promise<string> {
   const gateway = await startFakeGateway('')
   await gateway.close()
@@ -182,7 +183,7 @@
   return { status: 404, body: { error: { message: `There is no such ${what}.`, code: 'not_found', step: `${what}.find`, ran: 'not_run' } } }
 }
 
-/** @returns the file in an uploaded multipart form */
+/** @returns the content of the file in an uploaded multipart form */
 function fileContent (state: FakeState, fileId: string): string {
   const upload = state.files.get(fileId) ?? ''
   return upload.slice(upload.lastIndexOf('\r\n\r\n'), upload.lastIndexOf('\r\n--'))
--- a/packages/anvilarch/src/__fixtures__/runCommand.ts
+++ b/packages/anvilarch/src/__fixtures__/runCommand.ts
@@ -1,25 +1,25 @@
-/** Runs a command line in this process, with time that passes only in waits. */
+/** Runs a command line in this process, with a clock that advances only during waits. */
 import { Writable } from 'node:stream'
 import type { Clock } from 'anvilarch-utils'
 import type { CliEnvironment } from '../environment'
 import { runCli } from '../runCli'
 
-/** What a command line did. */
+/** Output and exit code of a command line. */
 export interface CommandOutcome {
   exitCode: number
   stdout: string
   stderr: string
-  /** Standard output as JSON. */
+  /** @returns standard output, parsed as JSON */
   json: () => any
-  /** All waits together. */
+  /** Total of all waits. */
   waitedMs: number
 }
 
 /**
- * @param words - the words of the command line
- * @param variables - variables of the environment
- * @param clock - a real one where the command talks to others
- * @returns what it printed, and its exit code
+ * @param words - arguments of the command line
+ * @param variables - environment variables
+ * @param clock - a real clock is needed if the command communicates with other processes
+ * @returns its output and exit code
  */
 export async function runCommand (words: string[], variables: Record<string, string> = {}, clock: Clock = createSkippingClock()): Promise<CommandOutcome> {
   const stdout = createSink()
@@ -29,12 +29,12 @@
   return { exitCode, stdout: stdout.text(), stderr: stderr.text(), json: () => JSON.parse(stdout.text()), waitedMs: clock.nowMs() }
 }
 
-/** @returns an environment that drops all output */
+/** @returns an environment that discards all output */
 export function createTestEnvironment (): CliEnvironment {
   return { variables: {}, stdout: createSink().stream, stderr: createSink().stream, isTerminal: false, clock: createSkippingClock(), userName: 'ana' }
 }
 
-/** Each wait is over at once, and moves the time by its length. */
+/** Creates a clock on which each wait ends immediately and advances the time by its length. */
 function createSkippingClock (): Clock {
   let currentMs = 0
   return {
--- a/packages/anvilarch/src/__tests__/accountCommands.test.ts
+++ b/packages/anvilarch/src/__tests__/accountCommands.test.ts
@@ -19,7 +19,7 @@
 afterAll(async () => { await deployment.close() })
 
 describe('anvilarch account', () => {
-  it('lists accounts with limits and waiting tokens, and shows no key', async () => {
+  it('lists accounts with limits and waiting tokens, but without keys', async () => {
     const { stdout } = await run(['account', 'list', '--address', deployment.store.address])
     expect(stdout).toMatch(/acme +2 +1 +5 +10 +1 +70/)
     expect(stdout).toMatch(/bolt +1 /)
@@ -29,14 +29,14 @@
     expect(json).not.toContain('key-1')
   })
 
-  it('shows one account with its jobs, and says which names there are when there is none', async () => {
+  it('shows one account with its jobs, and refers to the list of accounts for an unknown name', async () => {
     expect((await run(['account', 'show', 'acme', '--address', deployment.store.address])).stdout).toMatch(/acme~job1 +open +1/)
     const missing = await run(['account', 'show', 'nobody', '--address', deployment.store.address])
     expect(missing.exitCode).toBe(1)
     expect(missing.stderr).toContain('account list')
   })
 
-  it('names gateways whose use it could not read', async () => {
+  it('lists gateways whose usage could not be read', async () => {
     const { stdout } = await run(['account', 'usage', '--address', deployment.store.address])
     expect(stdout).toContain('Not counted, since they do not answer: gateway-0')
   })
--- a/packages/anvilarch/src/__tests__/configCommands.test.ts
+++ b/packages/anvilarch/src/__tests__/configCommands.test.ts
@@ -37,7 +37,7 @@
     expect(outcome.json()).toMatchObject({ valid: true, services: 2 })
   })
 
-  it('prints every error with its place and ends with 3', async () => {
+  it('prints every error with its position and exits with 3', async () => {
     const outcome = await runCommand(['config', 'validate', brokenFile])
     expect(outcome.exitCode).toBe(3)
     expect(outcome.stderr).toContain(`${brokenFile}:23:7: services.assistant.replica: found the unknown key "replica"`)
@@ -49,7 +49,7 @@
     expect(outcome.json().error).toMatchObject({ exitCode: 3, issues: expect.arrayContaining([expect.objectContaining({ didYouMean: ['replicas'] })]) })
   })
 
-  it('ends with 2 when there is no such file', async () => {
+  it('exits with 2 if the file does not exist', async () => {
     const outcome = await runCommand(['config', 'validate', join(folder, 'absent.jsonc')])
     expect(outcome.exitCode).toBe(2)
     expect(outcome.stderr).toContain('there is no such file')
@@ -57,44 +57,44 @@
 })
 
 describe('config apply', () => {
-  it('puts a document in force', async () => {
+  it('applies a document', async () => {
     const outcome = await run('config', 'apply', otherFile, '--json')
     expect(outcome.exitCode).toBe(0)
     expect(outcome.json()).toMatchObject({ version: 2, changed: true })
   })
 
-  it('says so when the document is in force already', async () => {
+  it('reports that the document is already in force', async () => {
     const outcome = await run('config', 'apply', DEMO)
     expect(outcome.stdout).toContain('nothing to change: version 1')
   })
 
-  it('sends nothing when the document is not valid', async () => {
+  it('sends nothing if the document is invalid', async () => {
     const outcome = await run('config', 'apply', brokenFile)
     expect(outcome.exitCode).toBe(3)
     expect(gateway.state.requests).toEqual([])
   })
 
-  it('ends with 4 and the version that won when another one is in force', async () => {
+  it('exits with 4 and prints the version in force if it is not the expected one', async () => {
     const outcome = await run('config', 'apply', otherFile, '--if-version', '7', '--json')
     expect(outcome.exitCode).toBe(4)
     expect(outcome.json().error).toMatchObject({ code: 'conflict', version: 1, ran: 'not_run' })
   })
 
-  it('waits until every live daemon holds the version', async () => {
+  it('waits until the version is in force in every live daemon', async () => {
     gateway.state.agentVersions = [1, 1, 2]
     const outcome = await run('config', 'apply', otherFile, '--wait', '--json')
     expect(outcome.exitCode).toBe(0)
     expect(outcome.json()).toMatchObject({ inForce: true, waitedMs: 1000 })
   })
 
-  it('ends with 6 and names the daemons behind when the wait is over', async () => {
+  it('exits with 6 and lists the daemons without the version when the time limit is reached', async () => {
     const outcome = await run('config', 'apply', otherFile, '--wait', '2')
     expect(outcome.exitCode).toBe(6)
     expect(outcome.stdout).toMatch(/not yet in force everywhere:\n.*\nagent-1 +agent +serving +1 +no/)
   })
 
-  // Guards against this: an apply is reported as failed although it is in force, and the operator sends it again over the change of a colleague.
-  it('learns the outcome from the version in force when the reply is lost', async () => {
+  // Guards against an apply that is reported as failed although it is in force: the operator would repeat it and undo a colleague's change.
+  it('determines the outcome from the version in force if the response is lost', async () => {
     gateway.state.repliesToLose['/admin/v1/configuration'] = 1
     const outcome = await run('config', 'apply', otherFile, '--json')
     expect(outcome.exitCode).toBe(0)
@@ -118,7 +118,7 @@
     expect(outcome.stdout).toContain('1 field would change\n~ services.assistant.replicas: 3 -> 4')
   })
 
-  it('finds no difference in the document in force', async () => {
+  it('finds no difference between the document in force and itself', async () => {
     const outcome = await run('config', 'diff', DEMO, '--json')
     expect(outcome.json()).toMatchObject({ differs: false, changes: [] })
   })
@@ -131,7 +131,7 @@
     expect(outcome.stdout).toContain('version 1 is in force in every live daemon')
   })
 
-  it('ends with 6 when the wait is over', async () => {
+  it('exits with 6 when the time limit is reached', async () => {
     gateway.state.agentVersions = [0]
     const outcome = await run('config', 'status', '--wait', '3')
     expect(outcome.exitCode).toBe(6)
@@ -139,18 +139,18 @@
 })
 
 describe('--gateway', () => {
-  it('tries the next gateway when one can not be reached', async () => {
+  it('tries the next gateway if one is unreachable', async () => {
     const outcome = await runCommand(['config', 'show', '--json'], { ANVILARCH_GATEWAY: `${await unusedUrl()},${gateway.url}` })
     expect(outcome.exitCode).toBe(0)
   })
 
-  it('ends with 5 when none can be reached', async () => {
+  it('exits with 5 if no gateway is reachable', async () => {
     const outcome = await runCommand(['status', '--gateway', await unusedUrl()])
     expect(outcome.exitCode).toBe(5)
     expect(outcome.stderr).toMatch(/error: No connection to gateway "http:\/\/127\.0\.0\.1:\d+".*\n {2}where: status\.show at .*\n {2}what to do: Check --gateway/)
   })
 
-  it('ends with 2 for something that is not a URL', async () => {
+  it('exits with 2 for a value that is not a URL', async () => {
     expect((await runCommand(['status', '--gateway', 'localhost:8080'])).exitCode).toBe(2)
   })
 
--- a/packages/anvilarch/src/__tests__/fleetCommands.test.ts
+++ b/packages/anvilarch/src/__tests__/fleetCommands.test.ts
@@ -36,7 +36,7 @@
     expect((await run('endpoint', 'drain', 'agent-1', '--json')).json()).toEqual({ agent: 'agent-1', running: 2 })
   })
 
-  it('ends with 1 for an unknown agent', async () => {
+  it('exits with 1 for an unknown agent', async () => {
     const outcome = await run('endpoint', 'drain', 'agent-9')
     expect(outcome.exitCode).toBe(1)
     expect(outcome.stderr).toContain('There is no such page.\n  where: page.find')
@@ -52,8 +52,8 @@
   })
 })
 
-describe('an address that is not the one for callers', () => {
-  it('is what the error tells to check', async () => {
+describe('a gateway address other than the one for callers', () => {
+  it('is mentioned in the hint of the error', async () => {
     gateway.state.refusals['/admin/v1/status'] = [{ status: 404, body: { error: 'No page "/admin/v1/status".' } }]
     expect((await run('status')).stderr).toMatch(/error: No page[^]*what to do: Check that --gateway names the callers' address/)
   })
@@ -76,47 +76,47 @@
     expect((await run('timeline', '--job', 'batch_1')).stdout).toMatch(/\+10 +agent-2 +attempts\.started +- +endpoint=engine-1\n/)
   })
 
-  it('counts one process as one process', async () => {
+  it('uses the singular for one process', async () => {
     agent.state.timeline = []
     expect((await run('timeline', '--request', 'req_1')).stdout).toContain('2 events of 1 process; 2 of 2 daemons answered')
   })
 
-  it('names the daemons that do not answer', async () => {
+  it('lists the daemons that do not respond', async () => {
     gateway.state.otherAgents.push({ name: 'agent-3', operationsAddress: addressOf(await unusedUrl()) })
     const outcome = await run('timeline', '--request', 'req_1')
     expect(outcome.exitCode).toBe(0)
     expect(outcome.stdout).toMatch(/2 of 3 daemons answered\n {2}missing: agent-3 at 127/)
   })
 
-  it('wants either a request or a job', async () => {
+  it('requires either a request or a job', async () => {
     expect((await run('timeline')).exitCode).toBe(2)
     expect((await run('timeline', '--job', 'a', '--request', 'b')).exitCode).toBe(2)
   })
 })
 
 describe('mergeEvents', () => {
-  it('orders by wall time, then process, then sequence, and keeps each event once', () => {
+  it('sorts by wall-clock time, then process, then sequence, and removes duplicates', () => {
     const lists = [[event('b', 2, 5), event('b', 1, 5)], [event('a', 9, 5), event('c', 1, 4)], [event('a', 9, 5)]]
     expect(mergeEvents(lists).map(({ process, sequence }) => `${process}${sequence}`)).toEqual(['c1', 'a9', 'b1', 'b2'])
   })
 })
 
 describe('mergeEvents of a process whose wall clock was set back', () => {
-  // Guards against this: an attempt ends before it starts.
-  it('keeps the order of its sequence', () => {
+  // Guards against an attempt that is shown to end before it starts.
+  it('keeps the order of the sequence', () => {
     const lists = [[event('a', 1, 100), event('a', 2, 60), event('a', 3, 140)], [event('b', 1, 120)]]
     expect(mergeEvents(lists).map(({ process, sequence }) => `${process}${sequence}`)).toEqual(['a1', 'a2', 'b1', 'a3'])
   })
 })
 
 describe('shownHealth', () => {
-  it('does not call an endpoint ready whose agent can not be reached', () => {
+  it('does not show an endpoint as ready if its agent is unreachable', () => {
     expect([shownHealth('ready', 'unreachable'), shownHealth('ready', 'serving'), shownHealth('crashed', 'draining')]).toEqual(['unknown', 'ready', 'crashed'])
   })
 })
 
 describe('command line', () => {
-  it('shows commands and exit codes in its help', async () => {
+  it('shows commands and exit codes in the help', async () => {
     const { stdout, exitCode } = await runCommand(['--help'])
     expect(exitCode).toBe(0)
     expect(stdout).toContain('timeline')
@@ -133,13 +133,13 @@
     expect(stdout).not.toContain('secret')
   })
 
-  it.each([[['config', 'aply']], [['job', 'show']], [['status', '--gatway', 'x']], [['config', 'status', '--wait=soon']]])('ends with 2 for %j', async words => {
+  it.each([[['config', 'aply']], [['job', 'show']], [['status', '--gatway', 'x']], [['config', 'status', '--wait=soon']]])('exits with 2 for %j', async words => {
     const outcome = await runCommand(words)
     expect(outcome.exitCode).toBe(2)
     expect(outcome.stderr).not.toBe('')
   })
 
-  it('prints a usage error as JSON too', async () => {
+  it('prints a usage error as JSON', async () => {
     const outcome = await runCommand(['--json', 'config', 'aply'])
     expect(outcome.exitCode).toBe(2)
     expect(outcome.json().error).toMatchObject({ code: 'bad_request', exitCode: 2 })
--- a/packages/anvilarch/src/__tests__/httpClient.test.ts
+++ b/packages/anvilarch/src/__tests__/httpClient.test.ts
@@ -22,8 +22,8 @@
 const createClient = () => createHttpClient({ gatewayUrls: [silent.url, healthy.url], connectTimeoutMs: 1000, answerTimeoutMs: 50 })
 
 describe('createHttpClient', () => {
-  // Guards against this: every command takes a minute.
-  it('asks the next gateway when one takes the connection and never answers', async () => {
+  // Guards against commands that each wait out the timeout of a gateway that accepts connections but never responds, up to a minute.
+  it('tries the next gateway if one accepts the connection and never responds, and starts with it from then on', async () => {
     const client = createClient()
     await expect(client.json(READ)).resolves.toMatchObject({ services: [{ name: 'lookup' }] })
     await expect(client.json(READ)).resolves.toBeDefined()
@@ -31,7 +31,7 @@
     expect(silent.state.requests).toHaveLength(1)
   })
 
-  it('does not send a call again that may have had an effect', async () => {
+  it('does not repeat a call that may have taken effect', async () => {
     const client = createClient()
     await expect(client.json(WRITE)).rejects.toMatchObject({ ran: 'unknown', code: 'outcome_unknown', peer: silent.url })
     await client.close()
@@ -43,7 +43,7 @@
   let server: Server
   afterEach(() => { server.close() })
 
-  /** Reads a file from a gateway that answers so and then ends the connection. */
+  /** Reads a file from a gateway that sends the given bytes and then closes the connection. */
   const readFrom = async (bytes: string): Promise<string> => {
     server = createServer(socket => { socket.once('data', () => { socket.end(bytes) }) })
     await new Promise<void>(resolve => { server.listen(0, '127.0.0.1', resolve) })
@@ -56,21 +56,21 @@
     }
   }
 
-  // Guards against this: a results file with fewer results than the job has gets its final name.
-  it('is not whole when it ends with its connection', async () => {
+  // Guards against an incomplete results file under its final name.
+  it('is rejected as incomplete if it ends only with its connection', async () => {
     await expect(readFrom('HTTP/1.1 200 OK\r\n\r\n{"line":1}\n')).rejects.toMatchObject({ code: 'unavailable', exit: 'unreachable', step: 'jobs.results' })
   })
 
-  // Guards against this: a login page or a part gets the name of a results file.
+  // Guards against a login page or a partial response that is saved as a results file.
   it.each([
     ['302 Found', 'location: /\r\ncontent-length: 5\r\n\r\nlogin'],
     ['206 Partial Content', 'content-length: 4\r\n\r\npart'],
     ['204 No Content', '\r\n']
-  ])('is not what comes with status %s', async (status, rest) => {
+  ])('is not accepted with status %s', async (status, rest) => {
     await expect(readFrom(`HTTP/1.1 ${status}\r\n${rest}`)).rejects.toMatchObject({ code: 'internal', exit: 'failed', step: 'jobs.results' })
   })
 
-  it('is taken with a length and in chunks', async () => {
+  it('is accepted with a content length and with chunked encoding', async () => {
     expect(await readFrom('HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nfull')).toBe('full')
     server.close()
     expect(await readFrom('HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nfull\r\n0\r\n\r\n')).toBe('full')
--- a/packages/anvilarch/src/__tests__/jobCommands.test.ts
+++ b/packages/anvilarch/src/__tests__/jobCommands.test.ts
@@ -29,7 +29,7 @@
 const keysSent = (): unknown[] => gateway.state.requests.filter(({ path }) => path === '/v1/batches').map(({ headers }) => headers['idempotency-key'])
 
 describe('job submit', () => {
-  it('uploads the file as multipart with its purpose and makes a job without a key of its own', async () => {
+  it('uploads the file as multipart with its purpose and creates a job without a generated key', async () => {
     const outcome = await run('job', 'submit', itemsFile, '--json')
     expect(outcome.exitCode).toBe(0)
     expect(outcome.json()).toMatchObject({ job: { id: 'batch_0', endpoint: '/v1/chat/completions' }, tries: 1 })
@@ -40,14 +40,14 @@
     expect(upload).toContain(`filename="items.jsonl"\r\nContent-Type: application/jsonl\r\n\r\n${ITEMS}\r\n--`)
   })
 
-  it('takes a key and an endpoint', async () => {
+  it('accepts a key and an endpoint', async () => {
     const outcome = await run('job', 'submit', itemsFile, '--key', 'night-1', '--endpoint', '/v1/completions', '--json')
     expect(outcome.json()).toMatchObject({ key: 'night-1', job: { endpoint: '/v1/completions' } })
     expect(keysSent()).toEqual(['night-1'])
   })
 
-  // Guards against this: each item of a job runs twice.
-  it.each([[undefined, []], ['night-1', ['--key', 'night-1']]])('sends again when the reply is lost, and gets the same job (key %s)', async (key, words) => {
+  // Guards against a second job for the same file, which would run each item twice.
+  it.each([[undefined, []], ['night-1', ['--key', 'night-1']]])('retries if the response is lost, and gets the same job (key %s)', async (key, words) => {
     gateway.state.repliesToLose['/v1/batches'] = 2
     const outcome = await run('job', 'submit', itemsFile, '--json', ...words)
     expect(outcome.json()).toMatchObject({ job: { id: 'batch_0' }, tries: 3 })
@@ -55,18 +55,18 @@
     expect(gateway.state.jobs.size).toBe(1)
   })
 
-  // Guards against this: a file whose job was cancelled by mistake can't be run again.
+  // Guards against a file that can't be run again after its job was cancelled by mistake.
   it.each([
     ['in_progress', 'batch_0'], ['completed', 'batch_0'], ['cancelled', 'batch_1'], ['expired', 'batch_1']
-  ])('gets job %s -> %s when the same file is submitted again', async (state, expected) => {
+  ])('for a file whose job is %s, returns %s when it is submitted again', async (state, expected) => {
     await run('job', 'submit', itemsFile)
     gateway.state.jobStates = [state]
     await run('job', 'show', 'batch_0')
     expect((await run('job', 'submit', itemsFile, '--json')).json().job.id).toBe(expected)
   })
 
-  // Guards against this: as above, with an answer.
-  it('sends again after an unknown outcome, and no sooner than it is told', async () => {
+  // Guards against a second job after an error response with an unknown outcome.
+  it('retries after an unknown outcome, and not before the time in Retry-After', async () => {
     const error = { message: 'The table did not answer.', code: 'outcome_unknown', step: 'jobs.create', ran: 'unknown' }
     gateway.state.refusals['/v1/batches'] = [{ status: 504, body: { error }, retryAfter: '4' }]
     const outcome = await run('job', 'submit', itemsFile)
@@ -77,8 +77,8 @@
     expect(gateway.state.jobs.size).toBe(1)
   })
 
-  // Guards against this: a caller at its limit is refused again and again.
-  it('keeps to a stated time above its own longest wait, and gives up on one that is too long', async () => {
+  // Guards against retries that come too early for a caller at its limit and are all refused.
+  it('waits for a Retry-After above its own longest backoff, and stops retrying if it is too long', async () => {
     const error = { message: 'You have 20 active jobs.', code: 'rate_limited', step: 'jobs.accept', ran: 'not_run' }
     gateway.state.refusals['/v1/batches'] = [{ status: 429, body: { error }, retryAfter: '30' }, { status: 429, body: { error }, retryAfter: '61' }]
     const outcome = await run('job', 'submit', itemsFile)
@@ -87,7 +87,7 @@
     expect(outcome.stderr).toMatch(/Given up after 2 tries\.[^]*come back: in 61.0 s\n {2}what to do: Wait as long as stated/)
   })
 
-  it('does not send again what was refused for good', async () => {
+  it('does not retry after a permanent error', async () => {
     const error = { message: 'Line 2 is not JSON.', code: 'bad_request', step: 'jobs.upload', ran: 'not_run' }
     gateway.state.refusals['/v1/files'] = [{ status: 400, body: { error } }]
     const outcome = await run('job', 'submit', itemsFile)
@@ -96,7 +96,7 @@
     expect(gateway.state.requests).toHaveLength(1)
   })
 
-  it('gives up after some tries and says that the same command may be run again', async () => {
+  it('stops after the maximum number of attempts and tells that the same command may be run again', async () => {
     gateway.state.repliesToLose['/v1/batches'] = 100
     const outcome = await run('job', 'submit', itemsFile)
     expect(outcome.exitCode).toBe(5)
@@ -110,11 +110,11 @@
     expect(outcome.stdout).toContain('anvilarch job results batch_0 --output output.jsonl --errors errors.jsonl')
   })
 
-  it('ends with 6 when the wait is over', async () => {
+  it('exits with 6 when the time limit is reached', async () => {
     expect((await run('job', 'submit', itemsFile, '--wait', '2')).exitCode).toBe(6)
   })
 
-  it.each(['failed', 'expired', 'cancelled'])('ends with 1 when the job is %s', async state => {
+  it.each(['failed', 'expired', 'cancelled'])('exits with 1 if the job is %s', async state => {
     gateway.state.jobStates = [state]
     expect((await run('job', 'submit', itemsFile, '--wait')).exitCode).toBe(1)
   })
@@ -122,7 +122,7 @@
   it.each([
     ['cancelled', ['--key', 'night-1'], 'Key "night-1" belongs to job batch_0, which is cancelled. Give another --key'],
     ['completed', [], 'This file was submitted before as job batch_0, which is completed. Give a --key']
-  ])('says so when it found a job that is %s', async (state, words, expected) => {
+  ])('reports that an existing job is %s', async (state, words, expected) => {
     await run('job', 'submit', itemsFile, ...words)
     gateway.state.jobStates = [state]
     await run('job', 'show', 'batch_0')
@@ -142,7 +142,7 @@
     expect((await run('job', 'list')).stdout).toMatch(/batch_0 +in_progress +3\/3 +1/)
   })
 
-  it.each(['0', '-3', '1.5'])('ends with 2 for a limit of %s', async limit => {
+  it.each(['0', '-3', '1.5'])('exits with 2 for a limit of %s', async limit => {
     expect((await run('job', 'list', `--limit=${limit}`)).exitCode).toBe(2)
   })
 
@@ -150,7 +150,7 @@
     expect((await run('job', 'cancel', 'batch_0', '--json')).json()).toMatchObject({ job: { status: 'cancelling' } })
   })
 
-  it('ends with 1 for an unknown job', async () => {
+  it('exits with 1 for an unknown job', async () => {
     const outcome = await run('job', 'show', 'batch_9')
     expect(outcome.exitCode).toBe(1)
     expect(outcome.stderr).toContain('There is no such job.')
@@ -160,7 +160,7 @@
 describe('job results', () => {
   beforeEach(async () => { await run('job', 'submit', itemsFile) })
 
-  it('refuses while the job runs', async () => {
+  it('fails while the job is in progress', async () => {
     const outcome = await run('job', 'results', 'batch_0')
     expect(outcome.exitCode).toBe(1)
     expect(outcome.stderr).toContain('anvilarch job show batch_0 --wait')
@@ -183,8 +183,8 @@
     expect(existsSync(`${output}.part`)).toBe(false)
   })
 
-  // Guards against this: a results file with fewer results than the job has.
-  it('leaves no file when the connection breaks', async () => {
+  // Guards against a results file with fewer results than the job has.
+  it('leaves no file behind if the connection is lost', async () => {
     gateway.state.jobStates = ['completed']
     const output = join(folder, 'output.jsonl')
     const session = createSession(createTestEnvironment(), { gateway: gateway.url, apiKey: undefined, json: false })
@@ -196,8 +196,8 @@
 })
 
 describe('createMultipartBody', () => {
-  // Guards against this: the last item of a job is half a line.
-  it('fails when the file has changed since its size was read', async () => {
+  // Guards against a job whose last item is half a line.
+  it('fails if the file has changed since its size was read', async () => {
     const body = createMultipartBody(itemsFile, ITEMS.length - 1, {})
     await expect(body.open().resume().toArray()).rejects.toMatchObject({ code: 'incomplete', ran: 'not_run' })
   })
--- a/packages/anvilarch/src/accounts.ts
+++ b/packages/anvilarch/src/accounts.ts
@@ -1,18 +1,18 @@
-/** Client accounts as an operator sees them. */
+/** Reads client accounts, their pending work and the metrics of daemons for the `account` commands. */
 import { type AccountSummary, isClosed, type StoreSnapshot, waitingTokens } from 'anvilarch-serving'
 import { request } from 'undici'
 import type { Cell } from './output/table'
 
-/** An account and the work of it that waits. */
+/** An account with its open jobs and their waiting tokens. */
 export interface AccountState extends AccountSummary {
   openJobs: number
   waitingTokens: number
 }
 
-/** Heads of the table of accounts. */
+/** Column headings of the table of accounts. */
 export const ACCOUNT_COLUMNS = ['account', 'keys', 'priority', 'ratePerSecond', 'burst', 'openJobs', 'waitingTokens']
 
-/** A gateway that does not answer by then is named as silent. */
+/** A gateway that does not respond within this time is listed in `silentGateways`. */
 const METRICS_TIMEOUT_MS = 2000
 
 /**
@@ -26,21 +26,23 @@
   })
 }
 
-/** @returns the cells of an account's row */
+/** @returns the cells of one account, in the order of `ACCOUNT_COLUMNS` */
 export function accountRow (account: AccountState): Cell[] {
   return [account.name, account.keyCount, account.priority, account.requestsPerSecond, account.burstRequests, account.openJobs, account.waitingTokens]
 }
 
 /**
- * @param url - where a daemon serves its metrics
- * @returns their text; undefined when it does not answer
+ * Fetches the metrics of a daemon.
+ *
+ * @param url - of the metrics endpoint
+ * @returns the metrics as text; undefined if the daemon does not respond
  */
 export async function fetchMetrics (url: string): Promise<string | undefined> {
   try {
     const answer = await request(url, { headersTimeout: METRICS_TIMEOUT_MS, bodyTimeout: METRICS_TIMEOUT_MS })
     return await answer.body.text()
   } catch {
-    // The command names the daemons that were not heard.
+    // The command lists the daemons that did not respond.
     return undefined
   }
 }
--- a/packages/anvilarch/src/cliError.ts
+++ b/packages/anvilarch/src/cliError.ts
@@ -1,19 +1,19 @@
-/** The error that a command ends with: what was found, where, what to do, and the exit code. */
+/** The error with which a command fails: message, step, hint for the operator and exit code. */
 import { AnvilarchError, type ErrorDetails } from 'anvilarch-utils'
 import type { ExitReason } from './exitCodes'
 
 /** What a `CliError` carries besides the message. */
 export interface CliErrorDetails extends ErrorDetails {
   exit: ExitReason
-  /** What the operator can do about it. */
+  /** How the operator can resolve it. */
   hint?: string
-  /** More of it for `--json`, for example the issues of a document. */
+  /** Further fields of the `--json` output, for example the issues of a document. */
   data?: Record<string, unknown>
-  /** More of it for people, printed under the message. */
+  /** Further text, printed below the message without `--json`. */
   text?: string
 }
 
-/** An error for the operator. */
+/** An error that is reported to the operator. */
 export class CliError extends AnvilarchError {
   readonly exit: ExitReason
   readonly hint: string | undefined
@@ -31,8 +31,10 @@
 }
 
 /**
- * @param error - anything thrown
- * @returns the same error, or one that says that the fault is in this program
+ * Converts any thrown value to a `CliError`.
+ *
+ * @param error - the thrown value
+ * @returns the same error if it is a `CliError`, else one that reports a bug in this program
  */
 export function toCliError (error: unknown): CliError {
   if (error instanceof CliError) return error
@@ -40,10 +42,7 @@
   return new CliError(message, { code: 'internal', step: 'cli.run', exit: 'failed', ran: 'unknown', cause: error, hint: 'This is a fault of the program. Report it with the command line that you used.' })
 }
 
-/**
- * @param error - the error
- * @returns lines for people
- */
+/** @returns the error as lines of text for standard error */
 export function formatCliError (error: CliError): string {
   const place = error.peer === undefined ? error.step : `${error.step} at ${error.peer}`
   const lines = [`error: ${error.message}`]
@@ -57,7 +56,7 @@
 
 /**
  * @param error - the error
- * @param exitCode - the code that the program ends with
+ * @param exitCode - exit code of the program
  * @returns the value that `--json` prints
  */
 export function cliErrorJson (error: CliError, exitCode: number): Record<string, unknown> {
--- a/packages/anvilarch/src/commands/accountList.ts
+++ b/packages/anvilarch/src/commands/accountList.ts
@@ -4,7 +4,7 @@
 import { readSnapshot, STORE_ADDRESS } from '../storeSnapshot'
 import { accountRow, accountStates, ACCOUNT_COLUMNS } from '../accounts'
 
-/** Shows the client accounts of the configuration in force, without their keys. */
+/** Lists the client accounts of the configuration in force, without their keys. */
 export const accountList = defineCommand({
   name: 'list',
   description: 'List client accounts with their limits and the tokens of their jobs that wait',
--- a/packages/anvilarch/src/commands/accountUsage.ts
+++ b/packages/anvilarch/src/commands/accountUsage.ts
@@ -6,7 +6,7 @@
 import { formatTable } from '../output/table'
 import { readSnapshot, STORE_ADDRESS } from '../storeSnapshot'
 
-/** Shows what the busiest client accounts have used of their limits lately, over all gateways. */
+/** Shows the usage of the busiest client accounts in the last window against their limits, summed over all gateways. */
 export const accountUsage = defineCommand({
   name: 'usage',
   description: 'Show what the busiest client accounts were granted and refused in the last window, over all gateways',
--- a/packages/anvilarch/src/commands/configApply.ts
+++ b/packages/anvilarch/src/commands/configApply.ts
@@ -10,10 +10,10 @@
 import type { CliSession } from '../session'
 import { type Wait, waitArgument } from '../waitArgument'
 
-/** Every daemon holds a new version within 13 s when all is well. */
+/** Without failures, a new version is in force in every daemon within 13 s. */
 const DEFAULT_WAIT_SECONDS = 60
 
-/** Puts a document in force. */
+/** Applies a configuration document and optionally waits until it is in force in every live daemon. */
 export const configApply = defineCommand({
   name: 'apply',
   description: 'Put a configuration document in force',
--- a/packages/anvilarch/src/commands/configDiff.ts
+++ b/packages/anvilarch/src/commands/configDiff.ts
@@ -5,7 +5,7 @@
 import { defineCommand } from '../defineCommand'
 import { formatCount } from '../output/table'
 
-/** Compares a document with the one in force. */
+/** Compares a document with the configuration in force. */
 export const configDiff = defineCommand({
   name: 'diff',
   description: 'Show what applying a document would change; defaults are compared as if written out',
--- a/packages/anvilarch/src/commands/configShow.ts
+++ b/packages/anvilarch/src/commands/configShow.ts
@@ -4,7 +4,7 @@
 
 const INDENT = 2
 
-/** Prints the document in force. */
+/** Prints the configuration document in force. */
 export const configShow = defineCommand({
   name: 'show',
   description: 'Print the configuration document in force, as a file that can be applied again',
--- a/packages/anvilarch/src/commands/configStatus.ts
+++ b/packages/anvilarch/src/commands/configStatus.ts
@@ -6,7 +6,7 @@
 
 const DEFAULT_WAIT_SECONDS = 60
 
-/** Shows which daemons hold the version in force. */
+/** Shows the configuration version of each daemon. */
 export const configStatus = defineCommand({
   name: 'status',
   description: 'Show which version each daemon holds',
--- a/packages/anvilarch/src/commands/configValidate.ts
+++ b/packages/anvilarch/src/commands/configValidate.ts
@@ -5,7 +5,7 @@
 import { defineCommand } from '../defineCommand'
 import { formatCount } from '../output/table'
 
-/** Checks a document without a gateway. */
+/** Validates a document locally, without a gateway. */
 export const configValidate = defineCommand({
   name: 'validate',
   description: 'Check a configuration document; no gateway is asked',
--- a/packages/anvilarch/src/commands/endpointDrain.ts
+++ b/packages/anvilarch/src/commands/endpointDrain.ts
@@ -3,7 +3,7 @@
 import { defineCommand } from '../defineCommand'
 import { formatCount } from '../output/table'
 
-/** Takes the endpoints of one agent out of service. */
+/** Drains the endpoints of one agent. */
 export const endpointDrain = defineCommand({
   name: 'drain',
   description: 'Take the endpoints of an agent out of service; what runs there is finished first',
--- a/packages/anvilarch/src/commands/explain.ts
+++ b/packages/anvilarch/src/commands/explain.ts
@@ -6,7 +6,7 @@
 import { failedTogether, linesAround, type AbruptEnd, findAbruptEnds } from '../explain/surroundings'
 import { formatCount, formatTable } from '../output/table'
 
-/** Tells the story of one request, item, job or endpoint from the logs of all processes. */
+/** Shows the log lines of all processes about one request, item, job or endpoint, with related events. */
 export const explain = defineCommand({
   name: 'explain',
   description: 'Tell what happened to a request, item, job or endpoint, from the logs of all processes',
@@ -28,7 +28,7 @@
   }
 })
 
-/** Abrupt ends of the story's processes while it went on, or after it. */
+/** Abrupt ends of processes that occur in `story`, if they restarted at or after its first line. */
 function abruptEndsOf (all: readonly LogLine[], story: readonly LogLine[]): AbruptEnd[] {
   const processes = new Set(story.map(line => line.process))
   return findAbruptEnds(all).filter(end => processes.has(end.process) && Date.parse(end.startedAgainAt) >= Date.parse(story[0].at))
--- a/packages/anvilarch/src/commands/jobCancel.ts
+++ b/packages/anvilarch/src/commands/jobCancel.ts
@@ -3,7 +3,7 @@
 import { defineCommand } from '../defineCommand'
 import { formatJob } from '../jobs/jobState'
 
-/** Stops one job. */
+/** Cancels one job. */
 export const jobCancel = defineCommand({
   name: 'cancel',
   description: 'Stop a job; results that it has so far stay readable',
--- a/packages/anvilarch/src/commands/jobList.ts
+++ b/packages/anvilarch/src/commands/jobList.ts
@@ -17,7 +17,7 @@
   }
 })
 
-/** Lists jobs of the caller account. */
+/** Lists the jobs of the caller account, newest first. */
 export const jobList = defineCommand({
   name: 'list',
   description: 'List the jobs of this caller account, the newest first',
--- a/packages/anvilarch/src/commands/jobResults.ts
+++ b/packages/anvilarch/src/commands/jobResults.ts
@@ -8,7 +8,7 @@
 import { formatCount } from '../output/table'
 import type { CliSession } from '../session'
 
-/** Reads the results of a job. */
+/** Downloads the results of a job that has ended. */
 export const jobResults = defineCommand({
   name: 'results',
   description: 'Read the results of a job that has ended: JSON Lines, one for each item',
@@ -49,7 +49,7 @@
   return await downloadToOutput(session, fileId)
 }
 
-/** A job without results of a kind names no file; the operator gets an empty one all the same. */
+/** A job without results or without errors has no file id for them; an empty file is written in that case. */
 async function readInto (session: CliSession, fileId: string | null | undefined, path: string): Promise<DownloadedFile> {
   return typeof fileId === 'string' ? await downloadToFile(session, fileId, path) : await writeEmptyFile(path)
 }
--- a/packages/anvilarch/src/commands/jobShow.ts
+++ b/packages/anvilarch/src/commands/jobShow.ts
@@ -5,7 +5,7 @@
 import { waitForJob } from '../jobs/waitForJob'
 import { waitArgument } from '../waitArgument'
 
-/** Shows one job. */
+/** Shows one job and optionally waits for its end. */
 export const jobShow = defineCommand({
   name: 'show',
   description: 'Show a job and how far it has come',
--- a/packages/anvilarch/src/commands/jobSubmit.ts
+++ b/packages/anvilarch/src/commands/jobSubmit.ts
@@ -11,7 +11,7 @@
 
 const DEFAULT_ENDPOINT = '/v1/chat/completions'
 
-/** Makes a job of a file. */
+/** Uploads a file and creates a job from it. */
 export const jobSubmit = defineCommand({
   name: 'submit',
   description: 'Upload a file of JSON Lines and make a job of it; the same file again gives the same job, unless that was cancelled or has expired',
@@ -42,7 +42,7 @@
   return { json: { job: batch, key, tries }, text: formatJob(batch) + keyLine }
 }
 
-/** A job that was found and has ended runs nothing, so that "submitted" alone would be misleading. */
+/** Tells the operator that an existing job was found that has already ended: nothing runs, although the command succeeds. */
 function noteEndedJob (session: CliSession, batch: BatchAnswer, key: string | undefined): void {
   if (!hasEnded(batch)) return
   const found = key === undefined ? 'This file was submitted before as' : `Key "${key}" belongs to`
--- a/packages/anvilarch/src/commands/logsFailures.ts
+++ b/packages/anvilarch/src/commands/logsFailures.ts
@@ -6,7 +6,7 @@
 import { findAbruptEnds } from '../explain/surroundings'
 import { formatCount, formatTable } from '../output/table'
 
-/** Lists what went wrong, with the ids that `explain` takes. */
+/** Lists failures with the ids that `anvilarch explain` accepts. */
 export const logsFailures = defineCommand({
   name: 'failures',
   description: 'List requests, jobs and items that went wrong, and processes that ended without logging a stop',
--- a/packages/anvilarch/src/commands/logsReport.ts
+++ b/packages/anvilarch/src/commands/logsReport.ts
@@ -7,7 +7,7 @@
 import { buildReport } from '../report/buildReport'
 import { renderReport } from '../report/renderReport'
 
-/** Shows by second what a deployment did, and what was lost and why. */
+/** Reports load, slots, losses and events of a deployment per second. */
 export const logsReport = defineCommand({
   name: 'report',
   description: 'Write a page with load, slots, losses and events by second; with --json also as data',
--- a/packages/anvilarch/src/commands/logsVolume.ts
+++ b/packages/anvilarch/src/commands/logsVolume.ts
@@ -5,7 +5,7 @@
 import { type LogVolume, logVolume } from '../explain/logVolume'
 import { formatTable } from '../output/table'
 
-/** Tells how much is logged. */
+/** Counts the lines and bytes of logs. */
 export const logsVolume = defineCommand({
   name: 'volume',
   description: 'Count lines and bytes of logs, by message and by request',
--- a/packages/anvilarch/src/commands/status.ts
+++ b/packages/anvilarch/src/commands/status.ts
@@ -5,7 +5,7 @@
 import { shownHealth } from '../output/endpoints'
 import { type Cell, formatTable } from '../output/table'
 
-/** Shows the whole system as one gateway sees it. */
+/** Shows the state of the whole system as one gateway reports it. */
 export const status = defineCommand({
   name: 'status',
   description: 'Show gateways, agents, endpoints, the configuration version and active jobs',
--- a/packages/anvilarch/src/commands/storeShow.ts
+++ b/packages/anvilarch/src/commands/storeShow.ts
@@ -4,7 +4,7 @@
 import { formatTable } from '../output/table'
 import { readSnapshot, STORE_ADDRESS } from '../storeSnapshot'
 
-/** Shows what the platform's store knows: configuration in force, endpoints, daemons and jobs. */
+/** Shows the contents of the platform's store: configuration in force, endpoints, daemons and jobs. */
 export const storeShow = defineCommand({
   name: 'show',
   description: 'Show configuration, endpoints, daemons and jobs as the platform\'s store has them',
--- a/packages/anvilarch/src/commands/timeline.ts
+++ b/packages/anvilarch/src/commands/timeline.ts
@@ -6,7 +6,7 @@
 import { collectEvents, type CollectedEvents, timelineSources } from '../timeline/collectEvents'
 import { formatEvents } from '../timeline/mergeEvents'
 
-/** Shows what happened to a request or a job, over all processes. */
+/** Shows the events of one request or job, merged over all processes. */
 export const timeline = defineCommand({
   name: 'timeline',
   description: 'Show the events of one request or job over all processes, in order',
--- a/packages/anvilarch/src/configuration/applyOnce.ts
+++ b/packages/anvilarch/src/configuration/applyOnce.ts
@@ -1,17 +1,17 @@
-/** Sends a document and learns what became of it, also when the answer is lost. */
+/** Sends a configuration document once and determines its outcome, also when the response is lost. */
 import { toCliError } from '../cliError'
 import type { ApplyRequest, GatewayClient } from '../gateway/gatewayClient'
 import type { ApplyAnswer } from '../gateway/types'
 
 /**
- * When the connection is lost after the document was sent, it may be in force or not. Sending it again could undo what
- * another operator applied in between, so the version in force is read instead.
+ * Applies a document. If the connection is lost after the document was sent, the outcome is unknown. Sending it again could
+ * undo a change that another operator has applied in between, so the version in force is read instead.
  *
- * @param gateway - where to send
+ * @param gateway - client of the gateways
  * @param request - the document
- * @param hash - hash of the document, to know it again
+ * @param hash - hash of the document, compared with the hash in force when the response is lost
  * @returns the version under which the document is in force
- * @throws CliError when it was refused, or when its outcome can't be learned
+ * @throws CliError when the document was rejected, or when the outcome can't be determined
  */
 export async function applyOnce (gateway: GatewayClient, request: ApplyRequest, hash: string): Promise<ApplyAnswer> {
   try {
--- a/packages/anvilarch/src/configuration/diffDocuments.ts
+++ b/packages/anvilarch/src/configuration/diffDocuments.ts
@@ -1,4 +1,4 @@
-/** What differs between two configuration documents, field by field. */
+/** Compares two configuration documents field by field. */
 import type { ConfigurationDocument } from 'anvilarch-configuration'
 
 /** One field that differs. */
@@ -9,7 +9,7 @@
   after?: unknown
 }
 
-/** How a change is written. */
+/** Formats of the changes for the terminal. */
 const FORMATS: Record<FieldChange['change'], (change: FieldChange) => string> = {
   added: ({ field, after }) => `+ ${field}: ${JSON.stringify(after)}`,
   removed: ({ field, before }) => `- ${field}: ${JSON.stringify(before)}`,
@@ -17,18 +17,15 @@
 }
 
 /**
- * @param before - one document
- * @param after - another one
- * @returns the fields that differ, in the order of their names
+ * @param before - the current document
+ * @param after - the new document
+ * @returns the fields that differ, sorted by name
  */
 export function diffDocuments (before: ConfigurationDocument, after: ConfigurationDocument): FieldChange[] {
   return diffValues('', before, after).sort((left, right) => left.field < right.field ? -1 : 1)
 }
 
-/**
- * @param change - a field that differs
- * @returns a line for people
- */
+/** @returns a change as one line of text */
 export function formatChange (change: FieldChange): string {
   return FORMATS[change.change](change)
 }
--- a/packages/anvilarch/src/configuration/inForce.ts
+++ b/packages/anvilarch/src/configuration/inForce.ts
@@ -1,25 +1,25 @@
-/** Which daemons hold a configuration version. */
+/** Determines in which daemons a configuration version is in force. */
 import type { StatusAnswer } from '../gateway/types'
 import { type Cell, formatTable } from '../output/table'
 
-/** One daemon and the version that it holds. */
+/** One daemon and its configuration version. */
 export interface DaemonVersion {
   name: string
   role: 'gateway' | 'agent'
   state: string
   configurationVersion: number
-  /** Whether it counts: an unreachable daemon may be gone for good, and gets the version before it takes work again. */
+  /** False for an unreachable daemon, which isn't waited for: it may never return, and gets the version before it accepts work again. */
   isLive: boolean
   isInForce: boolean
 }
 
-/** State of an agent that doesn't answer. */
+/** State of an agent that doesn't respond. */
 export const UNREACHABLE = 'unreachable'
 
 /**
- * @param status - the daemons, as a gateway sees them
- * @param version - the version asked for; the one of the gateway by default
- * @returns each daemon with what it holds
+ * @param status - the daemons, as reported by a gateway
+ * @param version - the version to check; by default the one of that gateway
+ * @returns each daemon with its version
  */
 export function daemonVersions (status: StatusAnswer, version = status.configurationVersion): DaemonVersion[] {
   const describe = (name: string, role: DaemonVersion['role'], state: string, configurationVersion: number): DaemonVersion => ({
@@ -31,18 +31,12 @@
   ]
 }
 
-/**
- * @param daemons - the daemons
- * @returns whether every live one holds the version
- */
+/** @returns whether the version is in force in every live daemon */
 export function isInForceEverywhere (daemons: DaemonVersion[]): boolean {
   return daemons.length > 0 && daemons.every(daemon => daemon.isInForce || !daemon.isLive)
 }
 
-/**
- * @param daemons - the daemons
- * @returns a table of them
- */
+/** @returns the daemons as a table */
 export function formatDaemonVersions (daemons: DaemonVersion[]): string {
   const rows = daemons.map((daemon): Cell[] => [daemon.name, daemon.role, daemon.state, daemon.configurationVersion, daemon.isInForce ? 'yes' : 'no'])
   return formatTable(['DAEMON', 'ROLE', 'STATE', 'VERSION', 'IN FORCE'], rows)
--- a/packages/anvilarch/src/configuration/readDocument.ts
+++ b/packages/anvilarch/src/configuration/readDocument.ts
@@ -4,9 +4,9 @@
 import { readTextFile } from '../files'
 
 /**
- * @param path - the file
- * @returns its text and the document with every default filled in
- * @throws CliError that lists everything wrong with it
+ * @param path - of the document file
+ * @returns its text and the document with all defaults filled in
+ * @throws CliError that lists every issue of the document
  */
 export async function readDocument (path: string): Promise<{ text: string, document: ConfigurationDocument }> {
   const text = await readTextFile(path)
--- a/packages/anvilarch/src/configuration/waitInForce.ts
+++ b/packages/anvilarch/src/configuration/waitInForce.ts
@@ -1,10 +1,10 @@
-/** Waits until every live daemon holds a configuration version. */
+/** Waits until a configuration version is in force in every live daemon. */
 import type { CliSession } from '../session'
 import { createProgress } from '../output/progress'
 import { DEFAULT_POLL_INTERVAL_MS, pollUntil } from '../waiting'
 import { type DaemonVersion, daemonVersions, isInForceEverywhere } from './inForce'
 
-/** How the wait ended. */
+/** Result of the wait. */
 export interface InForceResult {
   inForce: boolean
   daemons: DaemonVersion[]
@@ -12,10 +12,12 @@
 }
 
 /**
- * @param session - the running command
- * @param version - the version to wait for; the one of the gateway when undefined
- * @param timeoutMs - how long
- * @returns the daemons as last seen
+ * Polls a gateway until the version is in force in every live daemon or the time limit is reached.
+ *
+ * @param session - of the running command
+ * @param version - the version to wait for; the one of the gateway if undefined
+ * @param timeoutMs - time limit
+ * @returns the last reported state of the daemons
  */
 export async function waitInForce (session: CliSession, version: number | undefined, timeoutMs: number): Promise<InForceResult> {
   const { clock } = session.environment
--- a/packages/anvilarch/src/createProgram.ts
+++ b/packages/anvilarch/src/createProgram.ts
@@ -1,4 +1,4 @@
-/** All commands in one program. */
+/** Combines all commands into one program. */
 import { subcommands } from 'cmd-ts'
 import { accountList } from './commands/accountList'
 import { accountShow } from './commands/accountShow'
@@ -27,7 +27,7 @@
 import type { CliEnvironment } from './environment'
 import { describeExitCodes } from './exitCodes'
 
-/** Commands in groups; a group is the first word of a command line. */
+/** Commands by group; the group is the first word of a command line. */
 const GROUPS: Record<string, { description: string, commands: Record<string, CommandFactory> }> = {
   config: {
     description: 'the configuration document',
@@ -48,10 +48,10 @@
 const SINGLE_COMMANDS: Record<string, CommandFactory> = { status, timeline, explain }
 
 /**
- * @param environment - the process around the program
+ * @param environment - of the process
  * @param version - printed by `--version`
- * @param onExit - told the exit code of the command
- * @returns the program, for the runner of the parser
+ * @param onExit - receives the exit code of the command
+ * @returns the program, as the argument parser runs it
  */
 export function createProgram (environment: CliEnvironment, version: string, onExit: ExitListener) {
   const make = (factories: Record<string, CommandFactory>) =>
--- a/packages/anvilarch/src/defineCommand.ts
+++ b/packages/anvilarch/src/defineCommand.ts
@@ -1,13 +1,13 @@
-/** Makes a command of its arguments and of what it does: global options, help with examples, output, exit code. */
+/** Defines a command and adds what all commands share: global options, examples in the help, output and exit code. */
 import { command, flag, option, optional, string } from 'cmd-ts'
 import { type CliError, cliErrorJson, formatCliError, toCliError } from './cliError'
 import type { CliEnvironment } from './environment'
 import { EXIT_CODES, type ExitReason } from './exitCodes'
 import { type CliSession, createSession, DEFAULT_GATEWAY_URL, type GlobalOptions, VARIABLES } from './session'
 
-/** What a command gives back. */
+/** Result of a command. */
 export interface CommandResult {
-  /** Printed with `--json`. Nothing is printed when undefined. */
+  /** Printed with `--json`. Nothing is printed if undefined. */
   json: unknown
   /** Printed without `--json`. */
   text: string
@@ -15,7 +15,7 @@
   exit?: ExitReason
 }
 
-/** A line that shows how to use a command. */
+/** An example in the help of a command. */
 export interface CommandExample {
   description: string
   line: string
@@ -24,7 +24,7 @@
 type CommandArguments = Parameters<typeof command>[0]['args']
 type Given<Args extends CommandArguments> = Parameters<Parameters<typeof command<Args, (args: any) => unknown>>[0]['handler']>[0]
 
-/** What makes a command. */
+/** Definition of a command. */
 export interface CommandDefinition<Args extends CommandArguments> {
   name: string
   description: string
@@ -33,13 +33,13 @@
   run: (args: Given<Args> & GlobalOptions, session: CliSession) => Promise<CommandResult>
 }
 
-/** Told how the command that was chosen ended. */
+/** Receives the exit code of the command that ran. */
 export type ExitListener = (exitCode: number) => void
 
-/** Makes the command for one process. */
+/** Creates the command for one process. */
 export type CommandFactory = (environment: CliEnvironment, onExit: ExitListener) => ReturnType<typeof command>
 
-// `env` of the option type would do the same, but prints the value of the variable, and so the key, into the help.
+// The parser's `env` setting would read the variables too, but would print their values, and so the API key, in the help.
 const GLOBAL_ARGUMENTS = {
   gateway: option({
     long: 'gateway',
@@ -51,7 +51,7 @@
 }
 
 /**
- * @param definition - name, arguments and what it does
+ * @param definition - name, arguments and implementation
  * @returns a factory for the command
  */
 export function defineCommand<Args extends CommandArguments> (definition: CommandDefinition<Args>): CommandFactory {
--- a/packages/anvilarch/src/environment.ts
+++ b/packages/anvilarch/src/environment.ts
@@ -1,18 +1,18 @@
-/** What the commands need of the process around them, so that tests can give them their own. */
+/** Process environment of the commands, which tests replace with their own. */
 import { userInfo } from 'node:os'
 import { type Clock, createSystemClock } from 'anvilarch-utils'
 
-/** The process around a command. */
+/** Environment in which a command runs. */
 export interface CliEnvironment {
   variables: Record<string, string | undefined>
   /** Results. */
   stdout: NodeJS.WritableStream
   /** Errors, notes and progress. */
   stderr: NodeJS.WritableStream
-  /** Whether a person watches, so that a progress bar makes sense. */
+  /** Whether standard error is a terminal, so that a progress bar is shown. */
   isTerminal: boolean
   clock: Clock
-  /** Recorded with each configuration that is applied. */
+  /** Recorded as the author of each configuration that is applied. */
   userName: string
 }
 
@@ -29,7 +29,7 @@
   }
 }
 
-/** A process may run under a user id that has no name. */
+/** Reads the user name; a process may run under a user id without a name. */
 function readUserName (): string {
   try {
     return userInfo().username
@@ -39,8 +39,8 @@
 }
 
 /**
- * Timers of the system clock don't keep a process alive. A command that waits between two polls has nothing else
- * that does, so that it would end in the middle of the wait, with exit code 0 and no output.
+ * Creates a clock whose timers keep the process alive, unlike those of the system clock. While a command waits between two
+ * polls, nothing else does: the process would exit during the wait with code 0 and no output.
  */
 function createTerminalClock (): Clock {
   return {
--- a/packages/anvilarch/src/exitCodes.ts
+++ b/packages/anvilarch/src/exitCodes.ts
@@ -1,6 +1,6 @@
-/** The exit codes of every command, in one table that the help and the README show. */
+/** Exit codes of all commands, as listed in the help and the README. */
 
-/** Each way that a command can end. */
+/** Exit code and meaning of each outcome of a command. */
 export const EXIT_CODES = {
   ok: { code: 0, meaning: 'done' },
   failed: { code: 1, meaning: 'the command, or the job that it waited for, failed' },
@@ -11,10 +11,10 @@
   timed_out: { code: 6, meaning: 'the wait ended before what was waited for; nothing was undone' }
 } as const
 
-/** Name of a row of the table. */
+/** Outcome of a command. */
 export type ExitReason = keyof typeof EXIT_CODES
 
-/** @returns the table as lines of text */
+/** @returns the exit codes as lines of text for the help */
 export function describeExitCodes (): string {
   return Object.values(EXIT_CODES).map(({ code, meaning }) => `  ${code} - ${meaning}`).join('\n')
 }
--- a/packages/anvilarch/src/explain/__tests__/explain.test.ts
+++ b/packages/anvilarch/src/explain/__tests__/explain.test.ts
@@ -16,7 +16,7 @@
 ].join('\n')
 
 describe('linesAbout', () => {
-  it('gathers the lines of an item and of its job, in order', () => {
+  it('returns the lines of an item and of its job, in order', () => {
     const lines = linesAbout([...parseLogs(FIRST), ...parseLogs(SECOND)], 'i1')
     expect(lines.map(line => line.message)).toEqual(['job submitted', 'item claimed'])
   })
@@ -27,7 +27,7 @@
   writeFileSync(join(folder, 'a.log'), FIRST)
   writeFileSync(join(folder, 'b.log'), SECOND)
 
-  it('tells the story of a request from the logs of all processes', async () => {
+  it('shows the lines about a request from the logs of all processes', async () => {
     const { stdout, exitCode } = await runCommand(['explain', 'r1', '--logs', folder])
     expect(exitCode).toBe(0)
     expect(stdout).toMatch(/00:00:01.000 +gateway-1 +attempt failed +requestId=r1 endpoint=e1 reason=silent/)
@@ -38,7 +38,7 @@
     expect((await runCommand(['explain', 'j1', '--logs', folder, '--json'])).json()).toMatchObject({ lines: [{ jobId: 'j1' }, { jobId: 'j1' }] })
   })
 
-  it('fails for an id that no line names, and for logs that are not there', async () => {
+  it('fails for an id that no line contains, and for logs that do not exist', async () => {
     expect((await runCommand(['explain', 'unknown', '--logs', folder])).exitCode).toBe(1)
     const missing = await runCommand(['explain', 'r1', '--logs', join(folder, 'missing')])
     expect(missing.stderr).toContain('can\'t be read')
--- a/packages/anvilarch/src/explain/__tests__/failures.test.ts
+++ b/packages/anvilarch/src/explain/__tests__/failures.test.ts
@@ -8,7 +8,7 @@
 }
 
 describe('findFailures', () => {
-  it('finds requests, jobs and items that went wrong, in order', () => {
+  it('finds requests, jobs and items that failed or were late, in order', () => {
     const failures = findFailures([
       line(9, 'a', 'item settled', { itemId: 'late', end: 'completed' }),
       line(1, 'a', 'item claimed', { itemId: 'late', dueInMs: 3000 }),
@@ -25,7 +25,7 @@
 })
 
 describe('findAbruptEnds', () => {
-  it('names processes that started again without having stopped', () => {
+  it('returns processes that restarted without having logged a stop', () => {
     const lines = [
       line(0, 'killed', 'started'), line(3, 'killed', 'request ended'), line(6, 'killed', 'started'),
       line(0, 'stopped', 'started'), line(2, 'stopped', 'stopping'), line(4, 'stopped', 'gateway stopped'), line(6, 'stopped', 'started')
@@ -35,7 +35,7 @@
 })
 
 describe('linesAround', () => {
-  it('gathers the state of the processes and endpoints of a story', () => {
+  it('returns events of the processes and endpoints of the given lines', () => {
     const story = [line(10, 'g', 'attempt failed', { requestId: 'r', endpoint: 'e1' })]
     const lines = [
       ...story,
@@ -63,7 +63,7 @@
 })
 
 describe('logVolume', () => {
-  it('counts lines and bytes by message and names the requests once', () => {
+  it('counts lines and bytes by message, and each request once', () => {
     const lines = [line(1, 'g', 'attempt failed', { requestId: 'r' }), line(2, 'g', 'request ended', { requestId: 'r' }), line(3, 'g', 'started')]
     const volume = logVolume(lines)
     expect(volume).toMatchObject({ lineCount: 3, requestCount: 1 })
--- a/packages/anvilarch/src/explain/failures.ts
+++ b/packages/anvilarch/src/explain/failures.ts
@@ -1,21 +1,21 @@
-/** Finds what went wrong in logs: requests without a whole answer, and items that were given up or late. */
+/** Finds failures in logs: requests without a complete response, and items that failed or were late. */
 import type { LogLine } from './readLogs'
 
-/** Something that went wrong, by its id. */
+/** A failure of a request, job or item. */
 export interface LoggedFailure {
   at: string
   process: string
-  /** Kind of the request, or what else it is: an item, a job, bytes of a client. */
+  /** Kind of the request, or `item`, `job` or `client bytes`. */
   kind: string
   id: string
-  /** How it ended, and why as far as the line says. */
+  /** Outcome, and the reason if the line contains one. */
   outcome: string
   reason: string
 }
 
 /**
  * @param lines - of all processes
- * @returns requests, jobs and items that went wrong, in the order of their ends
+ * @returns requests, jobs and items that failed or were late, in the order of their ends
  */
 export function findFailures (lines: readonly LogLine[]): LoggedFailure[] {
   const dueAtMs = dueTimes(lines)
--- a/packages/anvilarch/src/explain/logSources.ts
+++ b/packages/anvilarch/src/explain/logSources.ts
@@ -1,4 +1,4 @@
-/** Reads the logs that a command is given. */
+/** Reads the log files that are passed to a command. */
 import { readdirSync, readFileSync, statSync } from 'node:fs'
 import { join } from 'node:path'
 import { CliError } from '../cliError'
--- a/packages/anvilarch/src/explain/logVolume.ts
+++ b/packages/anvilarch/src/explain/logVolume.ts
@@ -1,7 +1,7 @@
-/** How much is logged, by message and by request. */
+/** Measures the volume of logs by message and by request. */
 import type { LogLine } from './readLogs'
 
-/** Lines of one message. */
+/** Volume of the lines with one message. */
 export interface MessageVolume {
   message: string
   lineCount: number
@@ -12,14 +12,14 @@
 export interface LogVolume {
   lineCount: number
   byteCount: number
-  /** Requests and jobs that the logs name. */
+  /** Number of distinct requests and jobs in the logs. */
   requestCount: number
   messages: MessageVolume[]
 }
 
 /**
  * @param lines - of all processes
- * @returns their volume, the largest message first
+ * @returns their volume, messages sorted by bytes in descending order
  */
 export function logVolume (lines: readonly LogLine[]): LogVolume {
   const messages = new Map<string, MessageVolume>()
--- a/packages/anvilarch/src/explain/readLogs.ts
+++ b/packages/anvilarch/src/explain/readLogs.ts
@@ -1,20 +1,20 @@
-/** Reads log lines of all processes and picks those that tell of one request, item or job. */
+/** Parses log lines of all processes and selects those about one request, item, job or endpoint. */
 
 /** A log line; its fields depend on its message. */
 export interface LogLine {
-  /** ISO 8601. */
+  /** Timestamp in ISO 8601. */
   at: string
   process: string
   message: string
   [field: string]: unknown
 }
 
-/** Fields by which a line names what it tells of. */
+/** Fields with the id of what a line is about. */
 const ID_FIELDS = ['requestId', 'itemId', 'jobId', 'endpoint'] as const
 
 /**
- * @param text - output of one or more processes; other text may stand before the JSON of a line
- * @returns the lines that hold a log entry
+ * @param text - output of one or more processes; a line may have other text before its JSON
+ * @returns the log lines that could be parsed
  */
 export function parseLogs (text: string): LogLine[] {
   return text.split('\n').map(parseLine).filter(line => line !== undefined)
@@ -27,7 +27,7 @@
     const line = JSON.parse(text.slice(start)) as LogLine
     return typeof line.at === 'string' && typeof line.message === 'string' ? line : undefined
   } catch {
-    // Text that is no log line stands between them, such as the output of another program.
+    // The output may contain other lines, for example of another program.
     return undefined
   }
 }
@@ -35,7 +35,7 @@
 /**
  * @param lines - of all processes
  * @param id - of a request, an item, a job or an endpoint
- * @returns the lines about it, in the order of their times; of an item also those about its job
+ * @returns the lines about it, sorted by time; for an item also the lines about its job
  */
 export function linesAbout (lines: readonly LogLine[], id: string): LogLine[] {
   const about = lines.filter(line => ID_FIELDS.some(field => line[field] === id))
@@ -44,12 +44,12 @@
   return [...about, ...aboutJob].sort((a, b) => a.at < b.at ? -1 : a.at > b.at ? 1 : 0)
 }
 
-/** Fields that are shown in columns of their own, or say nothing here. */
+/** Fields that have a column of their own, or are of no use to the reader. */
 const SHOWN_FIELDS = new Set(['at', 'process', 'message', 'level', 'slice'])
 
 /**
  * @param line - a log line
- * @returns its other fields, as `name=value`
+ * @returns its remaining fields, as `name=value`
  */
 export function formatFields (line: LogLine): string {
   return Object.entries(line)
--- a/packages/anvilarch/src/explain/surroundings.ts
+++ b/packages/anvilarch/src/explain/surroundings.ts
@@ -1,17 +1,17 @@
-/** What else happened around a request: the state of its processes and endpoints, and processes that ended without logging a stop. */
+/** Finds events around a request: state changes of its processes and endpoints, and processes that ended without logging a stop. */
 import type { LogLine } from './readLogs'
 
-/** Lines that close to the story may have caused it. The longest notice before a failure is a draining mark, 2 s ahead. */
+/** Events within this time may be the cause of a failure. The earliest one is the mark of draining, up to 2 s before it. */
 const AROUND_MS = 2000
 
-/** Events that tell of a process or an endpoint rather than of one request. */
+/** Messages about a process or an endpoint rather than about one request. */
 const STATE_EVENTS: ReadonlySet<string> = new Set([
   'started', 'stopping', 'gateway stopped', 'runner stopped', 'stop cut short', 'configuration in force', 'endpoint listed',
   'endpoint removed from the list', 'store does not serve this host', 'store answers again', 'feed lost', 'feed answers again', 'table listing failed',
   'feed history lost, listing again', 'uncaught exception', 'unhandled rejection', 'runner step failed'
 ])
 
-/** A process that was started again although it had not logged that it stops. */
+/** A process that was restarted without having logged that it stops. */
 export interface AbruptEnd {
   process: string
   lastLineAt: string
@@ -20,7 +20,7 @@
 
 /**
  * @param lines - of all processes
- * @param story - lines about one id, in order
+ * @param story - lines about one id, sorted by time
  * @returns lines about the processes and endpoints of the story, shortly before, during and after it
  */
 export function linesAround (lines: readonly LogLine[], story: readonly LogLine[]): LogLine[] {
@@ -36,13 +36,13 @@
     .sort((a, b) => Date.parse(a.at) - Date.parse(b.at))
 }
 
-/** Failures this close to each other have most likely one cause, such as connections that were cut together. */
+/** Failures within this time of each other probably have one cause, such as connections that were cut together. */
 const TOGETHER_MS = 20
 
 /**
  * @param lines - of all processes
- * @param story - lines about one request, in order
- * @returns how many other requests that were in progress at any process failed in the same moment, or were left by their clients
+ * @param story - lines about one request, sorted by time
+ * @returns the number of other requests, at any process, that failed or were closed by their clients at the same moment
  */
 export function failedTogether (lines: readonly LogLine[], story: readonly LogLine[]): number {
   const end = story.find(line => line.message === 'request ended' && line.outcome !== 'answered')
@@ -53,10 +53,11 @@
 }
 
 /**
- * A process that is killed logs nothing about it; a second start without a stop before it tells.
+ * Finds processes that ended abruptly. A killed process logs nothing about it, so a second start without a logged stop
+ * before it is taken as evidence.
  *
  * @param lines - of all processes
- * @returns ends without a logged stop, in their order
+ * @returns ends without a logged stop, sorted by time
  */
 export function findAbruptEnds (lines: readonly LogLine[]): AbruptEnd[] {
   const ends: AbruptEnd[] = []
--- a/packages/anvilarch/src/files.ts
+++ b/packages/anvilarch/src/files.ts
@@ -1,8 +1,8 @@
-/** Files that the operator names. */
+/** Reads files whose paths the operator gives. */
 import { readFile, stat } from 'node:fs/promises'
 import { CliError } from './cliError'
 
-/** Why a file can't be used, in words. */
+/** Reasons why a file can't be used, by error code. */
 const REASONS: Partial<Record<string, string>> = {
   ENOENT: 'there is no such file',
   EACCES: 'it may not be read',
@@ -25,7 +25,7 @@
 /**
  * @param path - the file
  * @returns its size
- * @throws CliError when it is not a file that can be read
+ * @throws CliError when it doesn't exist or is a directory
  */
 export async function fileSizeBytes (path: string): Promise<number> {
   try {
@@ -40,7 +40,7 @@
 /**
  * @param path - the file
  * @param cause - the error of the file system
- * @returns an error that names the file
+ * @returns an error with the path of the file and the reason
  */
 export function fileError (path: string, cause: unknown): CliError {
   const code = (cause as NodeJS.ErrnoException).code ?? ''
--- a/packages/anvilarch/src/gateway/failures.ts
+++ b/packages/anvilarch/src/gateway/failures.ts
@@ -1,24 +1,24 @@
-/** Turns what goes wrong between the command and a gateway into errors that say what to do. */
+/** Converts transport failures and error responses of a gateway to errors with a hint for the operator. */
 import { type ConfigurationIssue, formatIssues } from 'anvilarch-configuration'
 import type { ErrorCode, RunStatus } from 'anvilarch-utils'
 import { CliError } from '../cliError'
 import type { ExitReason } from '../exitCodes'
 
-/** Errors before anything was sent: the request did not run, and another gateway may take it. */
+/** Connection errors before anything was sent: the request did not run and may be sent to another gateway. */
 const NOT_CONNECTED_CODES = new Set([
   'ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND', 'EAI_AGAIN', 'EHOSTDOWN', 'UND_ERR_CONNECT_TIMEOUT'
 ])
 
-/** Codes of a gateway that takes no work, but whose neighbours may. */
+/** Error codes of a gateway that accepts no work while other gateways may. */
 const ELSEWHERE_CODES = new Set<string>(['draining', 'not_ready'])
 
-/** Codes after which the same request may succeed a little later. */
+/** Error codes after which the same request may succeed later. */
 const LATER_CODES = new Set<string>(['rate_limited', 'overloaded', 'unavailable', 'platform_unavailable', 'draining', 'not_ready'])
 
-/** Exit reasons by HTTP status, where they differ from `failed`. */
+/** Exit reasons by HTTP status; `failed` for all others. */
 const EXIT_BY_STATUS: Partial<Record<number, ExitReason>> = { 409: 'conflict', 422: 'invalid_document' }
 
-/** What to do, by the code of the gateway's error. */
+/** Hints by error code of the gateway. */
 const HINTS: Partial<Record<string, string>> = {
   unauthorized: 'Check --api-key or ANVILARCH_API_KEY.',
   rate_limited: 'Wait as long as stated, or raise the limits of this caller in the configuration.',
@@ -27,7 +27,7 @@
   draining: 'Try another gateway with --gateway.'
 }
 
-/** What to do, by what was being done and the code of the gateway's error. */
+/** Hints by step and error code of the gateway; they take precedence over `HINTS`. */
 const STEP_HINTS: Partial<Record<string, Partial<Record<string, string>>>> = {
   'configuration.apply': { conflict: 'Run "anvilarch config diff FILE" to see what the other change holds, then apply again.' },
   'jobs.upload': { bad_request: 'Correct the file and submit it again.' },
@@ -39,25 +39,27 @@
 
 const NOT_A_GATEWAY_HINT = 'Check that --gateway names the callers\' address of a gateway.'
 
-/** Body of an error answer. */
+/** Body of an error response. */
 interface ErrorBody {
   error?: { message?: string, code?: string, step?: string, peer?: string, ran?: RunStatus, retry_after_ms?: number, request_id?: string } | string
   version?: number
   issues?: ConfigurationIssue[]
 }
 
-/** What was being done when a connection failed. */
+/** The call during which a connection failed. */
 export interface FailedCall {
   step: string
   gatewayUrl: string
-  /** A read has no effect, so that a lost answer leaves nothing unknown. */
+  /** A read has no effect, so its outcome is known even if the response is lost. */
   isRead: boolean
 }
 
 /**
- * @param cause - what the HTTP client rejected with
- * @param call - what was being done, and where
- * @returns an error of code `unavailable` when the call had no effect, else `outcome_unknown`
+ * Converts an error of the HTTP client.
+ *
+ * @param cause - rejection of the HTTP client
+ * @param call - the failed call
+ * @returns an error with code `unavailable` if the call had no effect, else `outcome_unknown`
  */
 export function transportFailure (cause: unknown, call: FailedCall): CliError {
   if (cause instanceof CliError) return cause
@@ -80,12 +82,14 @@
 }
 
 /**
- * @param status - HTTP status of an answer that is not taken
- * @param bodyText - body of the answer
- * @param retryAfter - header of that name, in seconds
- * @param step - what was being done
- * @param gatewayUrl - where
- * @returns the error that the gateway stated
+ * Converts an error response.
+ *
+ * @param status - HTTP status of the response
+ * @param bodyText - body of the response
+ * @param retryAfter - value of the `Retry-After` header, in seconds
+ * @param step - step of the call
+ * @param gatewayUrl - URL of the gateway that responded
+ * @returns the error that the gateway reported
  */
 export function answerFailure (status: number, bodyText: string, retryAfter: string | undefined, step: string, gatewayUrl: string): CliError {
   const body = parseBody(bodyText)
@@ -105,13 +109,13 @@
   })
 }
 
-/** @returns whether the same request may be sent to another gateway at once */
+/** @returns whether the same request may be sent to another gateway immediately */
 export function isTakenElsewhere (error: CliError): boolean {
   if (error.ran !== 'not_run') return false
   return (error.exit === 'unreachable' && error.code === 'unavailable') || ELSEWHERE_CODES.has(error.code)
 }
 
-/** @returns whether the same request may succeed a little later; only for requests that may be sent twice */
+/** @returns whether the same request may succeed later; use it only for requests that may be sent twice */
 export function isWorthAnotherTry (error: CliError): boolean {
   if (error.exit !== 'failed' && error.exit !== 'unreachable') return false
   return error.ran === 'unknown' || error.exit === 'unreachable' || LATER_CODES.has(error.code)
@@ -123,7 +127,7 @@
   })
 }
 
-/** Connecting to a name with several addresses fails with one error for each of them. */
+/** Extracts code and message. A failed connection to a name with several addresses has one error for each of them. */
 function describeCause (cause: unknown): { code: string, message: string } {
   const { code = '', message = String(cause), errors } = cause as NodeJS.ErrnoException & { errors?: unknown[] }
   if (errors !== undefined && errors.length > 0) return describeCause(errors[0])
--- a/packages/anvilarch/src/gateway/gatewayClient.ts
+++ b/packages/anvilarch/src/gateway/gatewayClient.ts
@@ -1,27 +1,27 @@
-/** What the commands ask of a gateway. */
+/** Client of the gateway's HTTP API, as far as the commands use it. */
 import type { Readable } from 'node:stream'
 import type { HttpCall, HttpClient } from './httpClient'
 import { createMultipartBody } from './multipart'
 import type { ApplyAnswer, BatchAnswer, BatchListAnswer, ConfigurationAnswer, DrainAnswer, EndpointView, FileAnswer, ServiceView, StatusAnswer } from './types'
 
-/** A document to put in force. */
+/** A configuration document to apply. */
 export interface ApplyRequest {
   documentText: string
   fileName: string
   appliedBy: string
-  /** Refused with a conflict when another version is in force. */
+  /** The document is rejected with a conflict if another version is in force. */
   ifVersion?: number
 }
 
-/** A job to make from an uploaded file. */
+/** A job to create from an uploaded file. */
 export interface BatchRequest {
   inputFileId: string
   endpoint: string
-  /** The gateway takes one from the content when there is none. */
+  /** If undefined, the gateway derives a key from the content. */
   idempotencyKey: string | undefined
 }
 
-/** The calls; each rejects with a `CliError`. */
+/** API calls. Each rejects with a `CliError`. */
 export interface GatewayClient {
   configuration: () => Promise<ConfigurationAnswer>
   apply: (request: ApplyRequest) => Promise<ApplyAnswer>
@@ -40,11 +40,11 @@
 
 const ADMIN = '/admin/v1'
 const COMPLETION_WINDOW = '24h'
-/** A large file is checked, cut and stored before the gateway answers. */
+/** Longer than for other calls: a large file is validated, split and stored before the gateway responds. */
 const FILE_TIMEOUT_MS = 120_000
 
 /**
- * @param http - sends the calls
+ * @param http - sends the requests
  * @returns the client
  */
 export function createGatewayClient (http: HttpClient): GatewayClient {
--- a/packages/anvilarch/src/gateway/httpClient.ts
+++ b/packages/anvilarch/src/gateway/httpClient.ts
@@ -1,22 +1,22 @@
-/** HTTP to one of several gateways: the next one is tried when one can't be reached. */
+/** HTTP client with failover: if a gateway can't be reached, the next one is tried. */
 import type { Readable } from 'node:stream'
 import { Agent, type Dispatcher, request } from 'undici'
 import { isFramed } from 'anvilarch-utils'
 import { CliError } from '../cliError'
 import { answerFailure, isTakenElsewhere, transportFailure } from './failures'
 
-/** One call. */
+/** One HTTP call. */
 export interface HttpCall {
   method: 'GET' | 'POST'
   path: string
-  /** Named in errors, in the form `slice.operation`. */
+  /** Reported in errors, in the form `slice.operation`. */
   step: string
   headers?: Record<string, string>
-  /** Makes the body anew for each gateway that is tried. */
+  /** Creates the body; called once for each gateway that is tried. */
   body?: () => string | Readable
-  /** Whether a second run does no harm, so that a lost connection may be followed by a try elsewhere. */
+  /** Whether the call may run twice, so that it can be sent to another gateway after a lost connection. */
   isRepeatable: boolean
-  /** Longest wait for the head of the answer, and between two parts of its body. */
+  /** Longest wait for the head of the response, and between two chunks of its body. */
   answerTimeoutMs?: number
 }
 
@@ -26,13 +26,13 @@
   gatewayUrls: string[]
   apiKey?: string
   connectTimeoutMs: number
-  /** Of a call that names no limit of its own. */
+  /** Default for calls without a limit of their own. */
   answerTimeoutMs: number
 }
 
 /**
- * Default time limits. A gateway that is stopped or cut off still lets connections in, so that only the missing answer
- * tells; until then an operator waits. Gateways wait 5 s at most before they answer an operator.
+ * Default timeouts. A paused or disconnected gateway may still accept connections, so only the missing response reveals it, and
+ * the operator waits until then. Gateways respond to operators within 5 s.
  */
 export const DEFAULT_HTTP_CLIENT_OPTIONS: Pick<HttpClientOptions, 'connectTimeoutMs' | 'answerTimeoutMs'> = {
   connectTimeoutMs: 3000,
@@ -41,19 +41,19 @@
 
 /** Sends calls to gateways. */
 export interface HttpClient {
-  /** @returns the JSON body; rejects with a `CliError` */
+  /** @returns the parsed JSON body; rejects with a `CliError` */
   json: <Answer>(call: HttpCall) => Promise<Answer>
-  /** @returns the body as it comes; reading it may fail with a `CliError` from `transportFailure` */
+  /** @returns the body as a stream; errors while reading it are to be converted with `transportFailure` */
   stream: (call: HttpCall) => Promise<{ body: Readable, gatewayUrl: string }>
   close: () => Promise<void>
 }
 
-/** The one status of a gateway's whole answer: no call asks for a part of one or follows a redirect. */
+/** The only status of a complete response: no call requests a byte range or follows a redirect. */
 const STATUS_WHOLE = 200
 
 /**
- * @param options - gateways, key and time limits
- * @returns a client that remembers which gateway answered last
+ * @param options - gateways, API key and timeouts
+ * @returns a client that first tries the gateway that responded last
  */
 export function createHttpClient (options: HttpClientOptions): HttpClient {
   const dispatcher = new Agent({ connect: { timeout: options.connectTimeoutMs } })
@@ -78,7 +78,7 @@
   const mayGoOn = (error: CliError, call: HttpCall): boolean =>
     isTakenElsewhere(error) || (call.isRepeatable && error.code === 'outcome_unknown' && error.exit === 'unreachable')
 
-  /** Runs `read` on the answer of the first gateway that gives one. */
+  /** Tries the gateways in order and runs `read` on the first response. */
   const firstAnswer = async <Answer>(call: HttpCall, read: (answer: Dispatcher.ResponseData, gatewayUrl: string) => Promise<Answer>): Promise<Answer> => {
     let last: CliError | undefined
     for (const gatewayUrl of urls) {
@@ -111,7 +111,7 @@
   return Buffer.concat(parts).toString('utf8')
 }
 
-/** A body that ends with its connection may have been cut, and nothing in a stream would show it. */
+/** Rejects a body without length or chunks: it ends with its connection, so a truncated one could not be detected. */
 async function framedBody ({ statusCode, headers, body }: Dispatcher.ResponseData): Promise<Readable> {
   if (isFramed(statusCode, name => headers[name]?.toString())) return body
   await body.dump()
--- a/packages/anvilarch/src/gateway/multipart.ts
+++ b/packages/anvilarch/src/gateway/multipart.ts
@@ -1,4 +1,4 @@
-/** A file as a multipart/form-data body, read from disk as it is sent: a job may hold 910,000 lines. */
+/** Streams a file from disk as a multipart/form-data body: a job may have 910,000 lines. */
 import { randomUUID } from 'node:crypto'
 import { createReadStream } from 'node:fs'
 import { basename } from 'node:path'
@@ -6,17 +6,17 @@
 import { CliError } from '../cliError'
 import { fileError } from '../files'
 
-/** A body with the headers that belong to it. */
+/** A request body with its headers. */
 export interface MultipartBody {
   headers: Record<string, string>
-  /** Starts to read the file anew. */
+  /** Opens a new stream that reads the file from its start. */
   open: () => Readable
 }
 
 /**
  * @param path - the file
- * @param sizeBytes - its size; sending fails when the file has changed since
- * @param fields - form fields that go before the file
+ * @param sizeBytes - its size; the stream fails if the file no longer has it
+ * @param fields - form fields that precede the file
  * @returns the body
  */
 export function createMultipartBody (path: string, sizeBytes: number, fields: Record<string, string>): MultipartBody {
@@ -44,7 +44,7 @@
   }
 }
 
-/** A file that is written to meanwhile would go out with half a line at its end. */
+/** Fails if the size has changed: a file that is written to during the upload could be sent with half a line at its end. */
 async function * readExactly (path: string, sizeBytes: number): AsyncGenerator<Buffer> {
   let readBytes = 0
   try {
--- a/packages/anvilarch/src/gateway/types.ts
+++ b/packages/anvilarch/src/gateway/types.ts
@@ -1,4 +1,4 @@
-/** Answers of a gateway, as far as the commands use them. */
+/** Responses of a gateway, with the fields that the commands use. */
 import type { ConfigurationDocument } from 'anvilarch-configuration'
 
 /** The configuration in force. */
@@ -11,15 +11,15 @@
   appliedAtMs?: number
 }
 
-/** What became of a document that was sent. */
+/** Outcome of applying a document. */
 export interface ApplyAnswer {
   version: number
   hash: string
-  /** False when this very document was in force already. */
+  /** False if the same document was already in force. */
   changed: boolean
 }
 
-/** A gateway as another one sees it. */
+/** A gateway, as reported by another one. */
 export interface GatewayView {
   instance: string
   address: string
@@ -28,7 +28,7 @@
   state: string
 }
 
-/** Load of an endpoint, as its agent reports it. */
+/** Load of an endpoint, as reported by its agent. */
 export interface EndpointLoadView {
   runningOnline?: number
   runningBatch?: number
@@ -37,10 +37,10 @@
   freeBatch?: number
 }
 
-/** An endpoint beside an agent. */
+/** An endpoint and its state. */
 export interface EndpointView {
   endpoint: string
-  /** Only where endpoints are listed on their own. */
+  /** Present only in the list of endpoints, not within an agent. */
   agent?: string
   agentState?: string
   kind: string
@@ -58,12 +58,12 @@
   model?: string
   version?: string
   replicas: number
-  /** Endpoints that serve it now. */
+  /** Number of endpoints that serve it now. */
   ready: number
   classes: string[]
 }
 
-/** An agent as a gateway sees it. */
+/** An agent, as reported by a gateway. */
 export interface AgentStatus {
   name: string
   host: string
@@ -76,14 +76,14 @@
   endpoints: EndpointView[]
 }
 
-/** An agent that drains. */
+/** Response to a drain request. */
 export interface DrainAnswer {
   agent: string
-  /** Attempts still in progress. */
+  /** Number of attempts still in progress. */
   running: number
 }
 
-/** The whole system as one gateway sees it. */
+/** State of the whole system, as reported by one gateway. */
 export interface StatusAnswer {
   gateway: string
   configurationVersion: number
@@ -94,7 +94,7 @@
   jobs: { active: number | null }
 }
 
-/** A job, in the shape of the OpenAI batch object. */
+/** A job in the format of the OpenAI batch object. */
 export interface BatchAnswer {
   id: string
   status: string
--- a/packages/anvilarch/src/jobs/describeEndedJob.ts
+++ b/packages/anvilarch/src/jobs/describeEndedJob.ts
@@ -1,20 +1,17 @@
-/** The result of a command that shows or awaits a job. */
+/** Results of the commands that show a job or wait for it. */
 import type { CommandResult } from '../defineCommand'
 import type { BatchAnswer } from '../gateway/types'
 import { formatJob, hasEnded, jobCounts } from './jobState'
 
 /**
  * @param batch - a job that has ended
- * @returns the result; only `completed` counts as done
+ * @returns the result; its exit code is 0 only for `completed`
  */
 export function describeEndedJob (batch: BatchAnswer): CommandResult {
   return { json: { job: batch }, text: describeWithHint(batch), exit: batch.status === 'completed' ? 'ok' : 'failed' }
 }
 
-/**
- * @param batch - a job
- * @returns lines for people, with the command that reads its results
- */
+/** @returns the job as lines of text, with the command that downloads its results once it has ended */
 export function describeWithHint (batch: BatchAnswer): string {
   if (!hasEnded(batch) || typeof batch.output_file_id !== 'string') return formatJob(batch)
   const errors = jobCounts(batch).failed > 0 ? ' --errors errors.jsonl' : ''
--- a/packages/anvilarch/src/jobs/downloadFile.ts
+++ b/packages/anvilarch/src/jobs/downloadFile.ts
@@ -1,4 +1,4 @@
-/** Reads an output or error file of a job. */
+/** Downloads the output or error file of a job. */
 import { createWriteStream } from 'node:fs'
 import { rename, rm, writeFile } from 'node:fs/promises'
 import { Transform } from 'node:stream'
@@ -7,7 +7,7 @@
 import { transportFailure } from '../gateway/failures'
 import type { CliSession } from '../session'
 
-/** What was read. */
+/** Size of a downloaded file. */
 export interface DownloadedFile {
   lines: number
   bytes: number
@@ -16,13 +16,13 @@
 const NEWLINE = 0x0a
 
 /**
- * The bytes go to a file beside the wanted one, which gets its name only when it is whole. Otherwise a lost connection
- * would leave a file that looks like a finished one with fewer results.
+ * Downloads to a temporary file in the same directory, which is renamed when it is complete. Otherwise a lost connection would
+ * leave a file that looks complete but has fewer results.
  *
- * @param session - the running command
- * @param fileId - the file
+ * @param session - of the running command
+ * @param fileId - id of the file
  * @param path - where to write it
- * @returns how much was read
+ * @returns size of the file
  */
 export async function downloadToFile (session: CliSession, fileId: string, path: string): Promise<DownloadedFile> {
   const partPath = `${path}.part`
@@ -37,17 +37,21 @@
 }
 
 /**
- * @param session - the running command; the bytes go to its standard output
- * @param fileId - the file
- * @returns how much was read
+ * Downloads to standard output.
+ *
+ * @param session - of the running command
+ * @param fileId - id of the file
+ * @returns size of the file
  */
 export async function downloadToOutput (session: CliSession, fileId: string): Promise<DownloadedFile> {
   return await download(session, fileId, session.environment.stdout, { end: false })
 }
 
 /**
- * @param path - where to write a file without lines
- * @returns how much was read: nothing
+ * Writes an empty file.
+ *
+ * @param path - where to write it
+ * @returns size of the file: zero
  */
 export async function writeEmptyFile (path: string): Promise<DownloadedFile> {
   await writeFile(path, '').catch(cause => { throw fileError(path, cause) })
--- a/packages/anvilarch/src/jobs/jobState.ts
+++ b/packages/anvilarch/src/jobs/jobState.ts
@@ -1,25 +1,22 @@
-/** What the state of a job means to an operator. */
+/** Interprets and formats the state of a job. */
 import type { BatchAnswer } from '../gateway/types'
 import { formatTime } from '../output/table'
 
-/** States in which a job stays. */
+/** Final states of a job. */
 const ENDED_STATES = new Set(['completed', 'failed', 'expired', 'cancelled'])
 
-/** @returns whether the job runs no more */
+/** @returns whether the job is in a final state */
 export function hasEnded (batch: BatchAnswer): boolean {
   return ENDED_STATES.has(batch.status)
 }
 
-/** @returns items that are final, and all items */
+/** @returns numbers of items; `done` counts completed and failed ones */
 export function jobCounts (batch: BatchAnswer): { done: number, total: number, completed: number, failed: number } {
   const { total = 0, completed = 0, failed = 0 } = batch.request_counts ?? {}
   return { done: completed + failed, total, completed, failed }
 }
 
-/**
- * @param batch - the job
- * @returns lines for people
- */
+/** @returns the job as lines of text */
 export function formatJob (batch: BatchAnswer): string {
   const { total, completed, failed } = jobCounts(batch)
   const lines = [
--- a/packages/anvilarch/src/jobs/submitJob.ts
+++ b/packages/anvilarch/src/jobs/submitJob.ts
@@ -1,4 +1,4 @@
-/** Uploads a file and makes a job of it, once, however often it has to be sent. */
+/** Uploads a file and creates one job from it, with retries that never create a second job. */
 import { type Clock, sleep } from 'anvilarch-utils'
 import { CliError, toCliError } from '../cliError'
 import { fileSizeBytes } from '../files'
@@ -11,29 +11,29 @@
 export interface SubmitRequest {
   path: string
   endpoint: string
-  /** Without one, the gateway takes the hash of file content, endpoint, window and metadata. */
+  /** Idempotency key. If undefined, the gateway uses a hash of file content, endpoint, window and metadata. */
   key: string | undefined
 }
 
-/** A job that was made, or found. */
+/** A job that was created, or found by its key or content. */
 export interface SubmittedJob {
   batch: BatchAnswer
   tries: number
 }
 
-/** How often and how long to try. */
+/** Limits of the retries. */
 export interface SubmitOptions {
   maxTries: number
   firstWaitMs: number
-  /** Longest wait of the command's own choosing; a time that the gateway states is kept to, however long it is. */
+  /** Longest backoff of the command itself; a longer `Retry-After` of the gateway takes precedence. */
   maxWaitMs: number
-  /** A gateway that states a longer time than this ends the tries, so that nobody waits for it unaware. */
+  /** A longer `Retry-After` ends the retries, so that the operator doesn't wait without notice. */
   patienceMs: number
-  /** Told before each wait. */
+  /** Called before each wait. */
   onRetry: (error: CliError, waitMs: number) => void
 }
 
-/** Defaults of the tries: about half a minute altogether, unless the gateway states longer waits. */
+/** Default limits: about half a minute in total, unless `Retry-After` states longer waits. */
 export const DEFAULT_SUBMIT_OPTIONS: Pick<SubmitOptions, 'maxTries' | 'firstWaitMs' | 'maxWaitMs' | 'patienceMs'> = {
   maxTries: 7,
   firstWaitMs: 500,
@@ -42,16 +42,16 @@
 }
 
 /**
- * A reply may be lost after the job was made, and sending again must not make a second one, which would run each item
- * twice. The gateway finds the first one by the key, or by the content when there is no key; a key made up here would
- * stay with a cancelled job for good, so that the same file could not be run again.
+ * Submits a job. A response may be lost after the job was created, and a retry must not create a second job, which would run
+ * each item twice. The gateway finds the first job by the key, or by the content if there is no key. A key generated here would
+ * belong to a cancelled job forever, so the same file could not be run again.
  *
- * @param gateway - where to send
- * @param clock - for the waits between tries
+ * @param gateway - client of the gateways
+ * @param clock - for the waits between attempts
  * @param request - what to submit
- * @param options - how often to try
+ * @param options - limits of the retries
  * @returns the job
- * @throws CliError when it was refused, or when the tries are used up
+ * @throws CliError when the job was rejected, or when all attempts have failed
  */
 export async function submitJob (gateway: GatewayClient, clock: Clock, request: SubmitRequest, options: SubmitOptions): Promise<SubmittedJob> {
   const sizeBytes = await fileSizeBytes(request.path)
--- a/packages/anvilarch/src/jobs/waitForJob.ts
+++ b/packages/anvilarch/src/jobs/waitForJob.ts
@@ -1,4 +1,4 @@
-/** Waits for the end of a job. */
+/** Waits until a job has ended. */
 import { CliError } from '../cliError'
 import type { BatchAnswer } from '../gateway/types'
 import { createProgress } from '../output/progress'
@@ -7,11 +7,13 @@
 import { hasEnded, jobCounts } from './jobState'
 
 /**
- * @param session - the running command
- * @param id - the job
- * @param timeoutMs - how long; no limit when undefined
+ * Polls a gateway until the job has ended, and shows the progress meanwhile.
+ *
+ * @param session - of the running command
+ * @param id - id of the job
+ * @param timeoutMs - time limit; none if undefined
  * @returns the job after its end
- * @throws CliError when the time is up
+ * @throws CliError when the time limit is reached
  */
 export async function waitForJob (session: CliSession, id: string, timeoutMs: number | undefined): Promise<BatchAnswer> {
   const progress = createProgress(session.environment, 'items')
--- a/packages/anvilarch/src/normalizeArguments.ts
+++ b/packages/anvilarch/src/normalizeArguments.ts
@@ -1,4 +1,4 @@
-/** Rewrites a command line into the form that the parser knows. */
+/** Rewrites command-line arguments to the form that the parser supports. */
 import { WAIT_WITHOUT_SECONDS } from './waitArgument'
 
 const SECONDS_PATTERN = /^\d+(\.\d+)?$/
@@ -6,11 +6,11 @@
 const GLOBAL_OPTIONS = new Set(['--gateway', '--api-key'])
 
 /**
- * The parser knows options with a value and flags without one, but `--wait` may be either; and it wants options after
- * the name of the command, but `anvilarch --json status` is what many write.
+ * Normalizes the arguments. The parser supports options with a value and flags without one, but `--wait` may be either. It also
+ * requires options after the name of the command, while `anvilarch --json status` is common.
  *
- * @param words - the words of the command line
- * @returns the same with `--wait=seconds`, and global options behind the command
+ * @param words - arguments of the command line
+ * @returns the arguments with `--wait=seconds`, and with global options after the command
  */
 export function normalizeArguments (words: string[]): string[] {
   return withWaitValue(withGlobalsLast(words))
--- a/packages/anvilarch/src/output/endpoints.ts
+++ b/packages/anvilarch/src/output/endpoints.ts
@@ -1,12 +1,9 @@
-/** Endpoints as a table. */
+/** Formats endpoints for the terminal. */
 import type { EndpointView } from '../gateway/types'
 import { UNREACHABLE } from '../configuration/inForce'
 import { type Cell, formatTable } from './table'
 
-/**
- * @param endpoints - the endpoints
- * @returns a table of them
- */
+/** @returns the endpoints as a table */
 export function formatEndpoints (endpoints: EndpointView[]): string {
   if (endpoints.length === 0) return 'no endpoints'
   const rows = endpoints.map((endpoint): Cell[] => [
@@ -25,10 +22,11 @@
 }
 
 /**
- * An agent that can't be reached said "ready" before it was lost; showing that would send an operator to look elsewhere.
+ * Replaces the health of an endpoint whose agent is unreachable by `unknown`: the agent's last report is outdated, and a "ready"
+ * there would mislead the operator.
  *
- * @param health - as the agent reported it last
- * @param agentState - of the agent
+ * @param health - last reported by the agent
+ * @param agentState - state of the agent
  * @returns the health to show
  */
 export function shownHealth (health: string, agentState: string | undefined): string {
--- a/packages/anvilarch/src/output/progress.ts
+++ b/packages/anvilarch/src/output/progress.ts
@@ -1,8 +1,8 @@
-/** A progress bar on standard error, when a person watches. */
+/** Progress bar on standard error, shown only on a terminal. */
 import { Presets, SingleBar } from 'cli-progress'
 import type { CliEnvironment } from '../environment'
 
-/** Shows how far a wait has come. */
+/** Shows the progress of a wait. */
 export interface Progress {
   update: (done: number, total: number, note: string) => void
   stop: () => void
@@ -11,8 +11,8 @@
 const NO_PROGRESS: Progress = { update: () => {}, stop: () => {} }
 
 /**
- * @param environment - the process around the command
- * @param unit - what is counted, in plural
+ * @param environment - of the command
+ * @param unit - plural noun for what is counted
  * @returns a bar, or nothing when the output is not a terminal
  */
 export function createProgress (environment: CliEnvironment, unit: string): Progress {
--- a/packages/anvilarch/src/output/table.ts
+++ b/packages/anvilarch/src/output/table.ts
@@ -1,4 +1,4 @@
-/** Tables without lines, so that they can be read aloud, cut and searched. */
+/** Formats tables without lines, which suits screen readers, `cut` and `grep`. */
 import Table from 'cli-table3'
 
 const NO_LINES = {
@@ -19,12 +19,12 @@
   middle: '  '
 }
 
-/** A cell; undefined is shown as a dash. */
+/** Value of a cell; undefined is shown as a dash. */
 export type Cell = string | number | boolean | undefined
 
 /**
- * @param head - names of the columns
- * @param rows - one list of cells for each row
+ * @param head - column headings
+ * @param rows - cells of each row
  * @returns the table as text
  */
 export function formatTable (head: string[], rows: Cell[][]): string {
@@ -35,8 +35,8 @@
 
 /**
  * @param count - how many
- * @param noun - in singular
- * @param plural - where it is not the noun with an `s`
+ * @param noun - singular
+ * @param plural - needed if it is not the noun with an `s`
  * @returns for example `1 item` or `2 items`
  */
 export function formatCount (count: number, noun: string, plural = `${noun}s`): string {
@@ -44,7 +44,7 @@
 }
 
 /**
- * @param epochMs - wall time
+ * @param epochMs - wall-clock time
  * @returns ISO 8601 in UTC, to the second
  */
 export function formatTime (epochMs: number): string {
--- a/packages/anvilarch/src/report/__tests__/report.test.ts
+++ b/packages/anvilarch/src/report/__tests__/report.test.ts
@@ -6,14 +6,14 @@
 import { buildReport } from '../buildReport'
 import type { LogReport } from '../types'
 
-/** Some lines of each kind from the logs of a calm day that was played, of the daemons of two failure domains. */
+/** Sample lines of each kind from the logs of a test day without disruptions, from the daemons of two failure domains. */
 const LOGS = readFileSync(join(__dirname, '..', '__fixtures__', 'day.log'), 'utf8')
 
 describe('buildReport', () => {
   const report = buildReport(parseLogs(LOGS))
   const totals = (field: 'arrived' | 'late' | 'failed' | 'pauses'): number => report.seconds.reduce((sum, second) => sum + second[field], 0)
 
-  it('counts by second over all processes', () => {
+  it('counts per second over all processes', () => {
     expect(report.processCount).toBeGreaterThan(1)
     expect(totals('arrived')).toBeGreaterThan(0)
     expect(totals('pauses')).toBe(parseLogs(LOGS).filter(line => line.message === 'item paused').length)
@@ -21,7 +21,7 @@
     expect(busiest.slots).toBeGreaterThanOrEqual(busiest.batchRunning)
   })
 
-  it('groups what was lost or late, the largest group first, with ids that explain takes', () => {
+  it('groups losses by reason, the largest group first, with ids that explain accepts', () => {
     expect(report.losses.length).toBeGreaterThan(0)
     const counts = report.losses.map(loss => loss.count)
     expect([...counts].sort((a, b) => b - a)).toEqual(counts)
@@ -32,7 +32,7 @@
     }
   })
 
-  it('lists the moments that may explain the others, in order', () => {
+  it('lists the events that may explain losses, in order', () => {
     const seconds = report.moments.map(moment => moment.second)
     expect(seconds).toEqual([...seconds].sort((a, b) => a - b))
     expect(report.moments.map(moment => moment.message)).toContain('configuration in force')
@@ -47,7 +47,7 @@
   const folder = mkdtempSync(join(tmpdir(), 'report-'))
   writeFileSync(join(folder, 'day.log'), LOGS)
 
-  it('writes a page that stands alone, with a chart for each part and the table of losses', async () => {
+  it('writes a self-contained page with all charts and the table of losses', async () => {
     const page = join(folder, 'report.html')
     const { stdout, exitCode } = await runCommand(['logs', 'report', '--logs', join(folder, 'day.log'), '--output', page])
     expect(exitCode).toBe(0)
@@ -58,7 +58,7 @@
     expect(html).not.toMatch(/<script|src=|href=/)
   })
 
-  it('prints the same as data', async () => {
+  it('prints the same data as JSON', async () => {
     const report = (await runCommand(['logs', 'report', '--logs', join(folder, 'day.log'), '--json'])).json() as LogReport
     expect(report.seconds).toEqual(buildReport(parseLogs(LOGS)).seconds)
   })
--- a/packages/anvilarch/src/report/buildReport.ts
+++ b/packages/anvilarch/src/report/buildReport.ts
@@ -1,11 +1,11 @@
-/** Gathers the logs of all processes into a report by second. */
+/** Aggregates the logs of all processes into a report per second. */
 import type { LogLine } from '../explain/readLogs'
 import { findLosses } from './losses'
 import type { LogReport, ReportMoment, ReportSecond } from './types'
 
 const SECOND_MS = 1000
 
-/** Events of processes, the store, endpoints and the configuration that may explain what happened to requests. */
+/** Messages about processes, the store, endpoints and the configuration that may explain failed requests. */
 const MOMENTS: ReadonlySet<string> = new Set([
   'started', 'stopping', 'gateway stopped', 'runner stopped', 'stop cut short', 'stop waits for requests', 'configuration in force',
   'endpoint listed', 'endpoint removed from the list', 'endpoint entry not usable', 'engine started anew', 'store does not serve this host',
@@ -13,12 +13,12 @@
   'uncaught exception', 'unhandled rejection', 'runner step failed', 'background task failed'
 ])
 
-/** Fields that a moment shows, in this order. */
+/** Fields shown in the detail of a moment, in this order. */
 const DETAIL_FIELDS = ['endpoint', 'state', 'version', 'table', 'reason', 'afterMs']
 
 /**
  * @param lines - of all processes
- * @returns the report; without seconds when there are no lines
+ * @returns the report; it has no seconds if there are no lines
  */
 export function buildReport (lines: readonly LogLine[]): LogReport {
   const startMs = lines.reduce((first, line) => Math.min(first, Date.parse(line.at)), Infinity)
@@ -56,13 +56,13 @@
   }
 }
 
-/** Fields that are added up over all processes, by the message that has them. */
+/** Fields that are summed over all processes, by message. */
 const SUMMED: ReadonlyMap<string, ReadonlyArray<keyof ReportSecond>> = new Map([
   ['traffic', ['arrived', 'answered', 'late', 'refused', 'failed', 'left', 'inProgress']],
   ['engine use', ['slots', 'online', 'batchRunning', 'batchPaused']]
 ])
 
-/** Fields of which the largest over all processes counts. */
+/** Fields of which the maximum over all processes is taken, by message. */
 const LARGEST: ReadonlyMap<string, ReadonlyArray<keyof ReportSecond>> = new Map([
   ['traffic', ['configurationAgeMs', 'endpointsAgeMs']]
 ])
--- a/packages/anvilarch/src/report/charts.ts
+++ b/packages/anvilarch/src/report/charts.ts
@@ -1,8 +1,8 @@
-/** Draws the charts of a report as SVG. */
+/** Renders the charts of a report as SVG. */
 import type { EChartsOption } from 'echarts/types/dist/shared'
 import type { ReportSecond } from './types'
 
-/** What is used of the chart library, whose own declarations need another kind of module. */
+/** The part of the chart library that is used. The library's own declarations need ES modules. */
 interface ChartLibrary {
   init: (element: null, theme: null, options: { renderer: 'svg', ssr: boolean, width: number, height: number }) => {
     setOption: (option: EChartsOption) => void
@@ -18,11 +18,11 @@
   field: keyof ReportSecond
   title: string
   color: string
-  /** Stacked areas add up; lines stand for themselves. */
+  /** Series with the same value are stacked as areas; without one, a series is drawn as a line. */
   stack?: string
 }
 
-/** A chart over the seconds of a report. */
+/** A chart with the seconds of a report on its x-axis. */
 interface ChartSpec {
   title: string
   unit: string
@@ -72,7 +72,7 @@
 
 /**
  * @param seconds - of a report
- * @returns an SVG document for each chart
+ * @returns one SVG document for each chart
  */
 export function drawCharts (seconds: readonly ReportSecond[]): string[] {
   return CHARTS.map(spec => drawChart(spec, seconds))
--- a/packages/anvilarch/src/report/losses.ts
+++ b/packages/anvilarch/src/report/losses.ts
@@ -1,17 +1,17 @@
-/** Groups what was lost or late by kind, outcome and reason. */
+/** Groups failed and late requests and items by kind, outcome and reason. */
 import { findFailures, type LoggedFailure } from '../explain/failures'
 import type { LogLine } from '../explain/readLogs'
 import type { ReportLoss } from './types'
 
 const SECOND_MS = 1000
 
-/** Ids of one group that a report shows. */
+/** Number of ids that a report shows for each group. */
 const SHOWN_IDS = 5
 
 /**
  * @param lines - of all processes
  * @param startMs - time of the first line
- * @returns groups, the largest first
+ * @returns groups, sorted by size in descending order
  */
 export function findLosses (lines: readonly LogLine[], startMs: number): ReportLoss[] {
   const groups = new Map<string, LoggedFailure[]>()
@@ -23,7 +23,7 @@
   return [...groups.values()].map(failures => lossOf(failures, startMs)).sort((a, b) => b.count - a.count)
 }
 
-/** Times differ from failure to failure; the same reason with another time is one group. */
+/** Reduces reasons that are only a duration to one group, as the duration differs for each failure. */
 function reasonGroup (reason: string): string {
   return /^\d+ ms$/.test(reason) ? '' : reason
 }
--- a/packages/anvilarch/src/report/renderReport.ts
+++ b/packages/anvilarch/src/report/renderReport.ts
@@ -1,4 +1,4 @@
-/** Writes a report as one HTML page. */
+/** Renders a report as one HTML page. */
 import { drawCharts } from './charts'
 import type { LogReport, ReportLoss, ReportMoment } from './types'
 
@@ -6,10 +6,7 @@
 table { border-collapse: collapse; margin: 8px 0 24px } td, th { border-bottom: 1px solid #ddd; padding: 3px 10px; text-align: left; vertical-align: top }
 td.number { text-align: right } code { font-size: 12px }`
 
-/**
- * @param report - what the logs hold
- * @returns an HTML document without references to other files
- */
+/** @returns the report as an HTML document without references to other files */
 export function renderReport (report: LogReport): string {
   return [
     '<!doctype html>',
@@ -35,10 +32,10 @@
   ]
 }
 
-/** Processes that shows names at most; of more, their number is enough. */
+/** Up to this many processes are listed by name; of more, only the number is shown. */
 const NAMED_PROCESSES = 3
 
-/** The same event at many processes in one second is one row. */
+/** Combines the same event at several processes in one second into one row. */
 function gatherMoments (moments: readonly ReportMoment[]): string[][] {
   const groups = new Map<string, ReportMoment[]>()
   for (const moment of moments) {
--- a/packages/anvilarch/src/report/types.ts
+++ b/packages/anvilarch/src/report/types.ts
@@ -1,10 +1,10 @@
-/** What a report of logs shows. */
+/** Data of a report on logs. */
 
-/** One second of all processes together. */
+/** Totals of all processes in one second. */
 export interface ReportSecond {
   /** Seconds since the first log line. */
   second: number
-  /** Requests that arrived, and what became of those that ended. */
+  /** Requests that arrived, and those that ended in this second by outcome; `left` were closed by their clients. */
   arrived: number
   answered: number
   late: number
@@ -12,19 +12,19 @@
   failed: number
   left: number
   inProgress: number
-  /** Slots of all engines whose agents have told, by their use. */
+  /** Slots of all endpoints whose agents have reported, and their usage. */
   slots: number
   online: number
   batchRunning: number
   batchPaused: number
-  /** Runs of items that were broken off to make room, or for other reasons. */
+  /** Runs of items that were aborted, by preemption or for other reasons. */
   pauses: number
-  /** Oldest knowledge of any gateway, in milliseconds. */
+  /** Age of the oldest configuration and of the oldest list of endpoints at any gateway. */
   configurationAgeMs: number
   endpointsAgeMs: number
 }
 
-/** A moment that may explain others. */
+/** An event that may explain failures. */
 export interface ReportMoment {
   second: number
   process: string
@@ -38,17 +38,17 @@
   outcome: string
   reason: string
   count: number
-  /** Seconds of the first and the last. */
+  /** Seconds of the first and the last loss. */
   fromSecond: number
   untilSecond: number
-  /** The second in which most of them were. */
+  /** Second with the most losses, and their number. */
   worstSecond: number
   worstCount: number
-  /** Some of their ids, for `explain`. */
+  /** Some of their ids, for `anvilarch explain`. */
   ids: string[]
 }
 
-/** All of it. */
+/** A report on logs. */
 export interface LogReport {
   startedAt: string
   processCount: number
--- a/packages/anvilarch/src/runCli.ts
+++ b/packages/anvilarch/src/runCli.ts
@@ -8,8 +8,8 @@
 const { version } = require('../package.json') as { version: string }
 
 /**
- * @param words - the words of the command line, without program and script
- * @param environment - the process around the program
+ * @param words - arguments of the command line, without program and script
+ * @param environment - of the process
  * @returns the exit code
  */
 export async function runCli (words: string[], environment: CliEnvironment): Promise<number> {
--- a/packages/anvilarch/src/session.ts
+++ b/packages/anvilarch/src/session.ts
@@ -1,14 +1,14 @@
-/** What a running command works with. */
+/** Session of a running command. */
 import { CliError } from './cliError'
 import type { CliEnvironment } from './environment'
 import { createGatewayClient, type GatewayClient } from './gateway/gatewayClient'
 import { createHttpClient, DEFAULT_HTTP_CLIENT_OPTIONS } from './gateway/httpClient'
 
-/** A running command: the process around it and the gateways that it talks to. */
+/** A running command: its environment and its client of the gateways. */
 export interface CliSession {
   environment: CliEnvironment
   gateway: GatewayClient
-  /** Writes a line for people to standard error, unless `--json` is given. */
+  /** Writes a line to standard error, unless `--json` is given. */
   note: (line: string) => void
 }
 
@@ -19,17 +19,17 @@
   json: boolean
 }
 
-/** Variables that stand for options that are not given. */
+/** Environment variables that are used if the option is missing. */
 export const VARIABLES = { gateway: 'ANVILARCH_GATEWAY', apiKey: 'ANVILARCH_API_KEY' } as const
 
-/** Where a gateway of the local fleet listens. */
+/** Address of a gateway of the local fleet. */
 export const DEFAULT_GATEWAY_URL = 'http://127.0.0.1:8080'
 
 /**
- * @param environment - the process around the command
- * @param options - what was given on the command line
- * @returns a session; close its gateway client at the end
- * @throws CliError for a gateway that is not a URL
+ * @param environment - of the command
+ * @param options - global options of the command line
+ * @returns a session, whose gateway client must be closed at the end
+ * @throws CliError when a gateway is not a URL
  */
 export function createSession (environment: CliEnvironment, options: GlobalOptions): CliSession {
   const http = createHttpClient({
--- a/packages/anvilarch/src/storeSnapshot.ts
+++ b/packages/anvilarch/src/storeSnapshot.ts
@@ -6,14 +6,14 @@
 import { CliError } from './cliError'
 import type { CliSession } from './session'
 
-/** Option that names the store. */
+/** Option with the address of the store. */
 export const STORE_ADDRESS = option({ long: 'address', type: string, description: 'IP and port of the store' })
 
 /**
  * @param address - IP and port of the store
  * @param session - of the command
- * @returns all that the store knows of a deployment
- * @throws CliError when the store cannot be read
+ * @returns the state of the deployment in the store
+ * @throws CliError when the store can't be read
  */
 export async function readSnapshot (address: string, session: CliSession): Promise<StoreSnapshot> {
   const { store, wire } = openStore(address, session.environment.clock, SILENT_LOGGER)
--- a/packages/anvilarch/src/timeline/collectEvents.ts
+++ b/packages/anvilarch/src/timeline/collectEvents.ts
@@ -1,29 +1,29 @@
-/** Asks every daemon for its part of a time line. */
+/** Fetches the events of a time line from every daemon. */
 import type { TimelineEvent } from 'anvilarch-protocol'
 import { type Dispatcher, request } from 'undici'
 import type { StatusAnswer } from '../gateway/types'
 import { mergeEvents } from './mergeEvents'
 
-/** Daemons asked at the same time: a fleet has hundreds. */
+/** Largest number of concurrent requests; a fleet has hundreds of daemons. */
 const MAX_PARALLEL = 32
 const TIMEOUT_MS = 5000
 
-/** A daemon to ask. */
+/** A daemon and the address of its operations server. */
 export interface TimelineSource {
   process: string
   operationsAddress: string
 }
 
-/** What the daemons answered. */
+/** Events of all daemons that responded. */
 export interface CollectedEvents {
   events: TimelineEvent[]
-  /** Daemons whose part is missing, each with the reason. */
+  /** Daemons whose events could not be fetched, each with the reason. */
   missing: Array<TimelineSource & { reason: string }>
 }
 
 /**
- * @param status - the daemons, as a gateway sees them
- * @returns where to ask
+ * @param status - the daemons, as reported by a gateway
+ * @returns the daemons that have an operations server
  */
 export function timelineSources (status: StatusAnswer): TimelineSource[] {
   const gateways = status.gateways.map(({ instance, operationsAddress }) => ({ process: instance, operationsAddress }))
@@ -32,10 +32,10 @@
 }
 
 /**
- * @param sources - whom to ask
+ * @param sources - daemons to request from
  * @param filter - one request or one job
- * @param dispatcher - connections to use
- * @returns the events in order, and whose part is missing
+ * @param dispatcher - HTTP connections; by default those of the process
+ * @returns the events in order, and the daemons that failed
  */
 export async function collectEvents (
   sources: TimelineSource[], filter: { request?: string, job?: string }, dispatcher?: Dispatcher
--- a/packages/anvilarch/src/timeline/mergeEvents.ts
+++ b/packages/anvilarch/src/timeline/mergeEvents.ts
@@ -1,15 +1,15 @@
-/** Puts the events of several processes in order. */
+/** Merges the events of several processes into one ordered list. */
 import type { TimelineEvent } from 'anvilarch-protocol'
 import { type Cell, formatTable } from '../output/table'
 
 const LAST_DIGITS_OF_ID = 8
 
 /**
- * The wall clocks of two hosts may differ by some milliseconds, so that an answer can stand before its question.
- * Within one process the order is that of its sequence, also when its wall clock was set back in between.
+ * Merges events. The wall clocks of two hosts may differ by some milliseconds, so a response can precede its request.
+ * Within one process, events are ordered by sequence, also if its wall clock was set back in between.
  *
- * @param lists - events of each process, in the order of their sequence
- * @returns all of them by wall time, then process, then sequence; each event once
+ * @param lists - events of each process
+ * @returns all events without duplicates, sorted by wall-clock time, then process, then sequence
  */
 export function mergeEvents (lists: TimelineEvent[][]): TimelineEvent[] {
   const byKey = new Map<string, PlacedEvent>()
@@ -20,7 +20,7 @@
   return [...byKey.values()].sort(compareEvents).map(({ event }) => event)
 }
 
-/** An event with the time at which it is shown: no earlier than any event of its process that came before it. */
+/** An event with the time by which it is sorted: no earlier than that of any previous event of its process. */
 interface PlacedEvent {
   event: TimelineEvent
   placeMs: number
@@ -40,8 +40,8 @@
 }
 
 /**
- * @param events - events in order
- * @returns a table with the time since the first one
+ * @param events - sorted events
+ * @returns a table that includes the time since the first event
  */
 export function formatEvents (events: TimelineEvent[]): string {
   const firstMs = events[0]?.atMs ?? 0
--- a/packages/anvilarch/src/waitArgument.ts
+++ b/packages/anvilarch/src/waitArgument.ts
@@ -1,19 +1,19 @@
-/** `--wait` with or without a number of seconds. */
+/** The option `--wait`, with or without a number of seconds. */
 import { extendType, option, optional, string } from 'cmd-ts'
 
-/** What `--wait` holds when no number follows; see `normalizeArguments`. */
+/** Value of `--wait` without a number, set by `normalizeArguments`. */
 export const WAIT_WITHOUT_SECONDS = 'default'
 
-/** A wait that was asked for. */
+/** Parsed value of `--wait`. */
 export interface Wait {
-  /** No limit when undefined. */
+  /** No limit if undefined. */
   timeoutMs: number | undefined
 }
 
 /**
- * @param defaultSeconds - how long `--wait` alone waits; without limit when undefined
- * @param what - what is waited for
- * @returns the option; its value is undefined when there is nothing to wait for
+ * @param defaultSeconds - time limit of `--wait` without a number; none if undefined
+ * @param what - condition to wait for, as shown in the help
+ * @returns the option; its value is undefined if `--wait` is not given
  */
 export function waitArgument (defaultSeconds: number | undefined, what: string) {
   const type = extendType(string, {
--- a/packages/anvilarch/src/waiting.ts
+++ b/packages/anvilarch/src/waiting.ts
@@ -1,4 +1,4 @@
-/** Asks again and again until something holds. */
+/** Polls until a condition is met. */
 import { type Clock, sleep } from 'anvilarch-utils'
 import { CliError } from './cliError'
 import { isWorthAnotherTry } from './gateway/failures'
@@ -6,7 +6,7 @@
 /** Options of `pollUntil`. */
 export interface PollOptions<State> {
   clock: Clock
-  /** No limit when undefined. */
+  /** No limit if undefined. */
   timeoutMs: number | undefined
   intervalMs: number
   ask: () => Promise<State>
@@ -14,24 +14,25 @@
   onState: (state: State) => void
 }
 
-/** How a wait ended. `state` is the last one seen. */
+/** Result of a wait; `state` is the last one read. */
 export interface PollResult<State> {
   isDone: boolean
   state: State
 }
 
-/** Time between two questions. */
+/** Time between two polls. */
 export const DEFAULT_POLL_INTERVAL_MS = 500
 
-/** Failures in a row that a wait without a limit puts up with. */
+/** A wait, also one without a limit, fails after this many failed polls in a row. */
 const MAX_FAILURES_IN_A_ROW = 20
 
 /**
- * Gateways may be replaced during the wait, so that a failed question doesn't end it.
+ * Polls until `isDone` returns true or the time limit is reached. Gateways may be replaced during the wait, so a failed poll
+ * doesn't end it.
  *
- * @param options - what to ask, when to stop
- * @returns the last state, and whether it is the one that was waited for
- * @throws CliError when no question was answered in the given time
+ * @param options - how to poll and when to stop
+ * @returns the last state, and whether the condition was met
+ * @throws CliError when no poll succeeded within the time limit, when too many failed in a row or when a retry can't succeed
  */
 export async function pollUntil<State> (options: PollOptions<State>): Promise<PollResult<State>> {
   const { clock, timeoutMs = Infinity, intervalMs } = options
