--- a/packages/anvilarch-serving/src/requests/__fixtures__/forwardHarness.ts
+++ b/packages/anvilarch-serving/src/requests/__fixtures__/forwardHarness.ts
@@ -299,6 +299,6 @@
       response.destroyed = true
       onClose()
     },
-    processPauses: async () => (await metrics.ownPauses.get()).values[0].value
+    processPauses: async () => (await metrics.processPauses.get()).values[0].value
   }
 }
--- a/packages/anvilarch-serving/src/requests/sendAttempts.ts
+++ b/packages/anvilarch-serving/src/requests/sendAttempts.ts
@@ -130,7 +130,7 @@
   }
 
   const onProcessPause = (endpoint: Endpoint, lateMs: number): void => {
-    metrics.ownPauses.inc()
+    metrics.processPauses.inc()
     attemptLog.processPaused(endpoint, lateMs)
   }
 
--- a/packages/anvilarch-serving/src/telemetry/metrics.ts
+++ b/packages/anvilarch-serving/src/telemetry/metrics.ts
@@ -17,7 +17,7 @@
   refusals: Counter<'kind' | 'reason'>
   callerRefusals: Counter<'reason'>
   attemptFailures: Counter<'kind' | 'reason'>
-  ownPauses: Counter
+  processPauses: Counter
   storeCalls: Counter<'call' | 'result'>
   jobCalls: Counter<'call' | 'outcome'>
   itemRuns: Counter<'outcome'>
@@ -43,7 +43,7 @@
     refusals: new Counter({ name: 'anvilarch_refusals_total', help: 'Requests refused by this process by reason', labelNames: ['kind', 'reason'], registers }),
     callerRefusals: new Counter({ name: 'anvilarch_caller_refusals_total', help: 'Calls whose key is not known, or not known for certain, by reason', labelNames: ['reason'], registers }),
     attemptFailures: new Counter({ name: 'anvilarch_attempt_failures_total', help: 'Attempts without a whole answer by reason', labelNames: ['kind', 'reason'], registers }),
-    ownPauses: new Counter({ name: 'anvilarch_own_pauses_total', help: 'Times that this process stood still when it should have listened to an endpoint, and so did not judge it', registers }),
+    processPauses: new Counter({ name: 'anvilarch_own_pauses_total', help: 'Times that this process stood still when it should have listened to an endpoint, and so did not judge it', registers }),
     storeCalls: new Counter({ name: 'anvilarch_store_calls_total', help: 'Calls to the metadata store by result', labelNames: ['call', 'result'], registers }),
     jobCalls: new Counter({ name: 'anvilarch_job_calls_total', help: 'Calls about jobs by outcome', labelNames: ['call', 'outcome'], registers }),
     itemRuns: new Counter({ name: 'anvilarch_item_runs_total', help: 'Runs of batch items by outcome', labelNames: ['outcome'], registers }),
