--- a/packages/anvilarch/src/commands/configValidate.ts
+++ b/packages/anvilarch/src/commands/configValidate.ts
@@ -8,7 +8,7 @@
 /** Validates a document locally, without a gateway. */
 export const configValidate = defineCommand({
   name: 'validate',
-  description: 'Check a configuration document; no gateway is asked',
+  description: 'Check a configuration document without a gateway',
   args: { file: positional({ type: string, displayName: 'FILE', description: 'the document, JSON with comments' }) },
   examples: [{ description: 'List every error with line and column', line: 'anvilarch config validate chamber.jsonc' }],
   run: async ({ file }) => {
--- a/packages/anvilarch/src/commands/explain.ts
+++ b/packages/anvilarch/src/commands/explain.ts
@@ -9,7 +9,7 @@
 /** Shows the log lines of all processes about one request, item, job or endpoint, with related events. */
 export const explain = defineCommand({
   name: 'explain',
-  description: 'Tell what happened to a request, item, job or endpoint, from the logs of all processes',
+  description: 'Show what happened to a request, item, job or endpoint, from the logs of all processes',
   args: {
     id: positional({ type: string, displayName: 'ID', description: 'id of a request, an item, a job or an endpoint' }),
     logs: option({ long: 'logs', type: optional(string), description: 'folder or file with the logs; standard input if left out' })
@@ -36,15 +36,15 @@
 
 function formatExplanation (id: string, lines: LogLine[], related: LogLine[], ends: AbruptEnd[], concurrentFailures: number): string {
   if (lines.length === 0) {
-    return `no line tells of ${id}: check the id; or its lines were left out under load, or lost with their process (anvilarch logs failures names those)`
+    return `no log line mentions ${id}: check the id; or its lines were dropped under load, or lost with their process (anvilarch logs failures names those)`
   }
   const processes = new Set(lines.map(line => line.process)).size
   return [
     formatLines(lines),
     '',
     `${formatCount(lines.length, 'line')} of ${formatCount(processes, 'process', 'processes')}`,
-    ...concurrentFailures === 0 ? [] : [`${formatCount(concurrentFailures, 'other request')} ended without a whole answer in the same moment`],
-    ...related.length === 0 ? [] : ['', 'around it, of the same processes and endpoints:', formatLines(related)],
+    ...concurrentFailures === 0 ? [] : [`${formatCount(concurrentFailures, 'other request')} ended without a complete response at the same moment`],
+    ...related.length === 0 ? [] : ['', 'related events of the same processes and endpoints:', formatLines(related)],
     ...ends.map(end => `${end.process} ended without logging a stop after ${end.lastLineAt} and started again at ${end.startedAgainAt}`)
   ].join('\n')
 }
--- a/packages/anvilarch/src/gateway/failures.ts
+++ b/packages/anvilarch/src/gateway/failures.ts
@@ -22,7 +22,7 @@
 const HINTS: Partial<Record<string, string>> = {
   unauthorized: 'Check --api-key or ANVILARCH_API_KEY.',
   rate_limited: 'Wait as long as stated, or raise the limits of this caller in the configuration.',
-  platform_unavailable: 'The platform\'s table or object store is down. Online work goes on; try again later.',
+  platform_unavailable: 'The platform\'s table or object store is down. Online work continues; try again later.',
   not_ready: 'Try another gateway with --gateway.',
   draining: 'Try another gateway with --gateway.'
 }
@@ -72,11 +72,11 @@
     })
   }
   if (isRead) {
-    return new CliError(`Gateway "${gatewayUrl}" gave no whole answer: ${message}.`, {
+    return new CliError(`Gateway "${gatewayUrl}" sent no complete response: ${message}.`, {
       code: 'unavailable', step, peer: gatewayUrl, ran: 'not_run', exit: 'unreachable', cause, hint: 'Try again, or name another gateway with --gateway.'
     })
   }
-  return new CliError(`The connection to gateway "${gatewayUrl}" was lost before the answer was whole: ${message}.`, {
+  return new CliError(`The connection to gateway "${gatewayUrl}" was lost before the response was complete: ${message}.`, {
     code: 'outcome_unknown', step, peer: gatewayUrl, ran: 'unknown', exit: 'unreachable', cause, hint: 'Look at the state with the matching "show" or "status" command before you try again.'
   })
 }
@@ -96,7 +96,7 @@
   const reported = typeof body.error === 'object' ? body.error : { message: body.error }
   const code = (reported.code ?? 'internal') as ErrorCode
   const issues = body.issues
-  return new CliError(reported.message ?? (issues === undefined ? `Gateway "${gatewayUrl}" answered with status ${status}.` : 'The document is not valid.'), {
+  return new CliError(reported.message ?? (issues === undefined ? `Gateway "${gatewayUrl}" responded with status ${status}.` : 'The document is not valid.'), {
     code,
     step: reported.step ?? step,
     peer: reported.peer ?? gatewayUrl,
@@ -122,7 +122,7 @@
 }
 
 function notJsonError (cause: SyntaxError, step: string, gatewayUrl: string): CliError {
-  return new CliError(`The answer of "${gatewayUrl}" is not JSON.`, {
+  return new CliError(`The response of "${gatewayUrl}" is not JSON.`, {
     code: 'internal', step, peer: gatewayUrl, ran: 'unknown', exit: 'failed', cause, hint: NOT_A_GATEWAY_HINT
   })
 }
--- a/packages/anvilarch/src/gateway/httpClient.ts
+++ b/packages/anvilarch/src/gateway/httpClient.ts
@@ -102,7 +102,7 @@
 }
 
 function noGatewayError (call: HttpCall): CliError {
-  return new CliError('No gateway is named.', { code: 'bad_request', step: call.step, exit: 'usage', ran: 'not_run', hint: 'Give --gateway.' })
+  return new CliError('No gateway is given.', { code: 'bad_request', step: call.step, exit: 'usage', ran: 'not_run', hint: 'Give --gateway.' })
 }
 
 async function readText (body: Readable): Promise<string> {
@@ -115,5 +115,5 @@
 async function requireFramedBody ({ statusCode, headers, body }: Dispatcher.ResponseData): Promise<Readable> {
   if (isFramed(statusCode, name => headers[name]?.toString())) return body
   await body.dump()
-  throw new Error('it names neither a length nor chunks')
+  throw new Error('it has neither a content length nor chunked encoding')
 }
--- a/packages/anvilarch/src/gateway/multipart.ts
+++ b/packages/anvilarch/src/gateway/multipart.ts
@@ -57,7 +57,7 @@
     throw fileError(path, cause)
   }
   if (readBytes === sizeBytes) return
-  throw new CliError(`File "${path}" had ${sizeBytes} bytes when its sending began, and has changed since.`, {
+  throw new CliError(`File "${path}" had ${sizeBytes} bytes when the upload started and has changed since.`, {
     code: 'incomplete', step: 'jobs.upload', exit: 'failed', ran: 'not_run', hint: 'Submit it when nothing writes to it any more.'
   })
 }
--- a/packages/anvilarch/src/jobs/waitForJob.ts
+++ b/packages/anvilarch/src/jobs/waitForJob.ts
@@ -32,7 +32,7 @@
     if (isDone) return state
     const { done, total } = jobCounts(state)
     throw new CliError(`Job "${id}" is ${state.status} with ${done} of ${total} items done after the wait.`, {
-      code: 'deadline_exceeded', step: 'jobs.wait', exit: 'timed_out', ran: 'ran', hint: `It goes on. Run "anvilarch job show ${id} --wait" to wait again.`, data: { job: state }
+      code: 'deadline_exceeded', step: 'jobs.wait', exit: 'timed_out', ran: 'ran', hint: `It continues. Run "anvilarch job show ${id} --wait" to wait again.`, data: { job: state }
     })
   } finally {
     progress.stop()
--- a/packages/anvilarch/src/report/charts.ts
+++ b/packages/anvilarch/src/report/charts.ts
@@ -34,7 +34,7 @@
 
 const CHARTS: readonly ChartSpec[] = [
   {
-    title: 'Requests by what became of them',
+    title: 'Requests by outcome',
     unit: 'requests a second',
     series: [
       { field: 'answered', title: 'on time', color: '#3b8f5a', stack: 'ends' },
@@ -52,16 +52,16 @@
       { field: 'online', title: 'online, waiting ones included', color: '#2f6fa8', stack: 'use' },
       { field: 'batchRunning', title: 'batch items', color: '#8fbf6a', stack: 'use' },
       { field: 'slots', title: 'slots', color: '#222222' },
-      { field: 'batchPaused', title: 'items held without a run', color: '#d9a441' }
+      { field: 'batchPaused', title: 'items claimed without a run', color: '#d9a441' }
     ]
   },
   {
-    title: 'Runs of batch items that were broken off',
+    title: 'Aborted runs of batch items',
     unit: 'runs a second',
-    series: [{ field: 'pauses', title: 'broken off', color: '#c0392b' }]
+    series: [{ field: 'pauses', title: 'aborted', color: '#c0392b' }]
   },
   {
-    title: 'Age of knowledge, the oldest of any gateway',
+    title: 'Age of configuration and endpoint list, oldest of any gateway',
     unit: 'ms',
     series: [
       { field: 'configurationAgeMs', title: 'configuration', color: '#2f6fa8' },
