--- a/deploy/days/shortDays.mjs
+++ b/deploy/days/shortDays.mjs
@@ -1,9 +1,10 @@
 // Writes days of 14 seconds on which several disruptions overlap:
 // `node deploy/days/shortDays.mjs --seed 1 --count 24 --service NAME --out target/days`.
 //
-// Each day has disruptions that break answers off, others that make endpoints answer something else than what was asked for, and some of
-// the hosts, the store and the configuration. They start within four seconds and last for several, so that one request can meet two of them.
-// Those of endpoints hit the service that is named; without a name the day's seed picks one for each, and few requests meet two.
+// Each day has disruptions that abort responses, others that make endpoints send wrong responses, and some of hosts, the store and the
+// configuration. They start within four seconds and last for several, so that one request can be affected by two of them. Disruptions of
+// endpoints affect the service given by --service. Without it, the seed of the day picks a service for each, and few requests are
+// affected by two.
 import { mkdirSync, writeFileSync } from 'node:fs'
 import { join } from 'node:path'
 import { parseArgs } from 'node:util'
@@ -13,8 +14,8 @@
 const FIRST_START_S = 2
 const LAST_START_S = 6
 
-/** Break answers off, or let them wait for good. */
-const BREAKING = [
+/** Abort responses, or delay them forever. */
+const ABORTED_RESPONSES = [
   { kind: 'garble', share: 0.9, x: 0.4 },
   { kind: 'garble', how: 'unframed', share: 0.9, x: 0.3 },
   { kind: 'srv_crash', share: 0.4, for_s: 2 },
@@ -29,8 +30,8 @@
   { kind: 'reset_conns', share: 0.8, x: 0.6 }
 ]
 
-/** Let endpoints answer something else. */
-const ANSWERING = [
+/** Make endpoints send wrong responses, slow them down or replace them. */
+const WRONG_RESPONSES = [
   { kind: 'srv_grey', how: 'errors', share: 0.8, x: 0.6 },
   { kind: 'srv_grey', how: 'shed', share: 0.7, x: 0.5 },
   { kind: 'srv_grey', how: 'busy', share: 0.7, x: 0.5 },
@@ -44,8 +45,8 @@
   { kind: 'srv_slow', share: 0.6, x: 6 }
 ]
 
-/** Disturb everything else. */
-const AROUND = [
+/** Affect hosts, the store, clients or the load. */
+const OTHER_DISRUPTIONS = [
   { kind: 'node_kill', share: 0.3 },
   { kind: 'herd_kill', share: 0.6 },
   { kind: 'node_freeze', share: 0.3, for_s: 2.5 },
@@ -60,7 +61,7 @@
   { kind: 'hup', share: 0.6, gap_s: 0.3 }
 ]
 
-const PLANNED = [
+const PLANNED_EVENTS = [
   { kind: 'config_change', how: 'route' },
   { kind: 'config_change', how: 'weights' },
   { kind: 'config_change', how: 'timeout' },
@@ -68,17 +69,17 @@
   { kind: 'roll_term', how: 'busy', share: 0.5, gap_s: 0.8 }
 ]
 
-/** @returns the entries, held to a service if one is given; connections are reset at hosts, whatever they lead to */
-function atService (entries, service) {
+/** @returns the entries, limited to a service if one is given; `reset_conns` applies to hosts, whatever their connections lead to */
+function limitToService (entries, service) {
   if (service === undefined) return entries
   return entries.map(entry => entry.kind === 'reset_conns' ? entry : { ...entry, service })
 }
 
-/** @returns a number of different entries of a table, each with its start and, where it has none, its length */
-function draw (random, table, count) {
-  const left = [...table]
+/** @returns `count` different entries of a table, picked at random, each with a start and, unless it has one, a length */
+function pickEntries (random, table, count) {
+  const remaining = [...table]
   return Array.from({ length: count }, () => {
-    const [entry] = left.splice(Math.floor(random.next() * left.length), 1)
+    const [entry] = remaining.splice(Math.floor(random.next() * remaining.length), 1)
     const at = FIRST_START_S + random.next() * (LAST_START_S - FIRST_START_S)
     return { for_s: 5, ...entry, at: Number(at.toFixed(2)) }
   })
@@ -88,19 +89,19 @@
   return entries.map(entry => `  { ${Object.entries(entry).map(([name, value]) => `${name} = ${JSON.stringify(value)}`).join(', ')} },\n`).join('')
 }
 
-function dayOf (seed, service) {
+function renderDay (seed, service) {
   const random = createRandom(seed)
   const faults = [
-    ...atService(draw(random, BREAKING, 1 + Math.floor(random.next() * 2)), service),
-    ...atService(draw(random, ANSWERING, 1 + Math.floor(random.next() * 2)), service),
-    ...draw(random, AROUND, Math.floor(random.next() * 3))
+    ...limitToService(pickEntries(random, ABORTED_RESPONSES, 1 + Math.floor(random.next() * 2)), service),
+    ...limitToService(pickEntries(random, WRONG_RESPONSES, 1 + Math.floor(random.next() * 2)), service),
+    ...pickEntries(random, OTHER_DISRUPTIONS, Math.floor(random.next() * 3))
   ]
-  const plan = draw(random, PLANNED, Math.floor(random.next() * 2))
+  const plan = pickEntries(random, PLANNED_EVENTS, Math.floor(random.next() * 2))
   return `name = "short-${seed}"\nslot = "trouble"\nseed = ${seed}\nlength_s = ${DAY_S}.0\nfaults = [\n${toToml(faults)}]\nplan = [\n${toToml(plan)}]\n`
 }
 
 const { values } = parseArgs({ options: { seed: { type: 'string' }, count: { type: 'string' }, service: { type: 'string' }, out: { type: 'string' } } })
-const first = Number(values.seed ?? 1)
+const firstSeed = Number(values.seed ?? 1)
 const folder = values.out ?? join('target', 'days')
 mkdirSync(folder, { recursive: true })
-for (let seed = first; seed < first + Number(values.count ?? 1); seed++) writeFileSync(join(folder, `short-${seed}.toml`), dayOf(seed, values.service))
+for (let seed = firstSeed; seed < firstSeed + Number(values.count ?? 1); seed++) writeFileSync(join(folder, `short-${seed}.toml`), renderDay(seed, values.service))
--- a/packages/anvilarch/src/__fixtures__/runCommand.ts
+++ b/packages/anvilarch/src/__fixtures__/runCommand.ts
@@ -1,40 +1,40 @@
-/** Runs a command line in this process, with time that passes only in waits. */
+/** Runs a command line in this process, with a clock that advances only during waits. */
 import { Writable } from 'node:stream'
 import type { Clock } from 'anvilarch-utils'
 import type { CliEnvironment } from '../environment'
 import { runCli } from '../runCli'
 
-/** What a command line did. */
+/** Output and exit code of a command line. */
 export interface CommandOutcome {
   exitCode: number
   stdout: string
   stderr: string
-  /** Standard output as JSON. */
+  /** @returns standard output, parsed as JSON */
   json: () => any
-  /** All waits together. */
+  /** Total of all waits. */
   waitedMs: number
 }
 
 /**
- * @param words - the words of the command line
- * @param variables - variables of the environment
- * @param clock - a real one where the command talks to others
- * @returns what it printed, and its exit code
+ * @param argv - arguments of the command line
+ * @param variables - environment variables
+ * @param clock - a real clock is needed if the command communicates with other processes
+ * @returns its output and exit code
  */
-export async function runCommand (words: string[], variables: Record<string, string> = {}, clock: Clock = createSkippingClock()): Promise<CommandOutcome> {
+export async function runCommand (argv: string[], variables: Record<string, string> = {}, clock: Clock = createSkippingClock()): Promise<CommandOutcome> {
   const stdout = createSink()
   const stderr = createSink()
   const environment: CliEnvironment = { variables, stdout: stdout.stream, stderr: stderr.stream, isTerminal: false, clock, userName: 'ana' }
-  const exitCode = await runCli(words, environment)
+  const exitCode = await runCli(argv, environment)
   return { exitCode, stdout: stdout.text(), stderr: stderr.text(), json: () => JSON.parse(stdout.text()), waitedMs: clock.nowMs() }
 }
 
-/** @returns an environment that drops all output */
+/** @returns an environment that discards all output */
 export function createTestEnvironment (): CliEnvironment {
   return { variables: {}, stdout: createSink().stream, stderr: createSink().stream, isTerminal: false, clock: createSkippingClock(), userName: 'ana' }
 }
 
-/** Each wait is over at once, and moves the time by its length. */
+/** Creates a clock on which each wait ends immediately and advances the time by its length. */
 function createSkippingClock (): Clock {
   let currentMs = 0
   return {
@@ -49,12 +49,12 @@
 }
 
 function createSink (): { stream: Writable, text: () => string } {
-  const parts: Buffer[] = []
+  const chunks: Buffer[] = []
   const stream = new Writable({
-    write (part: Buffer, _encoding, done) {
-      parts.push(Buffer.from(part))
+    write (chunk: Buffer, _encoding, done) {
+      chunks.push(Buffer.from(chunk))
       done()
     }
   })
-  return { stream, text: () => Buffer.concat(parts).toString('utf8') }
+  return { stream, text: () => Buffer.concat(chunks).toString('utf8') }
 }
--- a/packages/anvilarch/src/commands/accountUsage.ts
+++ b/packages/anvilarch/src/commands/accountUsage.ts
@@ -6,7 +6,7 @@
 import { formatTable } from '../output/table'
 import { readSnapshot, STORE_ADDRESS } from '../storeSnapshot'
 
-/** Shows what the busiest client accounts have used of their limits lately, over all gateways. */
+/** Shows the usage of the busiest client accounts in the last window against their limits, summed over all gateways. */
 export const accountUsage = defineCommand({
   name: 'usage',
   description: 'Show what the busiest client accounts were granted and refused in the last window, over all gateways',
@@ -16,16 +16,16 @@
     const { members, accounts } = await readSnapshot(address, session)
     const gateways = members.filter(member => member.role === 'gateway')
     const texts = await Promise.all(gateways.map(async member => await fetchMetrics(`http://${member.peerAddress.split(':')[0]}:${METRICS_PORT}/metrics`)))
-    const silent = gateways.filter((_, index) => texts[index] === undefined).map(member => member.name)
+    const unresponsive = gateways.filter((_, index) => texts[index] === undefined).map(member => member.name)
     const limits = new Map(accounts.map(account => [account.name, account]))
-    const uses = readAccountUsage(texts.filter(text => text !== undefined)).map(use => ({
-      ...use, requestsPerSecond: limits.get(use.accountName)?.requestsPerSecond, burstRequests: limits.get(use.accountName)?.burstRequests
+    const usages = readAccountUsage(texts.filter(text => text !== undefined)).map(usage => ({
+      ...usage, requestsPerSecond: limits.get(usage.accountName)?.requestsPerSecond, burstRequests: limits.get(usage.accountName)?.burstRequests
     }))
     return {
-      json: { accounts: uses, silentGateways: silent },
+      json: { accounts: usages, silentGateways: unresponsive },
       text: [
-        formatTable(['account', 'granted', 'refused', 'ratePerSecond', 'burst'], uses.map(use => [use.accountName, use.granted, use.refused, use.requestsPerSecond, use.burstRequests])),
-        ...silent.length > 0 ? [`Not counted, since they do not answer: ${silent.join(', ')}`] : []
+        formatTable(['account', 'granted', 'refused', 'ratePerSecond', 'burst'], usages.map(usage => [usage.accountName, usage.granted, usage.refused, usage.requestsPerSecond, usage.burstRequests])),
+        ...unresponsive.length > 0 ? [`Not counted, since they do not answer: ${unresponsive.join(', ')}`] : []
       ].join('\n')
     }
   }
--- a/packages/anvilarch/src/commands/configValidate.ts
+++ b/packages/anvilarch/src/commands/configValidate.ts
@@ -5,10 +5,10 @@
 import { defineCommand } from '../defineCommand'
 import { formatCount } from '../output/table'
 
-/** Checks a document without a gateway. */
+/** Validates a document locally, without a gateway. */
 export const configValidate = defineCommand({
   name: 'validate',
-  description: 'Check a configuration document; no gateway is asked',
+  description: 'Check a configuration document without a gateway',
   args: { file: positional({ type: string, displayName: 'FILE', description: 'the document, JSON with comments' }) },
   examples: [{ description: 'List every error with line and column', line: 'anvilarch config validate chamber.jsonc' }],
   run: async ({ file }) => {
--- a/packages/anvilarch/src/commands/jobResults.ts
+++ b/packages/anvilarch/src/commands/jobResults.ts
@@ -2,13 +2,13 @@
 import { option, optional, positional, string } from 'cmd-ts'
 import { CliError } from '../cliError'
 import { defineCommand } from '../defineCommand'
-import type { BatchAnswer } from '../gateway/types'
+import type { BatchResponse } from '../gateway/types'
 import { type DownloadedFile, downloadToFile, downloadToOutput, writeEmptyFile } from '../jobs/downloadFile'
 import { hasEnded, jobCounts } from '../jobs/jobState'
 import { formatCount } from '../output/table'
 import type { CliSession } from '../session'
 
-/** Reads the results of a job. */
+/** Downloads the results of a job that has ended. */
 export const jobResults = defineCommand({
   name: 'results',
   description: 'Read the results of a job that has ended: JSON Lines, one for each item',
@@ -35,7 +35,7 @@
   }
 })
 
-function expectEnded (batch: BatchAnswer): void {
+function expectEnded (batch: BatchResponse): void {
   if (hasEnded(batch)) return
   const { done, total } = jobCounts(batch)
   throw new CliError(`Job "${batch.id}" is ${batch.status} with ${done} of ${total} items done; it has no results to read yet.`, {
@@ -49,7 +49,7 @@
   return await downloadToOutput(session, fileId)
 }
 
-/** A job without results of a kind names no file; the operator gets an empty one all the same. */
+/** A job without results or without errors has no file id for them; an empty file is written in that case. */
 async function readInto (session: CliSession, fileId: string | null | undefined, path: string): Promise<DownloadedFile> {
   return typeof fileId === 'string' ? await downloadToFile(session, fileId, path) : await writeEmptyFile(path)
 }
--- a/packages/anvilarch/src/commands/jobSubmit.ts
+++ b/packages/anvilarch/src/commands/jobSubmit.ts
@@ -1,7 +1,7 @@
 /** `anvilarch job submit FILE` */
 import { option, optional, positional, string } from 'cmd-ts'
 import { type CommandResult, defineCommand } from '../defineCommand'
-import type { BatchAnswer } from '../gateway/types'
+import type { BatchResponse } from '../gateway/types'
 import { describeEndedJob } from '../jobs/describeEndedJob'
 import { formatJob, hasEnded } from '../jobs/jobState'
 import { DEFAULT_SUBMIT_OPTIONS, submitJob, type SubmittedJob } from '../jobs/submitJob'
@@ -11,7 +11,7 @@
 
 const DEFAULT_ENDPOINT = '/v1/chat/completions'
 
-/** Makes a job of a file. */
+/** Uploads a file and creates a job from it. */
 export const jobSubmit = defineCommand({
   name: 'submit',
   description: 'Upload a file of JSON Lines and make a job of it; the same file again gives the same job, unless that was cancelled or has expired',
@@ -42,8 +42,8 @@
   return { json: { job: batch, key, tries }, text: formatJob(batch) + keyLine }
 }
 
-/** A job that was found and has ended runs nothing, so that "submitted" alone would be misleading. */
-function noteEndedJob (session: CliSession, batch: BatchAnswer, key: string | undefined): void {
+/** Tells the operator that an existing job was found that has already ended: nothing runs, although the command succeeds. */
+function noteEndedJob (session: CliSession, batch: BatchResponse, key: string | undefined): void {
   if (!hasEnded(batch)) return
   const found = key === undefined ? 'This file was submitted before as' : `Key "${key}" belongs to`
   session.note(`${found} job ${batch.id}, which is ${batch.status}. Give ${key === undefined ? 'a' : 'another'} --key to run it as a new job.`)
--- a/packages/anvilarch/src/commands/logsFailures.ts
+++ b/packages/anvilarch/src/commands/logsFailures.ts
@@ -3,10 +3,10 @@
 import { defineCommand } from '../defineCommand'
 import { findFailures, type LoggedFailure } from '../explain/failures'
 import { readLogSources } from '../explain/logSources'
-import { findAbruptEnds } from '../explain/surroundings'
+import { findAbruptEnds } from '../explain/relatedEvents'
 import { formatCount, formatTable } from '../output/table'
 
-/** Lists what went wrong, with the ids that `explain` takes. */
+/** Lists failures with the ids that `anvilarch explain` accepts. */
 export const logsFailures = defineCommand({
   name: 'failures',
   description: 'List requests, jobs and items that went wrong, and processes that ended without logging a stop',
--- a/packages/anvilarch/src/explain/__tests__/failures.test.ts
+++ b/packages/anvilarch/src/explain/__tests__/failures.test.ts
@@ -1,14 +1,14 @@
 import { findFailures } from '../failures'
 import { logVolume } from '../logVolume'
 import type { LogLine } from '../readLogs'
-import { failedTogether, findAbruptEnds, linesAround } from '../surroundings'
+import { countConcurrentFailures, findAbruptEnds, findRelatedEvents } from '../relatedEvents'
 
 function line (second: number, process: string, message: string, fields: Record<string, unknown> = {}): LogLine {
   return { at: `2026-01-01T00:00:${String(second).padStart(2, '0')}.000Z`, process, message, ...fields }
 }
 
 describe('findFailures', () => {
-  it('finds requests, jobs and items that went wrong, in order', () => {
+  it('finds requests, jobs and items that failed or were late, in order', () => {
     const failures = findFailures([
       line(9, 'a', 'item settled', { itemId: 'late', end: 'completed' }),
       line(1, 'a', 'item claimed', { itemId: 'late', dueInMs: 3000 }),
@@ -25,7 +25,7 @@
 })
 
 describe('findAbruptEnds', () => {
-  it('names processes that started again without having stopped', () => {
+  it('returns processes that restarted without having logged a stop', () => {
     const lines = [
       line(0, 'killed', 'started'), line(3, 'killed', 'request ended'), line(6, 'killed', 'started'),
       line(0, 'stopped', 'started'), line(2, 'stopped', 'stopping'), line(4, 'stopped', 'gateway stopped'), line(6, 'stopped', 'started')
@@ -34,22 +34,22 @@
   })
 })
 
-describe('linesAround', () => {
-  it('gathers the state of the processes and endpoints of a story', () => {
-    const story = [line(10, 'g', 'attempt failed', { requestId: 'r', endpoint: 'e1' })]
+describe('findRelatedEvents', () => {
+  it('returns events of the processes and endpoints of the given lines', () => {
+    const selected = [line(10, 'g', 'attempt failed', { requestId: 'r', endpoint: 'e1' })]
     const lines = [
-      ...story,
+      ...selected,
       line(9, 'g', 'endpoint removed from the list', { endpoint: 'e1' }),
       line(9, 'g', 'endpoint removed from the list', { endpoint: 'e2' }),
       line(9, 'other', 'store does not serve this host'),
       line(11, 'g', 'store does not serve this host'),
       line(1, 'g', 'started')
     ]
-    expect(linesAround(lines, story).map(({ message }) => message)).toEqual(['endpoint removed from the list', 'store does not serve this host'])
+    expect(findRelatedEvents(lines, selected).map(({ message }) => message)).toEqual(['endpoint removed from the list', 'store does not serve this host'])
   })
 })
 
-describe('failedTogether', () => {
+describe('countConcurrentFailures', () => {
   it('counts other requests that failed in the same moment', () => {
     const end = line(5, 'g', 'request ended', { requestId: 'r1', outcome: 'client_left' })
     const lines = [
@@ -58,12 +58,12 @@
       line(5, 'g', 'request ended', { requestId: 'r3', outcome: 'answered' }),
       line(6, 'g', 'request ended', { requestId: 'r4', outcome: 'timeout' })
     ]
-    expect(failedTogether(lines, [end])).toBe(1)
+    expect(countConcurrentFailures(lines, [end])).toBe(1)
   })
 })
 
 describe('logVolume', () => {
-  it('counts lines and bytes by message and names the requests once', () => {
+  it('counts lines and bytes by message, and each request once', () => {
     const lines = [line(1, 'g', 'attempt failed', { requestId: 'r' }), line(2, 'g', 'request ended', { requestId: 'r' }), line(3, 'g', 'started')]
     const volume = logVolume(lines)
     expect(volume).toMatchObject({ lineCount: 3, requestCount: 1 })
--- a/packages/anvilarch/src/explain/failures.ts
+++ b/packages/anvilarch/src/explain/failures.ts
@@ -1,24 +1,24 @@
-/** Finds what went wrong in logs: requests without a whole answer, and items that were given up or late. */
+/** Finds failures in logs: requests without a complete response, and items that failed or were late. */
 import type { LogLine } from './readLogs'
 
-/** Something that went wrong, by its id. */
+/** A failure of a request, job or item. */
 export interface LoggedFailure {
   at: string
   process: string
-  /** Kind of the request, or what else it is: an item, a job, bytes of a client. */
+  /** Kind of the request, or `item`, `job` or `client bytes`. */
   kind: string
   id: string
-  /** How it ended, and why as far as the line says. */
+  /** Outcome, and the reason if the line contains one. */
   outcome: string
   reason: string
 }
 
 /**
  * @param lines - of all processes
- * @returns requests, jobs and items that went wrong, in the order of their ends
+ * @returns requests, jobs and items that failed or were late, in the order of their ends
  */
 export function findFailures (lines: readonly LogLine[]): LoggedFailure[] {
-  const dueAtMs = dueTimes(lines)
+  const dueAtMs = readDueTimes(lines)
   return lines
     .map(line => failureOf(line, dueAtMs))
     .filter(failure => failure !== undefined)
@@ -49,7 +49,7 @@
   return lateMs > 0 ? { ...base, outcome: 'item late', reason: `${Math.round(lateMs)} ms` } : undefined
 }
 
-function dueTimes (lines: readonly LogLine[]): Map<string, number> {
+function readDueTimes (lines: readonly LogLine[]): Map<string, number> {
   const dueAtMs = new Map<string, number>()
   for (const line of lines) {
     if (line.message === 'item claimed') dueAtMs.set(String(line.itemId), Date.parse(line.at) + Number(line.dueInMs))
--- a/packages/anvilarch/src/gateway/failures.ts
+++ b/packages/anvilarch/src/gateway/failures.ts
@@ -1,33 +1,33 @@
-/** Turns what goes wrong between the command and a gateway into errors that say what to do. */
+/** Converts transport failures and error responses of a gateway to errors with a hint for the operator. */
 import { type ConfigurationIssue, formatIssues } from 'anvilarch-configuration'
 import type { ErrorCode, RunStatus } from 'anvilarch-utils'
 import { CliError } from '../cliError'
 import type { ExitReason } from '../exitCodes'
 
-/** Errors before anything was sent: the request did not run, and another gateway may take it. */
-const NOT_CONNECTED_CODES = new Set([
+/** Connection errors before anything was sent: the request did not run and may be sent to another gateway. */
+const CONNECT_ERROR_CODES = new Set([
   'ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND', 'EAI_AGAIN', 'EHOSTDOWN', 'UND_ERR_CONNECT_TIMEOUT'
 ])
 
-/** Codes of a gateway that takes no work, but whose neighbours may. */
-const ELSEWHERE_CODES = new Set<string>(['draining', 'not_ready'])
+/** Error codes of a gateway that accepts no work while other gateways may. */
+const OTHER_GATEWAY_CODES = new Set<string>(['draining', 'not_ready'])
 
-/** Codes after which the same request may succeed a little later. */
-const LATER_CODES = new Set<string>(['rate_limited', 'overloaded', 'unavailable', 'platform_unavailable', 'draining', 'not_ready'])
+/** Error codes after which the same request may succeed later. */
+const RETRYABLE_CODES = new Set<string>(['rate_limited', 'overloaded', 'unavailable', 'platform_unavailable', 'draining', 'not_ready'])
 
-/** Exit reasons by HTTP status, where they differ from `failed`. */
+/** Exit reasons by HTTP status; `failed` for all others. */
 const EXIT_BY_STATUS: Partial<Record<number, ExitReason>> = { 409: 'conflict', 422: 'invalid_document' }
 
-/** What to do, by the code of the gateway's error. */
+/** Hints by error code of the gateway. */
 const HINTS: Partial<Record<string, string>> = {
   unauthorized: 'Check --api-key or ANVILARCH_API_KEY.',
   rate_limited: 'Wait as long as stated, or raise the limits of this caller in the configuration.',
-  platform_unavailable: 'The platform\'s table or object store is down. Online work goes on; try again later.',
+  platform_unavailable: 'The platform\'s table or object store is down. Online work continues; try again later.',
   not_ready: 'Try another gateway with --gateway.',
   draining: 'Try another gateway with --gateway.'
 }
 
-/** What to do, by what was being done and the code of the gateway's error. */
+/** Hints by step and error code of the gateway; they take precedence over `HINTS`. */
 const STEP_HINTS: Partial<Record<string, Partial<Record<string, string>>>> = {
   'configuration.apply': { conflict: 'Run "anvilarch config diff FILE" to see what the other change holds, then apply again.' },
   'jobs.upload': { bad_request: 'Correct the file and submit it again.' },
@@ -39,91 +39,95 @@
 
 const NOT_A_GATEWAY_HINT = 'Check that --gateway names the callers\' address of a gateway.'
 
-/** Body of an error answer. */
+/** Body of an error response. */
 interface ErrorBody {
   error?: { message?: string, code?: string, step?: string, peer?: string, ran?: RunStatus, retry_after_ms?: number, request_id?: string } | string
   version?: number
   issues?: ConfigurationIssue[]
 }
 
-/** What was being done when a connection failed. */
+/** The call during which a connection failed. */
 export interface FailedCall {
   step: string
   gatewayUrl: string
-  /** A read has no effect, so that a lost answer leaves nothing unknown. */
+  /** A read has no effect, so its outcome is known even if the response is lost. */
   isRead: boolean
 }
 
 /**
- * @param cause - what the HTTP client rejected with
- * @param call - what was being done, and where
- * @returns an error of code `unavailable` when the call had no effect, else `outcome_unknown`
+ * Converts an error of the HTTP client.
+ *
+ * @param cause - rejection of the HTTP client
+ * @param call - the failed call
+ * @returns an error with code `unavailable` if the call had no effect, else `outcome_unknown`
  */
 export function transportFailure (cause: unknown, call: FailedCall): CliError {
   if (cause instanceof CliError) return cause
   const { step, gatewayUrl, isRead } = call
-  if (cause instanceof SyntaxError) return notJson(cause, step, gatewayUrl)
+  if (cause instanceof SyntaxError) return notJsonError(cause, step, gatewayUrl)
   const { code, message } = describeCause(cause)
-  if (NOT_CONNECTED_CODES.has(code)) {
+  if (CONNECT_ERROR_CODES.has(code)) {
     return new CliError(`No connection to gateway "${gatewayUrl}": ${message}.`, {
       code: 'unavailable', step, peer: gatewayUrl, ran: 'not_run', exit: 'unreachable', cause, hint: 'Check --gateway or ANVILARCH_GATEWAY, and whether a gateway runs there.'
     })
   }
   if (isRead) {
-    return new CliError(`Gateway "${gatewayUrl}" gave no whole answer: ${message}.`, {
+    return new CliError(`Gateway "${gatewayUrl}" sent no complete response: ${message}.`, {
       code: 'unavailable', step, peer: gatewayUrl, ran: 'not_run', exit: 'unreachable', cause, hint: 'Try again, or name another gateway with --gateway.'
     })
   }
-  return new CliError(`The connection to gateway "${gatewayUrl}" was lost before the answer was whole: ${message}.`, {
+  return new CliError(`The connection to gateway "${gatewayUrl}" was lost before the response was complete: ${message}.`, {
     code: 'outcome_unknown', step, peer: gatewayUrl, ran: 'unknown', exit: 'unreachable', cause, hint: 'Look at the state with the matching "show" or "status" command before you try again.'
   })
 }
 
 /**
- * @param status - HTTP status of an answer that is not taken
- * @param bodyText - body of the answer
- * @param retryAfter - header of that name, in seconds
- * @param step - what was being done
- * @param gatewayUrl - where
- * @returns the error that the gateway stated
+ * Converts an error response.
+ *
+ * @param status - HTTP status of the response
+ * @param bodyText - body of the response
+ * @param retryAfter - value of the `Retry-After` header, in seconds
+ * @param step - step of the call
+ * @param gatewayUrl - URL of the gateway that responded
+ * @returns the error that the gateway reported
  */
-export function answerFailure (status: number, bodyText: string, retryAfter: string | undefined, step: string, gatewayUrl: string): CliError {
+export function responseFailure (status: number, bodyText: string, retryAfter: string | undefined, step: string, gatewayUrl: string): CliError {
   const body = parseBody(bodyText)
-  const stated = typeof body.error === 'object' ? body.error : { message: body.error }
-  const code = (stated.code ?? 'internal') as ErrorCode
+  const reported = typeof body.error === 'object' ? body.error : { message: body.error }
+  const code = (reported.code ?? 'internal') as ErrorCode
   const issues = body.issues
-  return new CliError(stated.message ?? (issues === undefined ? `Gateway "${gatewayUrl}" answered with status ${status}.` : 'The document is not valid.'), {
+  return new CliError(reported.message ?? (issues === undefined ? `Gateway "${gatewayUrl}" responded with status ${status}.` : 'The document is not valid.'), {
     code,
-    step: stated.step ?? step,
-    peer: stated.peer ?? gatewayUrl,
-    ran: stated.ran ?? (status >= 300 && status < 500 ? 'not_run' : 'unknown'),
-    retryAfterMs: stated.retry_after_ms ?? secondsToMs(retryAfter),
+    step: reported.step ?? step,
+    peer: reported.peer ?? gatewayUrl,
+    ran: reported.ran ?? (status >= 300 && status < 500 ? 'not_run' : 'unknown'),
+    retryAfterMs: reported.retry_after_ms ?? secondsToMs(retryAfter),
     exit: EXIT_BY_STATUS[status] ?? 'failed',
-    hint: stated.code === undefined && issues === undefined ? NOT_A_GATEWAY_HINT : STEP_HINTS[step]?.[code] ?? HINTS[code],
-    data: { status, requestId: stated.request_id, version: body.version, issues },
+    hint: reported.code === undefined && issues === undefined ? NOT_A_GATEWAY_HINT : STEP_HINTS[step]?.[code] ?? HINTS[code],
+    data: { status, requestId: reported.request_id, version: body.version, issues },
     text: issues === undefined ? undefined : formatIssues(issues)
   })
 }
 
-/** @returns whether the same request may be sent to another gateway at once */
-export function isTakenElsewhere (error: CliError): boolean {
+/** @returns whether the same request may be sent to another gateway immediately */
+export function mayUseOtherGateway (error: CliError): boolean {
   if (error.ran !== 'not_run') return false
-  return (error.exit === 'unreachable' && error.code === 'unavailable') || ELSEWHERE_CODES.has(error.code)
+  return (error.exit === 'unreachable' && error.code === 'unavailable') || OTHER_GATEWAY_CODES.has(error.code)
 }
 
-/** @returns whether the same request may succeed a little later; only for requests that may be sent twice */
-export function isWorthAnotherTry (error: CliError): boolean {
+/** @returns whether the same request may succeed later; use it only for requests that may be sent twice */
+export function isRetryable (error: CliError): boolean {
   if (error.exit !== 'failed' && error.exit !== 'unreachable') return false
-  return error.ran === 'unknown' || error.exit === 'unreachable' || LATER_CODES.has(error.code)
+  return error.ran === 'unknown' || error.exit === 'unreachable' || RETRYABLE_CODES.has(error.code)
 }
 
-function notJson (cause: SyntaxError, step: string, gatewayUrl: string): CliError {
-  return new CliError(`The answer of "${gatewayUrl}" is not JSON.`, {
+function notJsonError (cause: SyntaxError, step: string, gatewayUrl: string): CliError {
+  return new CliError(`The response of "${gatewayUrl}" is not JSON.`, {
     code: 'internal', step, peer: gatewayUrl, ran: 'unknown', exit: 'failed', cause, hint: NOT_A_GATEWAY_HINT
   })
 }
 
-/** Connecting to a name with several addresses fails with one error for each of them. */
+/** Extracts code and message. A failed connection to a name with several addresses has one error for each of them. */
 function describeCause (cause: unknown): { code: string, message: string } {
   const { code = '', message = String(cause), errors } = cause as NodeJS.ErrnoException & { errors?: unknown[] }
   if (errors !== undefined && errors.length > 0) return describeCause(errors[0])
--- a/packages/anvilarch/src/gateway/httpClient.ts
+++ b/packages/anvilarch/src/gateway/httpClient.ts
@@ -1,23 +1,23 @@
-/** HTTP to one of several gateways: the next one is tried when one can't be reached. */
+/** HTTP client with failover: if a gateway can't be reached, the next one is tried. */
 import type { Readable } from 'node:stream'
 import { Agent, type Dispatcher, request } from 'undici'
 import { isFramed } from 'anvilarch-utils'
 import { CliError } from '../cliError'
-import { answerFailure, isTakenElsewhere, transportFailure } from './failures'
+import { mayUseOtherGateway, responseFailure, transportFailure } from './failures'
 
-/** One call. */
+/** One HTTP call. */
 export interface HttpCall {
   method: 'GET' | 'POST'
   path: string
-  /** Named in errors, in the form `slice.operation`. */
+  /** Reported in errors, in the form `slice.operation`. */
   step: string
   headers?: Record<string, string>
-  /** Makes the body anew for each gateway that is tried. */
+  /** Creates the body; called once for each gateway that is tried. */
   body?: () => string | Readable
-  /** Whether a second run does no harm, so that a lost connection may be followed by a try elsewhere. */
+  /** Whether the call may run twice, so that it can be sent to another gateway after a lost connection. */
   isRepeatable: boolean
-  /** Longest wait for the head of the answer, and between two parts of its body. */
-  answerTimeoutMs?: number
+  /** Longest wait for the head of the response, and between two chunks of its body. */
+  responseTimeoutMs?: number
 }
 
 /** Options of `createHttpClient`. */
@@ -26,34 +26,34 @@
   gatewayUrls: string[]
   apiKey?: string
   connectTimeoutMs: number
-  /** Of a call that names no limit of its own. */
-  answerTimeoutMs: number
+  /** Default for calls without a limit of their own. */
+  responseTimeoutMs: number
 }
 
 /**
- * Default time limits. A gateway that is stopped or cut off still lets connections in, so that only the missing answer
- * tells; until then an operator waits. Gateways wait 5 s at most before they answer an operator.
+ * Default timeouts. A paused or disconnected gateway may still accept connections, so only the missing response reveals it, and
+ * the operator waits until then. Gateways respond to operators within 5 s.
  */
-export const DEFAULT_HTTP_CLIENT_OPTIONS: Pick<HttpClientOptions, 'connectTimeoutMs' | 'answerTimeoutMs'> = {
+export const DEFAULT_HTTP_CLIENT_OPTIONS: Pick<HttpClientOptions, 'connectTimeoutMs' | 'responseTimeoutMs'> = {
   connectTimeoutMs: 3000,
-  answerTimeoutMs: 10_000
+  responseTimeoutMs: 10_000
 }
 
 /** Sends calls to gateways. */
 export interface HttpClient {
-  /** @returns the JSON body; rejects with a `CliError` */
-  json: <Answer>(call: HttpCall) => Promise<Answer>
-  /** @returns the body as it comes; reading it may fail with a `CliError` from `transportFailure` */
+  /** @returns the parsed JSON body; rejects with a `CliError` */
+  json: <Body>(call: HttpCall) => Promise<Body>
+  /** @returns the body as a stream; errors while reading it are to be converted with `transportFailure` */
   stream: (call: HttpCall) => Promise<{ body: Readable, gatewayUrl: string }>
   close: () => Promise<void>
 }
 
-/** The one status of a gateway's whole answer: no call asks for a part of one or follows a redirect. */
-const STATUS_WHOLE = 200
+/** The only status of a complete response: no call requests a byte range or follows a redirect. */
+const HTTP_OK = 200
 
 /**
- * @param options - gateways, key and time limits
- * @returns a client that remembers which gateway answered last
+ * @param options - gateways, API key and timeouts
+ * @returns a client that first tries the gateway that responded last
  */
 export function createHttpClient (options: HttpClientOptions): HttpClient {
   const dispatcher = new Agent({ connect: { timeout: options.connectTimeoutMs } })
@@ -61,8 +61,8 @@
 
   const send = async (gatewayUrl: string, call: HttpCall): Promise<Dispatcher.ResponseData> => {
     const authorization = options.apiKey === undefined ? {} : { authorization: `Bearer ${options.apiKey}` }
-    const timeoutMs = call.answerTimeoutMs ?? options.answerTimeoutMs
-    const answer = await request(new URL(call.path, gatewayUrl), {
+    const timeoutMs = call.responseTimeoutMs ?? options.responseTimeoutMs
+    const response = await request(new URL(call.path, gatewayUrl), {
       method: call.method,
       headers: { ...authorization, ...call.headers },
       body: call.body?.(),
@@ -70,50 +70,50 @@
       bodyTimeout: timeoutMs,
       dispatcher
     })
-    if (answer.statusCode === STATUS_WHOLE) return answer
-    const retryAfter = answer.headers['retry-after']
-    throw answerFailure(answer.statusCode, await answer.body.text(), typeof retryAfter === 'string' ? retryAfter : undefined, call.step, gatewayUrl)
+    if (response.statusCode === HTTP_OK) return response
+    const retryAfter = response.headers['retry-after']
+    throw responseFailure(response.statusCode, await response.body.text(), typeof retryAfter === 'string' ? retryAfter : undefined, call.step, gatewayUrl)
   }
 
-  const mayGoOn = (error: CliError, call: HttpCall): boolean =>
-    isTakenElsewhere(error) || (call.isRepeatable && error.code === 'outcome_unknown' && error.exit === 'unreachable')
+  const mayTryNextGateway = (error: CliError, call: HttpCall): boolean =>
+    mayUseOtherGateway(error) || (call.isRepeatable && error.code === 'outcome_unknown' && error.exit === 'unreachable')
 
-  /** Runs `read` on the answer of the first gateway that gives one. */
-  const firstAnswer = async <Answer>(call: HttpCall, read: (answer: Dispatcher.ResponseData, gatewayUrl: string) => Promise<Answer>): Promise<Answer> => {
+  /** Tries the gateways in order and runs `read` on the first response. */
+  const tryGateways = async <Result>(call: HttpCall, read: (response: Dispatcher.ResponseData, gatewayUrl: string) => Promise<Result>): Promise<Result> => {
     let last: CliError | undefined
     for (const gatewayUrl of urls) {
       try {
-        const answer = await read(await send(gatewayUrl, call), gatewayUrl)
+        const result = await read(await send(gatewayUrl, call), gatewayUrl)
         urls = [gatewayUrl, ...urls.filter(url => url !== gatewayUrl)]
-        return answer
+        return result
       } catch (cause) {
         last = transportFailure(cause, { step: call.step, gatewayUrl, isRead: call.method === 'GET' })
-        if (!mayGoOn(last, call)) throw last
+        if (!mayTryNextGateway(last, call)) throw last
       }
     }
-    throw last ?? noGateway(call)
+    throw last ?? noGatewayError(call)
   }
 
   return {
-    json: call => firstAnswer(call, async ({ body }) => JSON.parse(await textOf(body))),
-    stream: call => firstAnswer(call, async (answer, gatewayUrl) => ({ body: await framedBody(answer), gatewayUrl })),
+    json: call => tryGateways(call, async ({ body }) => JSON.parse(await readText(body))),
+    stream: call => tryGateways(call, async (response, gatewayUrl) => ({ body: await requireFramedBody(response), gatewayUrl })),
     close: async () => { await dispatcher.destroy() }
   }
 }
 
-function noGateway (call: HttpCall): CliError {
-  return new CliError('No gateway is named.', { code: 'bad_request', step: call.step, exit: 'usage', ran: 'not_run', hint: 'Give --gateway.' })
+function noGatewayError (call: HttpCall): CliError {
+  return new CliError('No gateway is given.', { code: 'bad_request', step: call.step, exit: 'usage', ran: 'not_run', hint: 'Give --gateway.' })
 }
 
-async function textOf (body: Readable): Promise<string> {
-  const parts: Buffer[] = []
-  for await (const part of body) parts.push(part as Buffer)
-  return Buffer.concat(parts).toString('utf8')
+async function readText (body: Readable): Promise<string> {
+  const chunks: Buffer[] = []
+  for await (const chunk of body) chunks.push(chunk as Buffer)
+  return Buffer.concat(chunks).toString('utf8')
 }
 
-/** A body that ends with its connection may have been cut, and nothing in a stream would show it. */
-async function framedBody ({ statusCode, headers, body }: Dispatcher.ResponseData): Promise<Readable> {
+/** Rejects a body without length or chunks: it ends with its connection, so a truncated one could not be detected. */
+async function requireFramedBody ({ statusCode, headers, body }: Dispatcher.ResponseData): Promise<Readable> {
   if (isFramed(statusCode, name => headers[name]?.toString())) return body
   await body.dump()
-  throw new Error('it names neither a length nor chunks')
+  throw new Error('it has neither a content length nor chunked encoding')
 }
--- a/packages/anvilarch/src/gateway/types.ts
+++ b/packages/anvilarch/src/gateway/types.ts
@@ -1,8 +1,8 @@
-/** Answers of a gateway, as far as the commands use them. */
+/** Responses of a gateway, with the fields that the commands use. */
 import type { ConfigurationDocument } from 'anvilarch-configuration'
 
 /** The configuration in force. */
-export interface ConfigurationAnswer {
+export interface ConfigurationResponse {
   version: number
   hash: string
   document: ConfigurationDocument
@@ -11,15 +11,15 @@
   appliedAtMs?: number
 }
 
-/** What became of a document that was sent. */
-export interface ApplyAnswer {
+/** Outcome of applying a document. */
+export interface ApplyResponse {
   version: number
   hash: string
-  /** False when this very document was in force already. */
+  /** False if the same document was already in force. */
   changed: boolean
 }
 
-/** A gateway as another one sees it. */
+/** A gateway, as reported by another one. */
 export interface GatewayView {
   instance: string
   address: string
@@ -28,7 +28,7 @@
   state: string
 }
 
-/** Load of an endpoint, as its agent reports it. */
+/** Load of an endpoint, as reported by its agent. */
 export interface EndpointLoadView {
   runningOnline?: number
   runningBatch?: number
@@ -37,10 +37,10 @@
   freeBatch?: number
 }
 
-/** An endpoint beside an agent. */
+/** An endpoint and its state. */
 export interface EndpointView {
   endpoint: string
-  /** Only where endpoints are listed on their own. */
+  /** Present only in the list of endpoints, not within an agent. */
   agent?: string
   agentState?: string
   kind: string
@@ -58,12 +58,12 @@
   model?: string
   version?: string
   replicas: number
-  /** Endpoints that serve it now. */
+  /** Number of endpoints that serve it now. */
   ready: number
   classes: string[]
 }
 
-/** An agent as a gateway sees it. */
+/** An agent, as reported by a gateway. */
 export interface AgentStatus {
   name: string
   host: string
@@ -76,15 +76,15 @@
   endpoints: EndpointView[]
 }
 
-/** An agent that drains. */
-export interface DrainAnswer {
+/** Response to a drain request. */
+export interface DrainResponse {
   agent: string
-  /** Attempts still in progress. */
+  /** Number of attempts still in progress. */
   running: number
 }
 
-/** The whole system as one gateway sees it. */
-export interface StatusAnswer {
+/** State of the whole system, as reported by one gateway. */
+export interface StatusResponse {
   gateway: string
   configurationVersion: number
   inForce: boolean
@@ -94,8 +94,8 @@
   jobs: { active: number | null }
 }
 
-/** A job, in the shape of the OpenAI batch object. */
-export interface BatchAnswer {
+/** A job in the format of the OpenAI batch object. */
+export interface BatchResponse {
   id: string
   status: string
   endpoint: string
@@ -114,14 +114,14 @@
 }
 
 /** One page of jobs. */
-export interface BatchListAnswer {
-  data: BatchAnswer[]
+export interface BatchListResponse {
+  data: BatchResponse[]
   has_more: boolean
   last_id?: string | null
 }
 
 /** An uploaded file. */
-export interface FileAnswer {
+export interface FileResponse {
   id: string
   bytes: number
   filename: string
--- a/packages/anvilarch/src/jobs/downloadFile.ts
+++ b/packages/anvilarch/src/jobs/downloadFile.ts
@@ -1,4 +1,4 @@
-/** Reads an output or error file of a job. */
+/** Downloads the output or error file of a job. */
 import { createWriteStream } from 'node:fs'
 import { rename, rm, writeFile } from 'node:fs/promises'
 import { Transform } from 'node:stream'
@@ -7,7 +7,7 @@
 import { transportFailure } from '../gateway/failures'
 import type { CliSession } from '../session'
 
-/** What was read. */
+/** Size of a downloaded file. */
 export interface DownloadedFile {
   lines: number
   bytes: number
@@ -16,20 +16,20 @@
 const NEWLINE = 0x0a
 
 /**
- * The bytes go to a file beside the wanted one, which gets its name only when it is whole. Otherwise a lost connection
- * would leave a file that looks like a finished one with fewer results.
+ * Downloads to a temporary file in the same directory, which is renamed when it is complete. Otherwise a lost connection would
+ * leave a file that looks complete but has fewer results.
  *
- * @param session - the running command
- * @param fileId - the file
+ * @param session - of the running command
+ * @param fileId - id of the file
  * @param path - where to write it
- * @returns how much was read
+ * @returns size of the file
  */
 export async function downloadToFile (session: CliSession, fileId: string, path: string): Promise<DownloadedFile> {
   const partPath = `${path}.part`
   try {
-    const found = await download(session, fileId, createWriteStream(partPath), { end: true })
+    const downloaded = await download(session, fileId, createWriteStream(partPath), { end: true })
     await rename(partPath, path).catch(cause => { throw fileError(path, cause) })
-    return found
+    return downloaded
   } catch (error) {
     await rm(partPath, { force: true }).catch(() => {})
     throw error
@@ -37,17 +37,21 @@
 }
 
 /**
- * @param session - the running command; the bytes go to its standard output
- * @param fileId - the file
- * @returns how much was read
+ * Downloads to standard output.
+ *
+ * @param session - of the running command
+ * @param fileId - id of the file
+ * @returns size of the file
  */
 export async function downloadToOutput (session: CliSession, fileId: string): Promise<DownloadedFile> {
   return await download(session, fileId, session.environment.stdout, { end: false })
 }
 
 /**
- * @param path - where to write a file without lines
- * @returns how much was read: nothing
+ * Writes an empty file.
+ *
+ * @param path - where to write it
+ * @returns size of the file: zero
  */
 export async function writeEmptyFile (path: string): Promise<DownloadedFile> {
   await writeFile(path, '').catch(cause => { throw fileError(path, cause) })
@@ -58,12 +62,12 @@
   session: CliSession, fileId: string, sink: NodeJS.WritableStream, options: { end: boolean }
 ): Promise<DownloadedFile> {
   const { body, gatewayUrl } = await session.gateway.fileContent(fileId)
-  const found = { lines: 0, bytes: 0 }
+  const size = { lines: 0, bytes: 0 }
   const counter = new Transform({
-    transform (piece: Buffer, _encoding, done) {
-      found.bytes += piece.length
-      found.lines += countLines(piece)
-      done(null, piece)
+    transform (chunk: Buffer, _encoding, done) {
+      size.bytes += chunk.length
+      size.lines += countLines(chunk)
+      done(null, chunk)
     }
   })
   try {
@@ -71,12 +75,12 @@
   } catch (cause) {
     throw isFileSystemError(cause) ? fileError(cause.path ?? '', cause) : transportFailure(cause, { step: 'jobs.results', gatewayUrl, isRead: true })
   }
-  return found
+  return size
 }
 
-function countLines (piece: Buffer): number {
+function countLines (chunk: Buffer): number {
   let lines = 0
-  for (let at = piece.indexOf(NEWLINE); at >= 0; at = piece.indexOf(NEWLINE, at + 1)) lines++
+  for (let at = chunk.indexOf(NEWLINE); at >= 0; at = chunk.indexOf(NEWLINE, at + 1)) lines++
   return lines
 }
 
--- a/packages/anvilarch/src/jobs/submitJob.ts
+++ b/packages/anvilarch/src/jobs/submitJob.ts
@@ -1,88 +1,88 @@
-/** Uploads a file and makes a job of it, once, however often it has to be sent. */
+/** Uploads a file and creates one job from it, with retries that never create a second job. */
 import { type Clock, sleep } from 'anvilarch-utils'
 import { CliError, toCliError } from '../cliError'
 import { fileSizeBytes } from '../files'
-import { isWorthAnotherTry } from '../gateway/failures'
+import { isRetryable } from '../gateway/failures'
 import type { GatewayClient } from '../gateway/gatewayClient'
-import type { BatchAnswer } from '../gateway/types'
+import type { BatchResponse } from '../gateway/types'
 import { formatCount } from '../output/table'
 
 /** What to submit. */
 export interface SubmitRequest {
   path: string
   endpoint: string
-  /** Without one, the gateway takes the hash of file content, endpoint, window and metadata. */
+  /** Idempotency key. If undefined, the gateway uses a hash of file content, endpoint, window and metadata. */
   key: string | undefined
 }
 
-/** A job that was made, or found. */
+/** A job that was created, or found by its key or content. */
 export interface SubmittedJob {
-  batch: BatchAnswer
+  batch: BatchResponse
   tries: number
 }
 
-/** How often and how long to try. */
+/** Limits of the retries. */
 export interface SubmitOptions {
-  maxTries: number
-  firstWaitMs: number
-  /** Longest wait of the command's own choosing; a time that the gateway states is kept to, however long it is. */
-  maxWaitMs: number
-  /** A gateway that states a longer time than this ends the tries, so that nobody waits for it unaware. */
-  patienceMs: number
-  /** Told before each wait. */
+  maxAttempts: number
+  initialBackoffMs: number
+  /** Longest backoff of the command itself; a longer `Retry-After` of the gateway takes precedence. */
+  maxBackoffMs: number
+  /** A longer `Retry-After` ends the retries, so that the operator doesn't wait without notice. */
+  maxRetryAfterMs: number
+  /** Called before each wait. */
   onRetry: (error: CliError, waitMs: number) => void
 }
 
-/** Defaults of the tries: about half a minute altogether, unless the gateway states longer waits. */
-export const DEFAULT_SUBMIT_OPTIONS: Pick<SubmitOptions, 'maxTries' | 'firstWaitMs' | 'maxWaitMs' | 'patienceMs'> = {
-  maxTries: 7,
-  firstWaitMs: 500,
-  maxWaitMs: 8000,
-  patienceMs: 60_000
+/** Default limits: about half a minute in total, unless `Retry-After` states longer waits. */
+export const DEFAULT_SUBMIT_OPTIONS: Pick<SubmitOptions, 'maxAttempts' | 'initialBackoffMs' | 'maxBackoffMs' | 'maxRetryAfterMs'> = {
+  maxAttempts: 7,
+  initialBackoffMs: 500,
+  maxBackoffMs: 8000,
+  maxRetryAfterMs: 60_000
 }
 
 /**
- * A reply may be lost after the job was made, and sending again must not make a second one, which would run each item
- * twice. The gateway finds the first one by the key, or by the content when there is no key; a key made up here would
- * stay with a cancelled job for good, so that the same file could not be run again.
+ * Submits a job. A response may be lost after the job was created, and a retry must not create a second job, which would run
+ * each item twice. The gateway finds the first job by the key, or by the content if there is no key. A key generated here would
+ * belong to a cancelled job forever, so the same file could not be run again.
  *
- * @param gateway - where to send
- * @param clock - for the waits between tries
+ * @param gateway - client of the gateways
+ * @param clock - for the waits between attempts
  * @param request - what to submit
- * @param options - how often to try
+ * @param options - limits of the retries
  * @returns the job
- * @throws CliError when it was refused, or when the tries are used up
+ * @throws CliError when the job was rejected, or when all attempts have failed
  */
 export async function submitJob (gateway: GatewayClient, clock: Clock, request: SubmitRequest, options: SubmitOptions): Promise<SubmittedJob> {
   const sizeBytes = await fileSizeBytes(request.path)
   const upload = await withRetries(clock, options, () => gateway.uploadFile(request.path, sizeBytes))
   const creation = await withRetries(clock, options, () =>
-    gateway.createBatch({ inputFileId: upload.answer.id, endpoint: request.endpoint, idempotencyKey: request.key }))
-  return { batch: creation.answer, tries: creation.tries }
+    gateway.createBatch({ inputFileId: upload.response.id, endpoint: request.endpoint, idempotencyKey: request.key }))
+  return { batch: creation.response, tries: creation.attempts }
 }
 
-async function withRetries<Answer> (clock: Clock, options: SubmitOptions, send: () => Promise<Answer>): Promise<{ answer: Answer, tries: number }> {
-  for (let tries = 1; ; tries++) {
+async function withRetries<Body> (clock: Clock, options: SubmitOptions, send: () => Promise<Body>): Promise<{ response: Body, attempts: number }> {
+  for (let attempt = 1; ; attempt++) {
     try {
-      return { answer: await send(), tries }
+      return { response: await send(), attempts: attempt }
     } catch (thrown) {
       const error = toCliError(thrown)
-      if (!isWorthAnotherTry(error)) throw error
-      if (tries >= options.maxTries || (error.retryAfterMs ?? 0) > options.patienceMs) throw triesUsedUp(error, tries)
-      const waitMs = waitBeforeTry(tries, error.retryAfterMs, options)
+      if (!isRetryable(error)) throw error
+      if (attempt >= options.maxAttempts || (error.retryAfterMs ?? 0) > options.maxRetryAfterMs) throw attemptsExhausted(error, attempt)
+      const waitMs = retryDelayMs(attempt, error.retryAfterMs, options)
       options.onRetry(error, waitMs)
       await sleep(clock, waitMs)
     }
   }
 }
 
-function waitBeforeTry (tries: number, retryAfterMs: number | undefined, options: SubmitOptions): number {
-  const backoffMs = options.firstWaitMs * 2 ** (tries - 1)
-  return Math.max(Math.min(options.maxWaitMs, backoffMs), retryAfterMs ?? 0)
+function retryDelayMs (attempt: number, retryAfterMs: number | undefined, options: SubmitOptions): number {
+  const backoffMs = options.initialBackoffMs * 2 ** (attempt - 1)
+  return Math.max(Math.min(options.maxBackoffMs, backoffMs), retryAfterMs ?? 0)
 }
 
-function triesUsedUp (error: CliError, tries: number): CliError {
-  return new CliError(`${error.message} Given up after ${formatCount(tries, 'try', 'tries')}.`, {
+function attemptsExhausted (error: CliError, attempts: number): CliError {
+  return new CliError(`${error.message} Given up after ${formatCount(attempts, 'try', 'tries')}.`, {
     code: error.code,
     step: error.step,
     peer: error.peer,
--- a/packages/anvilarch/src/report/buildReport.ts
+++ b/packages/anvilarch/src/report/buildReport.ts
@@ -1,24 +1,24 @@
-/** Gathers the logs of all processes into a report by second. */
+/** Aggregates the logs of all processes into a report per second. */
 import type { LogLine } from '../explain/readLogs'
 import { findLosses } from './losses'
 import type { LogReport, ReportMoment, ReportSecond } from './types'
 
 const SECOND_MS = 1000
 
-/** Events of processes, the store, endpoints and the configuration that may explain what happened to requests. */
-const MOMENTS: ReadonlySet<string> = new Set([
+/** Messages about processes, the store, endpoints and the configuration that may explain failed requests. */
+const MOMENT_MESSAGES: ReadonlySet<string> = new Set([
   'started', 'stopping', 'gateway stopped', 'runner stopped', 'stop cut short', 'stop waits for requests', 'configuration in force',
   'endpoint listed', 'endpoint removed from the list', 'endpoint entry not usable', 'engine started anew', 'store does not serve this host',
   'store answers again', 'feed lost', 'feed answers again', 'table listing failed', 'feed history lost, listing again', 'request in progress at a crash',
   'uncaught exception', 'unhandled rejection', 'runner step failed', 'background task failed'
 ])
 
-/** Fields that a moment shows, in this order. */
+/** Fields shown in the detail of a moment, in this order. */
 const DETAIL_FIELDS = ['endpoint', 'state', 'version', 'table', 'reason', 'afterMs']
 
 /**
  * @param lines - of all processes
- * @returns the report; without seconds when there are no lines
+ * @returns the report; it has no seconds if there are no lines
  */
 export function buildReport (lines: readonly LogLine[]): LogReport {
   const startMs = lines.reduce((first, line) => Math.min(first, Date.parse(line.at)), Infinity)
@@ -31,7 +31,7 @@
     processCount: new Set(lines.map(line => line.process)).size,
     lineCount: lines.length,
     seconds,
-    moments: lines.filter(line => MOMENTS.has(line.message)).map(line => momentOf(line, secondOf(line))).sort((a, b) => a.second - b.second),
+    moments: lines.filter(line => MOMENT_MESSAGES.has(line.message)).map(line => momentOf(line, secondOf(line))).sort((a, b) => a.second - b.second),
     losses: findLosses(lines, startMs)
   }
 }
@@ -56,20 +56,20 @@
   }
 }
 
-/** Fields that are added up over all processes, by the message that has them. */
-const SUMMED: ReadonlyMap<string, ReadonlyArray<keyof ReportSecond>> = new Map([
+/** Fields that are summed over all processes, by message. */
+const SUMMED_FIELDS: ReadonlyMap<string, ReadonlyArray<keyof ReportSecond>> = new Map([
   ['traffic', ['arrived', 'answered', 'late', 'refused', 'failed', 'left', 'inProgress']],
   ['engine use', ['slots', 'online', 'batchRunning', 'batchPaused']]
 ])
 
-/** Fields of which the largest over all processes counts. */
-const LARGEST: ReadonlyMap<string, ReadonlyArray<keyof ReportSecond>> = new Map([
+/** Fields of which the maximum over all processes is taken, by message. */
+const MAXIMUM_FIELDS: ReadonlyMap<string, ReadonlyArray<keyof ReportSecond>> = new Map([
   ['traffic', ['configurationAgeMs', 'endpointsAgeMs']]
 ])
 
 function addLine (second: ReportSecond, line: LogLine): void {
-  for (const field of SUMMED.get(line.message) ?? []) second[field] += Number(line[field] ?? 0)
-  for (const field of LARGEST.get(line.message) ?? []) second[field] = Math.max(second[field], Number(line[field] ?? 0))
+  for (const field of SUMMED_FIELDS.get(line.message) ?? []) second[field] += Number(line[field] ?? 0)
+  for (const field of MAXIMUM_FIELDS.get(line.message) ?? []) second[field] = Math.max(second[field], Number(line[field] ?? 0))
   if (line.message === 'item paused') second.pauses++
 }
 
--- a/packages/anvilarch/src/report/charts.ts
+++ b/packages/anvilarch/src/report/charts.ts
@@ -1,8 +1,8 @@
-/** Draws the charts of a report as SVG. */
+/** Renders the charts of a report as SVG. */
 import type { EChartsOption } from 'echarts/types/dist/shared'
 import type { ReportSecond } from './types'
 
-/** What is used of the chart library, whose own declarations need another kind of module. */
+/** The part of the chart library that is used. The library's own declarations need ES modules. */
 interface ChartLibrary {
   init: (element: null, theme: null, options: { renderer: 'svg', ssr: boolean, width: number, height: number }) => {
     setOption: (option: EChartsOption) => void
@@ -18,11 +18,11 @@
   field: keyof ReportSecond
   title: string
   color: string
-  /** Stacked areas add up; lines stand for themselves. */
+  /** Series with the same value are stacked as areas; without one, a series is drawn as a line. */
   stack?: string
 }
 
-/** A chart over the seconds of a report. */
+/** A chart with the seconds of a report on its x-axis. */
 interface ChartSpec {
   title: string
   unit: string
@@ -34,7 +34,7 @@
 
 const CHARTS: readonly ChartSpec[] = [
   {
-    title: 'Requests by what became of them',
+    title: 'Requests by outcome',
     unit: 'requests a second',
     series: [
       { field: 'answered', title: 'on time', color: '#3b8f5a', stack: 'ends' },
@@ -52,16 +52,16 @@
       { field: 'online', title: 'online, waiting ones included', color: '#2f6fa8', stack: 'use' },
       { field: 'batchRunning', title: 'batch items', color: '#8fbf6a', stack: 'use' },
       { field: 'slots', title: 'slots', color: '#222222' },
-      { field: 'batchPaused', title: 'items held without a run', color: '#d9a441' }
+      { field: 'batchPaused', title: 'items claimed without a run', color: '#d9a441' }
     ]
   },
   {
-    title: 'Runs of batch items that were broken off',
+    title: 'Aborted runs of batch items',
     unit: 'runs a second',
-    series: [{ field: 'pauses', title: 'broken off', color: '#c0392b' }]
+    series: [{ field: 'pauses', title: 'aborted', color: '#c0392b' }]
   },
   {
-    title: 'Age of knowledge, the oldest of any gateway',
+    title: 'Age of configuration and endpoint list, oldest of any gateway',
     unit: 'ms',
     series: [
       { field: 'configurationAgeMs', title: 'configuration', color: '#2f6fa8' },
@@ -72,7 +72,7 @@
 
 /**
  * @param seconds - of a report
- * @returns an SVG document for each chart
+ * @returns one SVG document for each chart
  */
 export function drawCharts (seconds: readonly ReportSecond[]): string[] {
   return CHARTS.map(spec => drawChart(spec, seconds))
--- a/packages/anvilarch/src/report/renderReport.ts
+++ b/packages/anvilarch/src/report/renderReport.ts
@@ -1,4 +1,4 @@
-/** Writes a report as one HTML page. */
+/** Renders a report as one HTML page. */
 import { drawCharts } from './charts'
 import type { LogReport, ReportLoss, ReportMoment } from './types'
 
@@ -6,10 +6,7 @@
 table { border-collapse: collapse; margin: 8px 0 24px } td, th { border-bottom: 1px solid #ddd; padding: 3px 10px; text-align: left; vertical-align: top }
 td.number { text-align: right } code { font-size: 12px }`
 
-/**
- * @param report - what the logs hold
- * @returns an HTML document without references to other files
- */
+/** @returns the report as an HTML document without references to other files */
 export function renderReport (report: LogReport): string {
   return [
     '<!doctype html>',
@@ -22,7 +19,7 @@
     '<p>The ids can be given to <code>anvilarch explain</code>.</p>',
     table(['kind', 'outcome', 'reason', 'count', 'seconds', 'most in', 'ids'], report.losses.map(lossCells)),
     '<h2>Processes, store, endpoints and configuration</h2>',
-    table(['second', 'event', 'processes', 'detail'], gatherMoments(report.moments)),
+    table(['second', 'event', 'processes', 'detail'], groupMoments(report.moments)),
     '</body></html>',
     ''
   ].join('\n')
@@ -35,11 +32,11 @@
   ]
 }
 
-/** Processes that shows names at most; of more, their number is enough. */
+/** Up to this many processes are listed by name; of more, only the number is shown. */
 const NAMED_PROCESSES = 3
 
-/** The same event at many processes in one second is one row. */
-function gatherMoments (moments: readonly ReportMoment[]): string[][] {
+/** Combines the same event at several processes in one second into one row. */
+function groupMoments (moments: readonly ReportMoment[]): string[][] {
   const groups = new Map<string, ReportMoment[]>()
   for (const moment of moments) {
     const key = [moment.second, moment.message, moment.detail].join('\n')
@@ -52,8 +49,8 @@
   })
 }
 
-function table (heads: readonly string[], rows: ReadonlyArray<readonly string[]>): string {
-  const head = heads.map(text => `<th>${escapeText(text)}</th>`).join('')
+function table (headings: readonly string[], rows: ReadonlyArray<readonly string[]>): string {
+  const head = headings.map(text => `<th>${escapeText(text)}</th>`).join('')
   const body = rows.map(row => `<tr>${row.map(cell).join('')}</tr>`).join('\n')
   return `<table><tr>${head}</tr>\n${body}</table>`
 }
--- a/packages/anvilarch/src/timeline/mergeEvents.ts
+++ b/packages/anvilarch/src/timeline/mergeEvents.ts
@@ -1,47 +1,47 @@
-/** Puts the events of several processes in order. */
+/** Merges the events of several processes into one ordered list. */
 import type { TimelineEvent } from 'anvilarch-protocol'
 import { type Cell, formatTable } from '../output/table'
 
 const LAST_DIGITS_OF_ID = 8
 
 /**
- * The wall clocks of two hosts may differ by some milliseconds, so that an answer can stand before its question.
- * Within one process the order is that of its sequence, also when its wall clock was set back in between.
+ * Merges events. The wall clocks of two hosts may differ by some milliseconds, so a response can precede its request.
+ * Within one process, events are ordered by sequence, also if its wall clock was set back in between.
  *
- * @param lists - events of each process, in the order of their sequence
- * @returns all of them by wall time, then process, then sequence; each event once
+ * @param lists - events of each process
+ * @returns all events without duplicates, sorted by wall-clock time, then process, then sequence
  */
 export function mergeEvents (lists: TimelineEvent[][]): TimelineEvent[] {
-  const byKey = new Map<string, PlacedEvent>()
-  for (const placed of lists.flatMap(placeEvents)) {
-    const { process, atMs, sequence } = placed.event
-    byKey.set(`${process} ${atMs} ${sequence}`, placed)
+  const byKey = new Map<string, SortableEvent>()
+  for (const entry of lists.flatMap(assignSortTimes)) {
+    const { process, atMs, sequence } = entry.event
+    byKey.set(`${process} ${atMs} ${sequence}`, entry)
   }
   return [...byKey.values()].sort(compareEvents).map(({ event }) => event)
 }
 
-/** An event with the time at which it is shown: no earlier than any event of its process that came before it. */
-interface PlacedEvent {
+/** An event with the time by which it is sorted: no earlier than that of any previous event of its process. */
+interface SortableEvent {
   event: TimelineEvent
-  placeMs: number
+  sortMs: number
 }
 
-function placeEvents (list: TimelineEvent[]): PlacedEvent[] {
-  let placeMs = Number.NEGATIVE_INFINITY
+function assignSortTimes (list: TimelineEvent[]): SortableEvent[] {
+  let sortMs = Number.NEGATIVE_INFINITY
   return [...list].sort((left, right) => left.sequence - right.sequence).map(event => {
-    placeMs = Math.max(placeMs, event.atMs)
-    return { event, placeMs }
+    sortMs = Math.max(sortMs, event.atMs)
+    return { event, sortMs }
   })
 }
 
-function compareEvents (left: PlacedEvent, right: PlacedEvent): number {
-  const byTime = left.placeMs - right.placeMs
+function compareEvents (left: SortableEvent, right: SortableEvent): number {
+  const byTime = left.sortMs - right.sortMs
   return byTime || compareText(left.event.process, right.event.process) || left.event.sequence - right.event.sequence
 }
 
 /**
- * @param events - events in order
- * @returns a table with the time since the first one
+ * @param events - sorted events
+ * @returns a table that includes the time since the first event
  */
 export function formatEvents (events: TimelineEvent[]): string {
   const firstMs = events[0]?.atMs ?? 0
--- a/packages/anvilarch/src/waiting.ts
+++ b/packages/anvilarch/src/waiting.ts
@@ -1,53 +1,54 @@
-/** Asks again and again until something holds. */
+/** Polls until a condition is met. */
 import { type Clock, sleep } from 'anvilarch-utils'
 import { CliError } from './cliError'
-import { isWorthAnotherTry } from './gateway/failures'
+import { isRetryable } from './gateway/failures'
 
 /** Options of `pollUntil`. */
 export interface PollOptions<State> {
   clock: Clock
-  /** No limit when undefined. */
+  /** No limit if undefined. */
   timeoutMs: number | undefined
   intervalMs: number
-  ask: () => Promise<State>
+  poll: () => Promise<State>
   isDone: (state: State) => boolean
   onState: (state: State) => void
 }
 
-/** How a wait ended. `state` is the last one seen. */
+/** Result of a wait; `state` is the last one read. */
 export interface PollResult<State> {
   isDone: boolean
   state: State
 }
 
-/** Time between two questions. */
+/** Time between two polls. */
 export const DEFAULT_POLL_INTERVAL_MS = 500
 
-/** Failures in a row that a wait without a limit puts up with. */
-const MAX_FAILURES_IN_A_ROW = 20
+/** A wait, also one without a limit, fails after this many failed polls in a row. */
+const MAX_CONSECUTIVE_FAILURES = 20
 
 /**
- * Gateways may be replaced during the wait, so that a failed question doesn't end it.
+ * Polls until `isDone` returns true or the time limit is reached. Gateways may be replaced during the wait, so a failed poll
+ * doesn't end it.
  *
- * @param options - what to ask, when to stop
- * @returns the last state, and whether it is the one that was waited for
- * @throws CliError when no question was answered in the given time
+ * @param options - how to poll and when to stop
+ * @returns the last state, and whether the condition was met
+ * @throws CliError when no poll succeeded within the time limit, when too many failed in a row or when a retry can't succeed
  */
 export async function pollUntil<State> (options: PollOptions<State>): Promise<PollResult<State>> {
   const { clock, timeoutMs = Infinity, intervalMs } = options
   const endMs = clock.nowMs() + timeoutMs
   let last: { state: State } | undefined
-  let failuresInARow = 0
+  let consecutiveFailures = 0
   for (;;) {
     try {
-      last = { state: await options.ask() }
-      failuresInARow = 0
+      last = { state: await options.poll() }
+      consecutiveFailures = 0
       options.onState(last.state)
       if (options.isDone(last.state)) return { isDone: true, state: last.state }
     } catch (error) {
-      failuresInARow++
-      const isPassing = error instanceof CliError && isWorthAnotherTry(error) && failuresInARow < MAX_FAILURES_IN_A_ROW
-      if (!isPassing) throw error
+      consecutiveFailures++
+      const isTransient = error instanceof CliError && isRetryable(error) && consecutiveFailures < MAX_CONSECUTIVE_FAILURES
+      if (!isTransient) throw error
       if (clock.nowMs() + intervalMs > endMs && last === undefined) throw error
     }
     if (clock.nowMs() + intervalMs > endMs && last !== undefined) return { isDone: false, state: last.state }
