--- a/packages/anvilarch-daemon/src/admission/__tests__/admissionHistory.test.ts
+++ b/packages/anvilarch-daemon/src/admission/__tests__/admissionHistory.test.ts
@@ -7,13 +7,13 @@
   | { kind: 'arrive', workClass: WorkClass, isolated: boolean, soloFirstToken: boolean, lifetimeMs: number }
   | { kind: 'finish' | 'release' | 'cancel' | 'token', pick: number }
   | { kind: 'tick', ms: number }
-  | { kind: 'down' | 'up' | 'drain' | 'handBack' }
+  | { kind: 'down' | 'up' | 'drain' | 'returnBatch' }
 
 const ACTIONS: fc.Arbitrary<Action[]> = fc.array(fc.oneof(
   { weight: 8, arbitrary: fc.record({ kind: fc.constant('arrive'), workClass: fc.constantFrom('lookup', 'online', 'batch', 'batch'), isolated: fc.integer({ min: 0, max: 9 }).map(n => n === 0), soloFirstToken: fc.integer({ min: 0, max: 4 }).map(n => n === 0), lifetimeMs: fc.constantFrom(50, 1000, 60_000) }) },
   { weight: 10, arbitrary: fc.record({ kind: fc.constantFrom('finish', 'release', 'cancel', 'token'), pick: fc.nat(20) }) },
   { weight: 5, arbitrary: fc.record({ kind: fc.constant('tick'), ms: fc.constantFrom(10, 100, 300) }) },
-  { weight: 1, arbitrary: fc.record({ kind: fc.constantFrom('down', 'up', 'up', 'handBack', 'drain') }) }
+  { weight: 1, arbitrary: fc.record({ kind: fc.constantFrom('down', 'up', 'up', 'returnBatch', 'drain') }) }
 ) as fc.Arbitrary<Action>, { maxLength: 120, size: 'max' })
 
 type Phase = 'waiting' | 'running' | 'preempting' | 'parked' | 'over'
@@ -47,7 +47,7 @@
       case 'finish': {
         this.withPicked(action.pick, ['running', 'preempting'], id => {
           this.phases.set(id, 'over')
-          this.send({ kind: 'finished', nowMs: this.nowMs, id, whole: action.pick % 2 === 0 })
+          this.send({ kind: 'finished', nowMs: this.nowMs, id, isComplete: action.pick % 2 === 0 })
         })
         break
       }
@@ -93,9 +93,9 @@
         this.send({ kind: 'drain', nowMs: this.nowMs })
         break
       }
-      case 'handBack': {
+      case 'returnBatch': {
         if (!this.draining) break
-        this.send({ kind: 'handBack', nowMs: this.nowMs })
+        this.send({ kind: 'returnBatch', nowMs: this.nowMs })
         break
       }
     }
--- a/packages/anvilarch-daemon/src/admission/__tests__/admissionStep.test.ts
+++ b/packages/anvilarch-daemon/src/admission/__tests__/admissionStep.test.ts
@@ -13,7 +13,7 @@
 }
 
 function finish (state: AdmissionState, id: string, nowMs: number): AdmissionCommand[] {
-  return admissionStep(state, { kind: 'finished', nowMs, id, whole: true }).commands
+  return admissionStep(state, { kind: 'finished', nowMs, id, isComplete: true }).commands
 }
 
 function release (state: AdmissionState, id: string, nowMs: number): AdmissionCommand[] {
--- a/packages/anvilarch-daemon/src/admission/__tests__/soloFirstToken.test.ts
+++ b/packages/anvilarch-daemon/src/admission/__tests__/soloFirstToken.test.ts
@@ -58,7 +58,7 @@
     const state = endpoint()
     arrive(state, 'suspect', { solo: true })
     arrive(state, 'a')
-    expect(starts(admissionStep(state, { kind: 'finished', nowMs: 5, id: 'suspect', whole: false }).commands)).toEqual(['a'])
+    expect(starts(admissionStep(state, { kind: 'finished', nowMs: 5, id: 'suspect', isComplete: false }).commands)).toEqual(['a'])
   })
 
   it('preempts a batch item for its slot, and is not preempted itself before its first token', () => {
--- a/packages/anvilarch-daemon/src/admission/admissionStep.ts
+++ b/packages/anvilarch-daemon/src/admission/admissionStep.ts
@@ -30,7 +30,7 @@
     solo: [],
     soloTurn: true,
     draining: false,
-    handingBack: false,
+    isReturningBatch: false,
     down: false,
     measures: createMeasures(),
     batchLimit: createBatchLimit(all.slots)
@@ -55,8 +55,8 @@
     state.draining = true
     giveUpAll(state, 'draining', commands)
   },
-  handBack: (state, event, commands) => {
-    state.handingBack = true
+  returnBatch: (state, event, commands) => {
+    state.isReturningBatch = true
     preemptExcessBatch(state, 0, commands)
   },
   endpointDown: (state, event, commands) => {
@@ -120,7 +120,7 @@
   const attempt = state.running.get(event.id)
   if (attempt === undefined) return
   state.running.delete(event.id)
-  if (!event.whole || attempt.preemptions > 0) return
+  if (!event.isComplete || attempt.preemptions > 0) return
   const { serviceMs } = state.measures
   serviceMs[attempt.workClass] = smooth(serviceMs[attempt.workClass], Math.max(1, event.nowMs - attempt.startedMs))
 }
--- a/packages/anvilarch-daemon/src/admission/scheduling.ts
+++ b/packages/anvilarch-daemon/src/admission/scheduling.ts
@@ -57,7 +57,7 @@
 }
 
 function startBatch (state: AdmissionState, nowMs: number, commands: AdmissionCommand[]): void {
-  if (state.online.length > 0 || state.handingBack) return
+  if (state.online.length > 0 || state.isReturningBatch) return
   const counts = countRunning(state)
   const capacity = Math.min(state.batchLimit.limit - counts.batch, state.options.slots - state.running.size, prefillCapacity(state, counts))
   for (const waiting of state.batch.splice(0, Math.max(0, capacity))) start(state, waiting, nowMs, false, commands)
--- a/packages/anvilarch-daemon/src/admission/types.ts
+++ b/packages/anvilarch-daemon/src/admission/types.ts
@@ -17,13 +17,13 @@
   /** The engine has freed the slot of a preempted attempt. */
   | { kind: 'released', nowMs: number, id: string }
   /** A running attempt ended; `whole` if its response was complete, so that its duration counts as a service time. */
-  | { kind: 'finished', nowMs: number, id: string, whole: boolean }
+  | { kind: 'finished', nowMs: number, id: string, isComplete: boolean }
   /** A waiting attempt was cancelled. */
   | { kind: 'cancelled', nowMs: number, id: string }
   | { kind: 'tick', nowMs: number }
   | { kind: 'drain', nowMs: number }
   /** Running batch work is preempted and returned, to shorten a drain. */
-  | { kind: 'handBack', nowMs: number }
+  | { kind: 'returnBatch', nowMs: number }
   | { kind: 'endpointDown', nowMs: number }
   | { kind: 'endpointUp', nowMs: number }
   | { kind: 'policy', nowMs: number, policy: BatchPolicy }
@@ -139,7 +139,7 @@
   /** Whether the next prompt to prefill is one of those in `solo`. */
   soloTurn: boolean
   draining: boolean
-  handingBack: boolean
+  isReturningBatch: boolean
   down: boolean
   measures: Measures
   batchLimit: BatchLimit
--- a/packages/anvilarch-daemon/src/agent/__tests__/attemptTable.test.ts
+++ b/packages/anvilarch-daemon/src/agent/__tests__/attemptTable.test.ts
@@ -81,7 +81,7 @@
       case 'cancel': {
         const commands = send(this.table, { ...base, kind: 'cancel' })
         this.execute(commands)
-        if (commands.some(command => command.kind === 'cancelAnswer' && command.outcome === 'barred')) this.recordNotRun(id)
+        if (commands.some(command => command.kind === 'cancelResponse' && command.outcome === 'barred')) this.recordNotRun(id)
         break
       }
       case 'start': {
@@ -95,7 +95,7 @@
         break
       }
       case 'open': {
-        if (entry === undefined || entry.state === 'barred' || entry.state === 'forgotten') break
+        if (entry === undefined || entry.state === 'barred' || entry.state === 'discarded') break
         send(this.table, { ...base, kind: 'readerOpened' })
         this.readers.set(id, (this.readers.get(id) ?? 0) + 1)
         break
@@ -117,7 +117,7 @@
     assertCondition(isRefused === isStale, 'a message for another incarnation was accepted, or one for this incarnation refused')
     for (const command of commands) {
       if (command.kind === 'refuse' && command.reason === 'barred') this.recordNotRun(command.id)
-      if (command.kind !== 'consider') continue
+      if (command.kind !== 'decideAdmission') continue
       const base = { nowMs: this.nowMs, id: command.id }
       if (accepts) {
         send(this.table, { ...base, kind: 'accepted', deadlineMs: this.nowMs + LIFETIME_MS, stopsUnread: true })
@@ -132,7 +132,7 @@
   private execute (commands: AttemptTableCommand[]): void {
     for (const command of commands) {
       if (command.kind === 'stop') this.end(command.id)
-      if (command.kind === 'forgetOutput') assertCondition(this.table.entries.get(command.id)?.state === 'forgotten', `output of "${command.id}" was discarded, but its state is not "forgotten"`)
+      if (command.kind === 'discardOutput') assertCondition(this.table.entries.get(command.id)?.state === 'discarded', `output of "${command.id}" was discarded, but its state is not "discarded"`)
     }
   }
 
@@ -172,7 +172,7 @@
     const kept = all.filter(entry => entry.state === 'ended').map(entry => entry.totalBytes)
     assertCondition(this.table.retainedBytes <= OPTIONS.maxRetainedBytes + 100 * (1 + this.readers.size), 'retained output exceeds its limit')
     assertCondition(this.table.retainedBytes === kept.reduce((sum, bytes) => sum + bytes, 0), 'the count of retained bytes is wrong')
-    assertCondition(this.table.tombstones === all.filter(entry => entry.state === 'barred' || entry.state === 'forgotten').length, 'the count of tombstones is wrong')
+    assertCondition(this.table.tombstones === all.filter(entry => entry.state === 'barred' || entry.state === 'discarded').length, 'the count of tombstones is wrong')
     assertCondition(this.table.liveCount === all.filter(entry => entry.state === 'queued' || entry.state === 'running').length, 'the count of live attempts is wrong')
   }
 }
@@ -186,7 +186,7 @@
   it('bars an id that is resumed or cancelled before its start arrives', () => {
     const table = createAttemptTable(OPTIONS)
     expect(send(table, { kind: 'resume', nowMs: 0, id: 'a', incarnation: 'now' })).toEqual([{ kind: 'refuse', id: 'a', reason: 'barred' }])
-    expect(send(table, { kind: 'cancel', nowMs: 0, id: 'b' })).toEqual([{ kind: 'cancelAnswer', id: 'b', outcome: 'barred' }])
+    expect(send(table, { kind: 'cancel', nowMs: 0, id: 'b' })).toEqual([{ kind: 'cancelResponse', id: 'b', outcome: 'barred' }])
     for (const id of ['a', 'b']) {
       expect(send(table, { kind: 'deliver', nowMs: 5000, id, incarnation: 'now' })).toEqual([{ kind: 'refuse', id, reason: 'barred' }])
     }
@@ -200,16 +200,16 @@
     send(table, { ...base, kind: 'accepted', deadlineMs: LIFETIME_MS, stopsUnread: true })
     send(table, { ...base, kind: 'started' })
     send(table, { ...base, kind: 'ended', outcome: 'completed', totalBytes: 10 })
-    expect(send(table, { kind: 'tick', nowMs: 1001 })).toEqual([{ kind: 'forgetOutput', id: 'a' }])
+    expect(send(table, { kind: 'tick', nowMs: 1001 })).toEqual([{ kind: 'discardOutput', id: 'a' }])
     send(table, { kind: 'tick', nowMs: LIFETIME_MS + OPTIONS.barRetentionMs - 1 })
-    expect(send(table, { kind: 'resume', nowMs: LIFETIME_MS + OPTIONS.barRetentionMs - 1, id: 'a', incarnation: 'now' })).toEqual([{ kind: 'lost', id: 'a' }])
+    expect(send(table, { kind: 'resume', nowMs: LIFETIME_MS + OPTIONS.barRetentionMs - 1, id: 'a', incarnation: 'now' })).toEqual([{ kind: 'outputDiscarded', id: 'a' }])
   })
 
   it('does not report ids as barred at the limit of tombstones', () => {
     const table = createAttemptTable({ ...OPTIONS, maxTombstones: 1 })
     send(table, { kind: 'cancel', nowMs: 0, id: 'a' })
     expect(send(table, { kind: 'resume', nowMs: 0, id: 'b', incarnation: 'now' })).toEqual([{ kind: 'refuse', id: 'b', reason: 'wrong_incarnation' }])
-    expect(send(table, { kind: 'cancel', nowMs: 0, id: 'b' })).toEqual([{ kind: 'cancelAnswer', id: 'b', outcome: 'unknown' }])
+    expect(send(table, { kind: 'cancel', nowMs: 0, id: 'b' })).toEqual([{ kind: 'cancelResponse', id: 'b', outcome: 'unknown' }])
     expect(send(table, { kind: 'deliver', nowMs: 0, id: 'b', incarnation: 'now' })).toEqual([{ kind: 'refuse', id: 'b', reason: 'wrong_incarnation' }])
   })
 
--- a/packages/anvilarch-daemon/src/agent/attemptRegistry.ts
+++ b/packages/anvilarch-daemon/src/agent/attemptRegistry.ts
@@ -67,7 +67,7 @@
   }
 
   const execute = (command: AttemptTableCommand): void => {
-    if (command.kind === 'forgetOutput') attempts.delete(command.id)
+    if (command.kind === 'discardOutput') attempts.delete(command.id)
     if (command.kind !== 'stop') return
     const attempt = attempts.get(command.id)
     if (attempt === undefined) return
@@ -156,7 +156,7 @@
   const start = (request: StartAttemptRequest, signal: AbortSignal): AsyncGenerator<Frame> => {
     const { attemptId: id } = request
     const commands = step({ kind: 'deliver', nowMs: clock.nowMs(), id, incarnation: request.agentIncarnation })
-    if (commands[0].kind !== 'consider') return respond(commands, 0, request.endpoint, signal)
+    if (commands[0].kind !== 'decideAdmission') return respond(commands, 0, request.endpoint, signal)
     const refusal = decideAdmission(request)
     if (refusal !== undefined) return framesOf([refusedFrame(refusal.reason, refusal.retryAfterMs, request.endpoint)])
     return openReader(id, 0, signal)
@@ -173,7 +173,7 @@
     resume: (request, signal) => orErrorStream(() => resume(request, signal)),
     cancel: request => {
       const commands = step({ kind: 'cancel', nowMs: clock.nowMs(), id: request.attemptId })
-      const found = commands.find(command => command.kind === 'cancelAnswer')
+      const found = commands.find(command => command.kind === 'cancelResponse')
       return found?.outcome ?? 'unknown'
     },
     markStarted: attempt => {
--- a/packages/anvilarch-daemon/src/agent/attemptTable.ts
+++ b/packages/anvilarch-daemon/src/agent/attemptTable.ts
@@ -22,9 +22,9 @@
   unreadSinceMs: number
 }
 
-/** An attempt that has ended. `forgotten`: it ran, but its output has been discarded. */
+/** An attempt that has ended. `discarded`: it ran, but its output has been discarded. */
 export interface EndedEntry {
-  state: 'ended' | 'forgotten'
+  state: 'ended' | 'discarded'
   outcome: AttemptOutcome
   totalBytes: number
   endedAtMs: number
@@ -53,15 +53,15 @@
 /** A command for the agent to execute or to respond with. */
 export type AttemptTableCommand =
   /** The id is new: decide on admission, and report it to the table synchronously by `accepted` or `refused`. */
-  | { kind: 'consider', id: string }
+  | { kind: 'decideAdmission', id: string }
   /** Attach a reader to the known attempt. */
   | { kind: 'attach', id: string }
   /** The attempt ran here, but its output has been discarded. */
-  | { kind: 'lost', id: string }
+  | { kind: 'outputDiscarded', id: string }
   | { kind: 'refuse', id: string, reason: 'barred' | 'wrong_incarnation' }
-  | { kind: 'cancelAnswer', id: string, outcome: 'barred' | 'cancelled' | 'finished' | 'unknown' }
+  | { kind: 'cancelResponse', id: string, outcome: 'barred' | 'cancelled' | 'finished' | 'unknown' }
   | { kind: 'stop', id: string, reason: 'cancelled' | 'unread' }
-  | { kind: 'forgetOutput', id: string }
+  | { kind: 'discardOutput', id: string }
 
 /** Retention times and limits of the table. */
 export interface AttemptTableOptions {
@@ -78,7 +78,7 @@
   options: AttemptTableOptions
   entries: Map<string, AttemptEntry>
   retainedBytes: number
-  /** Number of entries without output: barred or forgotten. */
+  /** Number of entries without output: barred or discarded. */
   tombstones: number
   liveCount: number
   nextSweepMs: number
@@ -110,7 +110,7 @@
     if (event.incarnation !== state.options.incarnation) return [refuse(event.id, 'wrong_incarnation')]
     const entry = state.entries.get(event.id)
     if (entry !== undefined) return [commandForKnown(event.id, entry)]
-    return hasTombstoneCapacity(state) ? [{ kind: 'consider', id: event.id }] : [refuse(event.id, 'wrong_incarnation')]
+    return hasTombstoneCapacity(state) ? [{ kind: 'decideAdmission', id: event.id }] : [refuse(event.id, 'wrong_incarnation')]
   },
   resume: (state, event) => {
     if (event.incarnation !== state.options.incarnation) return [refuse(event.id, 'wrong_incarnation')]
@@ -168,7 +168,7 @@
 
 function commandForKnown (id: string, entry: AttemptEntry): AttemptTableCommand {
   if (entry.state === 'barred') return refuse(id, 'barred')
-  return entry.state === 'forgotten' ? { kind: 'lost', id } : { kind: 'attach', id }
+  return entry.state === 'discarded' ? { kind: 'outputDiscarded', id } : { kind: 'attach', id }
 }
 
 function hasTombstoneCapacity (state: AttemptTableState): boolean {
@@ -188,13 +188,13 @@
   const { id } = event
   const entry = state.entries.get(id)
   if (entry === undefined) {
-    return [{ kind: 'cancelAnswer', id, outcome: barId(state, id, event.nowMs) ? 'barred' : 'unknown' }]
+    return [{ kind: 'cancelResponse', id, outcome: barId(state, id, event.nowMs) ? 'barred' : 'unknown' }]
   }
-  if (entry.state === 'barred') return [{ kind: 'cancelAnswer', id, outcome: 'barred' }]
+  if (entry.state === 'barred') return [{ kind: 'cancelResponse', id, outcome: 'barred' }]
   if (isLive(entry)) {
-    return [{ kind: 'stop', id, reason: 'cancelled' }, { kind: 'cancelAnswer', id, outcome: 'cancelled' }]
+    return [{ kind: 'stop', id, reason: 'cancelled' }, { kind: 'cancelResponse', id, outcome: 'cancelled' }]
   }
-  return [{ kind: 'cancelAnswer', id, outcome: 'finished' }]
+  return [{ kind: 'cancelResponse', id, outcome: 'finished' }]
 }
 
 function onEnded (state: AttemptTableState, event: Extract<AttemptTableEvent, { kind: 'ended' }>): AttemptTableCommand[] {
@@ -231,9 +231,9 @@
 function discardOutput (state: AttemptTableState, id: string, entry: EndedEntry, nowMs: number): AttemptTableCommand {
   state.retainedBytes -= entry.totalBytes
   state.tombstones++
-  entry.state = 'forgotten'
+  entry.state = 'discarded'
   entry.untilMs = Math.max(nowMs, entry.deadlineMs) + state.options.barRetentionMs
-  return { kind: 'forgetOutput', id }
+  return { kind: 'discardOutput', id }
 }
 
 function onReaderClosed (state: AttemptTableState, event: Extract<AttemptTableEvent, { kind: 'readerClosed' }>): AttemptTableCommand[] {
--- a/packages/anvilarch-daemon/src/agent/endpointTask.ts
+++ b/packages/anvilarch-daemon/src/agent/endpointTask.ts
@@ -184,7 +184,7 @@
     if (entries.get(attempt.id) !== entry) return
     entries.delete(attempt.id)
     if (attempt.end === undefined) end(attempt, { ...result, retryAfterMs: 0, wasAlone, causeKnown })
-    step({ kind: 'finished', nowMs: clock.nowMs(), id: attempt.id, whole: result.outcome === 'completed' })
+    step({ kind: 'finished', nowMs: clock.nowMs(), id: attempt.id, isComplete: result.outcome === 'completed' })
   }
 
   const end = (attempt: LiveAttempt, attemptEnd: AttemptEnd): void => { listener.onEnded(attempt, attemptEnd) }
@@ -254,7 +254,7 @@
       if (service?.kind === 'model') step({ kind: 'policy', nowMs: clock.nowMs(), policy: service.batch })
     },
     drain: () => { step({ kind: 'drain', nowMs: clock.nowMs() }) },
-    returnBatch: () => { step({ kind: 'handBack', nowMs: clock.nowMs() }) },
+    returnBatch: () => { step({ kind: 'returnBatch', nowMs: clock.nowMs() }) },
     load: () => admissionLoad(state),
     view,
     active: () => entries.size,
--- a/packages/anvilarch-daemon/src/agent/endpoints/engineConnection.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/engineConnection.ts
@@ -10,9 +10,9 @@
   /** The end mark of the stream was received. */
   | { kind: 'finished' }
   /** The engine sent a complete response that is not a stream, such as an error. */
-  | { kind: 'answered' }
+  | { kind: 'responded' }
   /** The same, but the response was truncated. */
-  | { kind: 'half_answered' }
+  | { kind: 'truncated' }
   /** The engine has no stream to resume. */
   | { kind: 'unknown_stream' }
   | { kind: 'broken', sent: boolean, detail: string }
@@ -44,7 +44,7 @@
   end: Promise<ConnectionEnd>
 }
 
-type Phase = 'opening' | 'streaming' | 'finished' | 'answering' | 'unknown_stream' | 'failed'
+type Phase = 'opening' | 'streaming' | 'finished' | 'responding' | 'unknown_stream' | 'failed'
 
 const MIN_NON_SUCCESS_STATUS = 300
 const STATUS_UNKNOWN_STREAM = 404
@@ -71,13 +71,13 @@
     phase = phaseOf(options, status, headers)
     unframedBody = framed || status >= MIN_NON_SUCCESS_STATUS ? undefined : []
     if (phase === 'streaming') listener.onStream(headers)
-    else if (phase === 'answering') listener.onNonStreamHead(status, headers)
+    else if (phase === 'responding') listener.onNonStreamHead(status, headers)
   }
 
   const exchange = openExchange(options.dispatcher, options.call, {
     onHead,
     onData: data => {
-      if (phase === 'answering') {
+      if (phase === 'responding') {
         unframedBody?.push(data)
         listener.onNonStreamData(data)
       } else if (phase === 'streaming') events.feed(data)
@@ -90,7 +90,7 @@
 function phaseOf (options: EngineConnectionOptions, status: number, headers: Headers): Phase {
   if (status === 200 && (headers['content-type'] ?? '').startsWith('text/event-stream')) return 'streaming'
   if (options.isResume && status === STATUS_UNKNOWN_STREAM) return 'unknown_stream'
-  return options.acceptsNonStream && !options.isResume && status !== STATUS_ATTEMPT_EXISTS ? 'answering' : 'failed'
+  return options.acceptsNonStream && !options.isResume && status !== STATUS_ATTEMPT_EXISTS ? 'responding' : 'failed'
 }
 
 interface ReceivedResponse {
@@ -101,7 +101,7 @@
 
 function connectionEnd (phase: Phase, end: ExchangeEnd, received: ReceivedResponse): ConnectionEnd {
   if (phase === 'finished' || phase === 'unknown_stream') return { kind: phase }
-  if (phase === 'answering') return { kind: isCompleteResponse(end, received) ? 'answered' : 'half_answered' }
+  if (phase === 'responding') return { kind: isCompleteResponse(end, received) ? 'responded' : 'truncated' }
   const sent = end.kind === 'complete' || end.sent
   if (phase === 'failed') return { kind: 'broken', sent, detail: `status ${received.status}` }
   return { kind: 'broken', sent, detail: end.kind === 'error' ? `${end.code}: ${end.detail}` : 'the stream broke off before its end' }
--- a/packages/anvilarch-daemon/src/agent/endpoints/modelRun.ts
+++ b/packages/anvilarch-daemon/src/agent/endpoints/modelRun.ts
@@ -34,7 +34,7 @@
 /** How to open the next connection. */
 type Opening = 'begin' | 'resume' | 'continue'
 
-type Failure = Extract<ConnectionEnd, { kind: 'broken' | 'unknown_stream' | 'half_answered' }>
+type Failure = Extract<ConnectionEnd, { kind: 'broken' | 'unknown_stream' | 'truncated' }>
 
 /**
  * @param deps - connections, timeouts and the process status of the endpoint
@@ -149,7 +149,7 @@
     timedOut = false
     tokenlessConnections++
     if (hadTimedOut) deps.connections.replacePool(attempt.workClass)
-    if (last.kind === 'half_answered') end('endpoint_failed', 'ran', 'the answer of the engine broke off')
+    if (last.kind === 'truncated') end('endpoint_failed', 'ran', 'the answer of the engine broke off')
     else if (last.kind === 'broken' && !last.sent && !anySent) endUnsent(last.detail)
     else await checkEngine(last)
     if (hasEnded()) return undefined
@@ -193,7 +193,7 @@
 
   const nextOpening = async (last: ConnectionEnd): Promise<Opening | undefined> => {
     if (last.kind === 'finished') emit(formatter.finish(produced().tokens))
-    if (last.kind === 'finished' || last.kind === 'answered') {
+    if (last.kind === 'finished' || last.kind === 'responded') {
       end('completed', 'ran', '')
       return undefined
     }
--- a/packages/anvilarch-daemon/src/attempts/__tests__/requestHistories.test.ts
+++ b/packages/anvilarch-daemon/src/attempts/__tests__/requestHistories.test.ts
@@ -17,7 +17,7 @@
   kill: (fleet, at) => { fleet.kill(at) },
   restart: (fleet, at) => { fleet.restart(at) },
   refuse: (fleet, at) => { fleet.agents[at % fleet.agents.length].refuse = at % 2 === 0 ? 'draining' : 'overloaded' },
-  silence: fleet => { fleet.apply({ kind: 'silence', stream: fleet.state.attempt?.stream ?? 0 }) },
+  inactivityTimeout: fleet => { fleet.apply({ kind: 'inactivityTimeout', stream: fleet.state.attempt?.stream ?? 0 }) },
   cut: fleet => { fleet.apply({ kind: 'stream_ended', stream: fleet.state.attempt?.stream ?? 0, neverSent: false, message: 'cut' }) },
   wait: (fleet, at) => { fleet.wait(at * 15_000) },
   quarantine: (fleet, at) => { fleet.quarantined ||= at === 0 },
@@ -53,7 +53,7 @@
   toString = (): string => `${this.name}(${this.at})`
 }
 
-const weights: Record<string, number> = { deliver: 8, deliverFirst: 12, produce: 3, produceAll: 2, silence: 4, wait: 1, callerGone: 1, deadline: 1, quarantine: 1 }
+const weights: Record<string, number> = { deliver: 8, deliverFirst: 12, produce: 3, produceAll: 2, inactivityTimeout: 4, wait: 1, callerGone: 1, deadline: 1, quarantine: 1 }
 const anyAction = fc.oneof(...Object.keys(ACTIONS).map(name => ({ weight: weights[name] ?? 2, arbitrary: fc.nat({ max: 9 }).map(at => new Action(name, at)) })))
 
 function checkHistories (options: { idempotent: boolean, streamed: boolean }): void {
@@ -93,7 +93,7 @@
     fleet.produce(0, RESPONSE.length)
     fleet.network = []
     fleet.wait(61_000)
-    fleet.apply({ kind: 'silence', stream: 1 })
+    fleet.apply({ kind: 'inactivityTimeout', stream: 1 })
     while (fleet.network.length > 0) fleet.deliver(0)
     expect(fleet.end).toMatchObject({ outcome: 'failed', ran: 'unknown', failure: { code: 'outcome_unknown' } })
     expect(fleet.executions).toHaveLength(1)
--- a/packages/anvilarch-daemon/src/attempts/machine/requestMachine.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/requestMachine.ts
@@ -44,7 +44,7 @@
   output: withAttempt(onOutput),
   heartbeat: withAttempt(onHeartbeat),
   final: withAttempt(onFinal),
-  silence: withAttempt(onInactivityTimeout),
+  inactivityTimeout: withAttempt(onInactivityTimeout),
   stream_ended: withAttempt(onStreamEnded),
   output_invalid: withAttempt(onOutputInvalid),
   deadline: state => cancelAndEnd(state, deadlinePassed(state)),
--- a/packages/anvilarch-daemon/src/attempts/machine/streams.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/streams.ts
@@ -17,7 +17,7 @@
  * Handles an inactivity timeout: no frame or heartbeat arrived. A network device may have dropped the connection without notice
  * to either end: the attempt continues but nothing arrives, and only a new connection can show that.
  */
-export function onInactivityTimeout (state: RequestState, attempt: AttemptState, _event: EventOf<'silence'>, input: StepInput): Step {
+export function onInactivityTimeout (state: RequestState, attempt: AttemptState, _event: EventOf<'inactivityTimeout'>, input: StepInput): Step {
   return resumeOrGiveUp(state, attempt, input, { reason: 'silence', message: 'the agent went silent', newConnection: true })
 }
 
--- a/packages/anvilarch-daemon/src/attempts/machine/types.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/types.ts
@@ -97,7 +97,7 @@
   | { kind: 'output', stream: number, offsetBytes: number, data: Uint8Array }
   | { kind: 'heartbeat', stream: number }
   | { kind: 'final', stream: number, final: FinalReport }
-  | { kind: 'silence', stream: number }
+  | { kind: 'inactivityTimeout', stream: number }
   | { kind: 'stream_ended', stream: number, neverSent: boolean, message: string }
   | { kind: 'output_invalid', stream: number, message: string }
   | { kind: 'deadline' }
--- a/packages/anvilarch-daemon/src/configuration/applyConfiguration.ts
+++ b/packages/anvilarch-daemon/src/configuration/applyConfiguration.ts
@@ -27,7 +27,7 @@
 export type ApplyContext = Pick<DaemonContext, 'clock' | 'random' | 'platform' | 'configuration' | 'timeline'>
 
 /** More attempts than for callers, since an operator has to check the state after an unknown outcome. */
-const COMMIT_RETRY_OPTIONS = { tries: 6, backoffMs: 100 }
+const COMMIT_RETRY_OPTIONS = { maxAttempts: 6, backoffMs: 100 }
 
 /** A validated document with its text and hash. */
 interface Candidate {
--- a/packages/anvilarch-daemon/src/jobs/__tests__/itemAttempts.test.ts
+++ b/packages/anvilarch-daemon/src/jobs/__tests__/itemAttempts.test.ts
@@ -92,8 +92,8 @@
   }
 }
 
-function completed (status: number, takenBy: string[]): WorkResult {
-  return { outcome: 'completed', status, headers: {}, body: Buffer.from('{}'), attempts: 1, outputTokens: 0, acceptedBy: takenBy }
+function completed (status: number, acceptedBy: string[]): WorkResult {
+  return { outcome: 'completed', status, headers: {}, body: Buffer.from('{}'), attempts: 1, outputTokens: 0, acceptedBy }
 }
 
 function lost (target: string): WorkResult {
--- a/packages/anvilarch-daemon/src/jobs/itemAttempts.ts
+++ b/packages/anvilarch-daemon/src/jobs/itemAttempts.ts
@@ -63,8 +63,8 @@
   }
 }
 
-function withFailedResponse (known: ReadonlySet<string>, { acceptedBy: takenBy, kind }: FailedRun): ReadonlySet<string> {
-  const last = takenBy.at(-1)
+function withFailedResponse (known: ReadonlySet<string>, { acceptedBy, kind }: FailedRun): ReadonlySet<string> {
+  const last = acceptedBy.at(-1)
   return kind !== 'responded' || last === undefined || known.has(last) ? known : new Set([...known, last])
 }
 
--- a/packages/anvilarch-daemon/src/jobs/jobSearches.ts
+++ b/packages/anvilarch-daemon/src/jobs/jobSearches.ts
@@ -63,7 +63,7 @@
 const EXHAUSTED_DELAY_MS = 2_000
 const DELAY_JITTER = 0.3
 /** Few attempts, since a claim whose outcome stays unknown is found by the next search. */
-const CLAIM_SETTLE_OPTIONS = { tries: 3, backoffMs: 200 }
+const CLAIM_SETTLE_OPTIONS = { maxAttempts: 3, backoffMs: 200 }
 
 /**
  * @param options - dependencies
--- a/packages/anvilarch-daemon/src/jobs/partItems.ts
+++ b/packages/anvilarch-daemon/src/jobs/partItems.ts
@@ -36,7 +36,7 @@
   index: number
   requestId: string
   service: string
-  takenBy: readonly string[]
+  acceptedBy: readonly string[]
 }
 
 /** The items of one part. */
@@ -98,8 +98,8 @@
     finish(index, 'error', response, { code: verdict.code, message: verdict.message })
   }
 
-  const backOff = (index: number, tries: number, baseMs: number, maxMs: number, minMs = 0): void => {
-    const delayMs = Math.min(baseMs * 2 ** Math.min(tries, 16), maxMs)
+  const backOff = (index: number, exponent: number, baseMs: number, maxMs: number, minMs = 0): void => {
+    const delayMs = Math.min(baseMs * 2 ** Math.min(exponent, 16), maxMs)
     queue.defer(index, context.clock.nowMs() + Math.max(minMs, context.random.jitter(delayMs, BACKOFF_JITTER)))
   }
 
@@ -121,8 +121,8 @@
       finish(index, 'output', { statusCode: verdict.statusCode, requestId, body: parseBody(verdict.body) }, null)
     },
     failed: ({ index, requestId }, verdict) => { finishFailed(index, requestId, verdict) },
-    run_again: ({ index, requestId, service, takenBy }, verdict) => {
-      const mayRunAgain = recordFailedRun(index, service, { acceptedBy: takenBy, kind: failureKind(verdict) })
+    run_again: ({ index, requestId, service, acceptedBy }, verdict) => {
+      const mayRunAgain = recordFailedRun(index, service, { acceptedBy, kind: failureKind(verdict) })
       if (mayRunAgain) backOff(index, queue.history(index).runs - 1, RUN_BACKOFF_MS, MAX_RUN_BACKOFF_MS)
       else finishFailed(index, requestId, verdict)
     },
@@ -165,7 +165,7 @@
     const request = itemRequest(itemAt(ready.index), { requestId, caller: job.caller, target: ready.target, deadlineMs, avoid })
     const result = await options.runner.run(request, { signal: controller.signal }).catch(toFailedResult)
     running.delete(ready.index)
-    if (!controller.signal.aborted) handleResult({ index: ready.index, requestId, service: ready.target.service, takenBy: result.acceptedBy }, result)
+    if (!controller.signal.aborted) handleResult({ index: ready.index, requestId, service: ready.target.service, acceptedBy: result.acceptedBy }, result)
     options.onRunEnded()
   }
 
--- a/packages/anvilarch-daemon/src/leases/observerCore.ts
+++ b/packages/anvilarch-daemon/src/leases/observerCore.ts
@@ -17,7 +17,7 @@
 /** Last row of one gateway, and the time without progress. */
 export interface HolderRecord extends HeartbeatReading {
   /** Time counted against the holder since its sequence last increased. */
-  stillMs: number
+  inactiveMs: number
 }
 
 /** State of the observer. */
@@ -25,7 +25,7 @@
   holders: ReadonlyMap<string, HolderRecord>
   lastScanMs: number | undefined
   /** Instances whose state was requested while they had no known row, with the time of the request. */
-  missing: ReadonlyMap<string, { askedMs: number, gone: boolean }>
+  missing: ReadonlyMap<string, { queriedMs: number, isRemoved: boolean }>
 }
 
 /** A complete scan of the heartbeat rows. */
@@ -55,12 +55,12 @@
   for (const reading of scan.readings) {
     const known = state.holders.get(reading.instance)
     const advanced = known === undefined || reading.row.sequence > known.row.sequence
-    holders.set(reading.instance, { ...reading, stillMs: advanced ? 0 : known.stillMs + countedMs })
+    holders.set(reading.instance, { ...reading, inactiveMs: advanced ? 0 : known.inactiveMs + countedMs })
   }
-  const missing = new Map<string, { askedMs: number, gone: boolean }>()
+  const missing = new Map<string, { queriedMs: number, isRemoved: boolean }>()
   for (const [instance, entry] of state.missing) {
     if (holders.has(instance)) continue
-    missing.set(instance, { ...entry, gone: entry.gone || entry.askedMs < scan.startedMs })
+    missing.set(instance, { ...entry, isRemoved: entry.isRemoved || entry.queriedMs < scan.startedMs })
   }
   return { holders, lastScanMs: scan.startedMs, missing }
 }
@@ -79,8 +79,8 @@
  */
 export function holderState (state: ObserverState, instance: string, times: LeaseTimes): HolderState {
   const record = state.holders.get(instance)
-  if (record !== undefined) return record.stillMs >= times.observerTimeoutMs ? 'dead' : 'alive'
-  return state.missing.get(instance)?.gone === true ? 'dead' : 'unknown'
+  if (record !== undefined) return record.inactiveMs >= times.observerTimeoutMs ? 'dead' : 'alive'
+  return state.missing.get(instance)?.isRemoved === true ? 'dead' : 'unknown'
 }
 
 /**
@@ -97,7 +97,7 @@
   const missing = new Map(state.missing)
   const oldest = missing.keys().next()
   if (missing.size >= MAX_MISSING_INSTANCES && oldest.done !== true) missing.delete(oldest.value)
-  missing.set(instance, { askedMs: nowMs, gone: false })
+  missing.set(instance, { queriedMs: nowMs, isRemoved: false })
   return { ...state, missing }
 }
 
@@ -107,5 +107,5 @@
  * @returns rows of gateways that have been dead for the removal time
  */
 export function removableRows (state: ObserverState, times: LeaseTimes): HolderRecord[] {
-  return [...state.holders.values()].filter(record => record.stillMs >= times.removalMs)
+  return [...state.holders.values()].filter(record => record.inactiveMs >= times.removalMs)
 }
--- a/packages/anvilarch-daemon/src/membership/__tests__/startMembership.test.ts
+++ b/packages/anvilarch-daemon/src/membership/__tests__/startMembership.test.ts
@@ -146,7 +146,7 @@
     await fleet.clock.advanceAsync(10_000)
     const [agent] = fleet.agents
     const before = agent.exchanges.length
-    fleet.directory.noteOrdered(`agent-${agent.address}`)
+    fleet.directory.noteOrderSent(`agent-${agent.address}`)
     await fleet.clock.advanceAsync(3000)
     expect(agent.exchanges.length).toBeGreaterThanOrEqual(before + 2)
     await fleet.clock.advanceAsync(60_000)
--- a/packages/anvilarch-daemon/src/membership/agentDirectory.ts
+++ b/packages/anvilarch-daemon/src/membership/agentDirectory.ts
@@ -1,12 +1,12 @@
 /** Directory of the agents known to this gateway, by address and by name, with change notifications. */
 import type { DaemonContext } from '../context'
-import { afterDraining, afterEndpointDown, afterIncarnation, afterOrdered, afterUnreachable, type MemberRecord, updateLoad } from './memberRecord'
+import { afterDraining, afterEndpointDown, afterIncarnation, afterOrderSent, afterUnreachable, type MemberRecord, updateLoad } from './memberRecord'
 import type { AgentDirectory, AgentView } from './types'
 
 /** The directory with the operations that modify it. */
 export interface MutableDirectory extends AgentDirectory {
   /** Records that an order was sent to an agent, so that its effect is queried soon. */
-  noteOrdered: (agent: string) => void
+  noteOrderSent: (agent: string) => void
   records: () => MemberRecord[]
   record: (address: string) => MemberRecord | undefined
   put: (record: MemberRecord) => void
@@ -93,7 +93,7 @@
     noteUnreachable: agent => { change(agent, afterUnreachable) },
     noteIncarnation: (agent, incarnation) => { change(agent, record => afterIncarnation(record, incarnation, context.clock.nowMs())) },
     noteEndpointDown: (agent, endpoint) => { change(agent, record => afterEndpointDown(record, endpoint, context.clock.nowMs())) },
-    noteOrdered: agent => { change(agent, record => afterOrdered(record, context.clock.nowMs())) },
+    noteOrderSent: agent => { change(agent, record => afterOrderSent(record, context.clock.nowMs())) },
     onChange: listener => {
       listeners.add(listener)
       return () => { listeners.delete(listener) }
--- a/packages/anvilarch-daemon/src/membership/bootstrapConfiguration.ts
+++ b/packages/anvilarch-daemon/src/membership/bootstrapConfiguration.ts
@@ -18,9 +18,9 @@
  */
 export function chooseSource (records: MemberRecord[]): MemberRecord | undefined {
   const listed = records.filter(record => record.listed !== 'absent')
-  const answering = listed.filter(record => record.answers)
-  if (answering.length * 2 <= listed.length) return undefined
-  const best = answering.reduce((left, right) => right.view.configurationVersion > left.view.configurationVersion ? right : left)
+  const responsive = listed.filter(record => record.isResponsive)
+  if (responsive.length * 2 <= listed.length) return undefined
+  const best = responsive.reduce((left, right) => right.view.configurationVersion > left.view.configurationVersion ? right : left)
   return best.view.configurationVersion > 0 ? best : undefined
 }
 
--- a/packages/anvilarch-daemon/src/membership/configurationPropagation.ts
+++ b/packages/anvilarch-daemon/src/membership/configurationPropagation.ts
@@ -45,7 +45,7 @@
   let pulling = false
 
   const isBehind = (record: MemberRecord): boolean =>
-    record.view.name !== '' && record.answers && record.view.configurationVersion < configuration.version()
+    record.view.name !== '' && record.isResponsive && record.view.configurationVersion < configuration.version()
 
   const push = async (address: string): Promise<void> => {
     const record = directory.record(address)
--- a/packages/anvilarch-daemon/src/membership/exchangeSchedule.ts
+++ b/packages/anvilarch-daemon/src/membership/exchangeSchedule.ts
@@ -76,23 +76,23 @@
  * the rate limit of the others.
  */
 function nextExchange (record: MemberRecord, routineMs: number, isShort: boolean, options: ScheduleOptions): DueExchange {
-  const { askedMs } = record
-  if (record.misses > 0) {
-    const backedOffMs = options.intervalMs * 2 ** Math.min(record.misses - 1, MAX_BACKOFF_EXPONENT)
-    return { record, reason: 'changing', dueMs: askedMs + Math.min(backedOffMs, routineMs) }
+  const { exchangeSentMs } = record
+  if (record.consecutiveFailures > 0) {
+    const backedOffMs = options.intervalMs * 2 ** Math.min(record.consecutiveFailures - 1, MAX_BACKOFF_EXPONENT)
+    return { record, reason: 'changing', dueMs: exchangeSentMs + Math.min(backedOffMs, routineMs) }
   }
-  if (!record.answers) return { record, reason: 'unknown', dueMs: askedMs + options.tickMs }
-  if (record.orderedMs >= askedMs || isRecentlyChanging(record, options)) return { record, reason: 'changing', dueMs: askedMs + options.changingIntervalMs }
-  if (isChanging(record) || askedMs < record.orderedMs + ORDER_EFFECT_MS) return { record, reason: 'changing', dueMs: askedMs + options.intervalMs }
-  if (isShort && hasModelEndpoint(record)) return { record, reason: 'changing', dueMs: askedMs + options.intervalMs }
-  const heardDueMs = record.view.lastHeardMs + routineMs
-  const latestDueMs = record.exchangedMs + routineMs * options.respondingIntervalFactor
-  return { record, reason: 'routine', dueMs: Math.min(heardDueMs, latestDueMs) }
+  if (!record.isResponsive) return { record, reason: 'unknown', dueMs: exchangeSentMs + options.tickMs }
+  if (record.lastOrderMs >= exchangeSentMs || isRecentlyChanging(record, options)) return { record, reason: 'changing', dueMs: exchangeSentMs + options.changingIntervalMs }
+  if (isChanging(record) || exchangeSentMs < record.lastOrderMs + ORDER_EFFECT_MS) return { record, reason: 'changing', dueMs: exchangeSentMs + options.intervalMs }
+  if (isShort && hasModelEndpoint(record)) return { record, reason: 'changing', dueMs: exchangeSentMs + options.intervalMs }
+  const idleDueMs = record.view.lastHeardMs + routineMs
+  const latestDueMs = record.lastResponseMs + routineMs * options.respondingIntervalFactor
+  return { record, reason: 'routine', dueMs: Math.min(idleDueMs, latestDueMs) }
 }
 
 /** A crashed endpoint recovers within seconds or stays down for a long time, so the shorter interval is limited in time. */
 function isRecentlyChanging (record: MemberRecord, options: ScheduleOptions): boolean {
-  return record.changingSinceMs !== undefined && record.askedMs - record.changingSinceMs < options.changingMs
+  return record.changingSinceMs !== undefined && record.exchangeSentMs - record.changingSinceMs < options.changingMs
 }
 
 function hasModelEndpoint (record: MemberRecord): boolean {
@@ -107,9 +107,9 @@
 export function selectDue (input: ScheduleInput, options: ScheduleOptions): MemberRecord[] {
   const { records, isShort, nowMs } = input
   const routineMs = routineIntervalMs(records.length, options)
-  const free = Math.max(0, options.maxConcurrent - records.filter(record => record.asking).length)
+  const free = Math.max(0, options.maxConcurrent - records.filter(record => record.isExchangePending).length)
   const due = records
-    .filter(record => !record.asking)
+    .filter(record => !record.isExchangePending)
     .map(record => nextExchange(record, routineMs, isShort, options))
     .filter(exchange => exchange.dueMs <= nowMs)
     .sort((left, right) => left.dueMs === right.dueMs ? 0 : left.dueMs - right.dueMs)
@@ -132,6 +132,6 @@
  * @returns whether to remove the agent
  */
 export function isRemovable (record: MemberRecord, nowMs: number, options: ScheduleOptions): boolean {
-  if (record.listed !== 'absent' || record.answers) return false
-  return nowMs - Math.max(record.listedMs, record.view.lastHeardMs) >= options.removalMs
+  if (record.listed !== 'absent' || record.isResponsive) return false
+  return nowMs - Math.max(record.lastListedMs, record.view.lastHeardMs) >= options.removalMs
 }
--- a/packages/anvilarch-daemon/src/membership/memberRecord.ts
+++ b/packages/anvilarch-daemon/src/membership/memberRecord.ts
@@ -17,34 +17,34 @@
   address: string
   listed: Listed
   /** Time at which it was last on the host list. */
-  listedMs: number
+  lastListedMs: number
   /** The agent's description of itself. `state` is recomputed at each change. */
   view: AgentView
   /** Whether the agent has responded to an exchange since it was last found unreachable or replaced. */
-  answers: boolean
+  isResponsive: boolean
   /** Whether the agent reported that it is draining. An incarnation never stops draining. */
-  drains: boolean
+  isDraining: boolean
   /** Consecutive failed exchanges. */
-  misses: number
+  consecutiveFailures: number
   /** Time at which the last exchange was sent, and whether it is in progress. */
-  askedMs: number
-  asking: boolean
+  exchangeSentMs: number
+  isExchangePending: boolean
   /** Time of the last response to an exchange. */
-  exchangedMs: number
+  lastResponseMs: number
   /** Time at which an attempt response showed another incarnation than the last exchange. */
-  doubtedMs: number
+  incarnationChangedMs: number
   /** Time at which an attempt found an endpoint down, by endpoint name. */
   downMs: ReadonlyMap<string, number>
   /** Time since which an endpoint has been not ready or loading a model. */
   changingSinceMs: number | undefined
   /** Time at which the last order was sent to it. */
-  orderedMs: number
+  lastOrderMs: number
   /** Sequence up to which the quarantined fingerprints were sent to this incarnation. */
   quarantineSequence: number
 }
 
 /** An agent counts as unreachable after this many consecutive exchanges without a response. */
-export const MAX_MISSED_EXCHANGES = 2
+export const MAX_CONSECUTIVE_FAILURES = 2
 
 /**
  * @param entry - entry of the host list
@@ -68,18 +68,18 @@
   return {
     address: entry.address,
     listed: entry.state,
-    listedMs: nowMs,
+    lastListedMs: nowMs,
     view,
-    answers: false,
-    drains: false,
-    misses: 0,
-    askedMs: Number.NEGATIVE_INFINITY,
-    asking: false,
-    exchangedMs: Number.NEGATIVE_INFINITY,
-    doubtedMs: Number.NEGATIVE_INFINITY,
+    isResponsive: false,
+    isDraining: false,
+    consecutiveFailures: 0,
+    exchangeSentMs: Number.NEGATIVE_INFINITY,
+    isExchangePending: false,
+    lastResponseMs: Number.NEGATIVE_INFINITY,
+    incarnationChangedMs: Number.NEGATIVE_INFINITY,
     downMs: new Map(),
     changingSinceMs: undefined,
-    orderedMs: Number.NEGATIVE_INFINITY,
+    lastOrderMs: Number.NEGATIVE_INFINITY,
     quarantineSequence: 0
   }
 }
@@ -91,7 +91,7 @@
  * @returns updated record
  */
 export function afterHostList (record: MemberRecord, listed: Listed, nowMs: number): MemberRecord {
-  return withState({ ...record, listed, listedMs: listed === 'absent' ? record.listedMs : nowMs })
+  return withState({ ...record, listed, lastListedMs: listed === 'absent' ? record.lastListedMs : nowMs })
 }
 
 /**
@@ -100,29 +100,29 @@
  * @returns record with an exchange in progress
  */
 export function afterExchangeSent (record: MemberRecord, nowMs: number): MemberRecord {
-  return { ...record, askedMs: nowMs, asking: true }
+  return { ...record, exchangeSentMs: nowMs, isExchangePending: true }
 }
 
 /**
  * Applies the response to an exchange. It may be older than a failure observed by an attempt. Such a response does not
  * restore a replaced incarnation or an endpoint that is down; the next exchange decides.
  *
- * @param record - previous record; its `askedMs` is that of the exchange
+ * @param record - previous record; its `exchangeSentMs` is that of the exchange
  * @param response - the agent's description of itself
  * @param nowMs - time of the response
  * @returns updated record
  */
 export function afterExchangeResponse (record: MemberRecord, response: ExchangeResponse, nowMs: number): MemberRecord {
-  const completed = { ...record, asking: false, misses: 0 }
-  const outdated = record.doubtedMs >= record.askedMs && response.agentIncarnation !== record.view.incarnation
+  const completed = { ...record, isExchangePending: false, consecutiveFailures: 0 }
+  const outdated = record.incarnationChangedMs >= record.exchangeSentMs && response.agentIncarnation !== record.view.incarnation
   if (outdated) return completed
   const sameIncarnation = response.agentIncarnation === record.view.incarnation
   const downMs = downSinceExchange(record, sameIncarnation)
   return withState(withChange({
     ...completed,
-    answers: true,
-    exchangedMs: nowMs,
-    drains: (sameIncarnation && record.drains) || response.state === 'draining',
+    isResponsive: true,
+    lastResponseMs: nowMs,
+    isDraining: (sameIncarnation && record.isDraining) || response.state === 'draining',
     downMs,
     quarantineSequence: sameIncarnation ? record.quarantineSequence : 0,
     view: { ...record.view, ...describedView(response), lastHeardMs: nowMs, endpoints: withDown(response.endpoints, downMs) }
@@ -156,7 +156,7 @@
 /** Endpoints found down after the exchange was sent. */
 function downSinceExchange (record: MemberRecord, sameIncarnation: boolean): Map<string, number> {
   if (!sameIncarnation) return new Map()
-  return new Map([...record.downMs].filter(([, downAtMs]) => downAtMs >= record.askedMs))
+  return new Map([...record.downMs].filter(([, downAtMs]) => downAtMs >= record.exchangeSentMs))
 }
 
 function withDown (endpoints: EndpointState[], downMs: ReadonlyMap<string, number>): EndpointState[] {
@@ -168,8 +168,8 @@
  * @returns record after a failed exchange
  */
 export function afterExchangeFailure (record: MemberRecord): MemberRecord {
-  const misses = record.misses + 1
-  return withState({ ...record, asking: false, misses, answers: record.answers && misses < MAX_MISSED_EXCHANGES })
+  const consecutiveFailures = record.consecutiveFailures + 1
+  return withState({ ...record, isExchangePending: false, consecutiveFailures, isResponsive: record.isResponsive && consecutiveFailures < MAX_CONSECUTIVE_FAILURES })
 }
 
 /**
@@ -177,7 +177,7 @@
  * @returns record after an attempt could not reach the agent; it is unreachable until the next successful exchange
  */
 export function afterUnreachable (record: MemberRecord): MemberRecord {
-  return withState({ ...record, answers: false })
+  return withState({ ...record, isResponsive: false })
 }
 
 /**
@@ -185,7 +185,7 @@
  * @returns record after the agent rejected work because it is draining
  */
 export function afterDraining (record: MemberRecord): MemberRecord {
-  return withState({ ...record, drains: true })
+  return withState({ ...record, isDraining: true })
 }
 
 /**
@@ -197,7 +197,7 @@
 export function afterIncarnation (record: MemberRecord, incarnation: string, nowMs: number): MemberRecord {
   if (incarnation === record.view.incarnation) return record
   const view = { ...record.view, incarnation, endpoints: [] }
-  return withState({ ...record, view, answers: false, drains: false, doubtedMs: nowMs, downMs: new Map(), quarantineSequence: 0 })
+  return withState({ ...record, view, isResponsive: false, isDraining: false, incarnationChangedMs: nowMs, downMs: new Map(), quarantineSequence: 0 })
 }
 
 /**
@@ -231,8 +231,8 @@
  * @param nowMs - time at which an order was sent to the agent
  * @returns updated record; the next exchange is due soon
  */
-export function afterOrdered (record: MemberRecord, nowMs: number): MemberRecord {
-  return { ...record, orderedMs: nowMs }
+export function afterOrderSent (record: MemberRecord, nowMs: number): MemberRecord {
+  return { ...record, lastOrderMs: nowMs }
 }
 
 function withState (record: MemberRecord): MemberRecord {
@@ -241,6 +241,6 @@
 }
 
 function stateOf (record: MemberRecord): AgentView['state'] {
-  if (!record.answers) return 'unreachable'
-  return record.drains || record.listed === 'leaving' ? 'draining' : 'serving'
+  if (!record.isResponsive) return 'unreachable'
+  return record.isDraining || record.listed === 'leaving' ? 'draining' : 'serving'
 }
--- a/packages/anvilarch-daemon/src/membership/startMembership.ts
+++ b/packages/anvilarch-daemon/src/membership/startMembership.ts
@@ -115,8 +115,8 @@
 
   const exchange = async (due: MemberRecord): Promise<void> => {
     const { address } = due
-    const askedMs = clock.nowMs()
-    directory.put(afterExchangeSent(due, askedMs))
+    const sentMs = clock.nowMs()
+    directory.put(afterExchangeSent(due, sentMs))
     const quarantined = parts.quarantine.addedSince(due.quarantineSequence)
     const client = parts.clients.get(address, 'control')
     try {
@@ -187,7 +187,7 @@
 }
 
 function wasQueried (record: MemberRecord): boolean {
-  return record.exchangedMs !== Number.NEGATIVE_INFINITY || record.misses > 0
+  return record.lastResponseMs !== Number.NEGATIVE_INFINITY || record.consecutiveFailures > 0
 }
 
 /**
--- a/packages/anvilarch-daemon/src/operations/__tests__/adminRoutes.test.ts
+++ b/packages/anvilarch-daemon/src/operations/__tests__/adminRoutes.test.ts
@@ -35,7 +35,7 @@
 function addAgent (fixture: AdminFixture, name: string, version: number): void {
   const record = newMember(hostEntry(`${name}:1`), 0)
   const endpoints = [{ endpoint: 'engine', kind: 'model', service: 'audit-writer', health: 'ready', models: [{ model: 'auditor', version: 'v1', adapters: [], state: 'ready' }], fencingToken: 7n }]
-  fixture.directory.put({ ...record, answers: true, view: { ...record.view, name, state: 'serving', configurationVersion: version, endpoints: endpoints as never } })
+  fixture.directory.put({ ...record, isResponsive: true, view: { ...record.view, name, state: 'serving', configurationVersion: version, endpoints: endpoints as never } })
 }
 
 describe('createAdminRoutes', () => {
--- a/packages/anvilarch-daemon/src/placement/__tests__/planPlacement.test.ts
+++ b/packages/anvilarch-daemon/src/placement/__tests__/planPlacement.test.ts
@@ -36,7 +36,7 @@
   for (const order of orders) {
     const engine = engines.find(found => found.name === order.agent) as SimulatedEngine
     const orderId = `${order.agent} at ${holder.nowMs}`
-    sent.set(slotKey(order.agent, order.endpoint), { ...order, orderId, agentIncarnation: engine.incarnation, sentAtMs: holder.nowMs, isAnswered: arrives(order) })
+    sent.set(slotKey(order.agent, order.endpoint), { ...order, orderId, agentIncarnation: engine.incarnation, sentAtMs: holder.nowMs, isAcknowledged: arrives(order) })
     if (!arrives(order)) continue
     EFFECTS[order.action](engine, order)
     engine.settledOrder = orderId
--- a/packages/anvilarch-daemon/src/placement/__tests__/startPlacement.test.ts
+++ b/packages/anvilarch-daemon/src/placement/__tests__/startPlacement.test.ts
@@ -36,7 +36,7 @@
   let requestAgent = ''
   const clients = { get: (address: string) => ({ order: async (request: OrderRequest) => { requestAgent = address.slice('agent-'.length); return await order(request) } }) } as unknown as AgentClients
   const directory: PlacementParts['directory'] = {
-    noteOrdered: () => {},
+    noteOrderSent: () => {},
     list: () => {
       setup.hooks.onPlan()
       return toViews(engines)
--- a/packages/anvilarch-daemon/src/placement/slots.ts
+++ b/packages/anvilarch-daemon/src/placement/slots.ts
@@ -120,7 +120,7 @@
     const state = states.get(key)
     return state === undefined ? [] : [{ key, order, progress: progressOf(state, order, nowMs, limits) }]
   })
-  const sent = new Map(known.filter(({ progress }) => progress === 'under_way').map(({ key, order }) => [key, order]))
+  const sent = new Map(known.filter(({ progress }) => progress === 'pending').map(({ key, order }) => [key, order]))
   const lost = new Map([...previous.lost].filter(([key]) => states.has(key)))
   for (const { key, progress } of known) {
     if (progress === 'done') lost.delete(key)
@@ -146,14 +146,14 @@
 }
 
 /** Progress of an order according to the state of its endpoint. */
-type OrderProgress = 'done' | 'under_way' | 'lost'
+type OrderProgress = 'done' | 'pending' | 'lost'
 
 function progressOf ({ agent, endpoint }: FoundEndpoint, order: SentOrder, nowMs: number, limits: OrderLimits): OrderProgress {
   const model = endpoint.models.find(found => found.model === order.model && found.version === order.version)
   if (EFFECTS[order.action](order, endpoint, model)) return 'done'
-  if (order.action === 'load' && model?.state === 'loading') return 'under_way'
-  const timeoutMs = order.isAnswered ? limits.orderTimeoutMs : limits.unansweredTimeoutMs
-  return isOver(agent, endpoint, order) || nowMs - order.sentAtMs >= timeoutMs ? 'lost' : 'under_way'
+  if (order.action === 'load' && model?.state === 'loading') return 'pending'
+  const timeoutMs = order.isAcknowledged ? limits.orderTimeoutMs : limits.unansweredTimeoutMs
+  return isOver(agent, endpoint, order) || nowMs - order.sentAtMs >= timeoutMs ? 'lost' : 'pending'
 }
 
 /**
--- a/packages/anvilarch-daemon/src/placement/startPlacement.ts
+++ b/packages/anvilarch-daemon/src/placement/startPlacement.ts
@@ -12,7 +12,7 @@
 /** Dependencies of placement. */
 export interface PlacementParts {
   lease: SingleLease
-  directory: Pick<MutableDirectory, 'list' | 'get' | 'noteOrdered'>
+  directory: Pick<MutableDirectory, 'list' | 'get' | 'noteOrderSent'>
   clients: AgentClients
 }
 
@@ -102,15 +102,15 @@
     const agent = parts.directory.get(order.agent)
     if (agent === undefined) return
     const key = slotKey(order.agent, order.endpoint)
-    const sentOrder: SentOrder = { ...order, orderId: randomUUID(), agentIncarnation: agent.incarnation, sentAtMs: clock.nowMs(), isAnswered: false }
+    const sentOrder: SentOrder = { ...order, orderId: randomUUID(), agentIncarnation: agent.incarnation, sentAtMs: clock.nowMs(), isAcknowledged: false }
     current.state = { ...current.state, sent: new Map(current.state.sent).set(key, sentOrder) }
     const outcome = await callAgent(agent.address, sentOrder, epoch)
-    parts.directory.noteOrdered(order.agent)
+    parts.directory.noteOrderSent(order.agent)
     context.timeline.record('placement.order', { detail: { ...order, adapters: order.adapters.join(','), epoch, outcome } })
     context.logger.info('placement order', { agent: order.agent, endpoint: order.endpoint, action: order.action, service: order.service, model: order.model, outcome })
     const isAccepted = outcome === 'done' || outcome === 'started'
     const sent = new Map(current.state.sent)
-    if (isAccepted) sent.set(key, { ...sentOrder, isAnswered: true })
+    if (isAccepted) sent.set(key, { ...sentOrder, isAcknowledged: true })
     // Whether an unanswered order was executed shows in the state that the endpoint reports; until then it counts as sent.
     else if (outcome !== 'no_answer') sent.delete(key)
     current.state = { ...current.state, sent }
--- a/packages/anvilarch-daemon/src/placement/types.ts
+++ b/packages/anvilarch-daemon/src/placement/types.ts
@@ -25,7 +25,7 @@
   agentIncarnation: string
   sentAtMs: number
   /** Whether the agent responded. If not, the order may or may not have arrived. */
-  isAnswered: boolean
+  isAcknowledged: boolean
 }
 
 /** A model endpoint as input of planning. */
--- a/packages/anvilarch-daemon/src/platform/commitWithRetry.ts
+++ b/packages/anvilarch-daemon/src/platform/commitWithRetry.ts
@@ -5,13 +5,13 @@
 /** Limits of `commitWithRetry`. */
 export interface CommitRetryOptions {
   /** Maximum number of times that the commit is sent. */
-  tries: number
+  maxAttempts: number
   /** Delay before the second attempt; doubles after each further one. */
   backoffMs: number
 }
 
 /** Short, since a caller waits for the response. */
-export const DEFAULT_OPTIONS: CommitRetryOptions = { tries: 4, backoffMs: 100 }
+export const DEFAULT_OPTIONS: CommitRetryOptions = { maxAttempts: 4, backoffMs: 100 }
 
 /** Retry time for a client whose commit has an unknown outcome. */
 const RETRY_AFTER_MS = 5_000
@@ -42,7 +42,7 @@
   let mayHaveRun = false
   let backoffMs = options.backoffMs
   let lastError: AnvilarchError | undefined
-  for (let attempt = 1; attempt <= options.tries; attempt++) {
+  for (let attempt = 1; attempt <= options.maxAttempts; attempt++) {
     try {
       return await context.table.commit(commit, context.signal)
     } catch (error) {
@@ -51,7 +51,7 @@
     }
     // If the table rejects the first attempt, the commit was certainly not run, so the caller need not wait.
     if (!mayHaveRun || context.signal?.aborted === true) break
-    if (attempt < options.tries) await sleep(context.clock, context.random.jitter(backoffMs, BACKOFF_JITTER), context.signal)
+    if (attempt < options.maxAttempts) await sleep(context.clock, context.random.jitter(backoffMs, BACKOFF_JITTER), context.signal)
     backoffMs *= 2
   }
   throw commitError(lastError, step, mayHaveRun)
