--- a/packages/anvilarch-daemon/src/attempts/__tests__/ownPause.test.ts
+++ b/packages/anvilarch-daemon/src/attempts/__tests__/ownPause.test.ts
@@ -99,6 +99,6 @@
     expect(events).toEqual([])
     clock.stall(3_000)
     await clock.advanceAsync(250)
-    expect(events).toEqual([{ kind: 'inactivityTimeout', stream: 1 }])
+    expect(events).toEqual([{ kind: 'inactivity_timeout', stream: 1 }])
   })
 })
--- a/packages/anvilarch-daemon/src/attempts/__tests__/requestHistories.test.ts
+++ b/packages/anvilarch-daemon/src/attempts/__tests__/requestHistories.test.ts
@@ -17,7 +17,7 @@
   kill: (fleet, at) => { fleet.kill(at) },
   restart: (fleet, at) => { fleet.restart(at) },
   refuse: (fleet, at) => { fleet.agents[at % fleet.agents.length].refuse = at % 2 === 0 ? 'draining' : 'overloaded' },
-  inactivityTimeout: fleet => { fleet.apply({ kind: 'inactivityTimeout', stream: fleet.state.attempt?.stream ?? 0 }) },
+  inactivityTimeout: fleet => { fleet.apply({ kind: 'inactivity_timeout', stream: fleet.state.attempt?.stream ?? 0 }) },
   cut: fleet => { fleet.apply({ kind: 'stream_ended', stream: fleet.state.attempt?.stream ?? 0, neverSent: false, message: 'cut' }) },
   wait: (fleet, at) => { fleet.wait(at * 15_000) },
   quarantine: (fleet, at) => { fleet.quarantined ||= at === 0 },
@@ -93,7 +93,7 @@
     fleet.produce(0, RESPONSE.length)
     fleet.network = []
     fleet.wait(61_000)
-    fleet.apply({ kind: 'inactivityTimeout', stream: 1 })
+    fleet.apply({ kind: 'inactivity_timeout', stream: 1 })
     while (fleet.network.length > 0) fleet.deliver(0)
     expect(fleet.end).toMatchObject({ outcome: 'failed', ran: 'unknown', failure: { code: 'outcome_unknown' } })
     expect(fleet.executions).toHaveLength(1)
--- a/packages/anvilarch-daemon/src/attempts/attemptLedger.ts
+++ b/packages/anvilarch-daemon/src/attempts/attemptLedger.ts
@@ -18,7 +18,7 @@
 /** Record of one attempt. */
 interface LedgerEntry {
   /** Whether the attempt is proved not to have run. */
-  refuted: boolean
+  isProvenNotRun: boolean
   passedBytes: number
 }
 
@@ -29,24 +29,24 @@
 export function createAttemptLedger (requestId: string): AttemptLedger {
   const entries = new Map<string, LedgerEntry>()
 
-  const openAttempts = (): string[] => [...entries].filter(([, account]) => !account.refuted).map(([id]) => id)
+  const openAttempts = (): string[] => [...entries].filter(([, entry]) => !entry.isProvenNotRun).map(([id]) => id)
 
   return {
     sent: (attempt, idempotent) => {
       invariant(idempotent || openAttempts().length === 0, 'non_idempotent_sent_once',
         () => `request ${requestId} may have run as ${openAttempts().join()} and would be sent again`)
-      entries.set(attempt.attemptId, { refuted: false, passedBytes: 0 })
+      entries.set(attempt.attemptId, { isProvenNotRun: false, passedBytes: 0 })
     },
     event: (event, attempt) => {
-      const account = entries.get(attempt.attemptId)
-      if (account !== undefined && provesNotRun(event, attempt)) account.refuted = true
+      const entry = entries.get(attempt.attemptId)
+      if (entry !== undefined && provesNotRun(event, attempt)) entry.isProvenNotRun = true
     },
     output: (attempt, sizeBytes) => {
-      const account = entries.get(attempt.attemptId)
-      if (account === undefined) return
-      account.passedBytes += sizeBytes
-      invariant(account.passedBytes === attempt.receivedBytes, 'answer_contiguous',
-        () => `request ${requestId} forwarded ${account.passedBytes} bytes of ${attempt.receivedBytes} received`)
+      const entry = entries.get(attempt.attemptId)
+      if (entry === undefined) return
+      entry.passedBytes += sizeBytes
+      invariant(entry.passedBytes === attempt.receivedBytes, 'answer_contiguous',
+        () => `request ${requestId} forwarded ${entry.passedBytes} bytes of ${attempt.receivedBytes} received`)
     },
     ended: ran => {
       invariant(ran !== 'not_run' || openAttempts().length === 0, 'not_run_is_proved',
--- a/packages/anvilarch-daemon/src/attempts/attemptReader.ts
+++ b/packages/anvilarch-daemon/src/attempts/attemptReader.ts
@@ -71,7 +71,7 @@
     clock,
     timeoutMs: Math.min(firstFrameTimeoutMs, inactivityTimeoutMs),
     isReadingPaused: () => open.backpressured,
-    onTimeout: () => { options.onEvent({ kind: 'inactivityTimeout', stream: open.stream }) },
+    onTimeout: () => { options.onEvent({ kind: 'inactivity_timeout', stream: open.stream }) },
     onProcessPause: options.onProcessPause
   })
 
--- a/packages/anvilarch-daemon/src/attempts/machine/__tests__/crashes.test.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/__tests__/crashes.test.ts
@@ -44,7 +44,7 @@
       expect(history.crash({ outcome: 'endpoint_failed', ran: 'not_run' })).toContainEqual(expect.objectContaining({ kind: 'choose' }))
     }
     history.begin()
-    expect(history.crash({ outcome: 'endpoint_failed', ran: 'not_run' })).toMatchObject([{ kind: 'leave' }, { kind: 'note' }, { kind: 'end' }])
+    expect(history.crash({ outcome: 'endpoint_failed', ran: 'not_run' })).toMatchObject([{ kind: 'close_stream' }, { kind: 'note' }, { kind: 'end' }])
   })
 })
 
--- a/packages/anvilarch-daemon/src/attempts/machine/__tests__/resumptions.test.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/__tests__/resumptions.test.ts
@@ -24,7 +24,7 @@
   it('is resumed again when its agent has shown in between that the attempt still runs', () => {
     const { apply, stream } = createRunning()
     for (let timeouts = 0; timeouts < 4; timeouts++) {
-      expect(apply({ kind: 'inactivityTimeout', stream: stream() })).toMatchObject([{ kind: 'leave' }, { kind: 'resume', newConnection: true }])
+      expect(apply({ kind: 'inactivity_timeout', stream: stream() })).toMatchObject([{ kind: 'close_stream' }, { kind: 'resume', newConnection: true }])
       apply({ kind: 'accepted', stream: stream(), incarnation: '1' })
       apply({ kind: 'heartbeat', stream: stream() })
     }
@@ -32,16 +32,16 @@
 
   it('is cancelled when the resumption brought neither output nor heartbeat', () => {
     const { apply, stream } = createRunning()
-    apply({ kind: 'inactivityTimeout', stream: stream() })
+    apply({ kind: 'inactivity_timeout', stream: stream() })
     apply({ kind: 'accepted', stream: stream(), incarnation: '1' })
-    expect(apply({ kind: 'inactivityTimeout', stream: stream() })).toContainEqual(expect.objectContaining({ kind: 'cancel' }))
+    expect(apply({ kind: 'inactivity_timeout', stream: stream() })).toContainEqual(expect.objectContaining({ kind: 'cancel' }))
   })
 
   it('ignores heartbeats of a closed stream', () => {
     const { apply, stream } = createRunning()
     const closed = stream()
-    apply({ kind: 'inactivityTimeout', stream: closed })
+    apply({ kind: 'inactivity_timeout', stream: closed })
     apply({ kind: 'heartbeat', stream: closed })
-    expect(apply({ kind: 'inactivityTimeout', stream: stream() })).toContainEqual(expect.objectContaining({ kind: 'cancel' }))
+    expect(apply({ kind: 'inactivity_timeout', stream: stream() })).toContainEqual(expect.objectContaining({ kind: 'cancel' }))
   })
 })
--- a/packages/anvilarch-daemon/src/attempts/machine/finals.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/finals.ts
@@ -34,7 +34,7 @@
     final: rule.final,
     mayReturn: rule.mayReturn
   }
-  return retryOrEnd(state, failed, input, [{ kind: 'leave', target: attempt.target }])
+  return retryOrEnd(state, failed, input, [{ kind: 'close_stream', target: attempt.target }])
 }
 
 /**
@@ -51,7 +51,7 @@
     unbudgeted: true,
     mayReturn: 'when_none_left'
   }
-  const commands: RequestCommand[] = [{ kind: 'leave', target }, { kind: 'note', target, note: 'endpoint_down' }]
+  const commands: RequestCommand[] = [{ kind: 'close_stream', target }, { kind: 'note', target, note: 'endpoint_down' }]
   return state.unbudgetedRetries < MAX_UNBUDGETED_RETRIES ? retryOrEnd(state, failed, input, commands) : retryDespiteBudget(state, failed, input, commands)
 }
 
@@ -86,7 +86,7 @@
     final: crashes >= MAX_CRASHES,
     mayReturn: 'when_none_left'
   }
-  const commands: RequestCommand[] = [{ kind: 'leave', target }, { kind: 'note', target, note: 'endpoint_down' }]
+  const commands: RequestCommand[] = [{ kind: 'close_stream', target }, { kind: 'note', target, note: 'endpoint_down' }]
   if ((attempt.isolated || attempt.soloFirstToken) && final.wasAlone) {
     const ran = combineRan(state.ran, failed.ran)
     return endFailed({ ...state, attempt: undefined, crashes }, ran, quarantinedFailure(target.key), [...commands, { kind: 'quarantine' }])
--- a/packages/anvilarch-daemon/src/attempts/machine/frames.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/frames.ts
@@ -58,7 +58,7 @@
 
 function refusalCommands (attempt: AttemptState, event: EventOf<'refused'>): RequestCommand[] {
   const { target } = attempt
-  const commands: RequestCommand[] = [{ kind: 'leave', target }]
+  const commands: RequestCommand[] = [{ kind: 'close_stream', target }]
   const { note } = REFUSALS[event.reason]
   if (note !== undefined) commands.push({ kind: 'note', target, note })
   if (REFUSALS[event.reason].soloFirstToken === true) commands.push({ kind: 'suspect' })
@@ -110,15 +110,15 @@
   }
   if (attempt.receivedBytes > final.totalBytes) {
     const message = `${attempt.receivedBytes} bytes were received of an answer of ${final.totalBytes}`
-    return retryOrEnd(state, { ...invalidResponseFailure(attempt, 'excess', message), final: true }, input, [{ kind: 'leave', target }])
+    return retryOrEnd(state, { ...invalidResponseFailure(attempt, 'excess', message), final: true }, input, [{ kind: 'close_stream', target }])
   }
   if (input.missing !== undefined) {
     const message = `the endpoint ended the answer without ${input.missing}`
-    return retryOrEnd(state, invalidResponseFailure(attempt, 'cut_short', message), input, [{ kind: 'leave', target }])
+    return retryOrEnd(state, invalidResponseFailure(attempt, 'cut_short', message), input, [{ kind: 'close_stream', target }])
   }
   invariant(attempt.receivedBytes === final.totalBytes, 'answer_whole',
     () => `request ${state.facts.requestId} would complete with ${attempt.receivedBytes} of ${final.totalBytes} bytes`)
-  const commands: RequestCommand[] = [{ kind: 'leave', target }]
+  const commands: RequestCommand[] = [{ kind: 'close_stream', target }]
   if (attempt.isolated || attempt.soloFirstToken) commands.push({ kind: 'cleared' })
   return endCompleted(state, final.outputTokens, commands)
 }
--- a/packages/anvilarch-daemon/src/attempts/machine/requestMachine.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/requestMachine.ts
@@ -44,7 +44,7 @@
   output: withAttempt(onOutput),
   heartbeat: withAttempt(onHeartbeat),
   final: withAttempt(onFinal),
-  inactivityTimeout: withAttempt(onInactivityTimeout),
+  inactivity_timeout: withAttempt(onInactivityTimeout),
   stream_ended: withAttempt(onStreamEnded),
   output_invalid: withAttempt(onOutputInvalid),
   deadline: state => cancelAndEnd(state, deadlinePassed(state)),
@@ -137,7 +137,7 @@
   const ran = ranSoFar(state)
   if (attempt === undefined) return endFailed(state, ran, failure)
   return endFailed(state, ran, failure, [
-    { kind: 'leave', target: attempt.target },
+    { kind: 'close_stream', target: attempt.target },
     { kind: 'cancel', attempt, reason: failure.reason }
   ])
 }
--- a/packages/anvilarch-daemon/src/attempts/machine/streams.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/streams.ts
@@ -17,7 +17,7 @@
  * Handles an inactivity timeout: no frame or heartbeat arrived. A network device may have dropped the connection without notice
  * to either end: the attempt continues but nothing arrives, and only a new connection can show that.
  */
-export function onInactivityTimeout (state: RequestState, attempt: AttemptState, _event: EventOf<'inactivityTimeout'>, input: StepInput): Step {
+export function onInactivityTimeout (state: RequestState, attempt: AttemptState, _event: EventOf<'inactivity_timeout'>, input: StepInput): Step {
   return resumeOrGiveUp(state, attempt, input, { reason: 'silence', message: 'the agent went silent', newConnection: true })
 }
 
@@ -58,14 +58,14 @@
   return {
     state: { ...state, attempt: resumed, streams: resumed.stream },
     commands: [
-      { kind: 'leave', target: attempt.target },
+      { kind: 'close_stream', target: attempt.target },
       { kind: 'resume', attempt: resumed, newConnection: failure.newConnection, delayMs: isRepeated ? RESUME_DELAY_MS : 0 }
     ]
   }
 }
 
 function closeCommands (attempt: AttemptState, reason: string): Step['commands'] {
-  const commands: Step['commands'] = [{ kind: 'leave', target: attempt.target }]
+  const commands: Step['commands'] = [{ kind: 'close_stream', target: attempt.target }]
   if (reason !== 'gap') commands.push({ kind: 'note', target: attempt.target, note: 'unreachable' })
   return commands
 }
--- a/packages/anvilarch-daemon/src/attempts/machine/types.ts
+++ b/packages/anvilarch-daemon/src/attempts/machine/types.ts
@@ -97,7 +97,7 @@
   | { kind: 'output', stream: number, offsetBytes: number, data: Uint8Array }
   | { kind: 'heartbeat', stream: number }
   | { kind: 'final', stream: number, final: FinalReport }
-  | { kind: 'inactivityTimeout', stream: number }
+  | { kind: 'inactivity_timeout', stream: number }
   | { kind: 'stream_ended', stream: number, neverSent: boolean, message: string }
   | { kind: 'output_invalid', stream: number, message: string }
   | { kind: 'deadline' }
@@ -127,7 +127,7 @@
   | { kind: 'wait_for_target', untilMs: number }
   | { kind: 'start', attempt: AttemptState }
   | { kind: 'resume', attempt: AttemptState, newConnection: boolean, delayMs: number }
-  | { kind: 'leave', target: Target }
+  | { kind: 'close_stream', target: Target }
   | { kind: 'cancel', attempt: AttemptState, reason: string }
   | { kind: 'head', status: number, headers: Headers }
   | { kind: 'output', data: Uint8Array }
--- a/packages/anvilarch-daemon/src/attempts/requestTask.ts
+++ b/packages/anvilarch-daemon/src/attempts/requestTask.ts
@@ -195,7 +195,7 @@
     wait_for_target: ({ untilMs }) => { waitForTarget(untilMs) },
     start: ({ attempt }) => { start(attempt) },
     resume: ({ attempt, newConnection, delayMs }) => { attemptCalls.resume(attempt, newConnection, delayMs) },
-    leave: () => {
+    close_stream: () => {
       reader.close()
       recordResponse()
     },
