--- a/jest/knownRed.js
+++ b/jest/knownRed.js
@@ -22,7 +22,7 @@
  * @param {string} rootFolder - folder to which the paths of tests are relative
  * @returns {{ name: string, status: string }[]} all tests; a file that could not be run counts as a failed test
  */
-function testsOf (results, rootFolder) {
+function listTests (results, rootFolder) {
   return results.testResults.flatMap(file => {
     const path = file.name.slice(rootFolder.length + 1)
     if (file.assertionResults.length === 0 && file.status === 'failed') return [{ name: path, status: 'failed' }]
@@ -37,12 +37,12 @@
  * @returns {{ passed: number, excused: { name: string, status: string }[], unknownFailures: string[], isAccepted: boolean }} the result;
  * an excused test is listed whether it failed in this run or not, so that the result does not depend on a flaky test
  */
-function judge (results, list, rootFolder) {
+function evaluateRun (results, list, rootFolder) {
   const known = knownTests(list)
-  const tests = testsOf(results, rootFolder)
+  const tests = listTests(results, rootFolder)
   const unknownFailures = tests.filter(test => test.status === 'failed' && !known.has(test.name)).map(test => test.name)
   const passed = tests.filter(test => test.status === 'passed').length
   return { passed, excused: tests.filter(test => known.has(test.name)), unknownFailures, isAccepted: unknownFailures.length === 0 && passed > 0 }
 }
 
-module.exports = { judge, knownTests }
+module.exports = { evaluateRun, knownTests }
--- a/packages/anvilarch/src/accounts.ts
+++ b/packages/anvilarch/src/accounts.ts
@@ -39,8 +39,8 @@
  */
 export async function fetchMetrics (url: string): Promise<string | undefined> {
   try {
-    const answer = await request(url, { headersTimeout: METRICS_TIMEOUT_MS, bodyTimeout: METRICS_TIMEOUT_MS })
-    return await answer.body.text()
+    const response = await request(url, { headersTimeout: METRICS_TIMEOUT_MS, bodyTimeout: METRICS_TIMEOUT_MS })
+    return await response.body.text()
   } catch {
     // The command lists the daemons that did not respond.
     return undefined
--- a/packages/anvilarch/src/commands/accountUsage.ts
+++ b/packages/anvilarch/src/commands/accountUsage.ts
@@ -16,16 +16,16 @@
     const { members, accounts } = await readSnapshot(address, session)
     const gateways = members.filter(member => member.role === 'gateway')
     const texts = await Promise.all(gateways.map(async member => await fetchMetrics(`http://${member.peerAddress.split(':')[0]}:${METRICS_PORT}/metrics`)))
-    const silent = gateways.filter((_, index) => texts[index] === undefined).map(member => member.name)
+    const unresponsive = gateways.filter((_, index) => texts[index] === undefined).map(member => member.name)
     const limits = new Map(accounts.map(account => [account.name, account]))
-    const uses = readAccountUsage(texts.filter(text => text !== undefined)).map(use => ({
-      ...use, requestsPerSecond: limits.get(use.accountName)?.requestsPerSecond, burstRequests: limits.get(use.accountName)?.burstRequests
+    const usages = readAccountUsage(texts.filter(text => text !== undefined)).map(usage => ({
+      ...usage, requestsPerSecond: limits.get(usage.accountName)?.requestsPerSecond, burstRequests: limits.get(usage.accountName)?.burstRequests
     }))
     return {
-      json: { accounts: uses, silentGateways: silent },
+      json: { accounts: usages, silentGateways: unresponsive },
       text: [
-        formatTable(['account', 'granted', 'refused', 'ratePerSecond', 'burst'], uses.map(use => [use.accountName, use.granted, use.refused, use.requestsPerSecond, use.burstRequests])),
-        ...silent.length > 0 ? [`Not counted, since they do not answer: ${silent.join(', ')}`] : []
+        formatTable(['account', 'granted', 'refused', 'ratePerSecond', 'burst'], usages.map(usage => [usage.accountName, usage.granted, usage.refused, usage.requestsPerSecond, usage.burstRequests])),
+        ...unresponsive.length > 0 ? [`Not counted, since they do not answer: ${unresponsive.join(', ')}`] : []
       ].join('\n')
     }
   }
--- a/packages/anvilarch/src/commands/configApply.ts
+++ b/packages/anvilarch/src/commands/configApply.ts
@@ -6,7 +6,7 @@
 import { applyOnce } from '../configuration/applyOnce'
 import { waitInForce } from '../configuration/waitInForce'
 import { type CommandResult, defineCommand } from '../defineCommand'
-import type { ApplyAnswer } from '../gateway/types'
+import type { ApplyResponse } from '../gateway/types'
 import type { CliSession } from '../session'
 import { type Wait, waitArgument } from '../waitArgument'
 
@@ -29,22 +29,22 @@
   run: async ({ file, ifVersion, wait }, session) => {
     const { text, document } = await readDocument(file)
     const request = { documentText: text, fileName: file, ifVersion, appliedBy: session.environment.userName }
-    const answer = await applyOnce(session.gateway, request, hashDocument(document))
-    return wait === undefined ? describeApplied(answer) : await describeWait(session, answer, wait)
+    const response = await applyOnce(session.gateway, request, hashDocument(document))
+    return wait === undefined ? describeApplied(response) : await describeWait(session, response, wait)
   }
 })
 
-function describeApplied (answer: ApplyAnswer): CommandResult {
-  const text = answer.changed
-    ? `version ${answer.version} accepted, hash ${answer.hash.slice(0, 12)}`
-    : `nothing to change: version ${answer.version} holds this document already`
-  return { json: answer, text }
+function describeApplied (response: ApplyResponse): CommandResult {
+  const text = response.changed
+    ? `version ${response.version} accepted, hash ${response.hash.slice(0, 12)}`
+    : `nothing to change: version ${response.version} holds this document already`
+  return { json: response, text }
 }
 
-async function describeWait (session: CliSession, answer: ApplyAnswer, wait: Wait): Promise<CommandResult> {
-  const { inForce, daemons, waitedMs } = await waitInForce(session, answer.version, wait.timeoutMs ?? DEFAULT_WAIT_SECONDS * 1000)
-  const json = { ...answer, inForce, waitedMs, daemons }
-  const head = describeApplied(answer).text
+async function describeWait (session: CliSession, response: ApplyResponse, wait: Wait): Promise<CommandResult> {
+  const { inForce, daemons, waitedMs } = await waitInForce(session, response.version, wait.timeoutMs ?? DEFAULT_WAIT_SECONDS * 1000)
+  const json = { ...response, inForce, waitedMs, daemons }
+  const head = describeApplied(response).text
   if (inForce) return { json, text: `${head}\nin force in every live daemon after ${(waitedMs / 1000).toFixed(1)} s` }
   return { json, exit: 'timed_out', text: `${head}\nnot yet in force everywhere:\n${formatDaemonVersions(daemons.filter(daemon => !daemon.isInForce))}` }
 }
--- a/packages/anvilarch/src/commands/configShow.ts
+++ b/packages/anvilarch/src/commands/configShow.ts
@@ -11,10 +11,10 @@
   args: {},
   examples: [{ description: 'Keep the document in force before a change', line: 'anvilarch config show > before.jsonc' }],
   run: async (_args, session) => {
-    const answer = await session.gateway.configuration()
-    const { appliedBy, appliedAtMs } = answer
+    const response = await session.gateway.configuration()
+    const { appliedBy, appliedAtMs } = response
     const origin = appliedAtMs === undefined ? 'not known while the table can\'t be read' : `${appliedBy} at ${formatTime(appliedAtMs)}`
-    const head = [`// version ${answer.version}, hash ${answer.hash}`, `// applied by: ${origin}`]
-    return { json: answer, text: [...head, JSON.stringify(answer.document, null, INDENT)].join('\n') }
+    const head = [`// version ${response.version}, hash ${response.hash}`, `// applied by: ${origin}`]
+    return { json: response, text: [...head, JSON.stringify(response.document, null, INDENT)].join('\n') }
   }
 })
--- a/packages/anvilarch/src/commands/endpointDrain.ts
+++ b/packages/anvilarch/src/commands/endpointDrain.ts
@@ -10,10 +10,10 @@
   args: { agent: positional({ type: string, displayName: 'AGENT', description: 'name of the agent, see "endpoint list"' }) },
   examples: [{ description: 'Before a host is powered down', line: 'anvilarch endpoint drain agent-7' }],
   run: async ({ agent }, session) => {
-    const answer = await session.gateway.drainAgent(agent)
+    const response = await session.gateway.drainAgent(agent)
     return {
-      json: answer,
-      text: `agent ${answer.agent} takes no new work; ${formatCount(answer.running, 'attempt')} in progress will be finished`
+      json: response,
+      text: `agent ${response.agent} takes no new work; ${formatCount(response.running, 'attempt')} in progress will be finished`
     }
   }
 })
--- a/packages/anvilarch/src/commands/endpointList.ts
+++ b/packages/anvilarch/src/commands/endpointList.ts
@@ -9,7 +9,7 @@
   args: {},
   examples: [{ description: 'Which endpoints are ready', line: 'anvilarch endpoint list' }],
   run: async (_args, session) => {
-    const answer = await session.gateway.endpoints()
-    return { json: answer, text: formatEndpoints(answer.endpoints) }
+    const response = await session.gateway.endpoints()
+    return { json: response, text: formatEndpoints(response.endpoints) }
   }
 })
--- a/packages/anvilarch/src/commands/explain.ts
+++ b/packages/anvilarch/src/commands/explain.ts
@@ -3,7 +3,7 @@
 import { defineCommand } from '../defineCommand'
 import { readLogSources } from '../explain/logSources'
 import { formatFields, linesAbout, type LogLine } from '../explain/readLogs'
-import { failedTogether, linesAround, type AbruptEnd, findAbruptEnds } from '../explain/surroundings'
+import { type AbruptEnd, countConcurrentFailures, findAbruptEnds, findRelatedEvents } from '../explain/relatedEvents'
 import { formatCount, formatTable } from '../output/table'
 
 /** Shows the log lines of all processes about one request, item, job or endpoint, with related events. */
@@ -21,20 +21,20 @@
   run: async ({ id, logs }) => {
     const all = readLogSources(logs)
     const lines = linesAbout(all, id)
-    const around = linesAround(all, lines)
-    const ends = abruptEndsOf(all, lines)
-    const together = failedTogether(all, lines)
-    return { json: { lines, around, abruptEnds: ends, failedTogether: together }, text: formatStory(id, lines, around, ends, together), exit: lines.length === 0 ? 'failed' : 'ok' }
+    const related = findRelatedEvents(all, lines)
+    const ends = relatedAbruptEnds(all, lines)
+    const concurrentFailures = countConcurrentFailures(all, lines)
+    return { json: { lines, around: related, abruptEnds: ends, failedTogether: concurrentFailures }, text: formatExplanation(id, lines, related, ends, concurrentFailures), exit: lines.length === 0 ? 'failed' : 'ok' }
   }
 })
 
-/** Abrupt ends of processes that occur in `story`, if they restarted at or after its first line. */
-function abruptEndsOf (all: readonly LogLine[], story: readonly LogLine[]): AbruptEnd[] {
-  const processes = new Set(story.map(line => line.process))
-  return findAbruptEnds(all).filter(end => processes.has(end.process) && Date.parse(end.startedAgainAt) >= Date.parse(story[0].at))
+/** Abrupt ends of processes that occur in `lines`, if they restarted at or after its first line. */
+function relatedAbruptEnds (all: readonly LogLine[], lines: readonly LogLine[]): AbruptEnd[] {
+  const processes = new Set(lines.map(line => line.process))
+  return findAbruptEnds(all).filter(end => processes.has(end.process) && Date.parse(end.startedAgainAt) >= Date.parse(lines[0].at))
 }
 
-function formatStory (id: string, lines: LogLine[], around: LogLine[], ends: AbruptEnd[], together: number): string {
+function formatExplanation (id: string, lines: LogLine[], related: LogLine[], ends: AbruptEnd[], concurrentFailures: number): string {
   if (lines.length === 0) {
     return `no line tells of ${id}: check the id; or its lines were left out under load, or lost with their process (anvilarch logs failures names those)`
   }
@@ -43,8 +43,8 @@
     formatLines(lines),
     '',
     `${formatCount(lines.length, 'line')} of ${formatCount(processes, 'process', 'processes')}`,
-    ...together === 0 ? [] : [`${formatCount(together, 'other request')} ended without a whole answer in the same moment`],
-    ...around.length === 0 ? [] : ['', 'around it, of the same processes and endpoints:', formatLines(around)],
+    ...concurrentFailures === 0 ? [] : [`${formatCount(concurrentFailures, 'other request')} ended without a whole answer in the same moment`],
+    ...related.length === 0 ? [] : ['', 'around it, of the same processes and endpoints:', formatLines(related)],
     ...ends.map(end => `${end.process} ended without logging a stop after ${end.lastLineAt} and started again at ${end.startedAgainAt}`)
   ].join('\n')
 }
--- a/packages/anvilarch/src/commands/jobList.ts
+++ b/packages/anvilarch/src/commands/jobList.ts
@@ -2,7 +2,7 @@
 import { extendType, number, option } from 'cmd-ts'
 import { defineCommand } from '../defineCommand'
 import type { GatewayClient } from '../gateway/gatewayClient'
-import type { BatchAnswer } from '../gateway/types'
+import type { BatchResponse } from '../gateway/types'
 import { jobCounts } from '../jobs/jobState'
 import { type Cell, formatTable, formatTime } from '../output/table'
 
@@ -36,8 +36,8 @@
   }
 })
 
-async function listJobs (gateway: GatewayClient, limit: number): Promise<{ jobs: BatchAnswer[], hasMore: boolean }> {
-  const jobs: BatchAnswer[] = []
+async function listJobs (gateway: GatewayClient, limit: number): Promise<{ jobs: BatchResponse[], hasMore: boolean }> {
+  const jobs: BatchResponse[] = []
   let hasMore = true
   while (hasMore && jobs.length < limit) {
     const page = await gateway.listBatches(Math.min(PAGE_SIZE, limit - jobs.length), jobs.at(-1)?.id)
--- a/packages/anvilarch/src/commands/jobResults.ts
+++ b/packages/anvilarch/src/commands/jobResults.ts
@@ -2,7 +2,7 @@
 import { option, optional, positional, string } from 'cmd-ts'
 import { CliError } from '../cliError'
 import { defineCommand } from '../defineCommand'
-import type { BatchAnswer } from '../gateway/types'
+import type { BatchResponse } from '../gateway/types'
 import { type DownloadedFile, downloadToFile, downloadToOutput, writeEmptyFile } from '../jobs/downloadFile'
 import { hasEnded, jobCounts } from '../jobs/jobState'
 import { formatCount } from '../output/table'
@@ -35,7 +35,7 @@
   }
 })
 
-function expectEnded (batch: BatchAnswer): void {
+function expectEnded (batch: BatchResponse): void {
   if (hasEnded(batch)) return
   const { done, total } = jobCounts(batch)
   throw new CliError(`Job "${batch.id}" is ${batch.status} with ${done} of ${total} items done; it has no results to read yet.`, {
--- a/packages/anvilarch/src/commands/jobSubmit.ts
+++ b/packages/anvilarch/src/commands/jobSubmit.ts
@@ -1,7 +1,7 @@
 /** `anvilarch job submit FILE` */
 import { option, optional, positional, string } from 'cmd-ts'
 import { type CommandResult, defineCommand } from '../defineCommand'
-import type { BatchAnswer } from '../gateway/types'
+import type { BatchResponse } from '../gateway/types'
 import { describeEndedJob } from '../jobs/describeEndedJob'
 import { formatJob, hasEnded } from '../jobs/jobState'
 import { DEFAULT_SUBMIT_OPTIONS, submitJob, type SubmittedJob } from '../jobs/submitJob'
@@ -43,7 +43,7 @@
 }
 
 /** Tells the operator that an existing job was found that has already ended: nothing runs, although the command succeeds. */
-function noteEndedJob (session: CliSession, batch: BatchAnswer, key: string | undefined): void {
+function noteEndedJob (session: CliSession, batch: BatchResponse, key: string | undefined): void {
   if (!hasEnded(batch)) return
   const found = key === undefined ? 'This file was submitted before as' : `Key "${key}" belongs to`
   session.note(`${found} job ${batch.id}, which is ${batch.status}. Give ${key === undefined ? 'a' : 'another'} --key to run it as a new job.`)
--- a/packages/anvilarch/src/commands/logsFailures.ts
+++ b/packages/anvilarch/src/commands/logsFailures.ts
@@ -3,7 +3,7 @@
 import { defineCommand } from '../defineCommand'
 import { findFailures, type LoggedFailure } from '../explain/failures'
 import { readLogSources } from '../explain/logSources'
-import { findAbruptEnds } from '../explain/surroundings'
+import { findAbruptEnds } from '../explain/relatedEvents'
 import { formatCount, formatTable } from '../output/table'
 
 /** Lists failures with the ids that `anvilarch explain` accepts. */
--- a/packages/anvilarch/src/commands/status.ts
+++ b/packages/anvilarch/src/commands/status.ts
@@ -1,7 +1,7 @@
 /** `anvilarch status` */
 import { daemonVersions, isInForceEverywhere } from '../configuration/inForce'
 import { defineCommand } from '../defineCommand'
-import type { StatusAnswer } from '../gateway/types'
+import type { StatusResponse } from '../gateway/types'
 import { shownHealth } from '../output/endpoints'
 import { type Cell, formatTable } from '../output/table'
 
@@ -15,20 +15,20 @@
     { description: 'Ask the second gateway if the first one is down', line: 'anvilarch status --gateway http://10.20.0.11:8080,http://10.20.0.12:8080' }
   ],
   run: async (_args, session) => {
-    const answer = await session.gateway.status()
-    return { json: answer, text: formatStatus(answer) }
+    const response = await session.gateway.status()
+    return { json: response, text: formatStatus(response) }
   }
 })
 
-function formatStatus (answer: StatusAnswer): string {
-  const inForce = isInForceEverywhere(daemonVersions(answer))
+function formatStatus (response: StatusResponse): string {
+  const inForce = isInForceEverywhere(daemonVersions(response))
   const head = [
-    `seen by        ${answer.gateway}`,
-    `configuration  version ${answer.configurationVersion}, ${inForce ? 'in force in every live daemon' : 'not yet in force everywhere'}`,
-    `jobs           ${answer.jobs.active === null ? 'not known while the table can\'t be read' : `${answer.jobs.active} active`}`
+    `seen by        ${response.gateway}`,
+    `configuration  version ${response.configurationVersion}, ${inForce ? 'in force in every live daemon' : 'not yet in force everywhere'}`,
+    `jobs           ${response.jobs.active === null ? 'not known while the table can\'t be read' : `${response.jobs.active} active`}`
   ].join('\n')
-  const gateways = answer.gateways.map((gateway): Cell[] => [gateway.instance, gateway.state, gateway.configurationVersion, gateway.address, gateway.operationsAddress])
-  const agents = answer.agents.map((agent): Cell[] => [
+  const gateways = response.gateways.map((gateway): Cell[] => [gateway.instance, gateway.state, gateway.configurationVersion, gateway.address, gateway.operationsAddress])
+  const agents = response.agents.map((agent): Cell[] => [
     agent.name,
     agent.state,
     agent.configurationVersion,
--- a/packages/anvilarch/src/configuration/applyOnce.ts
+++ b/packages/anvilarch/src/configuration/applyOnce.ts
@@ -1,7 +1,7 @@
 /** Sends a configuration document once and determines its outcome, also when the response is lost. */
 import { toCliError } from '../cliError'
 import type { ApplyRequest, GatewayClient } from '../gateway/gatewayClient'
-import type { ApplyAnswer } from '../gateway/types'
+import type { ApplyResponse } from '../gateway/types'
 
 /**
  * Applies a document. If the connection is lost after the document was sent, the outcome is unknown. Sending it again could
@@ -13,7 +13,7 @@
  * @returns the version under which the document is in force
  * @throws CliError when the document was rejected, or when the outcome can't be determined
  */
-export async function applyOnce (gateway: GatewayClient, request: ApplyRequest, hash: string): Promise<ApplyAnswer> {
+export async function applyOnce (gateway: GatewayClient, request: ApplyRequest, hash: string): Promise<ApplyResponse> {
   try {
     return await gateway.apply(request)
   } catch (thrown) {
--- a/packages/anvilarch/src/configuration/inForce.ts
+++ b/packages/anvilarch/src/configuration/inForce.ts
@@ -1,5 +1,5 @@
 /** Determines in which daemons a configuration version is in force. */
-import type { StatusAnswer } from '../gateway/types'
+import type { StatusResponse } from '../gateway/types'
 import { type Cell, formatTable } from '../output/table'
 
 /** One daemon and its configuration version. */
@@ -21,7 +21,7 @@
  * @param version - the version to check; by default the one of that gateway
  * @returns each daemon with its version
  */
-export function daemonVersions (status: StatusAnswer, version = status.configurationVersion): DaemonVersion[] {
+export function daemonVersions (status: StatusResponse, version = status.configurationVersion): DaemonVersion[] {
   const describe = (name: string, role: DaemonVersion['role'], state: string, configurationVersion: number): DaemonVersion => ({
     name, role, state, configurationVersion, isLive: state !== UNREACHABLE, isInForce: configurationVersion >= version
   })
--- a/packages/anvilarch/src/configuration/waitInForce.ts
+++ b/packages/anvilarch/src/configuration/waitInForce.ts
@@ -28,7 +28,7 @@
       clock,
       timeoutMs,
       intervalMs: DEFAULT_POLL_INTERVAL_MS,
-      ask: async () => daemonVersions(await session.gateway.status(), version),
+      poll: async () => daemonVersions(await session.gateway.status(), version),
       isDone: isInForceEverywhere,
       onState: daemons => {
         const live = daemons.filter(daemon => daemon.isLive)
--- a/packages/anvilarch/src/createProgram.ts
+++ b/packages/anvilarch/src/createProgram.ts
@@ -54,15 +54,15 @@
  * @returns the program, as the argument parser runs it
  */
 export function createProgram (environment: CliEnvironment, version: string, onExit: ExitListener) {
-  const make = (factories: Record<string, CommandFactory>) =>
+  const createAll = (factories: Record<string, CommandFactory>) =>
     Object.fromEntries(Object.entries(factories).map(([name, factory]) => [name, factory(environment, onExit)]))
   const groups = Object.entries(GROUPS).map(([name, { description, commands }]) =>
-    [name, subcommands({ name, description, cmds: make(commands) })])
+    [name, subcommands({ name, description, cmds: createAll(commands) })])
   const program = subcommands({
     name: 'anvilarch',
     version,
     description: 'Operate an anvilarch fleet: configuration, jobs, endpoints, time lines',
-    cmds: { ...Object.fromEntries(groups), ...make(SINGLE_COMMANDS) }
+    cmds: { ...Object.fromEntries(groups), ...createAll(SINGLE_COMMANDS) }
   })
   const { printHelp } = program as unknown as { printHelp: (context: unknown) => string }
   const withExitCodes = (context: unknown): string =>
--- a/packages/anvilarch/src/defineCommand.ts
+++ b/packages/anvilarch/src/defineCommand.ts
@@ -22,7 +22,7 @@
 }
 
 type CommandArguments = Parameters<typeof command>[0]['args']
-type Given<Args extends CommandArguments> = Parameters<Parameters<typeof command<Args, (args: any) => unknown>>[0]['handler']>[0]
+type ParsedArguments<Args extends CommandArguments> = Parameters<Parameters<typeof command<Args, (args: any) => unknown>>[0]['handler']>[0]
 
 /** Definition of a command. */
 export interface CommandDefinition<Args extends CommandArguments> {
@@ -30,7 +30,7 @@
   description: string
   args: Args
   examples: CommandExample[]
-  run: (args: Given<Args> & GlobalOptions, session: CliSession) => Promise<CommandResult>
+  run: (args: ParsedArguments<Args> & GlobalOptions, session: CliSession) => Promise<CommandResult>
 }
 
 /** Receives the exit code of the command that ran. */
@@ -57,17 +57,17 @@
 export function defineCommand<Args extends CommandArguments> (definition: CommandDefinition<Args>): CommandFactory {
   const { name, description, args, examples, run } = definition
   return (environment, onExit) => {
-    const made = command({
+    const created = command({
       name,
       description,
       args: { ...args, ...GLOBAL_ARGUMENTS },
-      handler: async given => {
-        const options = given as unknown as Given<Args> & GlobalOptions
+      handler: async parsed => {
+        const options = parsed as unknown as ParsedArguments<Args> & GlobalOptions
         onExit(await runCommand(environment, options, session => run(options, session)))
       }
     })
-    const printHelp: typeof made.printHelp = context => `${made.printHelp(context)}\n\n${formatExamples(examples)}`
-    return { ...made, printHelp } as unknown as ReturnType<typeof command>
+    const printHelp: typeof created.printHelp = context => `${created.printHelp(context)}\n\n${formatExamples(examples)}`
+    return { ...created, printHelp } as unknown as ReturnType<typeof command>
   }
 }
 
--- a/packages/anvilarch/src/environment.ts
+++ b/packages/anvilarch/src/environment.ts
@@ -24,7 +24,7 @@
     stdout,
     stderr,
     isTerminal: stderr.isTTY === true,
-    clock: createTerminalClock(),
+    clock: createKeepAliveClock(),
     userName: readUserName()
   }
 }
@@ -42,7 +42,7 @@
  * Creates a clock whose timers keep the process alive, unlike those of the system clock. While a command waits between two
  * polls, nothing else does: the process would exit during the wait with code 0 and no output.
  */
-function createTerminalClock (): Clock {
+function createKeepAliveClock (): Clock {
   return {
     ...createSystemClock(),
     after: (delayMs, onFire) => {
--- a/packages/anvilarch/src/explain/failures.ts
+++ b/packages/anvilarch/src/explain/failures.ts
@@ -18,7 +18,7 @@
  * @returns requests, jobs and items that failed or were late, in the order of their ends
  */
 export function findFailures (lines: readonly LogLine[]): LoggedFailure[] {
-  const dueAtMs = dueTimes(lines)
+  const dueAtMs = readDueTimes(lines)
   return lines
     .map(line => failureOf(line, dueAtMs))
     .filter(failure => failure !== undefined)
@@ -49,7 +49,7 @@
   return lateMs > 0 ? { ...base, outcome: 'item late', reason: `${Math.round(lateMs)} ms` } : undefined
 }
 
-function dueTimes (lines: readonly LogLine[]): Map<string, number> {
+function readDueTimes (lines: readonly LogLine[]): Map<string, number> {
   const dueAtMs = new Map<string, number>()
   for (const line of lines) {
     if (line.message === 'item claimed') dueAtMs.set(String(line.itemId), Date.parse(line.at) + Number(line.dueInMs))
--- a/packages/anvilarch/src/explain/surroundings.ts
+++ b/packages/anvilarch/src/explain/relatedEvents.ts
@@ -2,7 +2,7 @@
 import type { LogLine } from './readLogs'
 
 /** Events within this time may be the cause of a failure. The earliest one is the mark of draining, up to 2 s before it. */
-const AROUND_MS = 2000
+const CONTEXT_MS = 2000
 
 /** Messages about a process or an endpoint rather than about one request. */
 const STATE_EVENTS: ReadonlySet<string> = new Set([
@@ -20,15 +20,15 @@
 
 /**
  * @param lines - of all processes
- * @param story - lines about one id, sorted by time
- * @returns lines about the processes and endpoints of the story, shortly before, during and after it
+ * @param selected - lines about one id, sorted by time
+ * @returns lines about the processes and endpoints of the selected lines, shortly before, during and after them
  */
-export function linesAround (lines: readonly LogLine[], story: readonly LogLine[]): LogLine[] {
-  if (story.length === 0) return []
-  const fromMs = Date.parse(story[0].at) - AROUND_MS
-  const untilMs = Date.parse(story[story.length - 1].at) + AROUND_MS
-  const processes = new Set(story.map(line => line.process))
-  const endpoints = new Set(story.map(line => line.endpoint).filter(endpoint => endpoint !== undefined))
+export function findRelatedEvents (lines: readonly LogLine[], selected: readonly LogLine[]): LogLine[] {
+  if (selected.length === 0) return []
+  const fromMs = Date.parse(selected[0].at) - CONTEXT_MS
+  const untilMs = Date.parse(selected[selected.length - 1].at) + CONTEXT_MS
+  const processes = new Set(selected.map(line => line.process))
+  const endpoints = new Set(selected.map(line => line.endpoint).filter(endpoint => endpoint !== undefined))
   return lines
     .filter(line => STATE_EVENTS.has(line.message))
     .filter(line => Date.parse(line.at) >= fromMs && Date.parse(line.at) <= untilMs)
@@ -37,19 +37,19 @@
 }
 
 /** Failures within this time of each other probably have one cause, such as connections that were cut together. */
-const TOGETHER_MS = 20
+const SAME_MOMENT_MS = 20
 
 /**
  * @param lines - of all processes
- * @param story - lines about one request, sorted by time
+ * @param selected - lines about one request, sorted by time
  * @returns the number of other requests, at any process, that failed or were closed by their clients at the same moment
  */
-export function failedTogether (lines: readonly LogLine[], story: readonly LogLine[]): number {
-  const end = story.find(line => line.message === 'request ended' && line.outcome !== 'answered')
+export function countConcurrentFailures (lines: readonly LogLine[], selected: readonly LogLine[]): number {
+  const end = selected.find(line => line.message === 'request ended' && line.outcome !== 'answered')
   if (end === undefined) return 0
   const endMs = Date.parse(end.at)
   return lines.filter(line => line.message === 'request ended' && line !== end && line.outcome !== 'answered' && line.outcome !== 'overloaded' &&
-    Math.abs(Date.parse(line.at) - endMs) <= TOGETHER_MS).length
+    Math.abs(Date.parse(line.at) - endMs) <= SAME_MOMENT_MS).length
 }
 
 /**
@@ -62,8 +62,8 @@
 export function findAbruptEnds (lines: readonly LogLine[]): AbruptEnd[] {
   const ends: AbruptEnd[] = []
   const last = new Map<string, { at: string, stopping: boolean }>()
-  const inOrder = [...lines].sort((a, b) => Date.parse(a.at) - Date.parse(b.at))
-  for (const line of inOrder) {
+  const sorted = [...lines].sort((a, b) => Date.parse(a.at) - Date.parse(b.at))
+  for (const line of sorted) {
     const before = last.get(line.process)
     if (line.message === 'started' && before !== undefined && !before.stopping) {
       ends.push({ process: line.process, lastLineAt: before.at, startedAgainAt: line.at })
--- a/packages/anvilarch/src/files.ts
+++ b/packages/anvilarch/src/files.ts
@@ -29,9 +29,9 @@
  */
 export async function fileSizeBytes (path: string): Promise<number> {
   try {
-    const found = await stat(path)
-    if (found.isDirectory()) throw Object.assign(new Error(), { code: 'EISDIR' })
-    return found.size
+    const stats = await stat(path)
+    if (stats.isDirectory()) throw Object.assign(new Error(), { code: 'EISDIR' })
+    return stats.size
   } catch (cause) {
     throw fileError(path, cause)
   }
--- a/packages/anvilarch/src/gateway/failures.ts
+++ b/packages/anvilarch/src/gateway/failures.ts
@@ -5,15 +5,15 @@
 import type { ExitReason } from '../exitCodes'
 
 /** Connection errors before anything was sent: the request did not run and may be sent to another gateway. */
-const NOT_CONNECTED_CODES = new Set([
+const CONNECT_ERROR_CODES = new Set([
   'ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND', 'EAI_AGAIN', 'EHOSTDOWN', 'UND_ERR_CONNECT_TIMEOUT'
 ])
 
 /** Error codes of a gateway that accepts no work while other gateways may. */
-const ELSEWHERE_CODES = new Set<string>(['draining', 'not_ready'])
+const OTHER_GATEWAY_CODES = new Set<string>(['draining', 'not_ready'])
 
 /** Error codes after which the same request may succeed later. */
-const LATER_CODES = new Set<string>(['rate_limited', 'overloaded', 'unavailable', 'platform_unavailable', 'draining', 'not_ready'])
+const RETRYABLE_CODES = new Set<string>(['rate_limited', 'overloaded', 'unavailable', 'platform_unavailable', 'draining', 'not_ready'])
 
 /** Exit reasons by HTTP status; `failed` for all others. */
 const EXIT_BY_STATUS: Partial<Record<number, ExitReason>> = { 409: 'conflict', 422: 'invalid_document' }
@@ -64,9 +64,9 @@
 export function transportFailure (cause: unknown, call: FailedCall): CliError {
   if (cause instanceof CliError) return cause
   const { step, gatewayUrl, isRead } = call
-  if (cause instanceof SyntaxError) return notJson(cause, step, gatewayUrl)
+  if (cause instanceof SyntaxError) return notJsonError(cause, step, gatewayUrl)
   const { code, message } = describeCause(cause)
-  if (NOT_CONNECTED_CODES.has(code)) {
+  if (CONNECT_ERROR_CODES.has(code)) {
     return new CliError(`No connection to gateway "${gatewayUrl}": ${message}.`, {
       code: 'unavailable', step, peer: gatewayUrl, ran: 'not_run', exit: 'unreachable', cause, hint: 'Check --gateway or ANVILARCH_GATEWAY, and whether a gateway runs there.'
     })
@@ -91,37 +91,37 @@
  * @param gatewayUrl - URL of the gateway that responded
  * @returns the error that the gateway reported
  */
-export function answerFailure (status: number, bodyText: string, retryAfter: string | undefined, step: string, gatewayUrl: string): CliError {
+export function responseFailure (status: number, bodyText: string, retryAfter: string | undefined, step: string, gatewayUrl: string): CliError {
   const body = parseBody(bodyText)
-  const stated = typeof body.error === 'object' ? body.error : { message: body.error }
-  const code = (stated.code ?? 'internal') as ErrorCode
+  const reported = typeof body.error === 'object' ? body.error : { message: body.error }
+  const code = (reported.code ?? 'internal') as ErrorCode
   const issues = body.issues
-  return new CliError(stated.message ?? (issues === undefined ? `Gateway "${gatewayUrl}" answered with status ${status}.` : 'The document is not valid.'), {
+  return new CliError(reported.message ?? (issues === undefined ? `Gateway "${gatewayUrl}" answered with status ${status}.` : 'The document is not valid.'), {
     code,
-    step: stated.step ?? step,
-    peer: stated.peer ?? gatewayUrl,
-    ran: stated.ran ?? (status >= 300 && status < 500 ? 'not_run' : 'unknown'),
-    retryAfterMs: stated.retry_after_ms ?? secondsToMs(retryAfter),
+    step: reported.step ?? step,
+    peer: reported.peer ?? gatewayUrl,
+    ran: reported.ran ?? (status >= 300 && status < 500 ? 'not_run' : 'unknown'),
+    retryAfterMs: reported.retry_after_ms ?? secondsToMs(retryAfter),
     exit: EXIT_BY_STATUS[status] ?? 'failed',
-    hint: stated.code === undefined && issues === undefined ? NOT_A_GATEWAY_HINT : STEP_HINTS[step]?.[code] ?? HINTS[code],
-    data: { status, requestId: stated.request_id, version: body.version, issues },
+    hint: reported.code === undefined && issues === undefined ? NOT_A_GATEWAY_HINT : STEP_HINTS[step]?.[code] ?? HINTS[code],
+    data: { status, requestId: reported.request_id, version: body.version, issues },
     text: issues === undefined ? undefined : formatIssues(issues)
   })
 }
 
 /** @returns whether the same request may be sent to another gateway immediately */
-export function isTakenElsewhere (error: CliError): boolean {
+export function mayUseOtherGateway (error: CliError): boolean {
   if (error.ran !== 'not_run') return false
-  return (error.exit === 'unreachable' && error.code === 'unavailable') || ELSEWHERE_CODES.has(error.code)
+  return (error.exit === 'unreachable' && error.code === 'unavailable') || OTHER_GATEWAY_CODES.has(error.code)
 }
 
 /** @returns whether the same request may succeed later; use it only for requests that may be sent twice */
-export function isWorthAnotherTry (error: CliError): boolean {
+export function isRetryable (error: CliError): boolean {
   if (error.exit !== 'failed' && error.exit !== 'unreachable') return false
-  return error.ran === 'unknown' || error.exit === 'unreachable' || LATER_CODES.has(error.code)
+  return error.ran === 'unknown' || error.exit === 'unreachable' || RETRYABLE_CODES.has(error.code)
 }
 
-function notJson (cause: SyntaxError, step: string, gatewayUrl: string): CliError {
+function notJsonError (cause: SyntaxError, step: string, gatewayUrl: string): CliError {
   return new CliError(`The answer of "${gatewayUrl}" is not JSON.`, {
     code: 'internal', step, peer: gatewayUrl, ran: 'unknown', exit: 'failed', cause, hint: NOT_A_GATEWAY_HINT
   })
--- a/packages/anvilarch/src/gateway/gatewayClient.ts
+++ b/packages/anvilarch/src/gateway/gatewayClient.ts
@@ -2,7 +2,7 @@
 import type { Readable } from 'node:stream'
 import type { HttpCall, HttpClient } from './httpClient'
 import { createMultipartBody } from './multipart'
-import type { ApplyAnswer, BatchAnswer, BatchListAnswer, ConfigurationAnswer, DrainAnswer, EndpointView, FileAnswer, ServiceView, StatusAnswer } from './types'
+import type { ApplyResponse, BatchListResponse, BatchResponse, ConfigurationResponse, DrainResponse, EndpointView, FileResponse, ServiceView, StatusResponse } from './types'
 
 /** A configuration document to apply. */
 export interface ApplyRequest {
@@ -23,17 +23,17 @@
 
 /** API calls. Each rejects with a `CliError`. */
 export interface GatewayClient {
-  configuration: () => Promise<ConfigurationAnswer>
-  apply: (request: ApplyRequest) => Promise<ApplyAnswer>
-  status: () => Promise<StatusAnswer>
+  configuration: () => Promise<ConfigurationResponse>
+  apply: (request: ApplyRequest) => Promise<ApplyResponse>
+  status: () => Promise<StatusResponse>
   services: () => Promise<{ services: ServiceView[] }>
   endpoints: () => Promise<{ endpoints: EndpointView[] }>
-  drainAgent: (agent: string) => Promise<DrainAnswer>
-  uploadFile: (path: string, sizeBytes: number) => Promise<FileAnswer>
-  createBatch: (request: BatchRequest) => Promise<BatchAnswer>
-  batch: (id: string) => Promise<BatchAnswer>
-  cancelBatch: (id: string) => Promise<BatchAnswer>
-  listBatches: (limit: number, after?: string) => Promise<BatchListAnswer>
+  drainAgent: (agent: string) => Promise<DrainResponse>
+  uploadFile: (path: string, sizeBytes: number) => Promise<FileResponse>
+  createBatch: (request: BatchRequest) => Promise<BatchResponse>
+  batch: (id: string) => Promise<BatchResponse>
+  cancelBatch: (id: string) => Promise<BatchResponse>
+  listBatches: (limit: number, after?: string) => Promise<BatchListResponse>
   fileContent: (id: string) => Promise<{ body: Readable, gatewayUrl: string }>
   close: () => Promise<void>
 }
@@ -48,9 +48,9 @@
  * @returns the client
  */
 export function createGatewayClient (http: HttpClient): GatewayClient {
-  const get = <Answer>(step: string, path: string): Promise<Answer> =>
+  const get = <Body>(step: string, path: string): Promise<Body> =>
     http.json({ method: 'GET', path, step, isRepeatable: true })
-  const post = <Answer>(step: string, path: string, body: unknown, options: Pick<HttpCall, 'isRepeatable' | 'headers'>): Promise<Answer> =>
+  const post = <Body>(step: string, path: string, body: unknown, options: Pick<HttpCall, 'isRepeatable' | 'headers'>): Promise<Body> =>
     http.json({
       method: 'POST',
       path,
@@ -70,7 +70,7 @@
     uploadFile: async (path, sizeBytes) => {
       const body = createMultipartBody(path, sizeBytes, { purpose: 'batch' })
       return await http.json({
-        method: 'POST', path: '/v1/files', step: 'jobs.upload', headers: body.headers, body: body.open, isRepeatable: true, answerTimeoutMs: FILE_TIMEOUT_MS
+        method: 'POST', path: '/v1/files', step: 'jobs.upload', headers: body.headers, body: body.open, isRepeatable: true, responseTimeoutMs: FILE_TIMEOUT_MS
       })
     },
     createBatch: ({ inputFileId, endpoint, idempotencyKey }) => post(
@@ -86,7 +86,7 @@
       return get('jobs.list', `/v1/batches?${query.toString()}`)
     },
     fileContent: id => http.stream({
-      method: 'GET', path: `/v1/files/${encodeURIComponent(id)}/content`, step: 'jobs.results', isRepeatable: true, answerTimeoutMs: FILE_TIMEOUT_MS
+      method: 'GET', path: `/v1/files/${encodeURIComponent(id)}/content`, step: 'jobs.results', isRepeatable: true, responseTimeoutMs: FILE_TIMEOUT_MS
     }),
     close: () => http.close()
   }
--- a/packages/anvilarch/src/gateway/httpClient.ts
+++ b/packages/anvilarch/src/gateway/httpClient.ts
@@ -3,7 +3,7 @@
 import { Agent, type Dispatcher, request } from 'undici'
 import { isFramed } from 'anvilarch-utils'
 import { CliError } from '../cliError'
-import { answerFailure, isTakenElsewhere, transportFailure } from './failures'
+import { mayUseOtherGateway, responseFailure, transportFailure } from './failures'
 
 /** One HTTP call. */
 export interface HttpCall {
@@ -17,7 +17,7 @@
   /** Whether the call may run twice, so that it can be sent to another gateway after a lost connection. */
   isRepeatable: boolean
   /** Longest wait for the head of the response, and between two chunks of its body. */
-  answerTimeoutMs?: number
+  responseTimeoutMs?: number
 }
 
 /** Options of `createHttpClient`. */
@@ -27,29 +27,29 @@
   apiKey?: string
   connectTimeoutMs: number
   /** Default for calls without a limit of their own. */
-  answerTimeoutMs: number
+  responseTimeoutMs: number
 }
 
 /**
  * Default timeouts. A paused or disconnected gateway may still accept connections, so only the missing response reveals it, and
  * the operator waits until then. Gateways respond to operators within 5 s.
  */
-export const DEFAULT_HTTP_CLIENT_OPTIONS: Pick<HttpClientOptions, 'connectTimeoutMs' | 'answerTimeoutMs'> = {
+export const DEFAULT_HTTP_CLIENT_OPTIONS: Pick<HttpClientOptions, 'connectTimeoutMs' | 'responseTimeoutMs'> = {
   connectTimeoutMs: 3000,
-  answerTimeoutMs: 10_000
+  responseTimeoutMs: 10_000
 }
 
 /** Sends calls to gateways. */
 export interface HttpClient {
   /** @returns the parsed JSON body; rejects with a `CliError` */
-  json: <Answer>(call: HttpCall) => Promise<Answer>
+  json: <Body>(call: HttpCall) => Promise<Body>
   /** @returns the body as a stream; errors while reading it are to be converted with `transportFailure` */
   stream: (call: HttpCall) => Promise<{ body: Readable, gatewayUrl: string }>
   close: () => Promise<void>
 }
 
 /** The only status of a complete response: no call requests a byte range or follows a redirect. */
-const STATUS_WHOLE = 200
+const HTTP_OK = 200
 
 /**
  * @param options - gateways, API key and timeouts
@@ -61,8 +61,8 @@
 
   const send = async (gatewayUrl: string, call: HttpCall): Promise<Dispatcher.ResponseData> => {
     const authorization = options.apiKey === undefined ? {} : { authorization: `Bearer ${options.apiKey}` }
-    const timeoutMs = call.answerTimeoutMs ?? options.answerTimeoutMs
-    const answer = await request(new URL(call.path, gatewayUrl), {
+    const timeoutMs = call.responseTimeoutMs ?? options.responseTimeoutMs
+    const response = await request(new URL(call.path, gatewayUrl), {
       method: call.method,
       headers: { ...authorization, ...call.headers },
       body: call.body?.(),
@@ -70,49 +70,49 @@
       bodyTimeout: timeoutMs,
       dispatcher
     })
-    if (answer.statusCode === STATUS_WHOLE) return answer
-    const retryAfter = answer.headers['retry-after']
-    throw answerFailure(answer.statusCode, await answer.body.text(), typeof retryAfter === 'string' ? retryAfter : undefined, call.step, gatewayUrl)
+    if (response.statusCode === HTTP_OK) return response
+    const retryAfter = response.headers['retry-after']
+    throw responseFailure(response.statusCode, await response.body.text(), typeof retryAfter === 'string' ? retryAfter : undefined, call.step, gatewayUrl)
   }
 
-  const mayGoOn = (error: CliError, call: HttpCall): boolean =>
-    isTakenElsewhere(error) || (call.isRepeatable && error.code === 'outcome_unknown' && error.exit === 'unreachable')
+  const mayTryNextGateway = (error: CliError, call: HttpCall): boolean =>
+    mayUseOtherGateway(error) || (call.isRepeatable && error.code === 'outcome_unknown' && error.exit === 'unreachable')
 
   /** Tries the gateways in order and runs `read` on the first response. */
-  const firstAnswer = async <Answer>(call: HttpCall, read: (answer: Dispatcher.ResponseData, gatewayUrl: string) => Promise<Answer>): Promise<Answer> => {
+  const tryGateways = async <Result>(call: HttpCall, read: (response: Dispatcher.ResponseData, gatewayUrl: string) => Promise<Result>): Promise<Result> => {
     let last: CliError | undefined
     for (const gatewayUrl of urls) {
       try {
-        const answer = await read(await send(gatewayUrl, call), gatewayUrl)
+        const result = await read(await send(gatewayUrl, call), gatewayUrl)
         urls = [gatewayUrl, ...urls.filter(url => url !== gatewayUrl)]
-        return answer
+        return result
       } catch (cause) {
         last = transportFailure(cause, { step: call.step, gatewayUrl, isRead: call.method === 'GET' })
-        if (!mayGoOn(last, call)) throw last
+        if (!mayTryNextGateway(last, call)) throw last
       }
     }
-    throw last ?? noGateway(call)
+    throw last ?? noGatewayError(call)
   }
 
   return {
-    json: call => firstAnswer(call, async ({ body }) => JSON.parse(await textOf(body))),
-    stream: call => firstAnswer(call, async (answer, gatewayUrl) => ({ body: await framedBody(answer), gatewayUrl })),
+    json: call => tryGateways(call, async ({ body }) => JSON.parse(await readText(body))),
+    stream: call => tryGateways(call, async (response, gatewayUrl) => ({ body: await requireFramedBody(response), gatewayUrl })),
     close: async () => { await dispatcher.destroy() }
   }
 }
 
-function noGateway (call: HttpCall): CliError {
+function noGatewayError (call: HttpCall): CliError {
   return new CliError('No gateway is named.', { code: 'bad_request', step: call.step, exit: 'usage', ran: 'not_run', hint: 'Give --gateway.' })
 }
 
-async function textOf (body: Readable): Promise<string> {
-  const parts: Buffer[] = []
-  for await (const part of body) parts.push(part as Buffer)
-  return Buffer.concat(parts).toString('utf8')
+async function readText (body: Readable): Promise<string> {
+  const chunks: Buffer[] = []
+  for await (const chunk of body) chunks.push(chunk as Buffer)
+  return Buffer.concat(chunks).toString('utf8')
 }
 
 /** Rejects a body without length or chunks: it ends with its connection, so a truncated one could not be detected. */
-async function framedBody ({ statusCode, headers, body }: Dispatcher.ResponseData): Promise<Readable> {
+async function requireFramedBody ({ statusCode, headers, body }: Dispatcher.ResponseData): Promise<Readable> {
   if (isFramed(statusCode, name => headers[name]?.toString())) return body
   await body.dump()
   throw new Error('it names neither a length nor chunks')
--- a/packages/anvilarch/src/gateway/multipart.ts
+++ b/packages/anvilarch/src/gateway/multipart.ts
@@ -29,7 +29,7 @@
   )
   const tail = Buffer.from(`\r\n--${boundary}--\r\n`)
 
-  async function * parts (): AsyncGenerator<Buffer> {
+  async function * chunks (): AsyncGenerator<Buffer> {
     yield head
     yield * readExactly(path, sizeBytes)
     yield tail
@@ -40,7 +40,7 @@
       'content-type': `multipart/form-data; boundary=${boundary}`,
       'content-length': String(head.length + sizeBytes + tail.length)
     },
-    open: () => Readable.from(parts(), { objectMode: false })
+    open: () => Readable.from(chunks(), { objectMode: false })
   }
 }
 
@@ -48,10 +48,10 @@
 async function * readExactly (path: string, sizeBytes: number): AsyncGenerator<Buffer> {
   let readBytes = 0
   try {
-    for await (const piece of createReadStream(path) as AsyncIterable<Buffer>) {
-      readBytes += piece.length
+    for await (const chunk of createReadStream(path) as AsyncIterable<Buffer>) {
+      readBytes += chunk.length
       if (readBytes > sizeBytes) break
-      yield piece
+      yield chunk
     }
   } catch (cause) {
     throw fileError(path, cause)
--- a/packages/anvilarch/src/gateway/types.ts
+++ b/packages/anvilarch/src/gateway/types.ts
@@ -2,7 +2,7 @@
 import type { ConfigurationDocument } from 'anvilarch-configuration'
 
 /** The configuration in force. */
-export interface ConfigurationAnswer {
+export interface ConfigurationResponse {
   version: number
   hash: string
   document: ConfigurationDocument
@@ -12,7 +12,7 @@
 }
 
 /** Outcome of applying a document. */
-export interface ApplyAnswer {
+export interface ApplyResponse {
   version: number
   hash: string
   /** False if the same document was already in force. */
@@ -77,14 +77,14 @@
 }
 
 /** Response to a drain request. */
-export interface DrainAnswer {
+export interface DrainResponse {
   agent: string
   /** Number of attempts still in progress. */
   running: number
 }
 
 /** State of the whole system, as reported by one gateway. */
-export interface StatusAnswer {
+export interface StatusResponse {
   gateway: string
   configurationVersion: number
   inForce: boolean
@@ -95,7 +95,7 @@
 }
 
 /** A job in the format of the OpenAI batch object. */
-export interface BatchAnswer {
+export interface BatchResponse {
   id: string
   status: string
   endpoint: string
@@ -114,14 +114,14 @@
 }
 
 /** One page of jobs. */
-export interface BatchListAnswer {
-  data: BatchAnswer[]
+export interface BatchListResponse {
+  data: BatchResponse[]
   has_more: boolean
   last_id?: string | null
 }
 
 /** An uploaded file. */
-export interface FileAnswer {
+export interface FileResponse {
   id: string
   bytes: number
   filename: string
--- a/packages/anvilarch/src/jobs/downloadFile.ts
+++ b/packages/anvilarch/src/jobs/downloadFile.ts
@@ -27,9 +27,9 @@
 export async function downloadToFile (session: CliSession, fileId: string, path: string): Promise<DownloadedFile> {
   const partPath = `${path}.part`
   try {
-    const found = await download(session, fileId, createWriteStream(partPath), { end: true })
+    const downloaded = await download(session, fileId, createWriteStream(partPath), { end: true })
     await rename(partPath, path).catch(cause => { throw fileError(path, cause) })
-    return found
+    return downloaded
   } catch (error) {
     await rm(partPath, { force: true }).catch(() => {})
     throw error
@@ -62,12 +62,12 @@
   session: CliSession, fileId: string, sink: NodeJS.WritableStream, options: { end: boolean }
 ): Promise<DownloadedFile> {
   const { body, gatewayUrl } = await session.gateway.fileContent(fileId)
-  const found = { lines: 0, bytes: 0 }
+  const size = { lines: 0, bytes: 0 }
   const counter = new Transform({
-    transform (piece: Buffer, _encoding, done) {
-      found.bytes += piece.length
-      found.lines += countLines(piece)
-      done(null, piece)
+    transform (chunk: Buffer, _encoding, done) {
+      size.bytes += chunk.length
+      size.lines += countLines(chunk)
+      done(null, chunk)
     }
   })
   try {
@@ -75,12 +75,12 @@
   } catch (cause) {
     throw isFileSystemError(cause) ? fileError(cause.path ?? '', cause) : transportFailure(cause, { step: 'jobs.results', gatewayUrl, isRead: true })
   }
-  return found
+  return size
 }
 
-function countLines (piece: Buffer): number {
+function countLines (chunk: Buffer): number {
   let lines = 0
-  for (let at = piece.indexOf(NEWLINE); at >= 0; at = piece.indexOf(NEWLINE, at + 1)) lines++
+  for (let at = chunk.indexOf(NEWLINE); at >= 0; at = chunk.indexOf(NEWLINE, at + 1)) lines++
   return lines
 }
 
--- a/packages/anvilarch/src/jobs/jobState.ts
+++ b/packages/anvilarch/src/jobs/jobState.ts
@@ -1,23 +1,23 @@
 /** Interprets and formats the state of a job. */
-import type { BatchAnswer } from '../gateway/types'
+import type { BatchResponse } from '../gateway/types'
 import { formatTime } from '../output/table'
 
 /** Final states of a job. */
 const ENDED_STATES = new Set(['completed', 'failed', 'expired', 'cancelled'])
 
 /** @returns whether the job is in a final state */
-export function hasEnded (batch: BatchAnswer): boolean {
+export function hasEnded (batch: BatchResponse): boolean {
   return ENDED_STATES.has(batch.status)
 }
 
 /** @returns numbers of items; `done` counts completed and failed ones */
-export function jobCounts (batch: BatchAnswer): { done: number, total: number, completed: number, failed: number } {
+export function jobCounts (batch: BatchResponse): { done: number, total: number, completed: number, failed: number } {
   const { total = 0, completed = 0, failed = 0 } = batch.request_counts ?? {}
   return { done: completed + failed, total, completed, failed }
 }
 
 /** @returns the job as lines of text */
-export function formatJob (batch: BatchAnswer): string {
+export function formatJob (batch: BatchResponse): string {
   const { total, completed, failed } = jobCounts(batch)
   const lines = [
     `job       ${batch.id}`,
--- a/packages/anvilarch/src/jobs/submitJob.ts
+++ b/packages/anvilarch/src/jobs/submitJob.ts
@@ -2,9 +2,9 @@
 import { type Clock, sleep } from 'anvilarch-utils'
 import { CliError, toCliError } from '../cliError'
 import { fileSizeBytes } from '../files'
-import { isWorthAnotherTry } from '../gateway/failures'
+import { isRetryable } from '../gateway/failures'
 import type { GatewayClient } from '../gateway/gatewayClient'
-import type { BatchAnswer } from '../gateway/types'
+import type { BatchResponse } from '../gateway/types'
 import { formatCount } from '../output/table'
 
 /** What to submit. */
@@ -17,28 +17,28 @@
 
 /** A job that was created, or found by its key or content. */
 export interface SubmittedJob {
-  batch: BatchAnswer
+  batch: BatchResponse
   tries: number
 }
 
 /** Limits of the retries. */
 export interface SubmitOptions {
-  maxTries: number
-  firstWaitMs: number
+  maxAttempts: number
+  initialBackoffMs: number
   /** Longest backoff of the command itself; a longer `Retry-After` of the gateway takes precedence. */
-  maxWaitMs: number
+  maxBackoffMs: number
   /** A longer `Retry-After` ends the retries, so that the operator doesn't wait without notice. */
-  patienceMs: number
+  maxRetryAfterMs: number
   /** Called before each wait. */
   onRetry: (error: CliError, waitMs: number) => void
 }
 
 /** Default limits: about half a minute in total, unless `Retry-After` states longer waits. */
-export const DEFAULT_SUBMIT_OPTIONS: Pick<SubmitOptions, 'maxTries' | 'firstWaitMs' | 'maxWaitMs' | 'patienceMs'> = {
-  maxTries: 7,
-  firstWaitMs: 500,
-  maxWaitMs: 8000,
-  patienceMs: 60_000
+export const DEFAULT_SUBMIT_OPTIONS: Pick<SubmitOptions, 'maxAttempts' | 'initialBackoffMs' | 'maxBackoffMs' | 'maxRetryAfterMs'> = {
+  maxAttempts: 7,
+  initialBackoffMs: 500,
+  maxBackoffMs: 8000,
+  maxRetryAfterMs: 60_000
 }
 
 /**
@@ -57,32 +57,32 @@
   const sizeBytes = await fileSizeBytes(request.path)
   const upload = await withRetries(clock, options, () => gateway.uploadFile(request.path, sizeBytes))
   const creation = await withRetries(clock, options, () =>
-    gateway.createBatch({ inputFileId: upload.answer.id, endpoint: request.endpoint, idempotencyKey: request.key }))
-  return { batch: creation.answer, tries: creation.tries }
+    gateway.createBatch({ inputFileId: upload.response.id, endpoint: request.endpoint, idempotencyKey: request.key }))
+  return { batch: creation.response, tries: creation.attempts }
 }
 
-async function withRetries<Answer> (clock: Clock, options: SubmitOptions, send: () => Promise<Answer>): Promise<{ answer: Answer, tries: number }> {
-  for (let tries = 1; ; tries++) {
+async function withRetries<Body> (clock: Clock, options: SubmitOptions, send: () => Promise<Body>): Promise<{ response: Body, attempts: number }> {
+  for (let attempt = 1; ; attempt++) {
     try {
-      return { answer: await send(), tries }
+      return { response: await send(), attempts: attempt }
     } catch (thrown) {
       const error = toCliError(thrown)
-      if (!isWorthAnotherTry(error)) throw error
-      if (tries >= options.maxTries || (error.retryAfterMs ?? 0) > options.patienceMs) throw triesUsedUp(error, tries)
-      const waitMs = waitBeforeTry(tries, error.retryAfterMs, options)
+      if (!isRetryable(error)) throw error
+      if (attempt >= options.maxAttempts || (error.retryAfterMs ?? 0) > options.maxRetryAfterMs) throw attemptsExhausted(error, attempt)
+      const waitMs = retryDelayMs(attempt, error.retryAfterMs, options)
       options.onRetry(error, waitMs)
       await sleep(clock, waitMs)
     }
   }
 }
 
-function waitBeforeTry (tries: number, retryAfterMs: number | undefined, options: SubmitOptions): number {
-  const backoffMs = options.firstWaitMs * 2 ** (tries - 1)
-  return Math.max(Math.min(options.maxWaitMs, backoffMs), retryAfterMs ?? 0)
+function retryDelayMs (attempt: number, retryAfterMs: number | undefined, options: SubmitOptions): number {
+  const backoffMs = options.initialBackoffMs * 2 ** (attempt - 1)
+  return Math.max(Math.min(options.maxBackoffMs, backoffMs), retryAfterMs ?? 0)
 }
 
-function triesUsedUp (error: CliError, tries: number): CliError {
-  return new CliError(`${error.message} Given up after ${formatCount(tries, 'try', 'tries')}.`, {
+function attemptsExhausted (error: CliError, attempts: number): CliError {
+  return new CliError(`${error.message} Given up after ${formatCount(attempts, 'try', 'tries')}.`, {
     code: error.code,
     step: error.step,
     peer: error.peer,
--- a/packages/anvilarch/src/jobs/waitForJob.ts
+++ b/packages/anvilarch/src/jobs/waitForJob.ts
@@ -1,6 +1,6 @@
 /** Waits until a job has ended. */
 import { CliError } from '../cliError'
-import type { BatchAnswer } from '../gateway/types'
+import type { BatchResponse } from '../gateway/types'
 import { createProgress } from '../output/progress'
 import type { CliSession } from '../session'
 import { DEFAULT_POLL_INTERVAL_MS, pollUntil } from '../waiting'
@@ -15,14 +15,14 @@
  * @returns the job after its end
  * @throws CliError when the time limit is reached
  */
-export async function waitForJob (session: CliSession, id: string, timeoutMs: number | undefined): Promise<BatchAnswer> {
+export async function waitForJob (session: CliSession, id: string, timeoutMs: number | undefined): Promise<BatchResponse> {
   const progress = createProgress(session.environment, 'items')
   try {
     const { isDone, state } = await pollUntil({
       clock: session.environment.clock,
       timeoutMs,
       intervalMs: DEFAULT_POLL_INTERVAL_MS,
-      ask: () => session.gateway.batch(id),
+      poll: () => session.gateway.batch(id),
       isDone: hasEnded,
       onState: batch => {
         const { done, total } = jobCounts(batch)
--- a/packages/anvilarch/src/normalizeArguments.ts
+++ b/packages/anvilarch/src/normalizeArguments.ts
@@ -9,38 +9,38 @@
  * Normalizes the arguments. The parser supports options with a value and flags without one, but `--wait` may be either. It also
  * requires options after the name of the command, while `anvilarch --json status` is common.
  *
- * @param words - arguments of the command line
+ * @param argv - arguments of the command line
  * @returns the arguments with `--wait=seconds`, and with global options after the command
  */
-export function normalizeArguments (words: string[]): string[] {
-  return withWaitValue(withGlobalsLast(words))
+export function normalizeArguments (argv: string[]): string[] {
+  return withWaitValue(withGlobalsLast(argv))
 }
 
-function withWaitValue (words: string[]): string[] {
+function withWaitValue (argv: string[]): string[] {
   const result: string[] = []
-  for (let at = 0; at < words.length; at++) {
-    if (words[at] !== '--wait') {
-      result.push(words[at])
+  for (let index = 0; index < argv.length; index++) {
+    if (argv[index] !== '--wait') {
+      result.push(argv[index])
       continue
     }
-    const next = words[at + 1]
+    const next = argv[index + 1]
     const hasSeconds = next !== undefined && SECONDS_PATTERN.test(next)
     result.push(`--wait=${hasSeconds ? next : WAIT_WITHOUT_SECONDS}`)
-    if (hasSeconds) at++
+    if (hasSeconds) index++
   }
   return result
 }
 
-function withGlobalsLast (words: string[]): string[] {
+function withGlobalsLast (argv: string[]): string[] {
   const globals: string[] = []
-  let at = 0
-  for (; at < words.length; at++) {
-    const word = words[at]
-    const isOption = GLOBAL_OPTIONS.has(word)
-    const isGlobal = isOption || GLOBAL_FLAGS.has(word) || [...GLOBAL_OPTIONS].some(name => word.startsWith(`${name}=`))
+  let index = 0
+  for (; index < argv.length; index++) {
+    const argument = argv[index]
+    const isOption = GLOBAL_OPTIONS.has(argument)
+    const isGlobal = isOption || GLOBAL_FLAGS.has(argument) || [...GLOBAL_OPTIONS].some(name => argument.startsWith(`${name}=`))
     if (!isGlobal) break
-    globals.push(word)
-    if (isOption && at + 1 < words.length) globals.push(words[++at])
+    globals.push(argument)
+    if (isOption && index + 1 < argv.length) globals.push(argv[++index])
   }
-  return [...words.slice(at), ...globals]
+  return [...argv.slice(index), ...globals]
 }
--- a/packages/anvilarch/src/report/buildReport.ts
+++ b/packages/anvilarch/src/report/buildReport.ts
@@ -6,7 +6,7 @@
 const SECOND_MS = 1000
 
 /** Messages about processes, the store, endpoints and the configuration that may explain failed requests. */
-const MOMENTS: ReadonlySet<string> = new Set([
+const MOMENT_MESSAGES: ReadonlySet<string> = new Set([
   'started', 'stopping', 'gateway stopped', 'runner stopped', 'stop cut short', 'stop waits for requests', 'configuration in force',
   'endpoint listed', 'endpoint removed from the list', 'endpoint entry not usable', 'engine started anew', 'store does not serve this host',
   'store answers again', 'feed lost', 'feed answers again', 'table listing failed', 'feed history lost, listing again', 'request in progress at a crash',
@@ -31,7 +31,7 @@
     processCount: new Set(lines.map(line => line.process)).size,
     lineCount: lines.length,
     seconds,
-    moments: lines.filter(line => MOMENTS.has(line.message)).map(line => momentOf(line, secondOf(line))).sort((a, b) => a.second - b.second),
+    moments: lines.filter(line => MOMENT_MESSAGES.has(line.message)).map(line => momentOf(line, secondOf(line))).sort((a, b) => a.second - b.second),
     losses: findLosses(lines, startMs)
   }
 }
@@ -57,19 +57,19 @@
 }
 
 /** Fields that are summed over all processes, by message. */
-const SUMMED: ReadonlyMap<string, ReadonlyArray<keyof ReportSecond>> = new Map([
+const SUMMED_FIELDS: ReadonlyMap<string, ReadonlyArray<keyof ReportSecond>> = new Map([
   ['traffic', ['arrived', 'answered', 'late', 'refused', 'failed', 'left', 'inProgress']],
   ['engine use', ['slots', 'online', 'batchRunning', 'batchPaused']]
 ])
 
 /** Fields of which the maximum over all processes is taken, by message. */
-const LARGEST: ReadonlyMap<string, ReadonlyArray<keyof ReportSecond>> = new Map([
+const MAXIMUM_FIELDS: ReadonlyMap<string, ReadonlyArray<keyof ReportSecond>> = new Map([
   ['traffic', ['configurationAgeMs', 'endpointsAgeMs']]
 ])
 
 function addLine (second: ReportSecond, line: LogLine): void {
-  for (const field of SUMMED.get(line.message) ?? []) second[field] += Number(line[field] ?? 0)
-  for (const field of LARGEST.get(line.message) ?? []) second[field] = Math.max(second[field], Number(line[field] ?? 0))
+  for (const field of SUMMED_FIELDS.get(line.message) ?? []) second[field] += Number(line[field] ?? 0)
+  for (const field of MAXIMUM_FIELDS.get(line.message) ?? []) second[field] = Math.max(second[field], Number(line[field] ?? 0))
   if (line.message === 'item paused') second.pauses++
 }
 
--- a/packages/anvilarch/src/report/losses.ts
+++ b/packages/anvilarch/src/report/losses.ts
@@ -16,7 +16,7 @@
 export function findLosses (lines: readonly LogLine[], startMs: number): ReportLoss[] {
   const groups = new Map<string, LoggedFailure[]>()
   for (const failure of findFailures(lines)) {
-    const reason = reasonGroup(failure.reason)
+    const reason = groupReason(failure.reason)
     const key = [failure.kind, failure.outcome, reason].join('\n')
     groups.set(key, [...groups.get(key) ?? [], { ...failure, reason }])
   }
@@ -24,7 +24,7 @@
 }
 
 /** Reduces reasons that are only a duration to one group, as the duration differs for each failure. */
-function reasonGroup (reason: string): string {
+function groupReason (reason: string): string {
   return /^\d+ ms$/.test(reason) ? '' : reason
 }
 
--- a/packages/anvilarch/src/report/renderReport.ts
+++ b/packages/anvilarch/src/report/renderReport.ts
@@ -19,7 +19,7 @@
     '<p>The ids can be given to <code>anvilarch explain</code>.</p>',
     table(['kind', 'outcome', 'reason', 'count', 'seconds', 'most in', 'ids'], report.losses.map(lossCells)),
     '<h2>Processes, store, endpoints and configuration</h2>',
-    table(['second', 'event', 'processes', 'detail'], gatherMoments(report.moments)),
+    table(['second', 'event', 'processes', 'detail'], groupMoments(report.moments)),
     '</body></html>',
     ''
   ].join('\n')
@@ -36,7 +36,7 @@
 const NAMED_PROCESSES = 3
 
 /** Combines the same event at several processes in one second into one row. */
-function gatherMoments (moments: readonly ReportMoment[]): string[][] {
+function groupMoments (moments: readonly ReportMoment[]): string[][] {
   const groups = new Map<string, ReportMoment[]>()
   for (const moment of moments) {
     const key = [moment.second, moment.message, moment.detail].join('\n')
@@ -49,8 +49,8 @@
   })
 }
 
-function table (heads: readonly string[], rows: ReadonlyArray<readonly string[]>): string {
-  const head = heads.map(text => `<th>${escapeText(text)}</th>`).join('')
+function table (headings: readonly string[], rows: ReadonlyArray<readonly string[]>): string {
+  const head = headings.map(text => `<th>${escapeText(text)}</th>`).join('')
   const body = rows.map(row => `<tr>${row.map(cell).join('')}</tr>`).join('\n')
   return `<table><tr>${head}</tr>\n${body}</table>`
 }
--- a/packages/anvilarch/src/runCli.ts
+++ b/packages/anvilarch/src/runCli.ts
@@ -8,26 +8,26 @@
 const { version } = require('../package.json') as { version: string }
 
 /**
- * @param words - arguments of the command line, without program and script
+ * @param argv - arguments of the command line, without program and script
  * @param environment - of the process
  * @returns the exit code
  */
-export async function runCli (words: string[], environment: CliEnvironment): Promise<number> {
+export async function runCli (argv: string[], environment: CliEnvironment): Promise<number> {
   let exitCode: number = EXIT_CODES.ok.code
   const program = createProgram(environment, version, code => { exitCode = code })
-  const result = await runSafely(program, normalizeArguments(words))
+  const result = await runSafely(program, normalizeArguments(argv))
   if (result._tag === 'ok') return exitCode
   const { into, message } = result.error.config
   if (into === 'stdout') {
     environment.stdout.write(`${message}\n`)
     return EXIT_CODES.ok.code
   }
-  printUsageError(words, message, environment)
+  printUsageError(argv, message, environment)
   return EXIT_CODES.usage.code
 }
 
-function printUsageError (words: string[], message: string, environment: CliEnvironment): void {
-  if (!words.includes('--json')) {
+function printUsageError (argv: string[], message: string, environment: CliEnvironment): void {
+  if (!argv.includes('--json')) {
     environment.stderr.write(`${message}\n`)
     return
   }
--- a/packages/anvilarch/src/session.ts
+++ b/packages/anvilarch/src/session.ts
@@ -46,9 +46,9 @@
 
 function parseGatewayUrls (text: string): string[] {
   const urls = text.split(',').map(url => url.trim()).filter(url => url !== '')
-  const wrong = urls.find(url => !/^https?:\/\//.test(url) || !URL.canParse(url))
-  if (wrong === undefined && urls.length > 0) return urls
-  throw new CliError(`Gateway "${wrong ?? text}" is not a URL.`, {
+  const invalid = urls.find(url => !/^https?:\/\//.test(url) || !URL.canParse(url))
+  if (invalid === undefined && urls.length > 0) return urls
+  throw new CliError(`Gateway "${invalid ?? text}" is not a URL.`, {
     code: 'bad_request', step: 'cli.options', exit: 'usage', ran: 'not_run', hint: `Give one or more URLs with commas between them, for example --gateway ${DEFAULT_GATEWAY_URL}.`
   })
 }
--- a/packages/anvilarch/src/storeSnapshot.ts
+++ b/packages/anvilarch/src/storeSnapshot.ts
@@ -17,9 +17,9 @@
  */
 export async function readSnapshot (address: string, session: CliSession): Promise<StoreSnapshot> {
   const { store, wire } = openStore(address, session.environment.clock, SILENT_LOGGER)
-  const read = await readStoreSnapshot(store, wire)
-  if (read.ok) return read.val
-  throw new CliError(`The store at ${address} can't be read: ${read.val.reason}.`, {
+  const result = await readStoreSnapshot(store, wire)
+  if (result.ok) return result.val
+  throw new CliError(`The store at ${address} can't be read: ${result.val.reason}.`, {
     code: 'platform_unavailable', step: 'store.read', peer: address, exit: 'unreachable', ran: 'not_run', hint: 'Check the address in the settings file of a daemon, and try again.'
   })
 }
--- a/packages/anvilarch/src/timeline/collectEvents.ts
+++ b/packages/anvilarch/src/timeline/collectEvents.ts
@@ -1,7 +1,7 @@
 /** Fetches the events of a time line from every daemon. */
 import type { TimelineEvent } from 'anvilarch-protocol'
 import { type Dispatcher, request } from 'undici'
-import type { StatusAnswer } from '../gateway/types'
+import type { StatusResponse } from '../gateway/types'
 import { mergeEvents } from './mergeEvents'
 
 /** Largest number of concurrent requests; a fleet has hundreds of daemons. */
@@ -25,7 +25,7 @@
  * @param status - the daemons, as reported by a gateway
  * @returns the daemons that have an operations server
  */
-export function timelineSources (status: StatusAnswer): TimelineSource[] {
+export function timelineSources (status: StatusResponse): TimelineSource[] {
   const gateways = status.gateways.map(({ instance, operationsAddress }) => ({ process: instance, operationsAddress }))
   const agents = status.agents.map(({ name, operationsAddress }) => ({ process: name, operationsAddress }))
   return [...gateways, ...agents].filter(({ operationsAddress }) => operationsAddress !== '')
@@ -43,24 +43,24 @@
   const query = new URLSearchParams(Object.entries(filter).filter((entry): entry is [string, string] => entry[1] !== undefined))
   const lists: TimelineEvent[][] = []
   const missing: CollectedEvents['missing'] = []
-  const waiting = [...sources]
-  const work = async (): Promise<void> => {
-    for (let source = waiting.shift(); source !== undefined; source = waiting.shift()) {
+  const pending = [...sources]
+  const worker = async (): Promise<void> => {
+    for (let source = pending.shift(); source !== undefined; source = pending.shift()) {
       try {
-        lists.push(await askDaemon(source, query, dispatcher))
+        lists.push(await fetchEvents(source, query, dispatcher))
       } catch (error) {
         missing.push({ ...source, reason: error instanceof Error ? error.message : String(error) })
       }
     }
   }
-  await Promise.all(Array.from({ length: Math.min(MAX_PARALLEL, sources.length) }, work))
+  await Promise.all(Array.from({ length: Math.min(MAX_PARALLEL, sources.length) }, worker))
   return { events: mergeEvents(lists), missing }
 }
 
-async function askDaemon (source: TimelineSource, query: URLSearchParams, dispatcher?: Dispatcher): Promise<TimelineEvent[]> {
+async function fetchEvents (source: TimelineSource, query: URLSearchParams, dispatcher?: Dispatcher): Promise<TimelineEvent[]> {
   const url = `http://${source.operationsAddress}/timeline?${query.toString()}`
-  const answer = await request(url, { dispatcher, signal: AbortSignal.timeout(TIMEOUT_MS) })
-  if (answer.statusCode !== 200) throw new Error(`status ${answer.statusCode}: ${await answer.body.text()}`)
-  const body = await answer.body.json() as { events: TimelineEvent[] }
+  const response = await request(url, { dispatcher, signal: AbortSignal.timeout(TIMEOUT_MS) })
+  if (response.statusCode !== 200) throw new Error(`status ${response.statusCode}: ${await response.body.text()}`)
+  const body = await response.body.json() as { events: TimelineEvent[] }
   return body.events
 }
--- a/packages/anvilarch/src/timeline/mergeEvents.ts
+++ b/packages/anvilarch/src/timeline/mergeEvents.ts
@@ -12,30 +12,30 @@
  * @returns all events without duplicates, sorted by wall-clock time, then process, then sequence
  */
 export function mergeEvents (lists: TimelineEvent[][]): TimelineEvent[] {
-  const byKey = new Map<string, PlacedEvent>()
-  for (const placed of lists.flatMap(placeEvents)) {
-    const { process, atMs, sequence } = placed.event
-    byKey.set(`${process} ${atMs} ${sequence}`, placed)
+  const byKey = new Map<string, SortableEvent>()
+  for (const entry of lists.flatMap(assignSortTimes)) {
+    const { process, atMs, sequence } = entry.event
+    byKey.set(`${process} ${atMs} ${sequence}`, entry)
   }
   return [...byKey.values()].sort(compareEvents).map(({ event }) => event)
 }
 
 /** An event with the time by which it is sorted: no earlier than that of any previous event of its process. */
-interface PlacedEvent {
+interface SortableEvent {
   event: TimelineEvent
-  placeMs: number
+  sortMs: number
 }
 
-function placeEvents (list: TimelineEvent[]): PlacedEvent[] {
-  let placeMs = Number.NEGATIVE_INFINITY
+function assignSortTimes (list: TimelineEvent[]): SortableEvent[] {
+  let sortMs = Number.NEGATIVE_INFINITY
   return [...list].sort((left, right) => left.sequence - right.sequence).map(event => {
-    placeMs = Math.max(placeMs, event.atMs)
-    return { event, placeMs }
+    sortMs = Math.max(sortMs, event.atMs)
+    return { event, sortMs }
   })
 }
 
-function compareEvents (left: PlacedEvent, right: PlacedEvent): number {
-  const byTime = left.placeMs - right.placeMs
+function compareEvents (left: SortableEvent, right: SortableEvent): number {
+  const byTime = left.sortMs - right.sortMs
   return byTime || compareText(left.event.process, right.event.process) || left.event.sequence - right.event.sequence
 }
 
--- a/packages/anvilarch/src/waiting.ts
+++ b/packages/anvilarch/src/waiting.ts
@@ -1,7 +1,7 @@
 /** Polls until a condition is met. */
 import { type Clock, sleep } from 'anvilarch-utils'
 import { CliError } from './cliError'
-import { isWorthAnotherTry } from './gateway/failures'
+import { isRetryable } from './gateway/failures'
 
 /** Options of `pollUntil`. */
 export interface PollOptions<State> {
@@ -9,7 +9,7 @@
   /** No limit if undefined. */
   timeoutMs: number | undefined
   intervalMs: number
-  ask: () => Promise<State>
+  poll: () => Promise<State>
   isDone: (state: State) => boolean
   onState: (state: State) => void
 }
@@ -24,7 +24,7 @@
 export const DEFAULT_POLL_INTERVAL_MS = 500
 
 /** A wait, also one without a limit, fails after this many failed polls in a row. */
-const MAX_FAILURES_IN_A_ROW = 20
+const MAX_CONSECUTIVE_FAILURES = 20
 
 /**
  * Polls until `isDone` returns true or the time limit is reached. Gateways may be replaced during the wait, so a failed poll
@@ -38,17 +38,17 @@
   const { clock, timeoutMs = Infinity, intervalMs } = options
   const endMs = clock.nowMs() + timeoutMs
   let last: { state: State } | undefined
-  let failuresInARow = 0
+  let consecutiveFailures = 0
   for (;;) {
     try {
-      last = { state: await options.ask() }
-      failuresInARow = 0
+      last = { state: await options.poll() }
+      consecutiveFailures = 0
       options.onState(last.state)
       if (options.isDone(last.state)) return { isDone: true, state: last.state }
     } catch (error) {
-      failuresInARow++
-      const isPassing = error instanceof CliError && isWorthAnotherTry(error) && failuresInARow < MAX_FAILURES_IN_A_ROW
-      if (!isPassing) throw error
+      consecutiveFailures++
+      const isTransient = error instanceof CliError && isRetryable(error) && consecutiveFailures < MAX_CONSECUTIVE_FAILURES
+      if (!isTransient) throw error
       if (clock.nowMs() + intervalMs > endMs && last === undefined) throw error
     }
     if (clock.nowMs() + intervalMs > endMs && last !== undefined) return { isDone: false, state: last.state }
